--- a/internal/coordination/chains/chains.go
+++ b/internal/coordination/chains/chains.go
@@ -43,40 +43,40 @@
 	maxParts = 32
 )
 
-// Part is one engine of a chain and the layers it runs.
-type Part struct {
+// Stage is one engine of a chain and the layers it runs.
+type Stage struct {
 	Server *model.BackendServer
 	Layers model.LayerRange
 }
 
-// Demand is what a chain is wanted for.
-type Demand struct {
+// Requirements is what a chain is wanted for.
+type Requirements struct {
 	// Domain is the failure domain of the asking router.
 	Domain string
 	// Tokens is prompt and expected answer.
 	Tokens int
-	// Gap is the longest pause between events that is in time; 0 for the usual.
-	Gap time.Duration
+	// MaxEventGap is the longest pause between events that is in time; 0 for the usual.
+	MaxEventGap time.Duration
 	// Resumed says that a running stream is to go on: its pause counts, not its time a token.
 	Resumed bool
 	// Avoid are engines that must not take part.
 	Avoid map[model.Incarnation]bool
-	// FirstAmong are the engines that the chain may begin with; nil for any.
-	FirstAmong map[model.Incarnation]bool
-	// NotFirst names further engines that the chain must not begin with, and BeginCost is
+	// FirstStageIn are the engines that the chain may begin with; nil for any.
+	FirstStageIn map[model.Incarnation]bool
+	// ExcludeFirstStage names further engines that the chain must not begin with, and BeginCost is
 	// what it costs a token to begin at an engine with so many streams; nil for none.
-	NotFirst  func(engine *model.BackendServer) bool
-	BeginCost func(engine model.Incarnation, streams float64) time.Duration
+	ExcludeFirstStage  func(engine *model.BackendServer) bool
+	FirstStageCost func(engine model.Incarnation, streams float64) time.Duration
 }
 
-// Verdict says why there is no chain.
-type Verdict int
+// Result says why there is no chain.
+type Result int
 
 // Verdicts of a choice.
 const (
-	Found Verdict = iota
-	// NoRoom means that chains exist and all are full.
-	NoRoom
+	Found Result = iota
+	// CapacityExhausted means that chains exist and all are full.
+	CapacityExhausted
 	// NoChain means that the engines in reach do not hold all layers.
 	NoChain
 )
@@ -85,10 +85,10 @@
 type Chooser struct {
 	Catalog *catalog.Catalog
 	Health  *catalog.Health
-	Memory  *Memory
-	Pipes   *Pipes
-	// Routers counts the routers that share the pipes.
-	Routers func() int
+	Usage  *UsageTracker
+	Interconnect   *Interconnect
+	// RouterCount counts the routers that share the pipes.
+	RouterCount func() int
 	// Self names this router; routers look at different engines where there are
 	// many.
 	Self string
@@ -98,10 +98,10 @@
 
 // Choose finds the chain of least time per token that has room, with the load
 // of its engines counted, and tells why there is none.
-func (c *Chooser) Choose(svc *model.Service, d Demand) ([]Part, Verdict) {
+func (c *Chooser) Choose(svc *model.Service, d Requirements) ([]Stage, Result) {
 	cands := c.candidates(svc, d)
 	walk := walk{spec: svc.Engine, cands: cands, need: model.LayerRange{To: svc.Engine.Layers}, home: d.Domain}
-	walk.cross = c.crossings(svc.Engine, cands, d.Tokens, d.Gap)
+	walk.cross = c.crossings(svc.Engine, cands, d.Tokens, d.MaxEventGap)
 	if d.Resumed {
 		c.resumed(&walk, d.Tokens)
 	}
@@ -116,18 +116,18 @@
 	}
 	walk.room = false
 	if chain := walk.shortest(); chain != nil {
-		return nil, NoRoom
+		return nil, CapacityExhausted
 	}
 	return nil, NoChain
 }
 
-// Shortage names what there is too little of where Choose found no room: slots of
+// ExhaustedResource names what there is too little of where Choose found no room: slots of
 // engines that begin chains, pipes between failure domains, or token memory. It
 // is asked once a refusal, for the log.
-func (c *Chooser) Shortage(svc *model.Service, d Demand) string {
+func (c *Chooser) ExhaustedResource(svc *model.Service, d Requirements) string {
 	cands := c.candidates(svc, d)
 	w := walk{spec: svc.Engine, cands: cands, need: model.LayerRange{To: svc.Engine.Layers}, home: d.Domain, room: true}
-	w.cross = c.crossings(svc.Engine, cands, d.Tokens, d.Gap)
+	w.cross = c.crossings(svc.Engine, cands, d.Tokens, d.MaxEventGap)
 	if w.shortest() != nil {
 		return "none now"
 	}
@@ -163,11 +163,11 @@
 	return open
 }
 
-func (c *Chooser) candidates(svc *model.Service, d Demand) []candidate {
+func (c *Chooser) candidates(svc *model.Service, d Requirements) []candidate {
 	spec := svc.Engine
 	var out []candidate
 	domains := map[string]int{}
-	routers := c.Routers() // once: it counts all that were heard of
+	routers := c.RouterCount() // once: it counts all that were heard of
 	others := c.together(routers) - 1
 	for _, b := range c.engines(svc.Name) {
 		inc := b.Incarnation()
@@ -185,27 +185,27 @@
 			domains[b.FailureDomain] = id
 		}
 		capacity := Capacity(spec, card, b.Holds)
-		used := c.Memory.Used(inc)
+		used := c.Usage.Used(inc)
 		// Peers have begun streams since they last told. Unless they count, routers
 		// that meet the same burst, or start together, all send it to the engine
 		// that looks best, and its requests queue. They do about what this router
 		// does, so its own new streams stand for theirs.
-		used.add(c.Memory.New(inc).times(others), 1)
-		per := perLayer(spec, card, used, c.Memory.Slowdown(inc))
+		used.add(c.Usage.Recent(inc).times(others), 1)
+		per := perLayer(spec, card, used, c.Usage.Slowdown(inc))
 		fill := math.Min(used.TokenLayers/math.Max(capacity*fillLimit, 1), mostFill)
 		per *= 1 / (1 - fill)
 		doubt := doubtTime.Seconds() * math.Max(view.Failures-doubtFree, 0)
-		if d.BeginCost != nil {
-			doubt += d.BeginCost(inc, used.Firsts).Seconds()
+		if d.FirstStageCost != nil {
+			doubt += d.FirstStageCost(inc, used.FirstStageStreams).Seconds()
 		}
 		out = append(out, candidate{
 			server:   b,
 			domain:   id,
 			perLayer: per,
 			doubt:    doubt,
-			notFirst: d.FirstAmong != nil && !d.FirstAmong[inc] || d.NotFirst != nil && d.NotFirst(b),
-			deferred: c.Memory.defers(c.Self, inc, b.Holds, readTime(spec, b, d.Tokens, b.Holds.Len()), routers),
-			noSlot:   b.Slots > 0 && used.Firsts+1 > float64(b.Slots)*slotLimit,
+			notFirst: d.FirstStageIn != nil && !d.FirstStageIn[inc] || d.ExcludeFirstStage != nil && d.ExcludeFirstStage(b),
+			deferred: c.Usage.defers(c.Self, inc, b.Holds, readTime(spec, b, d.Tokens, b.Holds.Len()), routers),
+			noSlot:   b.Slots > 0 && used.FirstStageStreams+1 > float64(b.Slots)*slotLimit,
 			full:     used.TokenLayers+float64(d.Tokens*b.Holds.Len()) > capacity*fillLimit,
 		})
 	}
--- a/internal/coordination/chains/chains_test.go
+++ b/internal/coordination/chains/chains_test.go
@@ -37,7 +37,7 @@
 	now := func() time.Time { return w.now }
 	w.catalog = catalog.New(now)
 	w.health = catalog.NewHealth(now)
-	w.chooser = &Chooser{Catalog: w.catalog, Health: w.health, Memory: NewMemory(now), Pipes: NewPipes(now), Routers: func() int { return 4 }}
+	w.chooser = &Chooser{Catalog: w.catalog, Health: w.health, Usage: NewUsageTracker(now), Interconnect: NewInterconnect(now), RouterCount: func() int { return 4 }}
 	return w
 }
 
@@ -58,7 +58,7 @@
 	return w
 }
 
-func covers(t assert.TestingT, parts []Part, need model.LayerRange) {
+func covers(t assert.TestingT, parts []Stage, need model.LayerRange) {
 	at := need.From
 	seen := map[string]bool{}
 	for _, p := range parts {
@@ -74,7 +74,7 @@
 func TestChainStaysInItsDomain(t *testing.T) {
 	w := twoDomains()
 	for _, d := range []string{"a", "b"} {
-		parts, v := w.chooser.Choose(w.svc, Demand{Domain: d, Tokens: 1000})
+		parts, v := w.chooser.Choose(w.svc, Requirements{Domain: d, Tokens: 1000})
 		assert.Equal(t, v, Found)
 		for _, p := range parts {
 			assert.Equal(t, p.Server.FailureDomain, d)
@@ -98,7 +98,7 @@
 				w.health.Suspect(inc(fmt.Sprintf("e%d", i)))
 			}
 		}
-		parts, v := w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 1000})
+		parts, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
 		if v != Found {
 			assert.Equal(rt, len(parts), 0)
 			return
@@ -116,7 +116,7 @@
 func TestLostEngineSendsRequestsToOtherDomain(t *testing.T) {
 	w := twoDomains()
 	w.catalog.Remove("a2", 1, 0)
-	parts, v := w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 1000})
+	parts, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
 	assert.Equal(t, v, Found)
 	crossings := 0
 	for i := 1; i < len(parts); i++ {
@@ -133,13 +133,13 @@
 	w := newWorld()
 	w.add("a1", "a", "a100", 0, 40)
 	w.add("b1", "b", "a100", 40, 80)
-	_, v := w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 1000})
+	_, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
 	assert.Equal(t, v, Found, "an idle pipe is crossed")
-	w.chooser.Pipes.SeenPeer("peer", map[Pair]float64{{A: "a", B: "b"}: 20000}, 2*time.Second)
-	_, v = w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 1000})
+	w.chooser.Interconnect.SetPeerRates("peer", map[DomainPair]float64{{A: "a", B: "b"}: 20000}, 2*time.Second)
+	_, v = w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
 	assert.Equal(t, v, NoChain)
 	w.now = w.now.Add(2 * time.Second)
-	_, v = w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 1000})
+	_, v = w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
 	assert.Equal(t, v, Found, "what the peer told is old")
 }
 
@@ -152,10 +152,10 @@
 	now := time.Unix(1000, 0)
 	crossed := 0
 	for range routers {
-		p := NewPipes(func() time.Time { return now })
+		p := NewInterconnect(func() time.Time { return now })
 		limit := pipeLimit(46*time.Millisecond, 0, 4)
 		for p.Allows("a", "b", prompt, pipe*limit, routers) {
-			p.Use("a", "b", prompt)
+			p.AddTraffic("a", "b", prompt)
 			crossed++
 		}
 	}
@@ -169,12 +169,12 @@
 	w := twoDomains()
 	used := map[string]int{}
 	for range 1000 {
-		parts, v := w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 1000})
-		if v == NoRoom {
+		parts, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
+		if v == CapacityExhausted {
 			break
 		}
 		covers(t, parts, model.LayerRange{To: 80})
-		w.chooser.Memory.Reserve(parts, 1000)
+		w.chooser.Usage.Reserve(parts, 1000)
 		used[parts[0].Server.FailureDomain]++
 	}
 	assert.Assert(t, used["a"] > 0 && used["b"] > used["a"]/2, "%v", used)
@@ -182,7 +182,7 @@
 	for _, b := range w.catalog.Load().Service("s") {
 		card, _ := w.svc.Engine.Card(b.Card)
 		most := Capacity(w.svc.Engine, card, b.Holds) * fillLimit
-		assert.Assert(t, w.chooser.Memory.Used(b.Incarnation()).TokenLayers <= most, "%s is over its memory", b.ID)
+		assert.Assert(t, w.chooser.Usage.Used(b.Incarnation()).TokenLayers <= most, "%s is over its memory", b.ID)
 	}
 }
 
@@ -200,13 +200,13 @@
 	}
 	firsts := map[string]int{}
 	for {
-		parts, v := w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 10})
+		parts, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 10})
 		if v != Found {
-			assert.Equal(t, v, NoRoom)
+			assert.Equal(t, v, CapacityExhausted)
 			break
 		}
 		covers(t, parts, model.LayerRange{To: 80})
-		w.chooser.Memory.Reserve(parts, 10)
+		w.chooser.Usage.Reserve(parts, 10)
 		firsts[parts[0].Server.ID]++
 		w.now = w.now.Add(5 * time.Second) // the peers have told since
 	}
@@ -222,16 +222,16 @@
 	firsts := map[string]int{}
 	for range routers {
 		w := newWorld()
-		w.chooser.Routers = func() int { return routers }
+		w.chooser.RouterCount = func() int { return routers }
 		for id, card := range map[string]string{"fast": "a100", "second": "l40s", "third": "l40s"} {
 			w.catalog.Put(model.BackendServer{ID: id, Service: "s", Address: id + ":1", FailureDomain: "a", Card: card, Slots: slots, Holds: model.LayerRange{To: 10}})
 		}
 		w.add("rest", "a", "a100", 10, 40)
 		w.add("end", "a", "a100", 40, 80)
 		for range each {
-			parts, v := w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 10})
+			parts, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 10})
 			assert.Equal(t, v, Found)
-			w.chooser.Memory.Reserve(parts, 10)
+			w.chooser.Usage.Reserve(parts, 10)
 			firsts[parts[0].Server.ID]++
 		}
 	}
@@ -243,10 +243,10 @@
 // A stream has used up its attempts. It may only begin where it ran before.
 func TestChainBeginsAmongTheGiven(t *testing.T) {
 	w := twoDomains()
-	parts, v := w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 10, FirstAmong: map[model.Incarnation]bool{inc("b1"): true}})
+	parts, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 10, FirstStageIn: map[model.Incarnation]bool{inc("b1"): true}})
 	assert.Equal(t, v, Found)
 	assert.Equal(t, parts[0].Server.ID, "b1")
-	_, v = w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 10, FirstAmong: map[model.Incarnation]bool{inc("gone"): true}})
+	_, v = w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 10, FirstStageIn: map[model.Incarnation]bool{inc("gone"): true}})
 	assert.Equal(t, v, NoChain)
 }
 
@@ -255,7 +255,7 @@
 func TestReplaceKeepsTheOtherParts(t *testing.T) {
 	w := twoDomains()
 	w.add("spare", "a", "l4", 38, 62)
-	parts, _ := w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 1000})
+	parts, _ := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
 	covers(t, parts, model.LayerRange{To: 80})
 	next := w.chooser.Replace(w.svc, parts, only("a2"), 1000, 0)
 	covers(t, next, model.LayerRange{To: 80})
@@ -277,7 +277,7 @@
 	w.add("left", "a", "l40s", 20, 30)
 	w.add("right", "a", "l40s", 30, 50)
 	w.add("last", "a", "a100", 40, 80)
-	parts := []Part{
+	parts := []Stage{
 		{Server: w.catalog.Load().ByID("first"), Layers: model.LayerRange{To: 20}},
 		{Server: w.catalog.Load().ByID("lost"), Layers: model.LayerRange{From: 20, To: 40}},
 		{Server: w.catalog.Load().ByID("right"), Layers: model.LayerRange{From: 40, To: 50}},
@@ -301,7 +301,7 @@
 	moved := map[string]int{}
 	for range routers {
 		w := newWorld()
-		w.chooser.Routers = func() int { return routers }
+		w.chooser.RouterCount = func() int { return routers }
 		w.add("first", "a", "a100", 0, 36)
 		w.add("lost", "a", "l40s", 36, 47)
 		w.add("last", "a", "a100", 47, 80)
@@ -309,7 +309,7 @@
 			w.add(spare, "a", "l40s", 36, 47)
 		}
 		for range each {
-			parts := []Part{
+			parts := []Stage{
 				{Server: w.catalog.Load().ByID("first"), Layers: model.LayerRange{To: 36}},
 				{Server: w.catalog.Load().ByID("lost"), Layers: model.LayerRange{From: 36, To: 47}},
 				{Server: w.catalog.Load().ByID("last"), Layers: model.LayerRange{From: 47, To: 80}},
@@ -336,7 +336,7 @@
 	w.add("last", "a", "a100", 47, 80)
 	w.add("slow", "a", "l4", 36, 47)
 	w.add("away", "b", "a100", 36, 47)
-	parts := []Part{
+	parts := []Stage{
 		{Server: w.catalog.Load().ByID("first"), Layers: model.LayerRange{To: 36}},
 		{Server: w.catalog.Load().ByID("lost"), Layers: model.LayerRange{From: 36, To: 47}},
 		{Server: w.catalog.Load().ByID("last"), Layers: model.LayerRange{From: 47, To: 80}},
@@ -349,8 +349,8 @@
 func TestSlowEngineIsAvoided(t *testing.T) {
 	w := twoDomains()
 	w.add("a4", "a", "l40s", 40, 60)
-	w.chooser.Memory.SetSlowdown(inc("a2"), 3)
-	parts, _ := w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 1000})
+	w.chooser.Usage.SetSlowdown(inc("a2"), 3)
+	parts, _ := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
 	for _, p := range parts {
 		assert.Assert(t, p.Server.ID != "a2")
 	}
@@ -358,76 +358,76 @@
 
 func TestHoldIsGivenBackOnce(t *testing.T) {
 	w := twoDomains()
-	parts, _ := w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 1000})
-	other, _ := w.chooser.Choose(w.svc, Demand{Domain: "b", Tokens: 1000})
-	h := w.chooser.Memory.Reserve(parts, 1000)
-	assert.Equal(t, w.chooser.Memory.Used(inc("a1")).TokenLayers, 40000.0)
+	parts, _ := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
+	other, _ := w.chooser.Choose(w.svc, Requirements{Domain: "b", Tokens: 1000})
+	h := w.chooser.Usage.Reserve(parts, 1000)
+	assert.Equal(t, w.chooser.Usage.Used(inc("a1")).TokenLayers, 40000.0)
 	h.Move(other)
-	assert.Equal(t, w.chooser.Memory.Used(inc("a1")).TokenLayers, 0.0)
-	assert.Equal(t, w.chooser.Memory.Used(inc("b1")).TokenLayers, 40000.0)
+	assert.Equal(t, w.chooser.Usage.Used(inc("a1")).TokenLayers, 0.0)
+	assert.Equal(t, w.chooser.Usage.Used(inc("b1")).TokenLayers, 40000.0)
 	h.Release()
 	h.Release()
 	h.Move(parts)
-	assert.Equal(t, w.chooser.Memory.Used(inc("a1")), Use{})
-	assert.Equal(t, w.chooser.Memory.Used(inc("b1")), Use{})
+	assert.Equal(t, w.chooser.Usage.Used(inc("a1")), Usage{})
+	assert.Equal(t, w.chooser.Usage.Used(inc("b1")), Usage{})
 }
 
 // Another router's streams count until it has been silent for a while: without
 // them each router would fill an engine by itself.
 func TestPeersCountUntilTheyAreSilent(t *testing.T) {
 	w := twoDomains()
-	w.chooser.Memory.SeenPeer("p", map[model.Incarnation]Use{inc("a1"): {TokenLayers: 500, Streams: 2}}, 2*time.Second)
-	assert.Equal(t, w.chooser.Memory.Used(inc("a1")).Streams, 2.0)
+	w.chooser.Usage.SetPeerUsage("p", map[model.Incarnation]Usage{inc("a1"): {TokenLayers: 500, Streams: 2}}, 2*time.Second)
+	assert.Equal(t, w.chooser.Usage.Used(inc("a1")).Streams, 2.0)
 	w.now = w.now.Add(2 * time.Second)
-	assert.Equal(t, w.chooser.Memory.Used(inc("a1")).Streams, 0.0)
+	assert.Equal(t, w.chooser.Usage.Used(inc("a1")).Streams, 0.0)
 }
 
 // A peer's new count takes the place of its old one, peers add up, and one that
 // falls silent takes only its own with it.
 func TestPeersAddUp(t *testing.T) {
 	w := twoDomains()
-	m := w.chooser.Memory
-	m.SeenPeer("p", map[model.Incarnation]Use{inc("a1"): {Streams: 2}, inc("a2"): {Streams: 9}}, 2*time.Second)
-	m.SeenPeer("q", map[model.Incarnation]Use{inc("a1"): {Streams: 3}}, 4*time.Second)
+	m := w.chooser.Usage
+	m.SetPeerUsage("p", map[model.Incarnation]Usage{inc("a1"): {Streams: 2}, inc("a2"): {Streams: 9}}, 2*time.Second)
+	m.SetPeerUsage("q", map[model.Incarnation]Usage{inc("a1"): {Streams: 3}}, 4*time.Second)
 	assert.Equal(t, m.Used(inc("a1")).Streams, 5.0)
-	m.SeenPeer("p", map[model.Incarnation]Use{inc("a1"): {Streams: 1}}, 2*time.Second)
+	m.SetPeerUsage("p", map[model.Incarnation]Usage{inc("a1"): {Streams: 1}}, 2*time.Second)
 	assert.Equal(t, m.Used(inc("a1")).Streams, 4.0)
 	assert.Equal(t, m.Used(inc("a2")).Streams, 0.0)
 	w.now = w.now.Add(3 * time.Second)
 	assert.Equal(t, m.Used(inc("a1")).Streams, 3.0)
-	m.Expire()
+	m.ExpirePeers()
 	assert.Equal(t, m.Used(inc("a1")).Streams, 3.0)
 }
 
 func BenchmarkUsedWithPeers(b *testing.B) {
 	w := twoDomains()
 	for i := range 300 {
-		w.chooser.Memory.SeenPeer(fmt.Sprint(i), map[model.Incarnation]Use{inc("a1"): {Streams: 1}}, time.Hour)
+		w.chooser.Usage.SetPeerUsage(fmt.Sprint(i), map[model.Incarnation]Usage{inc("a1"): {Streams: 1}}, time.Hour)
 	}
 	for b.Loop() {
-		w.chooser.Memory.Used(inc("a1"))
+		w.chooser.Usage.Used(inc("a1"))
 	}
 }
 
 func TestReadingFades(t *testing.T) {
 	w := twoDomains()
-	w.chooser.Memory.Read(inc("a1"), 0.5)
-	assert.Assert(t, w.chooser.Memory.Used(inc("a1")).Reading > 0.4)
+	w.chooser.Usage.AddPrefill(inc("a1"), 0.5)
+	assert.Assert(t, w.chooser.Usage.Used(inc("a1")).PrefillLoad > 0.4)
 	w.now = w.now.Add(5 * time.Second)
-	assert.Assert(t, w.chooser.Memory.Used(inc("a1")).Reading < 0.01)
+	assert.Assert(t, w.chooser.Usage.Used(inc("a1")).PrefillLoad < 0.01)
 }
 
 // An engine's word about its pace goes to the peers; what it told this router
 // goes before what it told them, and an old word is forgotten.
 func TestSlowdownIsBelievedForAWhile(t *testing.T) {
 	w := twoDomains()
-	m := w.chooser.Memory
-	m.PeerSlowdown(inc("a1"), 4)
+	m := w.chooser.Usage
+	m.SetPeerSlowdown(inc("a1"), 4)
 	assert.Equal(t, m.Slowdown(inc("a1")), 4.0)
 	assert.Assert(t, m.SetSlowdown(inc("a1"), 2))
-	m.PeerSlowdown(inc("a1"), 4)
+	m.SetPeerSlowdown(inc("a1"), 4)
 	assert.Equal(t, m.Slowdown(inc("a1")), 2.0)
-	assert.DeepEqual(t, m.OwnSlow(), map[model.Incarnation]float64{inc("a1"): 2})
+	assert.DeepEqual(t, m.OwnSlowdowns(), map[model.Incarnation]float64{inc("a1"): 2})
 	w.now = w.now.Add(slowExpiry)
 	assert.Equal(t, m.Slowdown(inc("a1")), 1.0)
 	assert.Assert(t, m.SetSlowdown(inc("a1"), 1), "healthy again is news")
@@ -450,7 +450,7 @@
 	for i := range routers {
 		w.chooser.Self = fmt.Sprintf("10.1.0.%d:1", i)
 		w.chooser.subsets.of = nil
-		parts, v := w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 1000})
+		parts, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
 		assert.Equal(t, v, Found)
 		covers(t, parts, model.LayerRange{To: 80})
 		seen := w.chooser.engines("s")
@@ -475,7 +475,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 1000})
+		w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
 	}
 }
 
@@ -487,7 +487,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 1000})
+		w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
 	}
 }
 
@@ -503,7 +503,7 @@
 	w.add("other", "a", "l40s", 0, 20)
 	w.add("a2", "a", "a100", 40, 80)
 	first := func() string {
-		parts, v := w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 1000})
+		parts, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
 		assert.Equal(t, v, Found)
 		return parts[0].Server.ID
 	}
@@ -519,7 +519,7 @@
 	w.health.Outcome(inc("a2"), false)
 	w.health.Outcome(inc("a2"), false)
 	w.health.Outcome(inc("a2"), false)
-	parts, _ := w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 1000})
+	parts, _ := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
 	assert.Equal(t, parts[len(parts)-1].Server.ID, "a2", "as a later part it fails nobody")
 }
 
--- a/internal/coordination/chains/cost.go
+++ b/internal/coordination/chains/cost.go
@@ -10,22 +10,22 @@
 // perLayer is the time that a token takes in one layer of an engine, in
 // seconds: a step of its card, longer for each stream that writes, and longer
 // while prompts are read in between. A slow engine takes longer for all of it.
-func perLayer(spec *model.EngineSpec, card model.Card, used Use, slowdown float64) float64 {
+func perLayer(spec *model.EngineSpec, card model.Card, used Usage, slowdown float64) float64 {
 	step := spec.StepTime.Seconds() + spec.PerRequest.Seconds()*used.Streams
-	reading := math.Min(used.Reading*slowdown, mostReading)
+	reading := math.Min(used.PrefillLoad*slowdown, mostReading)
 	return step * card.Pace * slowdown / float64(spec.Layers) / (1 - reading)
 }
 
 // TokenTime is how long a token should take through a chain whose engines are
 // as fast as their cards.
-func (c *Chooser) TokenTime(spec *model.EngineSpec, parts []Part) time.Duration {
+func (c *Chooser) TokenTime(spec *model.EngineSpec, parts []Stage) time.Duration {
 	sum := 0.0
 	for i, p := range parts {
 		card, ok := spec.Card(p.Server.Card)
 		if !ok {
 			continue
 		}
-		sum += perLayer(spec, card, c.Memory.Used(p.Server.Incarnation()), 1) * float64(p.Layers.Len())
+		sum += perLayer(spec, card, c.Usage.Used(p.Server.Incarnation()), 1) * float64(p.Layers.Len())
 		if i > 0 && p.Server.FailureDomain != parts[i-1].Server.FailureDomain {
 			sum += crossTime.Seconds()
 			continue
@@ -35,8 +35,8 @@
 	return time.Duration(sum * float64(time.Second))
 }
 
-// CrossMbit is what a request of so many tokens moves over a pipe, in Mbit.
-func CrossMbit(spec *model.EngineSpec, tokens int) float64 {
+// CrossDomainMbit is what a request of so many tokens moves over a pipe, in Mbit.
+func CrossDomainMbit(spec *model.EngineSpec, tokens int) float64 {
 	return float64(tokens) * spec.ActivationBytes * 8 / 1e6
 }
 
@@ -49,7 +49,7 @@
 			names = append(names, cand.server.FailureDomain)
 		}
 	}
-	routers := c.Routers()
+	routers := c.RouterCount()
 	cost := make([][]float64, len(names))
 	for i := range names {
 		cost[i] = make([]float64, len(names))
@@ -67,22 +67,22 @@
 	if spec.PipeMbps <= 0 {
 		return crossTime.Seconds()
 	}
-	mbit := CrossMbit(spec, tokens)
+	mbit := CrossDomainMbit(spec, tokens)
 	transfer := mbit / spec.PipeMbps
 	limit := pipeLimit(time.Duration(transfer*float64(time.Second)), gap, spec.Stride)
-	if !c.Pipes.Allows(a, b, mbit, limit*spec.PipeMbps, routers) {
+	if !c.Interconnect.Allows(a, b, mbit, limit*spec.PipeMbps, routers) {
 		return math.Inf(1)
 	}
 	// The prompt's transfer delays the first event; spread over the tokens of
 	// a usual answer it compares with times a token. A token itself waits for
 	// the transfers of others.
-	load := math.Min(c.Pipes.Rate(a, b)/spec.PipeMbps, limit)
+	load := math.Min(c.Interconnect.Rate(a, b)/spec.PipeMbps, limit)
 	wait := load / (2 * (1 - load)) * transfer
 	return crossTime.Seconds() + wait + transfer/float64(max(spec.UsualAnswer, 1))
 }
 
-// Begin takes in that a prompt goes through a chosen chain.
-func (c *Chooser) Begin(spec *model.EngineSpec, parts []Part, tokens int) {
+// RecordStart takes in that a prompt goes through a chosen chain.
+func (c *Chooser) RecordStart(spec *model.EngineSpec, parts []Stage, tokens int) {
 	for _, p := range parts {
 		c.Health.Try(p.Server.Incarnation())
 	}
@@ -91,18 +91,18 @@
 }
 
 // read takes in the reading of so many tokens by each part.
-func (c *Chooser) read(spec *model.EngineSpec, parts []Part, tokens int) {
+func (c *Chooser) read(spec *model.EngineSpec, parts []Stage, tokens int) {
 	for _, p := range parts {
-		c.Memory.Read(p.Server.Incarnation(), readTime(spec, p.Server, tokens, p.Layers.Len()))
+		c.Usage.AddPrefill(p.Server.Incarnation(), readTime(spec, p.Server, tokens, p.Layers.Len()))
 	}
 }
 
 // crossed takes in what neighbouring parts will move between failure domains.
-func (c *Chooser) crossed(spec *model.EngineSpec, parts []Part, tokens int) {
+func (c *Chooser) crossed(spec *model.EngineSpec, parts []Stage, tokens int) {
 	for i := 1; i < len(parts); i++ {
 		a, b := parts[i-1].Server.FailureDomain, parts[i].Server.FailureDomain
 		if a != b {
-			c.Pipes.Use(a, b, CrossMbit(spec, tokens))
+			c.Interconnect.AddTraffic(a, b, CrossDomainMbit(spec, tokens))
 		}
 	}
 }
--- a/internal/coordination/chains/hold.go
+++ b/internal/coordination/chains/hold.go
@@ -1,26 +1,26 @@
 package chains
 
-// Hold is the memory that one stream reserved. Release gives it back, once.
-type Hold struct {
-	memory *Memory
-	parts  []Part // nil once given back
+// Reservation is the memory that one stream reserved. Release gives it back, once.
+type Reservation struct {
+	memory *UsageTracker
+	parts  []Stage // nil once given back
 	tokens int
 }
 
 // Reserve counts a stream of tokens on a chain.
-func (m *Memory) Reserve(parts []Part, tokens int) *Hold {
+func (m *UsageTracker) Reserve(parts []Stage, tokens int) *Reservation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	h := &Hold{memory: m, parts: parts, tokens: tokens}
+	h := &Reservation{memory: m, parts: parts, tokens: tokens}
 	h.count(1)
 	return h
 }
 
 // Tokens is how many tokens were reserved.
-func (h *Hold) Tokens() int { return h.tokens }
+func (h *Reservation) Tokens() int { return h.tokens }
 
 // Release gives the memory back.
-func (h *Hold) Release() {
+func (h *Reservation) Release() {
 	h.memory.mu.Lock()
 	defer h.memory.mu.Unlock()
 	h.count(-1)
@@ -29,7 +29,7 @@
 
 // Move takes in that the stream runs through other engines now. After Release
 // it does nothing.
-func (h *Hold) Move(parts []Part) {
+func (h *Reservation) Move(parts []Stage) {
 	h.memory.mu.Lock()
 	defer h.memory.mu.Unlock()
 	if h.parts == nil {
@@ -40,7 +40,7 @@
 	h.count(1)
 }
 
-func (h *Hold) count(sign int) {
+func (h *Reservation) count(sign int) {
 	for i, p := range h.parts {
 		o := h.memory.owned(p.Server.Incarnation())
 		o.tokenLayers += float64(sign * h.tokens * p.Layers.Len())
--- a/internal/coordination/chains/hold_test.go
+++ b/internal/coordination/chains/hold_test.go
@@ -15,30 +15,30 @@
 // while, given back once, and what it gives back is what it took.
 func TestHoldOutlivesWhatIsForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := NewMemory(time.Now)
-		part := func(id string) Part {
-			return Part{Server: &model.BackendServer{ID: id}, Layers: model.LayerRange{To: 4}}
+		m := NewUsageTracker(time.Now)
+		part := func(id string) Stage {
+			return Stage{Server: &model.BackendServer{ID: id}, Layers: model.LayerRange{To: 4}}
 		}
 		one, two := model.Incarnation{ID: "one"}, model.Incarnation{ID: "two"}
-		h := m.Reserve([]Part{part("one")}, 100)
-		other := m.Reserve([]Part{part("one")}, 10)
-		m.SeenPeer("peer", map[model.Incarnation]Use{one: {Streams: 3, TokenLayers: 30}}, time.Second)
+		h := m.Reserve([]Stage{part("one")}, 100)
+		other := m.Reserve([]Stage{part("one")}, 10)
+		m.SetPeerUsage("peer", map[model.Incarnation]Usage{one: {Streams: 3, TokenLayers: 30}}, time.Second)
 		for range 10 {
 			time.Sleep(time.Minute)
-			m.Expire()
-			m.Own()
+			m.ExpirePeers()
+			m.OwnUsage()
 		}
 		assert.Equal(t, m.Used(one).TokenLayers, 440.0)
 		other.Release()
-		m.Own()
-		h.Move([]Part{part("two")})
-		m.Own()
-		assert.Equal(t, m.Used(one), Use{})
+		m.OwnUsage()
+		h.Move([]Stage{part("two")})
+		m.OwnUsage()
+		assert.Equal(t, m.Used(one), Usage{})
 		assert.Equal(t, m.Used(two).TokenLayers, 400.0)
 		h.Release()
 		h.Release()
-		h.Move([]Part{part("one")})
-		assert.Equal(t, m.Used(one), Use{})
-		assert.Equal(t, m.Used(two), Use{})
+		h.Move([]Stage{part("one")})
+		assert.Equal(t, m.Used(one), Usage{})
+		assert.Equal(t, m.Used(two), Usage{})
 	})
 }
--- a/internal/coordination/chains/memory.go
+++ b/internal/coordination/chains/memory.go
@@ -17,33 +17,33 @@
 // have begun and not yet announced in a heartbeat.
 const untoldFor = 400 * time.Millisecond
 
-// Use is what streams take of one engine.
-type Use struct {
+// Usage is what streams take of one engine.
+type Usage struct {
 	// TokenLayers is token memory, in tokens x layers.
 	TokenLayers float64
 	// Streams is how many run through it, Firsts how many it received as the
 	// first engine of their chain.
 	Streams float64
-	Firsts  float64
-	// Reading is the share of its time that goes into reading prompts.
-	Reading float64
+	FirstStageStreams  float64
+	// PrefillLoad is the share of its time that goes into reading prompts.
+	PrefillLoad float64
 }
 
-func (u Use) times(n float64) Use {
-	return Use{TokenLayers: n * u.TokenLayers, Streams: n * u.Streams, Firsts: n * u.Firsts, Reading: n * u.Reading}
+func (u Usage) times(n float64) Usage {
+	return Usage{TokenLayers: n * u.TokenLayers, Streams: n * u.Streams, FirstStageStreams: n * u.FirstStageStreams, PrefillLoad: n * u.PrefillLoad}
 }
 
-func (u *Use) add(o Use, sign float64) {
+func (u *Usage) add(o Usage, sign float64) {
 	u.TokenLayers += sign * o.TokenLayers
 	u.Streams += sign * o.Streams
-	u.Firsts += sign * o.Firsts
-	u.Reading += sign * o.Reading
+	u.FirstStageStreams += sign * o.FirstStageStreams
+	u.PrefillLoad += sign * o.PrefillLoad
 }
 
-// Memory counts what streams take of engines: this router's own, and what
+// UsageTracker counts what streams take of engines: this router's own, and what
 // other routers last told of theirs. It counts by incarnation: streams that ran at
 // an engine which started again take nothing of it, and give nothing back.
-type Memory struct {
+type UsageTracker struct {
 	now func() time.Time
 
 	mu    sync.Mutex
@@ -51,7 +51,7 @@
 	peers map[string]peerCount
 	// peerSum adds up what the peers told, by incarnation: each choice of a chain
 	// reads every engine, and would else go through every peer for each.
-	peerSum map[model.Incarnation]Use
+	peerSum map[model.Incarnation]Usage
 	// peerEnds is when the next peer's count expires.
 	peerEnds time.Time
 	slow     map[model.Incarnation]slowness
@@ -73,7 +73,7 @@
 
 type peerCount struct {
 	until time.Time // believed so long
-	use   map[model.Incarnation]Use
+	use   map[model.Incarnation]Usage
 }
 
 // slowness is an engine's slowdown as it reported it itself.
@@ -83,14 +83,14 @@
 	own    bool // told to this router
 }
 
-// NewMemory makes an empty count.
-func NewMemory(now func() time.Time) *Memory {
-	return &Memory{now: now, own: map[model.Incarnation]*ownUse{}, peers: map[string]peerCount{}, peerSum: map[model.Incarnation]Use{}, slow: map[model.Incarnation]slowness{},
+// NewUsageTracker makes an empty count.
+func NewUsageTracker(now func() time.Time) *UsageTracker {
+	return &UsageTracker{now: now, own: map[model.Incarnation]*ownUse{}, peers: map[string]peerCount{}, peerSum: map[model.Incarnation]Usage{}, slow: map[model.Incarnation]slowness{},
 		began: now(), records: map[model.Incarnation]*engineRecord{}}
 }
 
 // Used is what is taken of an engine, as far as known here.
-func (m *Memory) Used(inc model.Incarnation) Use {
+func (m *UsageTracker) Used(inc model.Incarnation) Usage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
@@ -106,7 +106,7 @@
 
 // count adds a peer's use to the sums, or takes it off. The caller holds the
 // lock.
-func (m *Memory) count(use map[model.Incarnation]Use, sign float64) {
+func (m *UsageTracker) count(use map[model.Incarnation]Usage, sign float64) {
 	for inc, u := range use {
 		sum := m.peerSum[inc]
 		sum.add(u, sign)
@@ -116,7 +116,7 @@
 
 // expire drops counts whose time is over and finds when the next one ends. The
 // caller holds the lock.
-func (m *Memory) expire(now time.Time) {
+func (m *UsageTracker) expire(now time.Time) {
 	m.peerEnds = time.Time{}
 	for peer, c := range m.peers {
 		if !now.Before(c.until) {
@@ -132,19 +132,19 @@
 	}
 }
 
-func (m *Memory) noteEnd(until time.Time) {
+func (m *UsageTracker) noteEnd(until time.Time) {
 	if m.peerEnds.IsZero() || until.Before(m.peerEnds) {
 		m.peerEnds = until
 	}
 }
 
-func (o *ownUse) use(now time.Time) Use {
-	return Use{TokenLayers: o.tokenLayers, Streams: float64(o.streams), Firsts: float64(o.firsts), Reading: o.reading.read(now, readMemory)}
+func (o *ownUse) use(now time.Time) Usage {
+	return Usage{TokenLayers: o.tokenLayers, Streams: float64(o.streams), FirstStageStreams: float64(o.firsts), PrefillLoad: o.reading.read(now, readMemory)}
 }
 
 // Slowdown is how much slower than its card an engine last said to be; 1 is as
 // fast.
-func (m *Memory) Slowdown(inc model.Incarnation) float64 {
+func (m *UsageTracker) Slowdown(inc model.Incarnation) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if s, ok := m.slow[inc]; ok && m.now().Sub(s.at) < slowExpiry {
@@ -154,7 +154,7 @@
 }
 
 // SetSlowdown takes in an engine's own word; it tells whether that is news.
-func (m *Memory) SetSlowdown(inc model.Incarnation, factor float64) bool {
+func (m *UsageTracker) SetSlowdown(inc model.Incarnation, factor float64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	before, known := m.slow[inc]
@@ -166,9 +166,9 @@
 	return before.factor != factor
 }
 
-// PeerSlowdown takes in what an engine told another router. What it told this
+// SetPeerSlowdown takes in what an engine told another router. What it told this
 // one lately goes first.
-func (m *Memory) PeerSlowdown(inc model.Incarnation, factor float64) {
+func (m *UsageTracker) SetPeerSlowdown(inc model.Incarnation, factor float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if s := m.slow[inc]; s.own && m.now().Sub(s.at) < slowExpiry {
@@ -177,8 +177,8 @@
 	m.slow[inc] = slowness{at: m.now(), factor: factor}
 }
 
-// Slow lists the engines that told this router that they are slow.
-func (m *Memory) Slow() []model.Incarnation {
+// SlowEngines lists the engines that told this router that they are slow.
+func (m *UsageTracker) SlowEngines() []model.Incarnation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []model.Incarnation
@@ -190,8 +190,8 @@
 	return out
 }
 
-// OwnSlow copies what engines told this router of their slowdowns.
-func (m *Memory) OwnSlow() map[model.Incarnation]float64 {
+// OwnSlowdowns copies what engines told this router of their slowdowns.
+func (m *UsageTracker) OwnSlowdowns() map[model.Incarnation]float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := map[model.Incarnation]float64{}
@@ -203,15 +203,15 @@
 	return out
 }
 
-// Forget drops what is known of an engine that is gone.
-func (m *Memory) Forget(inc model.Incarnation) {
+// RemoveSlowdown drops what is known of an engine that is gone.
+func (m *UsageTracker) RemoveSlowdown(inc model.Incarnation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.slow, inc)
 }
 
-// Read counts the reading of a prompt at an engine, in seconds of its time.
-func (m *Memory) Read(inc model.Incarnation, seconds float64) {
+// AddPrefill counts the reading of a prompt at an engine, in seconds of its time.
+func (m *UsageTracker) AddPrefill(inc model.Incarnation, seconds float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.owned(inc).reading.add(m.now(), seconds/readMemory.Seconds(), readMemory)
@@ -229,28 +229,28 @@
 	}
 }
 
-// New is what this router's streams of the last moment take of an engine.
-func (m *Memory) New(inc model.Incarnation) Use {
+// Recent is what this router's streams of the last moment take of an engine.
+func (m *UsageTracker) Recent(inc model.Incarnation) Usage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	o, ok := m.own[inc]
 	if !ok {
-		return Use{}
+		return Usage{}
 	}
 	now := m.now()
-	return Use{TokenLayers: o.newTokenLayers.read(now, untoldFor), Streams: o.newStreams.read(now, untoldFor), Firsts: o.newFirsts.read(now, untoldFor)}
+	return Usage{TokenLayers: o.newTokenLayers.read(now, untoldFor), Streams: o.newStreams.read(now, untoldFor), FirstStageStreams: o.newFirsts.read(now, untoldFor)}
 }
 
-// Expect counts reading that streams which are moved now add to an engine, those
+// AddPendingPrefill counts reading that streams which are moved now add to an engine, those
 // of other routers included, in seconds of its time. Peers are not told of it.
-func (m *Memory) Expect(inc model.Incarnation, seconds float64) {
+func (m *UsageTracker) AddPendingPrefill(inc model.Incarnation, seconds float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.owned(inc).pending.add(m.now(), seconds, readMemory)
 }
 
-// Pending is what is left of that; it fades as it is worked off.
-func (m *Memory) Pending(inc model.Incarnation) float64 {
+// PendingPrefill is what is left of that; it fades as it is worked off.
+func (m *UsageTracker) PendingPrefill(inc model.Incarnation) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if o, ok := m.own[inc]; ok {
@@ -259,7 +259,7 @@
 	return 0
 }
 
-func (m *Memory) owned(inc model.Incarnation) *ownUse {
+func (m *UsageTracker) owned(inc model.Incarnation) *ownUse {
 	o, ok := m.own[inc]
 	if !ok {
 		o = &ownUse{}
@@ -268,15 +268,15 @@
 	return o
 }
 
-// Own copies what this router's streams take.
-func (m *Memory) Own() map[model.Incarnation]Use {
+// OwnUsage copies what this router's streams take.
+func (m *UsageTracker) OwnUsage() map[model.Incarnation]Usage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
-	out := make(map[model.Incarnation]Use, len(m.own))
+	out := make(map[model.Incarnation]Usage, len(m.own))
 	for inc, o := range m.own {
 		u := o.use(now)
-		if u.Streams > 0 || u.Reading > 0.001 {
+		if u.Streams > 0 || u.PrefillLoad > 0.001 {
 			out[inc] = u
 		} else {
 			delete(m.own, inc)
@@ -285,9 +285,9 @@
 	return out
 }
 
-// SeenPeer takes in what another router's streams take, and how long that is to
+// SetPeerUsage takes in what another router's streams take, and how long that is to
 // be believed: a few exchanges.
-func (m *Memory) SeenPeer(peer string, use map[model.Incarnation]Use, good time.Duration) {
+func (m *UsageTracker) SetPeerUsage(peer string, use map[model.Incarnation]Usage, good time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.count(m.peers[peer].use, -1)
@@ -297,8 +297,8 @@
 	m.noteEnd(c.until)
 }
 
-// Expire forgets peers that have not told anything lately.
-func (m *Memory) Expire() {
+// ExpirePeers forgets peers that have not told anything lately.
+func (m *UsageTracker) ExpirePeers() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.expire(m.now())
--- a/internal/coordination/chains/missing.go
+++ b/internal/coordination/chains/missing.go
@@ -12,11 +12,11 @@
 // mostReasons bounds what a refusal says of the holders that did not count.
 const mostReasons = 6
 
-// Missing explains why Choose found no chain: the layers that no engine offers, and
+// ExplainNoChain explains why Choose found no chain: the layers that no engine offers, and
 // why those that hold them do not count; where every layer is offered somewhere,
 // the same for each failure domain, as the pipes between them are used up. It is
 // asked once a refusal, for the log.
-func (c *Chooser) Missing(svc *model.Service, d Demand) string {
+func (c *Chooser) ExplainNoChain(svc *model.Service, d Requirements) string {
 	everywhere := make([]bool, svc.Engine.Layers)
 	byDomain := map[string][]bool{}
 	for _, cand := range c.candidates(svc, d) {
@@ -44,7 +44,7 @@
 
 // explain names layers and why their holders in a failure domain, or in any, do not
 // count.
-func (c *Chooser) explain(svc *model.Service, gaps []model.LayerRange, domain string, d Demand) string {
+func (c *Chooser) explain(svc *model.Service, gaps []model.LayerRange, domain string, d Requirements) string {
 	var b strings.Builder
 	for _, g := range gaps {
 		fmt.Fprintf(&b, "%s ", g)
@@ -75,7 +75,7 @@
 }
 
 // holdersOf tells why engines that hold some of the layers do not count.
-func (c *Chooser) holdersOf(svc *model.Service, gaps []model.LayerRange, domain string, d Demand) string {
+func (c *Chooser) holdersOf(svc *model.Service, gaps []model.LayerRange, domain string, d Requirements) string {
 	var out []string
 	for _, b := range c.Catalog.Load().All(svc.Name) {
 		if !overlapsAny(b.Holds, gaps) || domain != "" && b.FailureDomain != domain {
--- a/internal/coordination/chains/missing_test.go
+++ b/internal/coordination/chains/missing_test.go
@@ -18,14 +18,14 @@
 	w.add("dead", "a", "l40s", 40, 60)
 	w.add("last", "a", "l40s", 60, 80)
 	w.health.Suspect(inc("dead"))
-	d := Demand{Domain: "a", Tokens: 10}
+	d := Requirements{Domain: "a", Tokens: 10}
 	_, v := w.chooser.Choose(w.svc, d)
 	assert.Equal(t, v, NoChain)
-	assert.Equal(t, w.chooser.Missing(w.svc, d), "[40,60) dead suspected")
+	assert.Equal(t, w.chooser.ExplainNoChain(w.svc, d), "[40,60) dead suspected")
 	w.catalog.Remove("dead", 1, 0)
-	assert.Equal(t, w.chooser.Missing(w.svc, d), "[40,60) held by nobody")
+	assert.Equal(t, w.chooser.ExplainNoChain(w.svc, d), "[40,60) held by nobody")
 	d.Avoid = map[model.Incarnation]bool{inc("last"): true}
-	assert.Equal(t, w.chooser.Missing(w.svc, d), "[40,80) last avoided")
+	assert.Equal(t, w.chooser.ExplainNoChain(w.svc, d), "[40,80) last avoided")
 }
 
 // Each of two domains lost other layers, and the pipe between them is used up: all
@@ -34,11 +34,11 @@
 	w := newWorld()
 	w.add("a1", "a", "a100", 0, 40)
 	w.add("b2", "b", "a100", 40, 80)
-	w.chooser.Pipes.SeenPeer("peer", map[Pair]float64{{A: "a", B: "b"}: 20000}, 2*time.Second)
-	d := Demand{Domain: "a", Tokens: 1000, Gap: 200 * time.Millisecond}
+	w.chooser.Interconnect.SetPeerRates("peer", map[DomainPair]float64{{A: "a", B: "b"}: 20000}, 2*time.Second)
+	d := Requirements{Domain: "a", Tokens: 1000, MaxEventGap: 200 * time.Millisecond}
 	_, v := w.chooser.Choose(w.svc, d)
 	assert.Equal(t, v, NoChain)
-	said := w.chooser.Missing(w.svc, d)
+	said := w.chooser.ExplainNoChain(w.svc, d)
 	for _, part := range []string{"pipes used up", "a lacks [40,80) held by nobody", "b lacks [0,40) held by nobody"} {
 		assert.Assert(t, strings.Contains(said, part), said)
 	}
@@ -52,6 +52,6 @@
 		w.add(id, "a", "l4", 0, 10)
 		w.health.Suspect(inc(id))
 	}
-	said := w.chooser.Missing(w.svc, Demand{Domain: "a"})
+	said := w.chooser.ExplainNoChain(w.svc, Requirements{Domain: "a"})
 	assert.Assert(t, strings.Contains(said, "194 more"), said)
 }
--- a/internal/coordination/chains/move.go
+++ b/internal/coordination/chains/move.go
@@ -16,7 +16,7 @@
 // still until its new parts have read all tokens so far, so these are chosen for
 // that pause: what they read, what is already to be read there, and what has to
 // pass between failure domains.
-func (c *Chooser) Replace(svc *model.Service, parts []Part, lost map[model.Incarnation]bool, tokens int, gap time.Duration) []Part {
+func (c *Chooser) Replace(svc *model.Service, parts []Stage, lost map[model.Incarnation]bool, tokens int, gap time.Duration) []Stage {
 	if lost[parts[0].Server.Incarnation()] {
 		return nil
 	}
@@ -35,19 +35,19 @@
 type move struct {
 	*Chooser
 	svc    *model.Service
-	parts  []Part
+	parts  []Stage
 	lost   map[model.Incarnation]bool
 	tokens int
 	gap    time.Duration
 }
 
 // around covers the layers of each lost part with engines outside of the chain.
-func (m *move) around() []Part {
+func (m *move) around() []Stage {
 	used := map[model.Incarnation]bool{}
 	for _, p := range m.parts {
 		used[p.Server.Incarnation()] = true
 	}
-	next := make([]Part, 0, len(m.parts)+1)
+	next := make([]Stage, 0, len(m.parts)+1)
 	for at := 0; at < len(m.parts); {
 		end := m.lostFrom(at)
 		if end == at {
@@ -79,7 +79,7 @@
 }
 
 // bridge covers the layers of neighbouring lost parts between the parts around them.
-func (m *move) bridge(before Part, lost, rest []Part, used map[model.Incarnation]bool) []Part {
+func (m *move) bridge(before Stage, lost, rest []Stage, used map[model.Incarnation]bool) []Stage {
 	after := ""
 	if len(rest) > 0 {
 		after = rest[0].Server.FailureDomain
@@ -89,7 +89,7 @@
 	if with == nil {
 		return nil
 	}
-	edges := append([]Part{before}, with...)
+	edges := append([]Stage{before}, with...)
 	edges = append(edges, rest[:min(1, len(rest))]...)
 	if !m.roomToCross(m.svc.Engine, edges, m.tokens, m.gap) {
 		return nil
@@ -98,7 +98,7 @@
 }
 
 // reroute covers all layers after the first part anew.
-func (m *move) reroute() []Part {
+func (m *move) reroute() []Stage {
 	first := m.parts[0]
 	need := model.LayerRange{From: first.Layers.To, To: m.svc.Engine.Layers}
 	avoid := map[model.Incarnation]bool{first.Server.Incarnation(): true}
@@ -109,7 +109,7 @@
 	if with == nil || 1+len(with) > maxParts {
 		return nil
 	}
-	next := append([]Part{first}, with...)
+	next := append([]Stage{first}, with...)
 	if !m.roomToCross(m.svc.Engine, next[:2], m.tokens, m.gap) {
 		return nil
 	}
@@ -118,17 +118,17 @@
 
 // cover finds engines for some layers, between parts in two failure domains, so
 // that the stream's pause is shortest. after is empty where no part follows.
-func (m *move) cover(need model.LayerRange, before, after string, avoid map[model.Incarnation]bool) []Part {
+func (m *move) cover(need model.LayerRange, before, after string, avoid map[model.Incarnation]bool) []Stage {
 	spec := m.svc.Engine
 	cross := crossTime.Seconds() * float64(max(spec.Stride, 1))
 	if spec.PipeMbps > 0 {
-		cross += CrossMbit(spec, m.tokens) / spec.PipeMbps
+		cross += CrossDomainMbit(spec, m.tokens) / spec.PipeMbps
 	}
 	held := map[model.Incarnation]bool{}
 	for _, p := range m.parts {
 		held[p.Server.Incarnation()] = true
 	}
-	cands := m.candidates(m.svc, Demand{Domain: before, Tokens: m.tokens, Avoid: avoid})
+	cands := m.candidates(m.svc, Requirements{Domain: before, Tokens: m.tokens, Avoid: avoid})
 	for i := range cands {
 		b := cands[i].server
 		// The pause ends with the next event, which holds a stride of tokens.
@@ -145,7 +145,7 @@
 		if after != "" && b.FailureDomain != after {
 			cands[i].perLayer += cross / float64(need.Len())
 		}
-		waits := m.Memory.Pending(b.Incarnation()) / float64(b.Holds.Len())
+		waits := m.Usage.PendingPrefill(b.Incarnation()) / float64(b.Holds.Len())
 		cands[i].perLayer += waits + readTime(spec, b, m.tokens, 1)
 	}
 	walk := walk{spec: spec, cands: cands, need: need, home: before, room: true}
@@ -178,19 +178,19 @@
 // and hear of each other only later. Those are mostly the ones of its failure
 // domain; each counts its own moves for all of these, so that together they
 // spread over the engines and do not all wait at the one that looks best.
-func (m *move) took(next []Part) {
+func (m *move) took(next []Stage) {
 	spec := m.svc.Engine
-	had := map[Part]bool{}
+	had := map[Stage]bool{}
 	for _, p := range m.parts {
 		had[p] = true
 	}
-	together := m.together(m.Routers())
+	together := m.together(m.RouterCount())
 	for i, p := range next {
 		if had[p] {
 			continue
 		}
 		m.read(spec, next[i:i+1], m.tokens)
-		m.Memory.Expect(p.Server.Incarnation(), together*readTime(spec, p.Server, m.tokens, p.Layers.Len()))
+		m.Usage.AddPendingPrefill(p.Server.Incarnation(), together*readTime(spec, p.Server, m.tokens, p.Layers.Len()))
 		m.crossed(spec, next[i-1:min(i+2, len(next))], m.tokens)
 	}
 }
@@ -205,9 +205,9 @@
 		return reading
 	}
 	inc := b.Incarnation()
-	step := perLayer(spec, card, Use{Streams: c.Memory.Used(inc).Streams}, c.Memory.Slowdown(inc)) * float64(layers)
+	step := perLayer(spec, card, Usage{Streams: c.Usage.Used(inc).Streams}, c.Usage.Slowdown(inc)) * float64(layers)
 	passes := float64(tokens) / float64(spec.Chunk)
-	return reading*c.Memory.Slowdown(inc) + passes*step*float64(max(spec.Stride, 1))
+	return reading*c.Usage.Slowdown(inc) + passes*step*float64(max(spec.Stride, 1))
 }
 
 // resumed turns the costs of a search, in seconds a token, into the pause of a stream that
@@ -219,33 +219,33 @@
 	for i := range w.cands {
 		b := w.cands[i].server
 		w.cands[i].perLayer *= stride
-		w.cands[i].perLayer += c.Memory.Pending(b.Incarnation())/float64(b.Holds.Len()) + c.takeOver(spec, b, tokens, 1)
+		w.cands[i].perLayer += c.Usage.PendingPrefill(b.Incarnation())/float64(b.Holds.Len()) + c.takeOver(spec, b, tokens, 1)
 	}
 	for i, row := range w.cross {
 		for j := range row {
 			row[j] *= stride
 			if i != j && spec.PipeMbps > 0 {
-				row[j] += CrossMbit(spec, tokens) / spec.PipeMbps
+				row[j] += CrossDomainMbit(spec, tokens) / spec.PipeMbps
 			}
 		}
 	}
 }
 
-// Resume takes in that a stream of so many tokens goes on at a chosen chain. Other routers
+// RecordResume takes in that a stream of so many tokens goes on at a chosen chain. Other routers
 // have streams that go on at the same moment; each counts its own for those of its
 // failure domain, until they hear of each other.
-func (c *Chooser) Resume(spec *model.EngineSpec, parts []Part, tokens int) {
-	together := c.together(c.Routers())
+func (c *Chooser) RecordResume(spec *model.EngineSpec, parts []Stage, tokens int) {
+	together := c.together(c.RouterCount())
 	for _, p := range parts {
-		c.Memory.Expect(p.Server.Incarnation(), together*c.takeOver(spec, p.Server, tokens, p.Layers.Len()))
+		c.Usage.AddPendingPrefill(p.Server.Incarnation(), together*c.takeOver(spec, p.Server, tokens, p.Layers.Len()))
 	}
 }
 
 // roomToCross tells whether the pipes between neighbouring parts have room for
 // a stream of so many tokens.
-func (c *Chooser) roomToCross(spec *model.EngineSpec, parts []Part, tokens int, gap time.Duration) bool {
+func (c *Chooser) roomToCross(spec *model.EngineSpec, parts []Stage, tokens int, gap time.Duration) bool {
 	for i := 1; i < len(parts); i++ {
-		if math.IsInf(c.crossing(spec, parts[i-1].Server.FailureDomain, parts[i].Server.FailureDomain, tokens, gap, c.Routers()), 1) {
+		if math.IsInf(c.crossing(spec, parts[i-1].Server.FailureDomain, parts[i].Server.FailureDomain, tokens, gap, c.RouterCount()), 1) {
 			return false
 		}
 	}
--- a/internal/coordination/chains/move_test.go
+++ b/internal/coordination/chains/move_test.go
@@ -14,12 +14,12 @@
 	ranges := []model.LayerRange{{To: 20}, {From: 20, To: 40}, {From: 40, To: 60}, {From: 60, To: 80}}
 	for _, lost := range [][]int{{1, 2}, {1, 3}, {1, 2, 3}, {2, 3}} {
 		w := newWorld()
-		var parts []Part
+		var parts []Stage
 		for i, r := range ranges {
 			id := string(rune('a' + i))
 			w.add(id, "a", "a100", r.From, r.To)
 			w.add("spare-"+id, "a", "l40s", r.From, r.To)
-			parts = append(parts, Part{Server: w.catalog.Load().ByID(id), Layers: r})
+			parts = append(parts, Stage{Server: w.catalog.Load().ByID(id), Layers: r})
 		}
 		leave := map[model.Incarnation]bool{}
 		for _, i := range lost {
--- a/internal/coordination/chains/pipes.go
+++ b/internal/coordination/chains/pipes.go
@@ -22,29 +22,29 @@
 // few routers of that domain.
 const ownShares = 4
 
-// Pair names two failure domains in alphabetical order.
-type Pair struct{ A, B string }
+// DomainPair names two failure domains in alphabetical order.
+type DomainPair struct{ A, B string }
 
-func pairOf(a, b string) Pair {
+func pairOf(a, b string) DomainPair {
 	if a > b {
 		a, b = b, a
 	}
-	return Pair{A: a, B: b}
+	return DomainPair{A: a, B: b}
 }
 
-// Pipes counts what chains move between failure domains, in Mbit/s: this
+// Interconnect counts what chains move between failure domains, in Mbit/s: this
 // router's own streams, and what others last told of theirs.
-type Pipes struct {
+type Interconnect struct {
 	now func() time.Time
 
 	mu    sync.Mutex
-	own   map[Pair]*decaying
+	own   map[DomainPair]*decaying
 	peers map[string]pipeCount
 }
 
 type pipeCount struct {
 	until time.Time // believed so long
-	rate  map[Pair]float64
+	rate  map[DomainPair]float64
 }
 
 // decaying is a sum whose parts fade over some time.
@@ -62,13 +62,13 @@
 	return d.value * math.Exp(-now.Sub(d.at).Seconds()/over.Seconds())
 }
 
-// NewPipes makes an empty count.
-func NewPipes(now func() time.Time) *Pipes {
-	return &Pipes{now: now, own: map[Pair]*decaying{}, peers: map[string]pipeCount{}}
+// NewInterconnect makes an empty count.
+func NewInterconnect(now func() time.Time) *Interconnect {
+	return &Interconnect{now: now, own: map[DomainPair]*decaying{}, peers: map[string]pipeCount{}}
 }
 
-// Use counts the megabits that a chain will move between two domains.
-func (p *Pipes) Use(a, b string, mbit float64) {
+// AddTraffic counts the megabits that a chain will move between two domains.
+func (p *Interconnect) AddTraffic(a, b string, mbit float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pair := pairOf(a, b)
@@ -93,7 +93,7 @@
 
 // Allows tells whether there is room for so many megabits more between two
 // domains, where so many Mbit/s are given out to some routers.
-func (p *Pipes) Allows(a, b string, mbit, given float64, routers int) bool {
+func (p *Interconnect) Allows(a, b string, mbit, given float64, routers int) bool {
 	// One request passes an idle pipe even where it is more than is given.
 	if rate := p.Rate(a, b); rate >= 1 && rate+mbit > given {
 		return false
@@ -103,7 +103,7 @@
 	return own+mbit <= share || own < 1
 }
 
-func (p *Pipes) ownRate(a, b string) float64 {
+func (p *Interconnect) ownRate(a, b string) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if d, ok := p.own[pairOf(a, b)]; ok {
@@ -113,7 +113,7 @@
 }
 
 // Rate is what passes between two domains, in Mbit/s, as far as known here.
-func (p *Pipes) Rate(a, b string) float64 {
+func (p *Interconnect) Rate(a, b string) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pair := pairOf(a, b)
@@ -130,11 +130,11 @@
 	return sum
 }
 
-// Own copies what this router's streams move.
-func (p *Pipes) Own() map[Pair]float64 {
+// OwnRates copies what this router's streams move.
+func (p *Interconnect) OwnRates() map[DomainPair]float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := map[Pair]float64{}
+	out := map[DomainPair]float64{}
 	for pair, d := range p.own {
 		if rate := d.read(p.now(), pipeMemory); rate >= 1 {
 			out[pair] = rate
@@ -143,9 +143,9 @@
 	return out
 }
 
-// SeenPeer takes in what another router's streams move, and how long that is to
+// SetPeerRates takes in what another router's streams move, and how long that is to
 // be believed.
-func (p *Pipes) SeenPeer(peer string, rate map[Pair]float64, good time.Duration) {
+func (p *Interconnect) SetPeerRates(peer string, rate map[DomainPair]float64, good time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.peers[peer] = pipeCount{until: p.now().Add(good), rate: rate}
--- a/internal/coordination/chains/slowstart.go
+++ b/internal/coordination/chains/slowstart.go
@@ -27,14 +27,14 @@
 }
 
 // Observe notes which layers an engine holds, and since when.
-func (m *Memory) Observe(inc model.Incarnation, layers model.LayerRange) {
+func (m *UsageTracker) Observe(inc model.Incarnation, layers model.LayerRange) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.record(inc, layers)
 }
 
 // record is Observe for those who hold the lock.
-func (m *Memory) record(inc model.Incarnation, layers model.LayerRange) *engineRecord {
+func (m *UsageTracker) record(inc model.Incarnation, layers model.LayerRange) *engineRecord {
 	a, ok := m.records[inc]
 	if ok && a.layers == layers {
 		return a
@@ -48,7 +48,7 @@
 }
 
 // Retain forgets the engines that are not known any more.
-func (m *Memory) Retain(known func(inc model.Incarnation) bool) {
+func (m *UsageTracker) Retain(known func(inc model.Incarnation) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for inc := range m.records {
@@ -63,7 +63,7 @@
 //
 // A loaded engine looks idle to all routers at once. Each takes an equal share of its
 // time, which grows from none, and a phase by hash keeps them from beginning together.
-func (m *Memory) defers(self string, inc model.Incarnation, layers model.LayerRange, seconds float64, routers int) bool {
+func (m *UsageTracker) defers(self string, inc model.Incarnation, layers model.LayerRange, seconds float64, routers int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	a := m.record(inc, layers)
--- a/internal/coordination/chains/slowstart_test.go
+++ b/internal/coordination/chains/slowstart_test.go
@@ -36,9 +36,9 @@
 		w.chooser.Self = fmt.Sprint(r)
 		w.svc.Engine.KVTokenBytes, w.svc.Engine.ReadRate = 459000, 210000
 		clock := func() time.Time { return now }
-		w.chooser.Memory = NewMemory(clock)
-		w.chooser.Pipes = NewPipes(clock)
-		w.chooser.Routers = func() int { return domains * each }
+		w.chooser.Usage = NewUsageTracker(clock)
+		w.chooser.Interconnect = NewInterconnect(clock)
+		w.chooser.RouterCount = func() int { return domains * each }
 		for d := range domains {
 			domain := fmt.Sprint("d", d)
 			for i := range 8 {
@@ -51,11 +51,11 @@
 	var backlog, most time.Duration
 	begin := func(r int) {
 		w := all[r]
-		parts, v := w.chooser.Choose(w.svc, Demand{Domain: fmt.Sprint("d", r%domains), Tokens: 900})
+		parts, v := w.chooser.Choose(w.svc, Requirements{Domain: fmt.Sprint("d", r%domains), Tokens: 900})
 		assert.Equal(t, v, Found)
 		first := parts[0].Server
-		w.chooser.Begin(w.svc.Engine, parts, 774)
-		hold := w.chooser.Memory.Reserve(parts, 900)
+		w.chooser.RecordStart(w.svc.Engine, parts, 774)
+		hold := w.chooser.Usage.Reserve(parts, 900)
 		w.releases = append(w.releases, release{at: now.Add(lasts), hold: hold})
 		if first.ID == "new" {
 			backlog += time.Duration(readTime(w.svc.Engine, first, 774, parts[0].Layers.Len()) * float64(time.Second))
@@ -85,15 +85,15 @@
 // others serve: nobody is refused for it.
 func TestYoungEngineServesWhereNobodyElseDoes(t *testing.T) {
 	w := twoDomains()
-	w.chooser.Routers = func() int { return 100 }
+	w.chooser.RouterCount = func() int { return 100 }
 	w.now = w.now.Add(time.Minute)
 	w.catalog.Remove("b2", 1, 0)
 	w.catalog.Remove("a2", 1, 0)
 	w.add("loaded", "a", "a100", 40, 60)
 	for range 20 {
-		parts, v := w.chooser.Choose(w.svc, Demand{Domain: "a", Tokens: 10})
+		parts, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 10})
 		assert.Equal(t, v, Found)
-		w.chooser.Begin(w.svc.Engine, parts, 10)
+		w.chooser.RecordStart(w.svc.Engine, parts, 10)
 		assert.Equal(t, parts[1].Server.ID, "loaded")
 	}
 }
@@ -103,16 +103,16 @@
 func TestYoungEngineIsShared(t *testing.T) {
 	const routers, prompt = 100, 0.005 // seconds
 	now := time.Unix(1000, 0)
-	var all []*Memory
+	var all []*UsageTracker
 	for range routers {
-		all = append(all, NewMemory(func() time.Time { return now }))
+		all = append(all, NewUsageTracker(func() time.Time { return now }))
 	}
 	now = now.Add(time.Minute)
 	began, read := now, 0.0
 	for ; now.Sub(began) < slowStartTime; now = now.Add(10 * time.Millisecond) {
 		for r, m := range all {
 			if !m.defers(fmt.Sprint(r), inc("loaded"), model.LayerRange{To: 28}, prompt, routers) {
-				m.Read(inc("loaded"), prompt)
+				m.AddPrefill(inc("loaded"), prompt)
 				read += prompt
 			}
 		}
@@ -127,7 +127,7 @@
 // A process that has just started sees all engines at once; none is in slow start.
 func TestEnginesOfAStartAreNotYoung(t *testing.T) {
 	now := time.Unix(1000, 0)
-	m := NewMemory(func() time.Time { return now })
+	m := NewUsageTracker(func() time.Time { return now })
 	now = now.Add(startupTime / 2)
 	assert.Assert(t, !m.defers("0", inc("old"), model.LayerRange{To: 28}, 1, 100))
 	now = now.Add(startupTime)
@@ -139,7 +139,7 @@
 // release is when a stream ends and gives its memory back.
 type release struct {
 	at   time.Time
-	hold *Hold
+	hold *Reservation
 }
 
 func (w *world) release(now time.Time) {
@@ -155,11 +155,11 @@
 	if !toNear && !toFar {
 		return
 	}
-	own := w.chooser.Memory.Own()
+	own := w.chooser.Usage.OwnUsage()
 	for r, other := range all {
 		same := r%domains == self%domains
 		if r != self && (same && toNear || !same && toFar) {
-			other.chooser.Memory.SeenPeer(fmt.Sprint(self), own, 10*time.Second)
+			other.chooser.Usage.SetPeerUsage(fmt.Sprint(self), own, 10*time.Second)
 		}
 	}
 }
--- a/internal/coordination/chains/walk.go
+++ b/internal/coordination/chains/walk.go
@@ -50,7 +50,7 @@
 // shortest walks the layers in order. At each layer an engine either goes on
 // from the layer before, or takes over from the best engine of some domain. It
 // costs layers x engines x domains steps.
-func (w *walk) shortest() []Part {
+func (w *walk) shortest() []Stage {
 	n := len(w.cands)
 	layers := w.need.Len()
 	if n == 0 || layers == 0 {
@@ -151,7 +151,7 @@
 	return cost
 }
 
-func trace(cands []candidate, table []way, need model.LayerRange) []Part {
+func trace(cands []candidate, table []way, need model.LayerRange) []Stage {
 	n := len(cands)
 	layers := need.Len()
 	last := nobody
@@ -175,16 +175,16 @@
 // merge makes parts of the engine chosen for each layer. An engine that comes
 // twice takes what lies between as well: it holds a contiguous range, and
 // engines refuse a chain that names one of them twice.
-func merge(cands []candidate, who []int, from int) []Part {
+func merge(cands []candidate, who []int, from int) []Stage {
 	lastOf := map[int]int{}
 	for layer, e := range who {
 		lastOf[e] = layer
 	}
-	var parts []Part
+	var parts []Stage
 	for layer := 0; layer < len(who); {
 		e := who[layer]
 		end := lastOf[e] + 1
-		parts = append(parts, Part{Server: cands[e].server, Layers: model.LayerRange{From: from + layer, To: from + end}})
+		parts = append(parts, Stage{Server: cands[e].server, Layers: model.LayerRange{From: from + layer, To: from + end}})
 		layer = end
 	}
 	if len(parts) > maxParts {
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -66,8 +66,8 @@
 	config   *routes.Current
 	catalog  *catalog.Catalog
 	health   *catalog.Health
-	memory   *chains.Memory
-	pipes    *chains.Pipes
+	memory   *chains.UsageTracker
+	pipes    *chains.Interconnect
 	elector  *leader.Elector
 	control  *placement.Controller
 	exchange *peers.Exchange
@@ -108,8 +108,8 @@
 		config:    &routes.Current{},
 		catalog:   catalog.New(time.Now),
 		health:    catalog.NewHealth(time.Now),
-		memory:    chains.NewMemory(time.Now),
-		pipes:     chains.NewPipes(time.Now),
+		memory:    chains.NewUsageTracker(time.Now),
+		pipes:     chains.NewInterconnect(time.Now),
 		prober:    relay.NewProber(),
 		backends:  backend.NewPool(),
 		metrics:   m,
@@ -227,7 +227,7 @@
 		Config:      r.config,
 		Catalog:     r.catalog,
 		Health:      r.health,
-		Chooser:     &chains.Chooser{Catalog: r.catalog, Health: r.health, Memory: r.memory, Pipes: r.pipes, Routers: r.exchange.Routers, Self: r.settings.Router.Peers},
+		Chooser:     &chains.Chooser{Catalog: r.catalog, Health: r.health, Usage: r.memory, Interconnect: r.pipes, RouterCount: r.exchange.Routers, Self: r.settings.Router.Peers},
 		Memory:      r.memory,
 		Loans:       r.exchange.Loans,
 		Line:        admission.NewLine(),
@@ -405,7 +405,7 @@
 	r.backends.Trim()
 	r.suspects.Tracker.Expire()
 	r.metrics.quarantine(r.suspects.Tracker.Counts())
-	r.memory.Expire()
+	r.memory.ExpirePeers()
 	r.catalog.Forget()
 	known := r.catalog.Load()
 	stands := func(inc model.Incarnation) bool { return known.Find(inc) != nil }
--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -71,15 +71,15 @@
 }
 
 // acquire chooses a chain and reserves its memory, waiting a moment for room.
-func (s *stream) acquire(ctx context.Context) ([]chains.Part, *chains.Hold, *fault.Error) {
+func (s *stream) acquire(ctx context.Context) ([]chains.Stage, *chains.Reservation, *fault.Error) {
 	q := s.request
-	demand := chains.Demand{Domain: q.Domain, Tokens: s.tokens, Gap: q.ticket.Route.TargetGap, Avoid: q.avoid, FirstAmong: s.firstAmong(), Resumed: s.events > 0}
+	demand := chains.Requirements{Domain: q.Domain, Tokens: s.tokens, MaxEventGap: q.ticket.Route.TargetGap, Avoid: q.avoid, FirstStageIn: s.firstAmong(), Resumed: s.events > 0}
 	if q.barred.suspect {
-		demand.NotFirst = q.barred.bars
-		demand.BeginCost = q.beginCost
+		demand.ExcludeFirstStage = q.barred.bars
+		demand.FirstStageCost = q.beginCost
 	}
-	var parts []chains.Part
-	var hold *chains.Hold
+	var parts []chains.Stage
+	var hold *chains.Reservation
 	verdict := chains.Found
 	try := func() bool {
 		if ctx.Err() != nil {
@@ -88,12 +88,12 @@
 		parts, verdict = q.Chooser.Choose(q.ticket.Service, demand)
 		if verdict == chains.Found {
 			hold = q.Memory.Reserve(parts, s.tokens)
-			q.Chooser.Begin(q.ticket.Service.Engine, parts, q.promptTokens())
+			q.Chooser.RecordStart(q.ticket.Service.Engine, parts, q.promptTokens())
 			if demand.Resumed {
-				q.Chooser.Resume(q.ticket.Service.Engine, parts, s.tokens)
+				q.Chooser.RecordResume(q.ticket.Service.Engine, parts, s.tokens)
 			}
 		}
-		return verdict != chains.NoRoom
+		return verdict != chains.CapacityExhausted
 	}
 	most := time.Duration(roomWait * float64(q.ticket.Route.TargetLatency))
 	if s.events > 0 {
@@ -123,10 +123,10 @@
 		}
 	}
 	if verdict == chains.NoChain {
-		return nil, nil, fault.New(fault.NoCapacity, "the engines in reach do not hold all layers: %s", q.Chooser.Missing(q.ticket.Service, demand))
+		return nil, nil, fault.New(fault.NoCapacity, "the engines in reach do not hold all layers: %s", q.Chooser.ExplainNoChain(q.ticket.Service, demand))
 	}
 	f := fault.New(fault.Overloaded, "no chain has room: %d wait, waited %v, admitted %t, short of %s", q.Line.Len(), most, got,
-		q.Chooser.Shortage(q.ticket.Service, demand))
+		q.Chooser.ExhaustedResource(q.ticket.Service, demand))
 	return nil, nil, f
 }
 
--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -27,8 +27,8 @@
 	}
 	c.Put(engine("first", model.LayerRange{To: 6}))
 	health := catalog.NewHealth(time.Now)
-	memory := chains.NewMemory(time.Now)
-	chooser := &chains.Chooser{Catalog: c, Health: health, Memory: memory, Pipes: chains.NewPipes(time.Now), Routers: func() int { return 1 }}
+	memory := chains.NewUsageTracker(time.Now)
+	chooser := &chains.Chooser{Catalog: c, Health: health, Usage: memory, Interconnect: chains.NewInterconnect(time.Now), RouterCount: func() int { return 1 }}
 	prober := NewProber()
 	prober.Now = time.Now
 	prober.Health = health
@@ -112,7 +112,7 @@
 			assert.Assert(t, hold == nil)
 			assert.Assert(t, f != nil)
 			assert.Equal(t, s.Memory.Used(holder.Incarnation()).Streams, 0.0)
-			assert.Equal(t, s.Memory.New(holder.Incarnation()).Streams, 0.0)
+			assert.Equal(t, s.Memory.Recent(holder.Incarnation()).Streams, 0.0)
 		}
 	})
 }
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -90,7 +90,7 @@
 
 // runHolding runs the request through one chain and gives its memory back, also where
 // the run panics: the HTTP server recovers, and the memory would stay reserved.
-func (s *stream) runHolding(ctx context.Context, parts []chains.Part, hold *chains.Hold) (done, whole bool, err error) {
+func (s *stream) runHolding(ctx context.Context, parts []chains.Stage, hold *chains.Reservation) (done, whole bool, err error) {
 	defer s.Line.Poke()
 	defer hold.Release()
 	return s.run(ctx, parts, hold)
@@ -110,7 +110,7 @@
 
 // run sends the request through one chain and passes its events on. done says
 // that the caller has a final answer; whole that it is complete.
-func (s *stream) run(ctx context.Context, parts []chains.Part, hold *chains.Hold) (done, whole bool, err error) {
+func (s *stream) run(ctx context.Context, parts []chains.Stage, hold *chains.Reservation) (done, whole bool, err error) {
 	q := s.request
 	first := parts[0].Server
 	path := hops(parts)
@@ -257,7 +257,7 @@
 
 // succeed takes in that the engines of a chain did their work, as of when it was
 // sent: an engine that drains finishes what it has and takes nothing new.
-func (s *stream) succeed(parts []chains.Part, sent time.Time) {
+func (s *stream) succeed(parts []chains.Stage, sent time.Time) {
 	for _, p := range parts {
 		s.Health.Clear(p.Server.Incarnation(), sent)
 	}
@@ -265,7 +265,7 @@
 }
 
 // refused takes in which engine would not run its part.
-func (s *stream) refused(parts []chains.Part, v platform.Verdict, status int) {
+func (s *stream) refused(parts []chains.Stage, v platform.Verdict, status int) {
 	culprit := parts[0].Server
 	for _, p := range parts {
 		if p.Server.Address == v.Culprit {
@@ -326,7 +326,7 @@
 	}
 }
 
-func hops(parts []chains.Part) []platform.Hop {
+func hops(parts []chains.Stage) []platform.Hop {
 	out := make([]platform.Hop, len(parts))
 	for i, p := range parts {
 		out[i] = platform.Hop{Address: p.Server.Address, Layers: p.Layers}
@@ -334,7 +334,7 @@
 	return out
 }
 
-func describe(parts []chains.Part) string {
+func describe(parts []chains.Stage) string {
 	var b strings.Builder
 	for i, p := range parts {
 		if i > 0 {
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -36,7 +36,7 @@
 	w.timer.Stop()
 	parts := w.parts
 	w.mu.Unlock()
-	var moved []chains.Part
+	var moved []chains.Stage
 	if !w.fresh || !w.grant() {
 		moved = w.replace(parts, lost)
 	}
@@ -53,7 +53,7 @@
 
 // take ends a move: the run goes through other engines now, if there are any.
 // It tells the count of news as of then.
-func (w *chainWatch) take(moved []chains.Part) (news int, taken bool) {
+func (w *chainWatch) take(moved []chains.Stage) (news int, taken bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.moving = false
@@ -73,7 +73,7 @@
 
 // replace orders the first engine to send the stream around engines; nil if
 // that cannot be done.
-func (w *chainWatch) replace(parts []chains.Part, lost engineSet) []chains.Part {
+func (w *chainWatch) replace(parts []chains.Stage, lost engineSet) []chains.Stage {
 	q := w.q
 	if !q.ticket.Idempotent() || !q.mayMove() || w.isUnsure() {
 		return nil
@@ -108,7 +108,7 @@
 }
 
 // reroute orders the first engine to send the stream over another path.
-func (w *chainWatch) reroute(next []chains.Part, avoid engineSet) error {
+func (w *chainWatch) reroute(next []chains.Stage, avoid engineSet) error {
 	ctx, cancel := context.WithTimeout(context.Background(), repathWait)
 	defer cancel()
 	began := w.q.Now()
@@ -119,7 +119,7 @@
 
 // refusedAt takes in which engine a path was refused for. One that the stream ran
 // through before is lost to all streams; another one may only be full.
-func (w *chainWatch) refusedAt(server *model.BackendServer, before []chains.Part, err error) {
+func (w *chainWatch) refusedAt(server *model.BackendServer, before []chains.Stage, err error) {
 	if uses(before, server.Incarnation()) {
 		w.fail(server, err)
 		return
@@ -133,13 +133,13 @@
 	return w.unsure
 }
 
-func uses(parts []chains.Part, engine model.Incarnation) bool {
+func uses(parts []chains.Stage, engine model.Incarnation) bool {
 	_, ok := usesAny(parts, engineSet{engine: true})
 	return ok
 }
 
 // usesAny gives the first engine of a chain that is in a set.
-func usesAny(parts []chains.Part, set engineSet) (engine model.Incarnation, ok bool) {
+func usesAny(parts []chains.Stage, set engineSet) (engine model.Incarnation, ok bool) {
 	for _, p := range parts {
 		if inc := p.Server.Incarnation(); set[inc] {
 			return inc, true
--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -27,7 +27,7 @@
 // slowdown and says it when asked; it is asked when a chain through it is slow,
 // and while it stays slow.
 type Pacer struct {
-	Memory  *chains.Memory
+	Memory  *chains.UsageTracker
 	Catalog *catalog.Catalog
 	Report  func(ctx context.Context, b *model.BackendServer) (model.EngineReport, error)
 	Now     func() time.Time
@@ -40,7 +40,7 @@
 func NewPacer() *Pacer { return &Pacer{asked: map[model.Incarnation]time.Time{}} }
 
 // Check asks the engines of a chain that is slow.
-func (p *Pacer) Check(parts []chains.Part, request string, seen, planned time.Duration) {
+func (p *Pacer) Check(parts []chains.Stage, request string, seen, planned time.Duration) {
 	for _, part := range parts {
 		if p.due(part.Server.Incarnation()) {
 			go p.ask(part.Server, request, seen, planned)
@@ -50,10 +50,10 @@
 
 // Recheck asks the engines that were slow when they were last asked.
 func (p *Pacer) Recheck() {
-	for _, inc := range p.Memory.Slow() {
+	for _, inc := range p.Memory.SlowEngines() {
 		b := p.Catalog.Load().Find(inc)
 		if b == nil {
-			p.Memory.Forget(inc)
+			p.Memory.RemoveSlowdown(inc)
 			continue
 		}
 		if p.due(inc) {
@@ -89,7 +89,7 @@
 	}
 	used := p.Memory.Used(b.Incarnation())
 	klog.InfoS("engine's report", "request", request, "server", b.Incarnation(), "usedTokenLayers", report.UsedTokenLayers, "totalTokenLayers", report.TotalTokenLayers,
-		"countedTokenLayers", used.TokenLayers, "countedStreams", used.Streams, "reading", used.Reading, "inFlight", report.Active, "queued", report.Queued, "slowdown", report.Slowdown)
+		"countedTokenLayers", used.TokenLayers, "countedStreams", used.Streams, "reading", used.PrefillLoad, "inFlight", report.Active, "queued", report.Queued, "slowdown", report.Slowdown)
 	if p.Memory.SetSlowdown(b.Incarnation(), report.Slowdown) {
 		klog.InfoS("engine's slowdown", "request", request, "server", b.Incarnation(), "factor", report.Slowdown, "eventGap", seen, "planned", planned)
 	}
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -163,7 +163,7 @@
 		ctx, cancel := context.WithCancelCause(t.Context())
 		defer cancel(nil)
 		engine := s.Catalog.Load().Service("s")[0]
-		parts := []chains.Part{{Server: engine, Layers: engine.Holds}}
+		parts := []chains.Stage{{Server: engine, Layers: engine.Holds}}
 		w := s.watch(ctx, cancel, parts, s.Memory.Reserve(parts, 1), s.Quarantine.Begin(nil, false))
 		defer w.stop()
 		<-ctx.Done()
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -20,7 +20,7 @@
 )
 
 // eventInterval is the planned time between a stream's events.
-func (q *request) eventInterval(parts []chains.Part) time.Duration {
+func (q *request) eventInterval(parts []chains.Stage) time.Duration {
 	spec := q.ticket.Service.Engine
 	return q.Chooser.TokenTime(spec, parts) * time.Duration(spec.Stride)
 }
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -102,9 +102,9 @@
 // running is a stream on the chain head, middle, tail with its watch.
 func (s *site) running(t *testing.T, route model.Route) (*chainWatch, context.Context) {
 	snap := s.Catalog.Load()
-	var parts []chains.Part
+	var parts []chains.Stage
 	for i, id := range []string{"head", "middle", "tail"} {
-		parts = append(parts, chains.Part{Server: snap.Find(inc(id)), Layers: model.LayerRange{From: 4 * i, To: 4*i + 4}})
+		parts = append(parts, chains.Stage{Server: snap.Find(inc(id)), Layers: model.LayerRange{From: 4 * i, To: 4*i + 4}})
 	}
 	return s.watchedOn(t, route, parts)
 }
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -175,11 +175,11 @@
 		c := catalog.New(time.Now)
 		c.Put(*a.server)
 		p := NewPacer()
-		p.Memory = chains.NewMemory(time.Now)
+		p.Memory = chains.NewUsageTracker(time.Now)
 		p.Catalog = c
 		p.Report = a.report
 		p.Now = time.Now
-		parts := []chains.Part{{Server: a.server}}
+		parts := []chains.Stage{{Server: a.server}}
 		p.Check(parts, "r", time.Second, time.Millisecond)
 		p.Check(parts, "r", time.Second, time.Millisecond)
 		synctest.Wait()
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -102,7 +102,7 @@
 	Catalog *catalog.Catalog
 	Health  *catalog.Health
 	Chooser *chains.Chooser
-	Memory  *chains.Memory
+	Memory  *chains.UsageTracker
 	// Loans holds the budget for repeated sends, and what is borrowed for it.
 	Loans    *limits.Loans
 	Line     *admission.Line
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -98,7 +98,7 @@
 		c.Put(model.BackendServer{ID: id, Service: "s", Address: id + ":1", FailureDomain: "a", Card: "fast", Holds: model.LayerRange{To: 12}, Slots: 9})
 	}
 	health := catalog.NewHealth(time.Now)
-	memory := chains.NewMemory(time.Now)
+	memory := chains.NewUsageTracker(time.Now)
 	began := time.Now()
 	prober := NewProber()
 	prober.Now = time.Now
@@ -108,7 +108,7 @@
 	seen := &observed{}
 	rel := &Relay{
 		Config: current, Catalog: c, Health: health, Memory: memory,
-		Chooser:  &chains.Chooser{Catalog: c, Health: health, Memory: memory, Pipes: chains.NewPipes(time.Now), Routers: func() int { return 1 }},
+		Chooser:  &chains.Chooser{Catalog: c, Health: health, Usage: memory, Interconnect: chains.NewInterconnect(time.Now), RouterCount: func() int { return 1 }},
 		Line:     admission.NewLine(),
 		Loans:    &limits.Loans{Budget: limits.NewSharedRetries(0, 100, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
 		Backends: do, Observer: seen, Running: NewRunning(), Suspicions: prober, Domain: "a",
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -118,7 +118,7 @@
 
 // place finds engines for the stream's next run and reserves its memory. A suspect gets
 // engines that run no other one.
-func (s *stream) place(ctx context.Context) ([]chains.Part, *chains.Hold, *fault.Error) {
+func (s *stream) place(ctx context.Context) ([]chains.Stage, *chains.Reservation, *fault.Error) {
 	until := s.Now().Add(callersPatience)
 	for {
 		v, f := s.standing(ctx)
@@ -161,7 +161,7 @@
 
 // mayRunAt tells whether the stream may run at the engines that were found for it. Finding
 // them may have taken a while, in which more was learnt.
-func (s *stream) mayRunAt(ctx context.Context, parts []chains.Part, before quarantine.Verdict) permission {
+func (s *stream) mayRunAt(ctx context.Context, parts []chains.Stage, before quarantine.Verdict) permission {
 	if !s.Quarantine.Watching() {
 		return runNow
 	}
@@ -227,7 +227,7 @@
 }
 
 // places lists the servers of a chain with their failure domains.
-func places(parts []chains.Part) []quarantine.Place {
+func places(parts []chains.Stage) []quarantine.Place {
 	out := make([]quarantine.Place, len(parts))
 	for i, p := range parts {
 		out[i] = quarantine.Place{Server: p.Server.Incarnation(), Domain: p.Server.FailureDomain}
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -40,7 +40,7 @@
 	q      *request
 	run    context.Context
 	cancel context.CancelCauseFunc
-	hold   *chains.Hold
+	hold   *chains.Reservation
 	since  time.Time // when the run was sent
 	record *quarantine.Run
 	// progress is what the stream's events say of its engines.
@@ -51,7 +51,7 @@
 	fresh bool
 
 	mu      sync.Mutex
-	parts   []chains.Part
+	parts   []chains.Stage
 	timer   *time.Timer
 	begun   bool              // an event came
 	early   bool              // the timer is for the path check, not for a silence
@@ -69,7 +69,7 @@
 	paceCount int
 }
 
-func (q *request) watch(run context.Context, cancel context.CancelCauseFunc, parts []chains.Part, hold *chains.Hold, record *quarantine.Run) *chainWatch {
+func (q *request) watch(run context.Context, cancel context.CancelCauseFunc, parts []chains.Stage, hold *chains.Reservation, record *quarantine.Run) *chainWatch {
 	w := &chainWatch{q: q, run: run, cancel: cancel, parts: parts, hold: hold, record: record, since: q.Now()}
 	w.last = !q.ticket.Idempotent() || q.sends+1 >= maxSends
 	w.fresh = !w.last && q.runs+1 < q.ticket.Route.MaxAttempts
@@ -90,7 +90,7 @@
 	w.timer = time.AfterFunc(firstSilence, w.due)
 }
 
-func engines(parts []chains.Part) []model.Incarnation {
+func engines(parts []chains.Stage) []model.Incarnation {
 	out := make([]model.Incarnation, len(parts))
 	for i, p := range parts {
 		out[i] = p.Server.Incarnation()
@@ -144,7 +144,7 @@
 }
 
 // state gives the chain as it is now and the engine at fault, if one was found.
-func (w *chainWatch) state() ([]chains.Part, model.Incarnation) {
+func (w *chainWatch) state() ([]chains.Stage, model.Incarnation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.parts, w.culprit
@@ -263,7 +263,7 @@
 }
 
 // serverAt is the engine of a chain with an address; nil if there is none.
-func serverAt(parts []chains.Part, addr string) *model.BackendServer {
+func serverAt(parts []chains.Stage, addr string) *model.BackendServer {
 	for _, p := range parts {
 		if p.Server.Address == addr {
 			return p.Server
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -33,9 +33,9 @@
 	return s
 }
 
-func (s *site) parts(second string) []chains.Part {
+func (s *site) parts(second string) []chains.Stage {
 	snap := s.Catalog.Load()
-	return []chains.Part{
+	return []chains.Stage{
 		{Server: snap.Find(inc("one")), Layers: model.LayerRange{To: 6}},
 		{Server: snap.Find(inc(second)), Layers: model.LayerRange{From: 6, To: 12}},
 	}
@@ -47,7 +47,7 @@
 }
 
 // watchedOn is a running stream through some engines and its watch.
-func (s *site) watchedOn(t *testing.T, route model.Route, parts []chains.Part) (*chainWatch, context.Context) {
+func (s *site) watchedOn(t *testing.T, route model.Route, parts []chains.Stage) (*chainWatch, context.Context) {
 	q := &request{Relay: s.Relay, call: &model.Call{Attempt: "1"}, since: time.Now(), avoid: map[model.Incarnation]bool{}}
 	table := s.Config.Load()
 	route.Host = "h"
--- a/internal/transport/peers/confirm_test.go
+++ b/internal/transport/peers/confirm_test.go
@@ -48,8 +48,8 @@
 			return &model.RouteConfig{Version: v}, err
 		},
 		Catalog: catalog.New(time.Now),
-		Memory:  chains.NewMemory(time.Now),
-		Pipes:   chains.NewPipes(time.Now),
+		Memory:  chains.NewUsageTracker(time.Now),
+		Pipes:   chains.NewInterconnect(time.Now),
 		PeerAt:  func(model.Revision) {},
 		Clock:   func() time.Duration { return time.Duration(clock.Load()) },
 		Now:     time.Now,
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -11,11 +11,11 @@
 
 func (x *Exchange) compose() wire.RouterHeartbeat {
 	var uses []wire.RouterUse
-	for inc, u := range x.Memory.Own() {
-		uses = append(uses, wire.RouterUse{Server: inc, TokenLayers: int64(u.TokenLayers), Streams: int64(u.Streams), Firsts: int64(u.Firsts), Reading: u.Reading})
+	for inc, u := range x.Memory.OwnUsage() {
+		uses = append(uses, wire.RouterUse{Server: inc, TokenLayers: int64(u.TokenLayers), Streams: int64(u.Streams), Firsts: int64(u.FirstStageStreams), Reading: u.PrefillLoad})
 	}
 	var pipes []wire.RouterPipe
-	for pair, rate := range x.Pipes.Own() {
+	for pair, rate := range x.Pipes.OwnRates() {
 		pipes = append(pipes, wire.RouterPipe{A: pair.A, B: pair.B, Rate: rate})
 	}
 	spares := x.Loans.Budget.Spares() // it counts the routers, so before the lock
@@ -30,7 +30,7 @@
 		Revision:    x.Revision(),
 		Uses:        uses,
 		Pipes:       pipes,
-		Slow:        x.Memory.OwnSlow(),
+		Slow:        x.Memory.OwnSlowdowns(),
 		Suspects:    suspects,
 		Refusing:    refusing,
 		Spares:      spares,
@@ -63,19 +63,19 @@
 	x.seen[from] = x.Now()
 	x.traffic = x.traffic || b.Traffic
 	x.mu.Unlock()
-	uses := make(map[model.Incarnation]chains.Use, len(b.Uses))
+	uses := make(map[model.Incarnation]chains.Usage, len(b.Uses))
 	for _, u := range b.Uses {
-		uses[u.Server] = chains.Use{TokenLayers: float64(u.TokenLayers), Streams: float64(u.Streams), Firsts: float64(u.Firsts), Reading: u.Reading}
+		uses[u.Server] = chains.Usage{TokenLayers: float64(u.TokenLayers), Streams: float64(u.Streams), FirstStageStreams: float64(u.Firsts), PrefillLoad: u.Reading}
 	}
 	good := trustedHeartbeats*time.Duration(b.EveryMS)*time.Millisecond + trustSlack
-	x.Memory.SeenPeer(from, uses, good)
-	pipes := make(map[chains.Pair]float64, len(b.Pipes))
+	x.Memory.SetPeerUsage(from, uses, good)
+	pipes := make(map[chains.DomainPair]float64, len(b.Pipes))
 	for _, p := range b.Pipes {
-		pipes[chains.Pair{A: p.A, B: p.B}] = p.Rate
+		pipes[chains.DomainPair{A: p.A, B: p.B}] = p.Rate
 	}
-	x.Pipes.SeenPeer(from, pipes, good)
+	x.Pipes.SetPeerRates(from, pipes, good)
 	for inc, factor := range b.Slow {
-		x.Memory.PeerSlowdown(inc, factor)
+		x.Memory.SetPeerSlowdown(inc, factor)
 	}
 	for inc := range b.Suspects {
 		x.Hint(inc)
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -63,8 +63,8 @@
 	Config  *routes.Current
 	Decode  func([]byte) (*model.RouteConfig, error)
 	Catalog *catalog.Catalog
-	Memory  *chains.Memory
-	Pipes   *chains.Pipes
+	Memory  *chains.UsageTracker
+	Pipes   *chains.Interconnect
 	// Revision is that of the store up to which this router's picture is
 	// complete; PeerAt is told a peer's.
 	Revision func() model.Revision
