--- a/internal/coordination/detector/detector.go
+++ b/internal/coordination/detector/detector.go
@@ -124,8 +124,8 @@
 	s.path = nil
 }
 
-// Progress takes in an event and gives the time until the stream's next check.
-func (s *Stream) Progress() time.Duration {
+// RecordEvent takes in an event and gives the time until the stream's next check.
+func (s *Stream) RecordEvent() time.Duration {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	now := s.d.now()
@@ -202,16 +202,16 @@
 	Pause time.Duration
 	// Candidates are its engines of which no newer progress was seen.
 	Candidates []model.Incarnation
-	// Overdue counts the streams that are overdue, this one included, and run through a
+	// OverdueStreams counts the streams that are overdue, this one included, and run through a
 	// candidate that no stream has had an event from for as long.
-	Overdue int
-	// Again is when to assess the stream once more if its path need not be checked now;
+	OverdueStreams int
+	// ReassessAfter is when to assess the stream once more if its path need not be checked now;
 	// 0 where it is to be checked, or where progress clears all of its engines.
-	Again time.Duration
+	ReassessAfter time.Duration
 }
 
-// Check tells whether the stream's path is to be checked now.
-func (a Assessment) Check() bool { return len(a.Candidates) > 0 && a.Again == 0 }
+// NeedsCheck tells whether the stream's path is to be checked now.
+func (a Assessment) NeedsCheck() bool { return len(a.Candidates) > 0 && a.ReassessAfter == 0 }
 
 // Assess judges a stream when it is due. Where its path is to be checked the caller
 // does so and calls Checked.
@@ -227,16 +227,16 @@
 		s.d.resumed = now
 	}
 	if rest := settleTime - now.Sub(s.d.resumed); rest > 0 {
-		a.Again = s.schedule(now, rest)
+		a.ReassessAfter = s.schedule(now, rest)
 		return a
 	}
 	s.weigh(now, &a)
 	switch rest := s.aloneAfter() - a.Pause; {
 	case len(a.Candidates) == 0:
-	case rest > 0 && a.Overdue < quorum:
-		a.Again = s.schedule(now, rest)
+	case rest > 0 && a.OverdueStreams < quorum:
+		a.ReassessAfter = s.schedule(now, rest)
 	case s.d.checking != nil:
-		a.Again = s.schedule(now, checkTurn)
+		a.ReassessAfter = s.schedule(now, checkTurn)
 	default:
 		s.d.checking = s
 		s.asked = now
@@ -259,13 +259,13 @@
 		}
 	}
 	if len(quiet) > 0 {
-		a.Overdue = s.d.overdue(now, quiet)
+		a.OverdueStreams = s.d.overdue(now, quiet)
 	}
 }
 
-// Checked ends the check of the stream's path. If the path held, its engines worked when
+// CheckFinished ends the check of the stream's path. If the path held, its engines worked when
 // it was asked about.
-func (s *Stream) Checked(held bool) {
+func (s *Stream) CheckFinished(held bool) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	if s.d.checking == s {
--- a/internal/coordination/detector/detector_test.go
+++ b/internal/coordination/detector/detector_test.go
@@ -40,7 +40,7 @@
 	for range n {
 		c.advance(interval)
 		for _, s := range streams {
-			s.Progress()
+			s.RecordEvent()
 		}
 	}
 }
@@ -59,12 +59,12 @@
 		pause := all[0].overdueAfter()
 		c.advance(pause)
 		a := all[0].Assess()
-		for a.Again > 0 {
-			pause += a.Again
-			c.advance(a.Again)
+		for a.ReassessAfter > 0 {
+			pause += a.ReassessAfter
+			c.advance(a.ReassessAfter)
 			a = all[0].Assess()
 		}
-		assert.Assert(t, a.Check(), "%d streams", streams)
+		assert.Assert(t, a.NeedsCheck(), "%d streams", streams)
 		assert.Assert(t, pause <= within, "%d streams: checked after %v", streams, pause)
 		assert.Equal(t, len(a.Candidates), 3)
 	}
@@ -82,8 +82,8 @@
 	silent.due = c.at
 	a := silent.Assess()
 	assert.DeepEqual(t, a.Candidates, path("lost"))
-	assert.Equal(t, a.Overdue, 1)
-	assert.Assert(t, a.Check())
+	assert.Equal(t, a.OverdueStreams, 1)
+	assert.Assert(t, a.NeedsCheck())
 }
 
 // A packet is lost on the way of one stream. All of its engines go on with other
@@ -98,7 +98,7 @@
 	late.due = c.at
 	a := late.Assess()
 	assert.Equal(t, len(a.Candidates), 0)
-	assert.Assert(t, !a.Check())
+	assert.Assert(t, !a.NeedsCheck())
 }
 
 // The router's process pauses 200 ms. Its streams look silent, as their events wait to
@@ -110,13 +110,13 @@
 	c.play(20, interval, streams...)
 	c.advance(200 * time.Millisecond)
 	a := streams[0].Assess()
-	assert.Assert(t, !a.Check())
-	assert.Equal(t, a.Again, settleTime)
+	assert.Assert(t, !a.NeedsCheck())
+	assert.Equal(t, a.ReassessAfter, settleTime)
 	for _, s := range streams {
-		s.Progress()
+		s.RecordEvent()
 	}
-	c.advance(a.Again)
-	assert.Assert(t, !streams[0].Assess().Check())
+	c.advance(a.ReassessAfter)
+	assert.Assert(t, !streams[0].Assess().NeedsCheck())
 }
 
 // A moved stream is silent while its new engines read all tokens so far.
@@ -128,8 +128,8 @@
 	s.Reroute(path("a", "c"))
 	c.advance(500 * time.Millisecond)
 	s.due = c.at
-	assert.Assert(t, !s.Assess().Check())
-	s.Progress()
+	assert.Assert(t, !s.Assess().NeedsCheck())
+	s.RecordEvent()
 	c.advance(s.aloneAfter())
 	s.due = c.at
 	assert.DeepEqual(t, s.Assess().Candidates, path("a", "c"))
@@ -166,11 +166,11 @@
 		for _, s := range streams {
 			s.due = c.at
 		}
-		assert.Assert(t, streams[0].Assess().Check())
-		assert.Equal(t, streams[1].Assess().Again, checkTurn)
-		streams[0].Checked(true)
+		assert.Assert(t, streams[0].Assess().NeedsCheck())
+		assert.Equal(t, streams[1].Assess().ReassessAfter, checkTurn)
+		streams[0].CheckFinished(true)
 		for _, s := range streams {
-			s.Progress()
+			s.RecordEvent()
 		}
 	}
 	assert.Assert(t, streams[0].overdueAfter() > 2*first)
@@ -187,8 +187,8 @@
 	c.play(20, interval, one, two)
 	c.advance(one.aloneAfter())
 	one.due, two.due = c.at, c.at
-	assert.Assert(t, one.Assess().Check())
-	one.Checked(true)
+	assert.Assert(t, one.Assess().NeedsCheck())
+	one.CheckFinished(true)
 	assert.DeepEqual(t, two.Assess().Candidates, path("c"))
 }
 
@@ -197,7 +197,7 @@
 	c := newClock()
 	d := New(c.now)
 	s := d.Track(path("a", "b"), interval, allowed)
-	s.Progress()
+	s.RecordEvent()
 	s.Close()
 	s.Close()
 	s.Reroute(path("a"))
@@ -232,7 +232,7 @@
 			c.advance(interval)
 			for _, s := range streams {
 				if !s.through(lost) {
-					s.Progress()
+					s.RecordEvent()
 					for _, e := range s.path {
 						working[e] = true
 					}
@@ -245,10 +245,10 @@
 			}
 			s.due = c.at
 			a := s.Assess()
-			if !a.Check() {
+			if !a.NeedsCheck() {
 				t.Fatalf("a silent stream is not checked: %+v", a)
 			}
-			s.Checked(false)
+			s.CheckFinished(false)
 			for _, e := range s.path {
 				candidate := slices.Contains(a.Candidates, e)
 				if lost[e] != candidate && (lost[e] || working[e]) {
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -28,11 +28,11 @@
 // assess decides whether a stream whose event is overdue has its path checked.
 func (w *chainWatch) assess(news int) {
 	a := w.progress.Assess()
-	if a.Again > 0 {
-		w.askAgain(news, a.Again)
+	if a.ReassessAfter > 0 {
+		w.askAgain(news, a.ReassessAfter)
 		return
 	}
-	if a.Check() {
+	if a.NeedsCheck() {
 		w.checkPath(news, a)
 	}
 	w.mu.Lock()
@@ -47,7 +47,7 @@
 // refuses that, and names the engine, where one of them does not take its part.
 func (w *chainWatch) checkPath(news int, a detector.Assessment) {
 	held := false
-	defer func() { w.progress.Checked(held) }()
+	defer func() { w.progress.CheckFinished(held) }()
 	parts, _ := w.state()
 	first := parts[0].Server
 	ctx, cancel := context.WithTimeout(w.run, checkWait)
@@ -55,7 +55,7 @@
 	began := w.q.Now()
 	err := w.q.Repath(ctx, first, w.q.call.Attempt, hops(parts))
 	held = err == nil
-	klog.InfoS("path of an overdue stream checked", "request", w.q.call.Attempt, "pauseMs", a.Pause.Milliseconds(), "overdue", a.Overdue,
+	klog.InfoS("path of an overdue stream checked", "request", w.q.call.Attempt, "pauseMs", a.Pause.Milliseconds(), "overdue", a.OverdueStreams,
 		"candidates", len(a.Candidates), "chain", describe(parts), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
 	var refused conflict
 	switch {
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -105,7 +105,7 @@
 	w.quiet = 0
 	w.news++
 	w.early = true
-	next := w.progress.Progress()
+	next := w.progress.RecordEvent()
 	if !w.stopped {
 		w.timer.Reset(next)
 	}
