--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -103,7 +103,7 @@
 	}
 	if r.queue.Len() == 0 && r.hasRoom(q.Customer) {
 		r.inside++
-		r.queue.Hold(q.Customer)
+		r.queue.Acquire(q.Customer)
 		return nil, nil
 	}
 	if r.tooLong(q) {
@@ -186,9 +186,9 @@
 		if !ok || !r.hasRoom(next) {
 			return
 		}
-		p, customer, _ := r.queue.PopOf()
+		p, customer, _ := r.queue.PopWithCustomer()
 		r.inside++
-		r.queue.Hold(customer)
+		r.queue.Acquire(customer)
 		close(p.in)
 	}
 }
@@ -208,7 +208,7 @@
 
 func (r *Room) leave(customer string) {
 	r.inside--
-	r.queue.Free(customer)
+	r.queue.Release(customer)
 	r.admit()
 }
 
--- a/internal/coordination/fair/fair.go
+++ b/internal/coordination/fair/fair.go
@@ -24,11 +24,11 @@
 // Len counts what waits.
 func (q *Queue[T]) Len() int { return len(q.waiting) }
 
-// Hold notes that a customer got a place.
-func (q *Queue[T]) Hold(customer string) { q.held[customer]++ }
+// Acquire notes that a customer got a place.
+func (q *Queue[T]) Acquire(customer string) { q.held[customer]++ }
 
-// Free notes that a customer gave one back.
-func (q *Queue[T]) Free(customer string) { drop(q.held, customer) }
+// Release notes that a customer gave one back.
+func (q *Queue[T]) Release(customer string) { drop(q.held, customer) }
 
 func drop(m map[string]int, key string) {
 	if m[key]--; m[key] <= 0 {
@@ -69,12 +69,12 @@
 // Pop takes out what goes next: the highest priority, within it the customer
 // with the fewest places, within it the longest wait.
 func (q *Queue[T]) Pop() (item T, ok bool) {
-	item, _, ok = q.PopOf()
+	item, _, ok = q.PopWithCustomer()
 	return item, ok
 }
 
-// PopOf is Pop that also tells whose it is.
-func (q *Queue[T]) PopOf() (item T, customer string, ok bool) {
+// PopWithCustomer is Pop that also tells whose it is.
+func (q *Queue[T]) PopWithCustomer() (item T, customer string, ok bool) {
 	best := q.front()
 	if best < 0 {
 		return item, "", false
--- a/internal/coordination/fair/fair_test.go
+++ b/internal/coordination/fair/fair_test.go
@@ -13,7 +13,7 @@
 func TestFloodDoesNotStarveOthers(t *testing.T) {
 	q := New[string]()
 	for i := 0; i < 5; i++ {
-		q.Hold("flood")
+		q.Acquire("flood")
 		q.Push(fmt.Sprint("flood-", i), "flood", 3)
 	}
 	victim, ok := q.Shed("small", 3)
--- a/internal/protocol/gate/gate.go
+++ b/internal/protocol/gate/gate.go
@@ -220,7 +220,7 @@
 	t.held = true
 	t.since = g.now()
 	g.active++
-	g.queue.Hold(t.req.Key.Customer)
+	g.queue.Acquire(t.req.Key.Customer)
 	close(t.ready)
 }
 
@@ -275,7 +275,7 @@
 		return
 	}
 	g.active--
-	g.queue.Free(t.req.Key.Customer)
+	g.queue.Release(t.req.Key.Customer)
 	g.observe(g.now().Sub(t.since))
 	for g.active < g.places() {
 		next, ok := g.queue.Pop()
