--- a/internal/coordination/placement/controller.go
+++ b/internal/coordination/placement/controller.go
@@ -35,7 +35,7 @@
 
 // Controller carries the plan out while this process leads.
 type Controller struct {
-	Config  *routes.Current
+	Config  *routes.ActiveConfig
 	Catalog *catalog.Catalog
 	Store   platform.Store
 	Engines Engines
--- a/internal/coordination/placement/controller_test.go
+++ b/internal/coordination/placement/controller_test.go
@@ -49,7 +49,7 @@
 	sp.LoadsAtOnce = 5
 	s.token.Store(int64(s.store.Put(leader.Key, []byte(`{}`))))
 	s.c = &Controller{
-		Config: &routes.Current{}, Catalog: s.catalog, Store: s.store, Engines: s, Now: time.Now,
+		Config: &routes.ActiveConfig{}, Catalog: s.catalog, Store: s.store, Engines: s, Now: time.Now,
 		Token:   func() model.Revision { return model.Revision(s.token.Load()) },
 		Fenced:  func(model.Revision) { s.token.Store(0) },
 		Traffic: s.traffic.Load,
--- a/internal/coordination/routes/routes.go
+++ b/internal/coordination/routes/routes.go
@@ -63,30 +63,30 @@
 	return nil
 }
 
-// Ticket is what a request was granted by one configuration.
-type Ticket struct {
+// Admission is what a request was granted by one configuration.
+type Admission struct {
 	Version  int64
 	Route    *model.Route
 	Service  *model.Service
 	Customer string
 	// Priority is the customer's where it has one, else the route's.
 	Priority int
-	// Until is when the request must have been answered; zero for no bound.
-	Until time.Time
+	// Deadline is when the request must have been answered; zero for no bound.
+	Deadline time.Time
 }
 
 // Idempotent tells whether the request may run more than once.
-func (k Ticket) Idempotent() bool {
+func (k Admission) Idempotent() bool {
 	return k.Route.Kind == model.RouteIdempotent || k.Route.Kind == model.RouteStreaming && k.Route.ResumeStreams
 }
 
 // Admit decides what a call may do. The error is the final answer.
-func (t *Table) Admit(c *model.Call, now time.Time) (Ticket, *fault.Error) {
+func (t *Table) Admit(c *model.Call, now time.Time) (Admission, *fault.Error) {
 	r := t.Route(c.Host, c.Path)
 	if r == nil {
-		return Ticket{Version: t.Config.Version}, fault.New(fault.NotFound, "no route for host %q and this path", c.Host)
+		return Admission{Version: t.Config.Version}, fault.New(fault.NotFound, "no route for host %q and this path", c.Host)
 	}
-	k := Ticket{Version: t.Config.Version, Route: r, Priority: r.Priority}
+	k := Admission{Version: t.Config.Version, Route: r, Priority: r.Priority}
 	if len(t.Config.Customers) > 0 {
 		if err := t.identify(c, &k); err != nil {
 			return k, err
@@ -97,16 +97,16 @@
 	if k.Service == nil {
 		return k, fault.New(fault.NoCapacity, "service %q of route %s is not configured", name, r.Name)
 	}
-	k.Until = c.Deadline
+	k.Deadline = c.Deadline
 	if r.Timeout > 0 {
-		if end := now.Add(r.Timeout); k.Until.IsZero() || end.Before(k.Until) {
-			k.Until = end
+		if end := now.Add(r.Timeout); k.Deadline.IsZero() || end.Before(k.Deadline) {
+			k.Deadline = end
 		}
 	}
 	return k, nil
 }
 
-func (t *Table) identify(c *model.Call, k *Ticket) *fault.Error {
+func (t *Table) identify(c *model.Call, k *Admission) *fault.Error {
 	if who := t.customers[c.APIKey]; who != nil && c.APIKey != "" {
 		k.Customer = who.Name
 		if who.Priority != nil {
@@ -143,11 +143,11 @@
 	return split[len(split)-1].Service
 }
 
-// Current holds the configuration in force at this process. Versions only grow.
-type Current struct {
+// ActiveConfig holds the configuration in force at this process. Versions only grow.
+type ActiveConfig struct {
 	mu    sync.Mutex // orders Apply
 	table atomic.Pointer[Table]
-	raw   atomic.Pointer[Published]
+	raw   atomic.Pointer[RawConfig]
 	// heard is when somebody confirmed that the version is the newest, in the
 	// time of the clock given to Confirm.
 	heard atomic.Int64
@@ -157,21 +157,21 @@
 	makeFirst sync.Once
 }
 
-// Published is a configuration as the operator wrote it, for passing it on.
-type Published struct {
+// RawConfig is a configuration as the operator wrote it, for passing it on.
+type RawConfig struct {
 	Version int64
 	Raw     []byte
 }
 
 // Load gives the table in force; nil before the first one.
-func (c *Current) Load() *Table { return c.table.Load() }
+func (c *ActiveConfig) Load() *Table { return c.table.Load() }
 
-// Published gives the configuration in force as it was written; nil before the
+// Raw gives the configuration in force as it was written; nil before the
 // first one.
-func (c *Current) Published() *Published { return c.raw.Load() }
+func (c *ActiveConfig) Raw() *RawConfig { return c.raw.Load() }
 
 // Version of the configuration in force; 0 before the first one.
-func (c *Current) Version() int64 {
+func (c *ActiveConfig) Version() int64 {
 	if t := c.table.Load(); t != nil {
 		return t.Config.Version
 	}
@@ -180,28 +180,28 @@
 
 // Apply puts a newer configuration in force; an older one is passed over. It
 // tells whether it did.
-func (c *Current) Apply(cfg *model.RouteConfig, raw []byte) bool {
+func (c *ActiveConfig) Apply(cfg *model.RouteConfig, raw []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if cfg.Version <= c.Version() {
 		return false
 	}
 	c.table.Store(Compile(cfg))
-	c.raw.Store(&Published{Version: cfg.Version, Raw: raw})
-	first := c.First()
+	c.raw.Store(&RawConfig{Version: cfg.Version, Raw: raw})
+	first := c.Ready()
 	c.firstOnce.Do(func() { close(first) })
 	return true
 }
 
-// First is closed once a configuration is in force.
-func (c *Current) First() chan struct{} {
+// Ready is closed once a configuration is in force.
+func (c *ActiveConfig) Ready() chan struct{} {
 	c.makeFirst.Do(func() { c.first = make(chan struct{}) })
 	return c.first
 }
 
 // Confirm takes in that at a moment the version in force was the newest. Words of the
 // store and of peers overtake each other; an older one takes nothing back.
-func (c *Current) Confirm(at time.Duration) {
+func (c *ActiveConfig) Confirm(at time.Duration) {
 	for {
 		heard := c.heard.Load()
 		if int64(at) <= heard || c.heard.CompareAndSwap(heard, int64(at)) {
@@ -210,11 +210,11 @@
 	}
 }
 
-// Heard is when the version in force was last known to be the newest.
-func (c *Current) Heard() time.Duration { return time.Duration(c.heard.Load()) }
+// LastConfirmed is when the version in force was last known to be the newest.
+func (c *ActiveConfig) LastConfirmed() time.Duration { return time.Duration(c.heard.Load()) }
 
 // Age is how long ago the configuration was last confirmed. A refusal that
 // rests on it is only true while it is young.
-func (c *Current) Age(now time.Duration) time.Duration {
+func (c *ActiveConfig) Age(now time.Duration) time.Duration {
 	return now - time.Duration(c.heard.Load())
 }
--- a/internal/coordination/routes/routes_test.go
+++ b/internal/coordination/routes/routes_test.go
@@ -37,12 +37,12 @@
 	assert.Equal(t, k.Route.Name, "short")
 	assert.Equal(t, k.Customer, "c1")
 	assert.Equal(t, k.Priority, 2)
-	assert.Equal(t, k.Until, now.Add(time.Second))
+	assert.Equal(t, k.Deadline, now.Add(time.Second))
 	k, err = table.Admit(call("/a/b/x", "k3"), now)
 	assert.Assert(t, err == nil)
 	assert.Equal(t, k.Route.Name, "long", "the longest prefix wins")
 	assert.Equal(t, k.Priority, 0, "the customer's priority goes before the route's")
-	assert.Assert(t, k.Until.IsZero())
+	assert.Assert(t, k.Deadline.IsZero())
 }
 
 func TestAdmitRefuses(t *testing.T) {
@@ -69,10 +69,10 @@
 	c := call("/a/x", "k1")
 	c.Deadline = now.Add(300 * time.Millisecond)
 	k, _ := Compile(config(1)).Admit(c, now)
-	assert.Equal(t, k.Until, c.Deadline)
+	assert.Equal(t, k.Deadline, c.Deadline)
 	c.Deadline = now.Add(time.Minute)
 	k, _ = Compile(config(1)).Admit(c, now)
-	assert.Equal(t, k.Until, now.Add(time.Second))
+	assert.Equal(t, k.Deadline, now.Add(time.Second))
 }
 
 // A split sends each service its share, and one attempt always the same way.
@@ -97,7 +97,7 @@
 // than once. What is in force is always the newest seen, and never goes back.
 func TestCurrentNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var c Current
+		var c ActiveConfig
 		newest := int64(0)
 		for _, v := range rapid.SliceOf(rapid.Int64Range(1, 20)).Draw(rt, "versions") {
 			applied := c.Apply(config(v), nil)
@@ -109,19 +109,19 @@
 }
 
 func TestAgeRunsFromTheLastConfirmation(t *testing.T) {
-	var c Current
+	var c ActiveConfig
 	c.Confirm(5 * time.Second)
 	assert.Equal(t, c.Age(7*time.Second), 2*time.Second)
 }
 
 func TestFirstIsClosedOnce(t *testing.T) {
-	var c Current
+	var c ActiveConfig
 	select {
-	case <-c.First():
+	case <-c.Ready():
 		t.Fatal("nothing is in force yet")
 	default:
 	}
 	c.Apply(config(1), nil)
 	c.Apply(config(2), nil)
-	<-c.First()
+	<-c.Ready()
 }
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -63,7 +63,7 @@
 type Router struct {
 	settings settings.Settings
 	store    *countedStore
-	config   *routes.Current
+	config   *routes.ActiveConfig
 	catalog  *catalog.Catalog
 	health   *catalog.Health
 	memory   *chains.UsageTracker
@@ -105,7 +105,7 @@
 	r := &Router{
 		settings:  s,
 		store:     newCountedStore(store, m),
-		config:    &routes.Current{},
+		config:    &routes.ActiveConfig{},
 		catalog:   catalog.New(time.Now),
 		health:    catalog.NewHealth(time.Now),
 		memory:    chains.NewUsageTracker(time.Now),
@@ -145,7 +145,7 @@
 		Picker:    &follow.Picker{Self: r.settings.Router.Peers, Domain: r.settings.FailureDomain, Routers: r.routersHeard, Clock: boottime.Now},
 		Ask:       news.Ask,
 		Replica:   &replica.Replica{},
-		Elsewhere: r.config.Heard,
+		Elsewhere: r.config.LastConfirmed,
 		Resting:   func() bool { return !r.callersCame() && r.elector.Token() == 0 },
 	}
 	r.store.unanswered = r.follower.CallFailed
--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -126,7 +126,7 @@
 		return
 	}
 	before := s.config.Version()
-	if p := s.config.Published(); p != nil && bytes.Equal(p.Raw, it.Value) {
+	if p := s.config.Raw(); p != nil && bytes.Equal(p.Raw, it.Value) {
 		klog.InfoS("configuration is in force already", "version", before, "revision", it.Revision)
 		return
 	}
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -63,7 +63,7 @@
 	r.Observer = observer
 	r.OnPanic = observer.panicked
 	r.Running = NewRunning()
-	r.Config = &routes.Current{}
+	r.Config = &routes.ActiveConfig{}
 	r.Config.Apply(&model.RouteConfig{
 		Version:  1,
 		Routes:   []model.Route{{Name: "notice", Kind: model.RouteNotRepeatable, MaxAttempts: 1, Split: []model.ServiceShare{{Service: "notices", Weight: 1}}}},
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -98,7 +98,7 @@
 
 // Relay serves callers' requests.
 type Relay struct {
-	Config  *routes.Current
+	Config  *routes.ActiveConfig
 	Catalog *catalog.Catalog
 	Health  *catalog.Health
 	Chooser *chains.Chooser
@@ -140,7 +140,7 @@
 type request struct {
 	*Relay
 	call   *model.Call
-	ticket routes.Ticket
+	ticket routes.Admission
 	out    *begun
 	since  time.Time
 	// runs counts the sends that may have run; sends counts all.
@@ -178,9 +178,9 @@
 		return q.deny(denied)
 	}
 	r.Loans.Budget.Request(ticket.Service.Name)
-	if !ticket.Until.IsZero() {
+	if !ticket.Deadline.IsZero() {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(ctx, ticket.Until)
+		ctx, cancel = context.WithDeadline(ctx, ticket.Deadline)
 		defer cancel()
 	}
 	if ticket.Service.Engine != nil {
@@ -206,7 +206,7 @@
 	timer := time.NewTimer(left)
 	defer timer.Stop()
 	select {
-	case <-r.Config.First():
+	case <-r.Config.Ready():
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -215,10 +215,10 @@
 
 // left is how much time the request has; 0 where it has no bound.
 func (q *request) left() time.Duration {
-	if q.ticket.Until.IsZero() {
+	if q.ticket.Deadline.IsZero() {
 		return 0
 	}
-	return max(q.ticket.Until.Sub(q.Now()), time.Millisecond)
+	return max(q.ticket.Deadline.Sub(q.Now()), time.Millisecond)
 }
 
 func (q *request) outbound(s platform.Send) *Request {
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -91,7 +91,7 @@
 	}
 	route.Name, route.Host, route.Prefix = "r", "h", "/"
 	route.Split = []model.ServiceShare{{Service: "s", Weight: 1}}
-	current := &routes.Current{}
+	current := &routes.ActiveConfig{}
 	current.Apply(&model.RouteConfig{Version: 1, Routes: []model.Route{route}, Services: []model.Service{svc}}, nil)
 	c := catalog.New(time.Now)
 	for _, id := range []string{"one", "two"} {
--- a/internal/transport/front/conns_test.go
+++ b/internal/transport/front/conns_test.go
@@ -17,10 +17,10 @@
 	over, end := context.WithCancel(context.Background())
 	end()
 	for range 200 {
-		early := &Server{Config: &routes.Current{}}
+		early := &Server{Config: &routes.ActiveConfig{}}
 		assert.NilError(t, early.Shutdown(over))
 
-		beside := &Server{Config: &routes.Current{}}
+		beside := &Server{Config: &routes.ActiveConfig{}}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
 		served := make(chan error, 1)
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -34,7 +34,7 @@
 
 // Server serves callers.
 type Server struct {
-	Config *routes.Current
+	Config *routes.ActiveConfig
 	Relay  *relay.Relay
 	// OnRequest is told of each request; nil for nobody.
 	OnRequest func()
--- a/internal/transport/front/front_test.go
+++ b/internal/transport/front/front_test.go
@@ -60,7 +60,7 @@
 
 // serve starts a front before one plain service.
 func serve(t *testing.T, u upstream) (*Server, string) {
-	current := &routes.Current{}
+	current := &routes.ActiveConfig{}
 	current.Apply(config(1, 300*time.Millisecond), nil)
 	cat := catalog.New(time.Now)
 	cat.Put(model.BackendServer{ID: "b", Service: "s", Address: "1:1"})
--- a/internal/transport/front/stalled_test.go
+++ b/internal/transport/front/stalled_test.go
@@ -48,7 +48,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				current := &routes.Current{}
+				current := &routes.ActiveConfig{}
 				current.Apply(config(1, 300*time.Millisecond), nil)
 				s := &Server{Config: current}
 				near, far := net.Pipe()
--- a/internal/transport/peers/confirm_test.go
+++ b/internal/transport/peers/confirm_test.go
@@ -42,7 +42,7 @@
 	x = &Exchange{
 		Self:   "self:1",
 		Pool:   link.NewPool(stampOf("self:1")),
-		Config: &routes.Current{},
+		Config: &routes.ActiveConfig{},
 		Decode: func(raw []byte) (*model.RouteConfig, error) {
 			v, err := strconv.ParseInt(string(raw), 10, 64)
 			return &model.RouteConfig{Version: v}, err
@@ -94,8 +94,8 @@
 // to be the newest: what it lacks must not be refused for good.
 func TestOlderConfigurationThanToldIsNotConfirmed(t *testing.T) {
 	x, peer := fetching(t, 5, 0)
-	before := x.Config.Heard()
+	before := x.Config.LastConfirmed()
 	x.beatAndFetch(t, peer, wire.RouterHeartbeat{Config: 9, ConfigAgeMS: 100, EveryMS: 250})
 	assert.Equal(t, x.Config.Version(), int64(5))
-	assert.Equal(t, x.Config.Heard(), before)
+	assert.Equal(t, x.Config.LastConfirmed(), before)
 }
--- a/internal/transport/peers/fetch.go
+++ b/internal/transport/peers/fetch.go
@@ -74,7 +74,7 @@
 
 // config gives a peer the configuration in force.
 func (x *Exchange) config(_ context.Context, _ string, ask wire.RouterAsk) (wire.RouterConfig, error) {
-	p := x.Config.Published()
+	p := x.Config.Raw()
 	if p == nil {
 		return wire.RouterConfig{}, errors.WithStack(fault.New(fault.NotReady, "no configuration yet"))
 	}
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -60,7 +60,7 @@
 	Domain  string // own failure domain
 	Seeds   []string
 	Pool    *link.Pool
-	Config  *routes.Current
+	Config  *routes.ActiveConfig
 	Decode  func([]byte) (*model.RouteConfig, error)
 	Catalog *catalog.Catalog
 	Memory  *chains.UsageTracker
