--- a/bench/baseline_test.go
+++ b/bench/baseline_test.go
@@ -20,9 +20,9 @@
 	pick choose
 }
 
-func (b baseline) Chain(ask routing.Ask) ([]routing.Stage, error) {
+func (b baseline) Chain(ask routing.ChainRequest) ([]routing.Stage, error) {
 	var chain []routing.Stage
-	all, need := b.Candidates(ask.Service), ask.Need
+	all, need := b.Candidates(ask.Service), ask.Layers
 	for at := need.From; at < need.To; {
 		var fit []membership.Member
 		for _, m := range all {
--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -38,10 +38,10 @@
 	rateWeight = 0.05
 )
 
-// Room holds the requests that an entry has at the engines. How many it may
+// Limiter holds the requests that an entry has at the engines. How many it may
 // have, it learns from the gates' and the router's refusals: it grows while none
 // comes and shrinks when one does, as a TCP window does.
-type Room struct {
+type Limiter struct {
 	now func() time.Time
 
 	mu       sync.Mutex
@@ -59,9 +59,9 @@
 	shed chan struct{} // closed when it was given up
 }
 
-// New makes an empty room.
-func New(now func() time.Time) *Room {
-	return &Room{now: now, queue: fair.New[*place]()}
+// NewLimiter makes an empty room.
+func NewLimiter(now func() time.Time) *Limiter {
+	return &Limiter{now: now, queue: fair.New[*place]()}
 }
 
 // Request is what the room needs to know.
@@ -73,7 +73,7 @@
 
 // Enter waits for room. An error is the final answer: nothing of the request
 // went on. After nil, Leave must be called.
-func (r *Room) Enter(ctx context.Context, q Request) error {
+func (r *Limiter) Enter(ctx context.Context, q Request) error {
 	if ctx.Err() != nil {
 		return r.refusal("the caller has left")
 	}
@@ -94,7 +94,7 @@
 }
 
 // join goes in at once, or into the queue, or is refused.
-func (r *Room) join(q Request) (*place, error) {
+func (r *Limiter) join(q Request) (*place, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.now().Sub(r.fullAt) > calm {
@@ -120,7 +120,7 @@
 }
 
 // hasRoom tells whether one more of a customer may go in.
-func (r *Room) hasRoom(customer string) bool {
+func (r *Limiter) hasRoom(customer string) bool {
 	limit := r.limit
 	if float64(r.queue.Held(customer)+1) <= r.limit/float64(r.queue.Customers()+1) {
 		limit += headroom * r.limit
@@ -129,7 +129,7 @@
 }
 
 // tooLong tells whether one more would wait longer than it may.
-func (r *Room) tooLong(q Request) bool {
+func (r *Limiter) tooLong(q Request) bool {
 	wait := r.wait()
 	half := q.Deadline.Sub(r.now()) / 2
 	if r.interval == 0 {
@@ -139,11 +139,11 @@
 }
 
 // wait predicts how long the last in the queue waits.
-func (r *Room) wait() time.Duration {
+func (r *Limiter) wait() time.Duration {
 	return time.Duration(r.queue.Len()+1) * r.interval
 }
 
-func (r *Room) refusal(msg string) error {
+func (r *Limiter) refusal(msg string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.refusalLocked(msg)
@@ -151,7 +151,7 @@
 
 // refusalLocked says when to come back: when the present queue will be gone,
 // spread so that a burst does not come back as one.
-func (r *Room) refusalLocked(msg string) error {
+func (r *Limiter) refusalLocked(msg string) error {
 	e := fault.New(fault.Overloaded, "%s: %d at the engines, %d waiting", msg, r.inside, r.queue.Len())
 	e.RetryAfter = limits.Jitter(max(2*r.wait(), time.Second))
 	return e
@@ -160,7 +160,7 @@
 // settle ends a wait. Its end, the caller's and a place that is given may come in the
 // same moment, so it asks again under the lock that places are given under: a place
 // that was given is used, unless nobody is there to use it.
-func (r *Room) settle(ctx context.Context, p *place, q Request) error {
+func (r *Limiter) settle(ctx context.Context, p *place, q Request) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.queue.Remove(p) {
@@ -180,7 +180,7 @@
 
 // admit lets in what there is room for. The queue counts the places by
 // customer, so a popped place is held by its own.
-func (r *Room) admit() {
+func (r *Limiter) admit() {
 	for {
 		next, ok := r.queue.NextCustomer()
 		if !ok || !r.hasRoom(next) {
@@ -194,7 +194,7 @@
 }
 
 // Leave gives a place back. full tells that the engines had no room for it.
-func (r *Room) Leave(customer string, full bool) {
+func (r *Limiter) Leave(customer string, full bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !full {
@@ -206,13 +206,13 @@
 	r.leave(customer)
 }
 
-func (r *Room) leave(customer string) {
+func (r *Limiter) leave(customer string) {
 	r.inside--
 	r.queue.Release(customer)
 	r.admit()
 }
 
-func (r *Room) measure() {
+func (r *Limiter) measure() {
 	now := r.now()
 	if !r.leftAt.IsZero() {
 		d := now.Sub(r.leftAt)
@@ -225,7 +225,7 @@
 }
 
 // Full takes in that a gate or the router refused for lack of room.
-func (r *Room) Full() {
+func (r *Limiter) Full() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.now().Sub(r.fullAt) < backOffEvery {
@@ -236,7 +236,7 @@
 }
 
 // Limit is how many requests may be inside now.
-func (r *Room) Limit() int {
+func (r *Limiter) Limit() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return int(r.limit)
--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -17,7 +17,7 @@
 }
 
 // fill lets n requests in, then says that the engines are full.
-func fill(t *testing.T, r *Room, customer string, n int) {
+func fill(t *testing.T, r *Limiter, customer string, n int) {
 	for i := 0; i < n; i++ {
 		assert.NilError(t, r.Enter(context.Background(), ask(customer, 3)))
 	}
@@ -27,7 +27,7 @@
 // While nobody refuses, whatever comes goes in at once.
 func TestNoLimitWithoutRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New(time.Now)
+		r := NewLimiter(time.Now)
 		for i := 0; i < 1000; i++ {
 			assert.NilError(t, r.Enter(context.Background(), ask("c", 0)))
 		}
@@ -38,7 +38,7 @@
 // is refused at once, and each refusal says when to come back, not all the same.
 func TestFloodIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New(time.Now)
+		r := NewLimiter(time.Now)
 		fill(t, r, "flood", 10)
 		var wg sync.WaitGroup
 		var mu sync.Mutex
@@ -67,7 +67,7 @@
 // and goes in first.
 func TestSmallCustomerGoesBeforeTheFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New(time.Now)
+		r := NewLimiter(time.Now)
 		fill(t, r, "flood", 10)
 		order := make(chan string, 32)
 		enter := func(customer string) {
@@ -94,7 +94,7 @@
 // one gets its final answer at that moment.
 func TestLowPriorityIsShedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New(time.Now)
+		r := NewLimiter(time.Now)
 		fill(t, r, "c", 4)
 		low := make(chan time.Duration, blindQueue)
 		for i := 0; i < blindQueue; i++ {
@@ -118,7 +118,7 @@
 // place in the queue is gone.
 func TestDeadlineWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New(time.Now)
+		r := NewLimiter(time.Now)
 		fill(t, r, "c", 4)
 		ctx, cancel := context.WithTimeout(context.Background(), maxWait/4)
 		defer cancel()
@@ -133,7 +133,7 @@
 func TestBurstOfSmallCustomersDoesNotWaitForTheFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const places, small = 60, 5
-		r := New(time.Now)
+		r := NewLimiter(time.Now)
 		fill(t, r, "flood", places)
 		for i := range small {
 			began := time.Now()
@@ -146,7 +146,7 @@
 }
 
 // insiders counts who has a place, once all is quiet.
-func insiders(r *Room) int {
+func insiders(r *Limiter) int {
 	synctest.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -159,11 +159,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		left, leave := context.WithCancel(context.Background())
 		leave()
-		r := New(time.Now)
+		r := NewLimiter(time.Now)
 		assert.Check(t, r.Enter(left, ask("c", 3)) != nil)
 		assert.Check(t, insiders(r) == 0)
 		for range 100 {
-			r := New(time.Now)
+			r := NewLimiter(time.Now)
 			fill(t, r, "c", 1)
 			ctx, leave := context.WithCancel(context.Background())
 			answer := make(chan error, 1)
@@ -183,7 +183,7 @@
 func TestRoomKeepsAPlaceThatWasGiven(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for range 100 {
-			r := New(time.Now)
+			r := NewLimiter(time.Now)
 			fill(t, r, "c", 1)
 			answer := make(chan error, 1)
 			go func() { answer <- r.Enter(context.Background(), ask("c", 3)) }()
--- a/internal/coordination/admission/line.go
+++ b/internal/coordination/admission/line.go
@@ -12,9 +12,9 @@
 // streams gave back; room given back here wakes it at once.
 const lineTick = 40 * time.Millisecond
 
-// Line lets requests wait a moment for token memory, the most urgent first and
+// WaitQueue lets requests wait a moment for token memory, the most urgent first and
 // fairly among customers. Only who is at the front may try.
-type Line struct {
+type WaitQueue struct {
 	mu    sync.Mutex
 	queue *fair.Queue[*waiter]
 }
@@ -23,11 +23,11 @@
 	wake chan struct{}
 }
 
-// NewLine makes an empty line.
-func NewLine() *Line { return &Line{queue: fair.New[*waiter]()} }
+// NewWaitQueue makes an empty line.
+func NewWaitQueue() *WaitQueue { return &WaitQueue{queue: fair.New[*waiter]()} }
 
 // Len counts who waits.
-func (l *Line) Len() int {
+func (l *WaitQueue) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.queue.Len()
@@ -37,7 +37,7 @@
 // time. It tells whether try succeeded. Nobody overtakes who waits already,
 // unless more urgent. After the end of ctx it tries no more: a wake may come in the
 // same moment, and what try takes would be taken for nobody.
-func (l *Line) Wait(ctx context.Context, q Request, most time.Duration, try func() bool) bool {
+func (l *WaitQueue) Wait(ctx context.Context, q Request, most time.Duration, try func() bool) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -70,13 +70,13 @@
 }
 
 // Poke tells the front of the line that there may be room.
-func (l *Line) Poke() {
+func (l *WaitQueue) Poke() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.poke()
 }
 
-func (l *Line) poke() {
+func (l *WaitQueue) poke() {
 	if w, ok := l.queue.Peek(); ok {
 		select {
 		case w.wake <- struct{}{}:
@@ -85,14 +85,14 @@
 	}
 }
 
-func (l *Line) first(w *waiter) bool {
+func (l *WaitQueue) first(w *waiter) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	front, ok := l.queue.Peek()
 	return ok && front == w
 }
 
-func (l *Line) leave(w *waiter) {
+func (l *WaitQueue) leave(w *waiter) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.queue.Remove(w)
--- a/internal/coordination/admission/line_test.go
+++ b/internal/coordination/admission/line_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestLineLetsInAtOnce(t *testing.T) {
-	l := NewLine()
+	l := NewWaitQueue()
 	assert.Assert(t, l.Wait(context.Background(), Request{Customer: "c"}, time.Minute, func() bool { return true }))
 	assert.Equal(t, l.Len(), 0)
 }
@@ -21,7 +21,7 @@
 // its deadline: its caller is told at once when to come back.
 func TestLineGivesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := NewLine()
+		l := NewWaitQueue()
 		began := time.Now()
 		ok := l.Wait(context.Background(), Request{Customer: "c"}, 400*time.Millisecond, func() bool { return false })
 		assert.Assert(t, !ok)
@@ -34,7 +34,7 @@
 // ones go first though they came last; nobody is let in twice or forgotten.
 func TestLineLetsUrgentFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := NewLine()
+		l := NewWaitQueue()
 		var room atomic.Int64
 		try := func() bool {
 			if room.Load() <= 0 {
@@ -70,7 +70,7 @@
 // The caller leaves while it waits: its place in the line goes to the next.
 func TestLineForgetsWhoLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := NewLine()
+		l := NewWaitQueue()
 		ctx, leave := context.WithCancel(context.Background())
 		done := make(chan bool)
 		go func() { done <- l.Wait(ctx, Request{Customer: "c"}, time.Minute, func() bool { return false }) }()
@@ -93,10 +93,10 @@
 		tried = true
 		return true
 	}
-	assert.Assert(t, !NewLine().Wait(ctx, Request{Customer: "c"}, time.Minute, try))
+	assert.Assert(t, !NewWaitQueue().Wait(ctx, Request{Customer: "c"}, time.Minute, try))
 	assert.Assert(t, !tried)
 	for range 100 {
-		l := NewLine()
+		l := NewWaitQueue()
 		ctx, leave := context.WithCancel(context.Background())
 		room := false
 		try := func() bool {
@@ -123,7 +123,7 @@
 		began := time.Now()
 		most := lineTick - time.Millisecond
 		try := func() bool { return time.Since(began) >= most }
-		assert.Assert(t, NewLine().Wait(context.Background(), Request{Customer: "c"}, most, try))
+		assert.Assert(t, NewWaitQueue().Wait(context.Background(), Request{Customer: "c"}, most, try))
 		assert.Equal(t, time.Since(began), most)
 	})
 }
--- a/internal/coordination/placement/balance.go
+++ b/internal/coordination/placement/balance.go
@@ -123,7 +123,7 @@
 func (n need) best(e Engine) model.LayerRange {
 	var best model.LayerRange
 	most := 0.0
-	for size := 1; size <= MostLayers(n.spec, e.Card); size++ {
+	for size := 1; size <= MaxLayers(n.spec, e.Card); size++ {
 		t := math.Max(tokens(n.spec, e.Card, size), 0)
 		sum := 0.0
 		for end := range n.spec.Layers {
@@ -140,7 +140,7 @@
 	return best
 }
 
-// Mend makes failure domains whole that hold as many layers as the model has but
+// RepairDomains makes failure domains whole that hold as many layers as the model has but
 // not each of them: their streams else go over the pipes to other domains and back
 // for a few layers, and once the pipes are full their engines stand idle while
 // callers are refused.
@@ -153,16 +153,16 @@
 // sure tells, by address, which engines are known to do their work: while the store
 // is away others may be gone and still be listed, and what they seem to hold is no
 // ground for taking an engine away that does hold it.
-func Mend(spec *model.EngineSpec, plan Plan, engines []Engine, sure func(address string) bool) (next Plan, changed bool) {
+func RepairDomains(spec *model.EngineSpec, plan Plan, engines []Engine, sure func(address string) bool) (next Plan, changed bool) {
 	next = copyOf(plan)
 	for _, group := range byDomain(engines) {
-		if len(Uncovered(spec, next, group)) == 0 || planned(next, group) < spec.Layers {
+		if len(UncoveredLayers(spec, next, group)) == 0 || planned(next, group) < spec.Layers {
 			continue
 		}
 		known := slices.DeleteFunc(slices.Clone(group), func(e Engine) bool { return !sure(e.Address) })
 		for range mostMoves {
 			e, ok := spared(spec, next, known)
-			if !ok || len(Uncovered(spec, next, group)) == 0 {
+			if !ok || len(UncoveredLayers(spec, next, group)) == 0 {
 				break
 			}
 			n := needOf(spec, next, engines, e.Domain)
--- a/internal/coordination/placement/bound.go
+++ b/internal/coordination/placement/bound.go
@@ -10,20 +10,20 @@
 // millionth of a millionth.
 const flowSteps = 40
 
-// Supply is what an engine has to give to the layers that it holds, in units x
+// Capacity is what an engine has to give to the layers that it holds, in units x
 // layers.
-type Supply func(e Engine, held model.LayerRange) float64
+type Capacity func(e Engine, held model.LayerRange) float64
 
-// MemorySupply is an engine's token memory beside the weights of its range, in
+// MemoryCapacity is an engine's token memory beside the weights of its range, in
 // tokens x layers.
-func MemorySupply(spec *model.EngineSpec) Supply {
+func MemoryCapacity(spec *model.EngineSpec) Capacity {
 	return func(e Engine, held model.LayerRange) float64 {
 		return tokensIn(spec, e, held) * float64(held.Len())
 	}
 }
 
-// ReadingSupply is how many prompt tokens a second an engine reads, times layers.
-func ReadingSupply(spec *model.EngineSpec) Supply {
+// PrefillCapacity is how many prompt tokens a second an engine reads, times layers.
+func PrefillCapacity(spec *model.EngineSpec) Capacity {
 	return func(e Engine, _ model.LayerRange) float64 {
 		if e.Card.ReadFactor <= 0 {
 			return 0
@@ -32,14 +32,14 @@
 	}
 }
 
-// Flow is how much passes through all layers at most: each unit needs every layer
+// MaxFlow is how much passes through all layers at most: each unit needs every layer
 // once, at any engine that holds it, and an engine divides what it has among its
 // layers as it likes. It is the maximum flow from the layers to the engines.
 //
 // Ranges are intervals. So a given amount passes if it does where each layer, in
 // order, is served by the engine whose range ends first; the greatest such amount
 // is found by halving.
-func Flow(spec *model.EngineSpec, plan Plan, engines []Engine, supply Supply) float64 {
+func MaxFlow(spec *model.EngineSpec, plan Plan, engines []Engine, supply Capacity) float64 {
 	low, high := 0.0, 0.0
 	for _, e := range engines {
 		high += supply(e, plan[e.Address])
@@ -57,7 +57,7 @@
 }
 
 // passes tells whether an amount passes through all layers.
-func passes(spec *model.EngineSpec, plan Plan, engines []Engine, supply Supply, amount float64) bool {
+func passes(spec *model.EngineSpec, plan Plan, engines []Engine, supply Capacity, amount float64) bool {
 	left := make([]float64, len(engines))
 	for i, e := range engines {
 		left[i] = supply(e, plan[e.Address])
@@ -107,10 +107,10 @@
 	return math.Max(mb/per, 0)
 }
 
-// ReadingBound is how many prompt tokens a second are read at most, whatever the
+// PrefillBound is how many prompt tokens a second are read at most, whatever the
 // plan: every engine always reads.
-func ReadingBound(spec *model.EngineSpec, engines []Engine) float64 {
-	supply := ReadingSupply(spec)
+func PrefillBound(spec *model.EngineSpec, engines []Engine) float64 {
+	supply := PrefillCapacity(spec)
 	sum := 0.0
 	for _, e := range engines {
 		sum += supply(e, model.LayerRange{})
@@ -118,9 +118,9 @@
 	return sum / float64(max(spec.Layers, 1))
 }
 
-// FewestParts is how many engines the shortest chain through a plan has; 0 where layers
+// MinStages is how many engines the shortest chain through a plan has; 0 where layers
 // lack.
-func FewestParts(spec *model.EngineSpec, plan Plan, engines []Engine) int {
+func MinStages(spec *model.EngineSpec, plan Plan, engines []Engine) int {
 	n := 0
 	for at := 0; at < spec.Layers; n++ {
 		far := at
--- a/internal/coordination/placement/bound_test.go
+++ b/internal/coordination/placement/bound_test.go
@@ -73,7 +73,7 @@
 			supply = append(supply, rapid.IntRange(0, 8).Draw(rt, "supply"))
 			byAddress[e.Address] = float64(supply[i])
 		}
-		flow := Flow(s, plan, all, func(e Engine, _ model.LayerRange) float64 { return byAddress[e.Address] })
+		flow := MaxFlow(s, plan, all, func(e Engine, _ model.LayerRange) float64 { return byAddress[e.Address] })
 		whole := int(math.Floor(flow + 1e-6))
 		assert.Equal(rt, maxFlow(s.Layers, plan, all, supply, whole), whole*s.Layers, "flow %.3f", flow)
 		assert.Assert(rt, maxFlow(s.Layers, plan, all, supply, whole+1) < (whole+1)*s.Layers, "flow %.3f", flow)
@@ -88,14 +88,14 @@
 	s := spec()
 	s.ReadRate = 245000
 	all := site()
-	plan := Make(s, all)
-	memory := Flow(s, plan, all, MemorySupply(s))
-	reading := Flow(s, plan, all, ReadingSupply(s))
+	plan := BuildPlan(s, all)
+	memory := MaxFlow(s, plan, all, MemoryCapacity(s))
+	reading := MaxFlow(s, plan, all, PrefillCapacity(s))
 	assert.Assert(t, memory <= MemoryBound(s, all))
-	assert.Assert(t, reading <= ReadingBound(s, all)*1.0001)
+	assert.Assert(t, reading <= PrefillBound(s, all)*1.0001)
 	for _, group := range byDomain(all) {
-		own, need := Flow(s, plan, group, MemorySupply(s)), needed(s, group)
+		own, need := MaxFlow(s, plan, group, MemoryCapacity(s)), needed(s, group)
 		assert.Assert(t, own >= need, "%s: %.0f of %.0f", group[0].Domain, own, need)
 	}
-	assert.Assert(t, reading >= 0.8*ReadingBound(s, all), "%.0f of %.0f", reading, ReadingBound(s, all))
+	assert.Assert(t, reading >= 0.8*PrefillBound(s, all), "%.0f of %.0f", reading, PrefillBound(s, all))
 }
--- a/internal/coordination/placement/controller.go
+++ b/internal/coordination/placement/controller.go
@@ -38,22 +38,22 @@
 	Config  *routes.ActiveConfig
 	Catalog *catalog.Catalog
 	Store   platform.Store
-	Engines Engines
-	// Token is the fencing token; 0 while another process leads.
-	Token func() model.Revision
-	// Fenced is told that an engine refused a token.
-	Fenced func(token model.Revision)
-	// Traffic tells whether callers' requests were seen by any router.
-	Traffic func() bool
+	Engines EngineClient
+	// FencingToken is the fencing token; 0 while another process leads.
+	FencingToken func() model.Revision
+	// OnFenced is told that an engine refused a token.
+	OnFenced func(token model.Revision)
+	// HasTraffic tells whether callers' requests were seen by any router.
+	HasTraffic func() bool
 	// Suspected tells whether there is evidence against an engine; nil for never.
 	Suspected func(engine model.Incarnation) bool
-	// Lost tells whether an engine has answered nobody here for a while, whatever its
+	// Unreachable tells whether an engine has answered nobody here for a while, whatever its
 	// entry says; nil for never.
-	Lost func(engine model.Incarnation) bool
-	// Streams counts the streams that run through an engine, as far as known; nil
+	Unreachable func(engine model.Incarnation) bool
+	// StreamCount counts the streams that run through an engine, as far as known; nil
 	// where that is not counted.
-	Streams func(engine model.Incarnation) float64
-	Now     func() time.Time
+	StreamCount func(engine model.Incarnation) float64
+	Now         func() time.Time
 
 	mu       sync.Mutex
 	plans    map[string]stored // by service
@@ -119,7 +119,7 @@
 
 func (c *Controller) tickService(ctx context.Context, svc *model.Service) {
 	servers := c.engines(svc)
-	token := c.Token()
+	token := c.FencingToken()
 	if token == 0 {
 		c.forgetHole(svc.Name)
 		return
@@ -181,16 +181,16 @@
 	defer c.mu.Unlock()
 	now := c.Now()
 	old := c.plans[svc.Name]
-	fresh := !c.Traffic()
+	fresh := !c.HasTraffic()
 	if old.plan == nil || fresh && unplanned(old.plan, c.engineList(svc, servers, now, 0)) {
 		quiet := now.Sub(c.newest)
 		if len(servers) == 0 || quiet < settleTime && now.Sub(c.began) < settleMost {
 			return old.plan
 		}
 		if old.plan == nil && !fresh {
-			return Adopt(svc.Engine, c.engineList(svc, servers, now, 0), servers)
+			return PlanFromHeldLayers(svc.Engine, c.engineList(svc, servers, now, 0), servers)
 		}
-		return Make(svc.Engine, c.engineList(svc, servers, now, 0))
+		return BuildPlan(svc.Engine, c.engineList(svc, servers, now, 0))
 	}
 	settled := c.engineList(svc, c.withoutLost(servers), now, newcomerTime)
 	next := old.plan
@@ -202,7 +202,7 @@
 	}
 	repaired, changed := Repair(svc.Engine, next, settled)
 	if changed {
-		klog.InfoS("plan repaired: layers were held by nobody", "service", svc.Name, "layers", Uncovered(svc.Engine, next, settled))
+		klog.InfoS("plan repaired: layers were held by nobody", "service", svc.Name, "layers", UncoveredLayers(svc.Engine, next, settled))
 		delete(c.gapSince, svc.Name)
 	}
 	return repaired
@@ -303,9 +303,9 @@
 	return true
 }
 
-// Adopt makes a plan of what engines hold already, where the stored plan is
+// PlanFromHeldLayers makes a plan of what engines hold already, where the stored plan is
 // not known; empty engines are then added as newcomers.
-func Adopt(spec *model.EngineSpec, engines []Engine, servers []*model.BackendServer) Plan {
+func PlanFromHeldLayers(spec *model.EngineSpec, engines []Engine, servers []*model.BackendServer) Plan {
 	plan := Plan{}
 	for _, b := range servers {
 		if b.Holds.Len() > 0 && b.Holds.To <= spec.Layers {
@@ -313,7 +313,7 @@
 		}
 	}
 	if len(plan) == 0 {
-		return Make(spec, engines)
+		return BuildPlan(spec, engines)
 	}
 	next, _ := Extend(spec, plan, engines)
 	return next
--- a/internal/coordination/placement/controller_test.go
+++ b/internal/coordination/placement/controller_test.go
@@ -43,16 +43,16 @@
 }
 
 func newShop(t *testing.T) *shop {
-	s := &shop{t: t, store: standin.NewStore(), catalog: catalog.New(time.Now), holds: map[string]model.LayerRange{}, orders: map[string]int64{}, born: map[string]int64{}, result: OrderTaken}
+	s := &shop{t: t, store: standin.NewStore(), catalog: catalog.New(time.Now), holds: map[string]model.LayerRange{}, orders: map[string]int64{}, born: map[string]int64{}, result: OrderAccepted}
 	sp := spec()
 	sp.LoadTime = 14 * time.Second
 	sp.LoadsAtOnce = 5
 	s.token.Store(int64(s.store.Put(leader.Key, []byte(`{}`))))
 	s.c = &Controller{
 		Config: &routes.ActiveConfig{}, Catalog: s.catalog, Store: s.store, Engines: s, Now: time.Now,
-		Token:   func() model.Revision { return model.Revision(s.token.Load()) },
-		Fenced:  func(model.Revision) { s.token.Store(0) },
-		Traffic: s.traffic.Load,
+		FencingToken: func() model.Revision { return model.Revision(s.token.Load()) },
+		OnFenced:     func(model.Revision) { s.token.Store(0) },
+		HasTraffic:   s.traffic.Load,
 	}
 	s.config(sp)
 	return s
@@ -103,7 +103,7 @@
 	if fence < s.fenced {
 		return OrderFenced, fmt.Errorf("fenced")
 	}
-	if s.result != OrderTaken {
+	if s.result != OrderAccepted {
 		return s.result, nil
 	}
 	begin := func() {
@@ -125,7 +125,7 @@
 		return OrderUnknown, context.DeadlineExceeded
 	}
 	begin()
-	return OrderTaken, nil
+	return OrderAccepted, nil
 }
 
 func (s *shop) loaded(b *model.BackendServer, held model.LayerRange, born int64) {
@@ -169,7 +169,7 @@
 		all := site()
 		s.add(all)
 		s.run(12 * time.Second)
-		want := Make(spec(), all)
+		want := BuildPlan(spec(), all)
 		for _, e := range all {
 			assert.Equal(t, s.held(e.Address), want[e.Address], e.Address)
 		}
@@ -252,7 +252,7 @@
 		s.late = 0
 		s.mu.Unlock()
 		s.run(40 * time.Second)
-		want := Make(spec(), all)
+		want := BuildPlan(spec(), all)
 		for _, e := range all {
 			assert.Equal(t, s.held(e.Address), want[e.Address], e.Address)
 			assert.Equal(t, s.orders[e.Address], int64(1), e.Address)
@@ -291,7 +291,7 @@
 		s := newShop(t)
 		s.traffic.Store(true)
 		all := site()
-		plan := Make(spec(), all)
+		plan := BuildPlan(spec(), all)
 		for i, e := range all {
 			held := plan[e.Address]
 			if i%7 == 0 {
@@ -339,7 +339,7 @@
 				plan[e.Address] = s.held(e.Address)
 			}
 		}
-		assert.Equal(t, len(Uncovered(spec(), plan, live)), 0)
+		assert.Equal(t, len(UncoveredLayers(spec(), plan, live)), 0)
 		assert.Assert(t, s.ordersGiven()-before <= 4, "%d orders", s.ordersGiven()-before)
 	})
 }
--- a/internal/coordination/placement/decode_test.go
+++ b/internal/coordination/placement/decode_test.go
@@ -29,7 +29,7 @@
 		}
 		next, _ := Extend(spec(), plan, all)
 		Repair(spec(), next, all)
-		Mend(spec(), next, all, func(string) bool { return true })
+		RepairDomains(spec(), next, all, func(string) bool { return true })
 		again, err := json.Marshal(plan)
 		assert.NilError(t, err)
 		_, err = DecodePlan(again)
--- a/internal/coordination/placement/holes.go
+++ b/internal/coordination/placement/holes.go
@@ -33,10 +33,10 @@
 	c.holeLook[svc.Name] = now
 	sure, idle := c.sure(svc)
 	wait := idleHoleTime
-	mended, changed := Mend(svc.Engine, plan, engines, idle)
+	mended, changed := RepairDomains(svc.Engine, plan, engines, idle)
 	if !changed {
 		wait = holeTime
-		mended, changed = Mend(svc.Engine, plan, engines, sure)
+		mended, changed = RepairDomains(svc.Engine, plan, engines, sure)
 	}
 	if !changed {
 		delete(c.holeSince, svc.Name)
@@ -66,7 +66,7 @@
 	busy := map[string]bool{}
 	for _, b := range c.Catalog.Load().Service(svc.Name) {
 		suspected[b.Address] = c.Suspected != nil && c.Suspected(b.Incarnation())
-		busy[b.Address] = c.Streams == nil || c.Streams(b.Incarnation()) >= 1
+		busy[b.Address] = c.StreamCount == nil || c.StreamCount(b.Incarnation()) >= 1
 	}
 	sure = func(address string) bool { return !suspected[address] }
 	idle = func(address string) bool { return !suspected[address] && !busy[address] }
@@ -77,10 +77,10 @@
 // of one that fell silent the entry lapses after several heartbeats, and while the
 // store is away not at all.
 func (c *Controller) withoutLost(servers []*model.BackendServer) []*model.BackendServer {
-	if c.Lost == nil {
+	if c.Unreachable == nil {
 		return servers
 	}
-	kept := slices.DeleteFunc(slices.Clone(servers), func(b *model.BackendServer) bool { return c.Lost(b.Incarnation()) })
+	kept := slices.DeleteFunc(slices.Clone(servers), func(b *model.BackendServer) bool { return c.Unreachable(b.Incarnation()) })
 	if lost := len(servers) - len(kept); float64(lost) > max(mostLost*float64(len(servers)), 1) {
 		return servers
 	}
@@ -89,7 +89,7 @@
 
 // gapLasts tells whether some layer has been held by nobody for a while.
 func (c *Controller) gapLasts(svc *model.Service, plan Plan, engines []Engine, now time.Time) bool {
-	if len(Uncovered(svc.Engine, plan, engines)) == 0 {
+	if len(UncoveredLayers(svc.Engine, plan, engines)) == 0 {
 		delete(c.gapSince, svc.Name)
 		return false
 	}
--- a/internal/coordination/placement/mend_test.go
+++ b/internal/coordination/placement/mend_test.go
@@ -52,7 +52,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s, all := weakShop(t)
-				s.c.Streams = func(model.Incarnation) float64 { return c.streams }
+				s.c.StreamCount = func(model.Incarnation) float64 { return c.streams }
 				plan := s.c.plans["s"].plan
 				gone := aloneHolder(plan, all)
 				assert.Assert(t, gone.Address != "")
@@ -88,9 +88,9 @@
 func TestSilentEngineIsReplacedThoughItsEntryStands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, all := weakShop(t)
-		s.c.Streams = func(model.Incarnation) float64 { return 0 }
+		s.c.StreamCount = func(model.Incarnation) float64 { return 0 }
 		gone := aloneHolder(s.c.plans["s"].plan, all)
-		s.c.Lost = func(inc model.Incarnation) bool { return inc.ID == gone.Address }
+		s.c.Unreachable = func(inc model.Incarnation) bool { return inc.ID == gone.Address }
 		s.run(3 * time.Second)
 		assert.Assert(t, s.whole(all, gone))
 	})
@@ -101,13 +101,13 @@
 func TestLeaderThatIsCutOffMovesNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, all := weakShop(t)
-		s.c.Streams = func(model.Incarnation) float64 { return 0 }
+		s.c.StreamCount = func(model.Incarnation) float64 { return 0 }
 		before := s.ordersGiven()
 		silent := map[string]bool{}
 		for _, e := range all[:len(all)/2] {
 			silent[e.Address] = true
 		}
-		s.c.Lost = func(inc model.Incarnation) bool { return silent[inc.ID] }
+		s.c.Unreachable = func(inc model.Incarnation) bool { return silent[inc.ID] }
 		s.run(10 * time.Second)
 		assert.Equal(t, s.ordersGiven(), before)
 	})
--- a/internal/coordination/placement/orders.go
+++ b/internal/coordination/placement/orders.go
@@ -29,13 +29,13 @@
 // Results of an order. Unknown may be carried out, also later.
 const (
 	OrderUnknown OrderResult = iota
-	OrderTaken
+	OrderAccepted
 	OrderRefused
 	OrderFenced // a higher fencing token was seen
 )
 
-// Engines gives orders to engines and reads their reports.
-type Engines interface {
+// EngineClient gives orders to engines and reads their reports.
+type EngineClient interface {
 	Report(ctx context.Context, b *model.BackendServer) (model.EngineReport, error)
 	// Place orders an engine to hold a range, if expected orders were begun.
 	Place(ctx context.Context, b *model.BackendServer, held model.LayerRange, fence, expected int64) (OrderResult, error)
@@ -71,7 +71,7 @@
 	defer c.mu.Unlock()
 	now := c.Now()
 	most := len(servers)
-	if c.Traffic() {
+	if c.HasTraffic() {
 		most = svc.Engine.LoadsAtOnce
 	}
 	loading := 0
@@ -91,7 +91,7 @@
 			continue
 		}
 		card, _ := svc.Engine.Card(b.Card)
-		if want.Len() > MostLayers(svc.Engine, card) {
+		if want.Len() > MaxLayers(svc.Engine, card) {
 			klog.InfoS("order withheld: more layers than memory", "server", b.Incarnation(), "card", b.Card, "layers", want.String())
 			continue
 		}
@@ -118,7 +118,7 @@
 		for i, e := range group {
 			wave[e.Address] = true
 			classEnds := i+1 == len(group) || group[i+1].Card.Pace != e.Card.Pace
-			if classEnds && len(Uncovered(spec, plan, group[:i+1])) == 0 {
+			if classEnds && len(UncoveredLayers(spec, plan, group[:i+1])) == 0 {
 				break
 			}
 		}
@@ -176,10 +176,10 @@
 	klog.InfoS("order given", "server", b.Incarnation(), "address", b.Address, "card", b.Card, "from", b.Holds.String(), "to", want.String(),
 		"token", token, "expected", report.Orders, "result", int(result), "err", err)
 	switch result {
-	case OrderTaken, OrderUnknown:
+	case OrderAccepted, OrderUnknown:
 		c.noteGiven(b.Incarnation())
 	case OrderFenced:
-		c.Fenced(token)
+		c.OnFenced(token)
 	case OrderRefused:
 		c.pause(b.Incarnation(), want, refusedPause)
 	}
@@ -190,7 +190,7 @@
 // under way: the engine would load layers that it must give up again, and it refuses
 // an older token only once it has seen a newer one.
 func (c *Controller) stillWanted(service string, b *model.BackendServer, want model.LayerRange, token model.Revision) bool {
-	if c.Token() != token {
+	if c.FencingToken() != token {
 		return false
 	}
 	c.mu.Lock()
--- a/internal/coordination/placement/orders_test.go
+++ b/internal/coordination/placement/orders_test.go
@@ -50,7 +50,7 @@
 		s.add(all)
 		s.run(settleTime + 3*time.Second)
 		assert.Assert(t, slow.highest <= ordersAtOnce, "%d at once", slow.highest)
-		want := Make(s.spec, all)
+		want := BuildPlan(s.spec, all)
 		for _, e := range all {
 			assert.Equal(t, s.held(e.Address), want[e.Address], e.Address)
 		}
--- a/internal/coordination/placement/plan.go
+++ b/internal/coordination/placement/plan.go
@@ -58,12 +58,12 @@
 	return plan, nil
 }
 
-// Make plans for engines that hold nothing yet. In each failure domain cards of like
+// BuildPlan plans for engines that hold nothing yet. In each failure domain cards of like
 // speed make up whole chains, the fastest first, since the slowest part sets the
 // pace of each token. The fastest get as many chains as can bear the domain's
 // streams together, and hold layers once more, to stand in for lost engines. What is
 // left over covers the layers once more over all domains.
-func Make(spec *model.EngineSpec, engines []Engine) Plan {
+func BuildPlan(spec *model.EngineSpec, engines []Engine) Plan {
 	plan := Plan{}
 	var rest []Engine
 	for _, group := range byDomain(engines) {
@@ -79,7 +79,7 @@
 				serve(spec, plan, class, need)
 			default:
 				for _, c := range split(spec, class) {
-					Chain(spec, c, plan)
+					PlanChain(spec, c, plan)
 				}
 			}
 		}
@@ -169,11 +169,11 @@
 	return chains
 }
 
-// Chain divides all layers over engines, in their order, and notes that in the
+// PlanChain divides all layers over engines, in their order, and notes that in the
 // plan: so that the engine with the least token memory has as much as possible, as
 // it bounds the whole chain. Where they do not hold the model together, some get
 // more than their memory.
-func Chain(spec *model.EngineSpec, chain []Engine, plan Plan) {
+func PlanChain(spec *model.EngineSpec, chain []Engine, plan Plan) {
 	counts := make([]int, len(chain))
 	for range spec.Layers {
 		best := -1
@@ -198,15 +198,15 @@
 	return (card.MB - float64(n)*spec.LayerMB) / (float64(n) * spec.LayerTokenMB())
 }
 
-// MostLayers is how many layers a card holds at most; more crash the engine.
-func MostLayers(spec *model.EngineSpec, card model.Card) int {
+// MaxLayers is how many layers a card holds at most; more crash the engine.
+func MaxLayers(spec *model.EngineSpec, card model.Card) int {
 	return min(int(math.Floor(card.MB/spec.LayerMB)), spec.Layers)
 }
 
 // placeSpare gives an engine the layers from next on and tells where the one
 // after it begins.
 func placeSpare(spec *model.EngineSpec, e Engine, next int, plan Plan) int {
-	n := min(max(int(spareWeights*e.Card.MB/spec.LayerMB), 1), MostLayers(spec, e.Card))
+	n := min(max(int(spareWeights*e.Card.MB/spec.LayerMB), 1), MaxLayers(spec, e.Card))
 	if n <= 0 {
 		return next
 	}
--- a/internal/coordination/placement/plan_test.go
+++ b/internal/coordination/placement/plan_test.go
@@ -75,7 +75,7 @@
 // would set the pace of each token.
 func TestFastCardsMakeWholeChains(t *testing.T) {
 	all := site()
-	plan := Make(spec(), all)
+	plan := BuildPlan(spec(), all)
 	for _, d := range []string{"luka", "solin", "kastela"} {
 		fast := holders(plan, all, func(e Engine) bool { return e.Domain == d && e.Card.Name != "l4" })
 		assert.Equal(t, least(fast), 1, "%s: %v", d, fast)
@@ -90,7 +90,7 @@
 	s := spec()
 	all := append(engines("d", "a100", 1), engines("d", "l40s", 3)...)
 	plan := Plan{}
-	Chain(s, all, plan)
+	PlanChain(s, all, plan)
 	lo, hi := 1e18, 0.0
 	for _, e := range all {
 		n := tokens(s, e.Card, plan[e.Address].Len())
@@ -106,7 +106,7 @@
 func TestRoomIsEvenOverLayers(t *testing.T) {
 	s := weakSpec()
 	for _, group := range byDomain(weakSite()) {
-		plan := Make(s, group)
+		plan := BuildPlan(s, group)
 		room := roomOf(s, plan, group)
 		assert.Assert(t, slices.Min(room) >= needed(s, group), "%s: %.0f of %.0f tokens", group[0].Domain, slices.Min(room), needed(s, group))
 		assert.Assert(t, slices.Min(room) >= 0.6*room.mean(), "%s: %.0f to %.0f tokens", group[0].Domain, slices.Min(room), slices.Max(room))
@@ -145,10 +145,10 @@
 func TestWeakDomainsBearALoss(t *testing.T) {
 	s := weakSpec()
 	for _, group := range byDomain(weakSite()) {
-		plan := Make(s, group)
+		plan := BuildPlan(s, group)
 		even := Plan{}
-		Chain(s, group, even)
-		parts := FewestParts(s, plan, group)
+		PlanChain(s, group, even)
+		parts := MinStages(s, plan, group)
 		assert.Assert(t, parts > 0 && parts <= 11 && parts < len(even), "%s: %d engines in a chain, %d in the even one", group[0].Domain, parts, len(even))
 		twice := 0
 		for _, n := range Coverage(s, plan, group) {
@@ -165,14 +165,14 @@
 func TestPlanIsAFunctionOfTheEngines(t *testing.T) {
 	s := weakSpec()
 	all := weakSite()
-	plan := Make(s, all)
+	plan := BuildPlan(s, all)
 	slices.Reverse(all)
-	assert.Assert(t, same(plan, Make(s, all)))
+	assert.Assert(t, same(plan, BuildPlan(s, all)))
 }
 
 func TestLargeDomainGetsSeveralChains(t *testing.T) {
 	all := engines("d", "l40s", 14)
-	plan := Make(spec(), all)
+	plan := BuildPlan(spec(), all)
 	counts := holders(plan, all, func(Engine) bool { return true })
 	assert.Equal(t, least(counts), 2)
 }
@@ -183,7 +183,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		s := spec()
 		all := drawEngines(rt)
-		plan := Make(s, all)
+		plan := BuildPlan(s, all)
 		fits(rt, s, plan, all)
 		// Some go, some come.
 		keep := all[:rapid.IntRange(0, len(all)).Draw(rt, "kept")]
@@ -219,7 +219,7 @@
 func TestNewcomerTakesTheVacantRange(t *testing.T) {
 	s := spec()
 	all := site()
-	plan := Make(s, all)
+	plan := BuildPlan(s, all)
 	lost := "luka-l40s-1"
 	var now []Engine
 	for _, e := range all {
@@ -240,7 +240,7 @@
 func TestNewcomerCoversTheLeastHeldLayers(t *testing.T) {
 	s := spec()
 	all := append(engines("d", "a100", 2), engines("d", "l40s", 1)...)
-	plan := Make(s, all)
+	plan := BuildPlan(s, all)
 	now := append(append([]Engine(nil), all...), Engine{Address: "x", Domain: "d", Card: cards["l4"]}, Engine{Address: "y", Domain: "d", Card: cards["l4"]})
 	next, _ := Extend(s, plan, now)
 	assert.Assert(t, next["x"].Len() > 0 && next["y"].Len() > 0)
@@ -253,15 +253,15 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		s := spec()
 		all := drawEngines(rt)
-		plan := Make(s, all)
+		plan := BuildPlan(s, all)
 		left := all[:rapid.IntRange(0, len(all)).Draw(rt, "left")]
 		before := map[int]bool{}
-		for _, l := range Uncovered(s, plan, left) {
+		for _, l := range UncoveredLayers(s, plan, left) {
 			before[l] = true
 		}
 		next, _ := Repair(s, plan, left)
 		fits(rt, s, next, left)
-		for _, l := range Uncovered(s, next, left) {
+		for _, l := range UncoveredLayers(s, next, left) {
 			assert.Assert(rt, before[l], "layer %d was held before the repair", l)
 		}
 	})
@@ -274,7 +274,7 @@
 func TestNewcomerServesItsOwnDomain(t *testing.T) {
 	s := spec()
 	all := append(engines("a", "l40s", 4), engines("b", "a100", 3)...)
-	plan := Make(s, all)
+	plan := BuildPlan(s, all)
 	lostHere, lostThere := "a-l40s-1", "b-a100-1"
 	assert.Assert(t, plan[lostThere].Len() > plan[lostHere].Len())
 	var now []Engine
@@ -296,7 +296,7 @@
 func TestMendMakesADomainWhole(t *testing.T) {
 	s := spec()
 	all := append(engines("a", "a100", 3), engines("a", "l4", 9)...)
-	plan := Make(s, all)
+	plan := BuildPlan(s, all)
 	var now []Engine
 	for _, e := range all {
 		if plan[e.Address].Contains(model.LayerRange{From: 30, To: 31}) {
@@ -313,11 +313,11 @@
 	}
 	inA := func(e Engine) bool { return e.Domain == "a" }
 	assert.Equal(t, least(holders(plan, now, inA)), 0)
-	next, changed := Mend(s, plan, now, allSure)
+	next, changed := RepairDomains(s, plan, now, allSure)
 	assert.Assert(t, changed)
 	assert.Assert(t, least(holders(next, now, inA)) > 0)
 	for range 3 {
-		next, changed = Mend(s, next, now, allSure)
+		next, changed = RepairDomains(s, next, now, allSure)
 	}
 	assert.Assert(t, !changed, "it comes to rest")
 }
@@ -330,13 +330,13 @@
 func TestMendTrustsNoEngineThatMayBeGone(t *testing.T) {
 	s := spec()
 	all := append(engines("a", "a100", 4), Engine{Address: "low", Domain: "a", Card: cards["l40s"]})
-	plan := Make(s, engines("a", "a100", 4))
+	plan := BuildPlan(s, engines("a", "a100", 4))
 	hole, twice := plan["a-a100-1"], plan["a-a100-2"]
 	plan["low"] = twice
 	now := append(append([]Engine(nil), all[:1]...), all[2:]...)
-	next, changed := Mend(s, plan, now, func(address string) bool { return address != "a-a100-2" })
+	next, changed := RepairDomains(s, plan, now, func(address string) bool { return address != "a-a100-2" })
 	assert.Assert(t, !changed || next["low"] == twice, "low went to %s", next["low"])
-	next, changed = Mend(s, plan, now, allSure)
+	next, changed = RepairDomains(s, plan, now, allSure)
 	assert.Assert(t, changed && next["low"].From <= hole.From, "low went to %s", next["low"])
 }
 
@@ -347,15 +347,15 @@
 	s := spec()
 	all := append(engines("a", "a100", 4), engines("b", "a100", 3)...)
 	plan := Plan{}
-	Chain(s, all[:4], plan)
-	Chain(s, all[4:], plan)
+	PlanChain(s, all[:4], plan)
+	PlanChain(s, all[4:], plan)
 	held := plan["a-a100-1"]
 	now := append([]Engine{{Address: "low", Domain: "a", Card: cards["l40s"]}}, all[:1]...)
 	now = append(now, all[2:]...)
 	plan["low"] = model.LayerRange{From: held.To, To: held.To + held.Len()}
 	inA := func(e Engine) bool { return e.Domain == "a" }
 	assert.Equal(t, least(holders(plan, now, inA)), 0)
-	next, changed := Mend(s, plan, now, allSure)
+	next, changed := RepairDomains(s, plan, now, allSure)
 	assert.Assert(t, changed && least(holders(next, now, inA)) > 0, "the spare went to %s", next["low"])
 	for _, e := range now {
 		if e.Card.Name == "a100" {
@@ -370,8 +370,8 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		s := spec()
 		all := drawEngines(rt)
-		plan := Make(s, all)
-		_, changed := Mend(s, plan, all, allSure)
+		plan := BuildPlan(s, all)
+		_, changed := RepairDomains(s, plan, all, allSure)
 		assert.Assert(rt, !changed)
 	})
 }
@@ -382,9 +382,9 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		s := spec()
 		all := drawEngines(rt)
-		plan := Make(s, all)
+		plan := BuildPlan(s, all)
 		left := all[:rapid.IntRange(0, len(all)).Draw(rt, "left")]
-		next, _ := Mend(s, plan, left, allSure)
+		next, _ := RepairDomains(s, plan, left, allSure)
 		fits(rt, s, next, left)
 		for _, group := range byDomain(left) {
 			in := func(e Engine) bool { return e.Domain == group[0].Domain }
@@ -402,7 +402,7 @@
 func TestMendFillsALargeHoleWithSeveralEngines(t *testing.T) {
 	s := weakSpec()
 	all := inDomain(weakSite(), "b")
-	plan := Make(s, all)
+	plan := BuildPlan(s, all)
 	alone := func(e Engine) bool {
 		counts := Coverage(s, plan, all)
 		held := plan[e.Address]
@@ -414,10 +414,10 @@
 		return held.Len() > 0
 	}
 	left := slices.DeleteFunc(slices.Clone(all), alone)
-	assert.Assert(t, len(left) < len(all) && len(Uncovered(s, plan, left)) > 6)
-	next, changed := Mend(s, plan, left, allSure)
+	assert.Assert(t, len(left) < len(all) && len(UncoveredLayers(s, plan, left)) > 6)
+	next, changed := RepairDomains(s, plan, left, allSure)
 	assert.Assert(t, changed)
-	assert.Equal(t, len(Uncovered(s, next, left)), 0)
+	assert.Equal(t, len(UncoveredLayers(s, next, left)), 0)
 	fits(t, s, next, left)
 }
 
@@ -435,6 +435,6 @@
 	}
 	b.ReportMetric(float64(len(all)), "engines")
 	for b.Loop() {
-		Make(s, all)
+		BuildPlan(s, all)
 	}
 }
--- a/internal/coordination/placement/repair.go
+++ b/internal/coordination/placement/repair.go
@@ -39,8 +39,8 @@
 	return next
 }
 
-// Uncovered lists the layers that none of the engines is planned to hold.
-func Uncovered(spec *model.EngineSpec, plan Plan, engines []Engine) []int {
+// UncoveredLayers lists the layers that none of the engines is planned to hold.
+func UncoveredLayers(spec *model.EngineSpec, plan Plan, engines []Engine) []int {
 	counts := Coverage(spec, plan, engines)
 	var out []int
 	for l, n := range counts {
@@ -71,7 +71,7 @@
 	next = copyOf(plan)
 	groups := byDomain(engines)
 	for {
-		gaps := Uncovered(spec, next, engines)
+		gaps := UncoveredLayers(spec, next, engines)
 		if len(gaps) == 0 {
 			return next, changed
 		}
@@ -115,7 +115,7 @@
 	best := ""
 	most := 0.0
 	for addr, held := range plan {
-		if _, ok := known[addr]; ok || held.Len() > MostLayers(spec, e.Card) {
+		if _, ok := known[addr]; ok || held.Len() > MaxLayers(spec, e.Card) {
 			continue
 		}
 		if tokens(spec, e.Card, held.Len()) < n.usual()*4 {
--- a/internal/coordination/placement/whole.go
+++ b/internal/coordination/placement/whole.go
@@ -59,7 +59,7 @@
 		}
 	}
 	// They have less room than is needed: all of it goes to one chain.
-	Chain(spec, group, plan)
+	PlanChain(spec, group, plan)
 }
 
 // division is one way to place the model in a failure domain.
@@ -166,7 +166,7 @@
 	for _, e := range left {
 		n := layersWith(spec, e.Card, room)
 		if n == 0 {
-			n = min(max(int(spareWeights*e.Card.MB/spec.LayerMB), 1), MostLayers(spec, e.Card))
+			n = min(max(int(spareWeights*e.Card.MB/spec.LayerMB), 1), MaxLayers(spec, e.Card))
 		}
 		if n > 0 {
 			plan[e.Address] = leastCovered(Coverage(spec, plan, group), n)
--- a/internal/coordination/quarantine/archive.go
+++ b/internal/coordination/quarantine/archive.go
@@ -24,9 +24,9 @@
 	storeTimeout = 900 * time.Millisecond
 )
 
-// Archive keeps the verdicts in the store, so that routers which all start anew know them.
+// Persister keeps the verdicts in the store, so that routers which all start anew know them.
 // One key holds all of them; it is written only when one is missing there.
-type Archive struct {
+type Persister struct {
 	Tracker *Tracker
 	Store   platform.Store
 	Key     string
@@ -61,7 +61,7 @@
 }
 
 // Seen takes in the key as the store holds it; an empty value says that it does not exist.
-func (a *Archive) Seen(value []byte, revision model.Revision) {
+func (a *Persister) Seen(value []byte, revision model.Revision) {
 	var rec record
 	if len(value) > 0 {
 		if err := json.Unmarshal(value, &rec); err != nil {
@@ -70,10 +70,10 @@
 	}
 	now := a.Now().UnixMilli()
 	stored := map[model.Fingerprint]int64{}
-	var sentences []Sentence
+	var sentences []Verdict
 	for _, s := range rec.Requests[:min(len(rec.Requests), mostVerdicts)] {
 		stored[s.Work] = s.UntilMS
-		sentences = append(sentences, Sentence{Work: s.Work, TermMS: s.TermMS, AgeMS: s.TermMS - (s.UntilMS - now), Ends: s.Ends})
+		sentences = append(sentences, Verdict{Fingerprint: s.Work, TermMS: s.TermMS, AgeMS: s.TermMS - (s.UntilMS - now), Exits: s.Ends})
 	}
 	a.Tracker.Learn(sentences, "store")
 	a.mu.Lock()
@@ -82,7 +82,7 @@
 }
 
 // Tick stores verdicts that are missing in the store, if that is this router's turn.
-func (a *Archive) Tick(ctx context.Context) {
+func (a *Persister) Tick(ctx context.Context) {
 	sentences := a.Tracker.Sentences()
 	if expected, due := a.due(sentences, a.Rank()); due {
 		a.write(ctx, sentences, expected)
@@ -90,7 +90,7 @@
 }
 
 // due tells whether this router is to store verdicts now, in place of which revision.
-func (a *Archive) due(sentences []Sentence, rank int) (expected model.Revision, due bool) {
+func (a *Persister) due(sentences []Verdict, rank int) (expected model.Revision, due bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Clock()
@@ -112,10 +112,10 @@
 
 // lacks tells whether a verdict is not in the store, or for a shorter term than a new one.
 // The caller holds the lock.
-func (a *Archive) lacks(sentences []Sentence) bool {
+func (a *Persister) lacks(sentences []Verdict) bool {
 	now := a.Now().UnixMilli()
 	for _, s := range sentences {
-		until, ok := a.stored[s.Work]
+		until, ok := a.stored[s.Fingerprint]
 		if !ok || until < now+(s.TermMS-s.AgeMS)/2 {
 			return true
 		}
@@ -125,11 +125,11 @@
 
 // write replaces the key. Where it changed meanwhile nothing is written: the change comes
 // in with the store's news, and what is still missing is written after that.
-func (a *Archive) write(ctx context.Context, sentences []Sentence, expected model.Revision) {
+func (a *Persister) write(ctx context.Context, sentences []Verdict, expected model.Revision) {
 	now := a.Now().UnixMilli()
 	var rec record
 	for _, s := range sentences {
-		rec.Requests = append(rec.Requests, storedSentence{Work: s.Work, TermMS: s.TermMS, UntilMS: now + s.TermMS - s.AgeMS, Ends: s.Ends})
+		rec.Requests = append(rec.Requests, storedSentence{Work: s.Fingerprint, TermMS: s.TermMS, UntilMS: now + s.TermMS - s.AgeMS, Ends: s.Exits})
 	}
 	value, err := json.Marshal(rec)
 	if err != nil {
--- a/internal/coordination/quarantine/archive_test.go
+++ b/internal/coordination/quarantine/archive_test.go
@@ -33,9 +33,9 @@
 	return s.revision, nil
 }
 
-func (b *bench) archive(s *shelf, rank int) *Archive {
+func (b *bench) archive(s *shelf, rank int) *Persister {
 	begin := time.Unix(1_700_000_000, 0)
-	return &Archive{Tracker: b.Tracker, Store: s, Key: "k", Rank: func() int { return rank },
+	return &Persister{Tracker: b.Tracker, Store: s, Key: "k", Rank: func() int { return rank },
 		Clock: func() time.Duration { return b.now }, Now: func() time.Time { return begin.Add(b.now) }}
 }
 
@@ -59,13 +59,13 @@
 	fresh := newBench()
 	fresh.now = b.now + firstTerm - time.Minute
 	fresh.archive(s, 0).Seen(s.value, s.revision)
-	assert.Equal(t, fresh.Look(guilty).Standing, Quarantined)
+	assert.Equal(t, fresh.Look(guilty).Restriction, Quarantined)
 	fresh.now += time.Minute + time.Second
-	assert.Equal(t, fresh.Look(guilty).Standing, Alone)
+	assert.Equal(t, fresh.Look(guilty).Restriction, TrialOnly)
 	late := newBench()
 	late.now = b.now + 2*firstTerm
 	late.archive(s, 0).Seen(s.value, s.revision)
-	assert.Equal(t, late.Look(guilty).Standing, Free, "what is over is not taken in again")
+	assert.Equal(t, late.Look(guilty).Restriction, Unrestricted, "what is over is not taken in again")
 }
 
 // One router writes; the next one stands in when it does not, and where both write one of
@@ -129,5 +129,5 @@
 	b.Judge()
 	a.Tick(t.Context())
 	assert.Equal(t, s.revision, model.Revision(10))
-	assert.Equal(t, b.Look(model.Fingerprint{}).Standing, Free)
+	assert.Equal(t, b.Look(model.Fingerprint{}).Restriction, Unrestricted)
 }
--- a/internal/coordination/quarantine/cost_test.go
+++ b/internal/coordination/quarantine/cost_test.go
@@ -12,14 +12,14 @@
 func BenchmarkRequestOnACalmDay(b *testing.B) {
 	t := New(func() time.Duration { return 0 })
 	of := func() model.Fingerprint { return guilty }
-	places := []Place{{server(1), "a"}, {server(2), "a"}, {server(3), "a"}, {server(4), "a"}}
+	places := []Location{{server(1), "a"}, {server(2), "a"}, {server(3), "a"}, {server(4), "a"}}
 	for b.Loop() {
 		if t.Watching() {
 			b.Fatal("suspects")
 		}
 		run := t.Begin(of, false, places...)
 		run.Answered()
-		run.End(Survived)
+		run.End(Completed)
 	}
 }
 
@@ -30,7 +30,7 @@
 	t := New(func() time.Duration { return now })
 	for n := range mostEnds {
 		for w := range mostPresences / mostEnds {
-			t.Begin(func() model.Fingerprint { return work(w) }, false, Place{server(n), fmt.Sprint("d", n%18)})
+			t.Begin(func() model.Fingerprint { return work(w) }, false, Location{server(n), fmt.Sprint("d", n%18)})
 		}
 		now += 500 * time.Millisecond
 		t.Ended(server(n), fmt.Sprint("d", n%18))
--- a/internal/coordination/quarantine/judge.go
+++ b/internal/coordination/quarantine/judge.go
@@ -18,33 +18,33 @@
 	doubtTime = 300 * time.Millisecond
 )
 
-// Standing is what may be done with a request.
-type Standing int
+// Restriction is what may be done with a request.
+type Restriction int
 
 // Standings, each stricter than the one before.
 const (
-	// Free requests go anywhere.
-	Free Standing = iota
-	// Apart requests were at a server that ended: they keep away from others of the kind.
-	Apart
-	// Alone requests run only with a trial granted, see Trials.
-	Alone
+	// Unrestricted requests go anywhere.
+	Unrestricted Restriction = iota
+	// Separated requests were at a server that ended: they keep away from others of the kind.
+	Separated
+	// TrialOnly requests run only with a trial granted, see Trials.
+	TrialOnly
 	// Undecided requests go nowhere until the evidence is there, some tenth of a second.
 	Undecided
 	// Quarantined requests go nowhere.
 	Quarantined
 )
 
-// Verdict is a request's standing and what it rests on.
-type Verdict struct {
-	Standing Standing
-	// Ends counts the servers that are held against it.
-	Ends int
-	// Wide says that a server ended which ran a later part of its chain.
-	Wide bool
-	// Shun are failure domains in which a server ended under it a moment ago. Another end
+// Assessment is a request's standing and what it rests on.
+type Assessment struct {
+	Restriction Restriction
+	// Exits counts the servers that are held against it.
+	Exits int
+	// LaterStage says that a server ended which ran a later part of its chain.
+	LaterStage bool
+	// AvoidDomains are failure domains in which a server ended under it a moment ago. Another end
 	// there may have the same cause and would prove nothing.
-	Shun map[string]bool
+	AvoidDomains map[string]bool
 }
 
 // Watching tells whether any request is under suspicion: else none need be looked up.
@@ -57,36 +57,36 @@
 func (t *Tracker) watching() bool { return len(t.suspects)+len(t.verdicts) > 0 }
 
 // Look gives a request's standing.
-func (t *Tracker) Look(work model.Fingerprint) Verdict {
+func (t *Tracker) Look(work model.Fingerprint) Assessment {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.verdicts[work]
 	if v != nil && t.serving(v) {
-		return Verdict{Standing: Quarantined, Ends: v.ends}
+		return Assessment{Restriction: Quarantined, Exits: v.ends}
 	}
 	s := t.suspects[work]
 	if s == nil && v == nil {
-		return Verdict{}
+		return Assessment{}
 	}
 	c := t.weigh(work, s)
 	doubtful := t.doubtful(s)
-	out := Verdict{Ends: c.met + doubtful, Wide: c.wide}
+	out := Assessment{Exits: c.met + doubtful, LaterStage: c.wide}
 	from := guiltyFrom
 	if v != nil {
-		out.Ends += v.ends
+		out.Exits += v.ends
 		from = v.ends + 1
 	}
 	switch {
-	case out.Ends >= from && (doubtful > 0 || t.clock()-c.newest < settleTime):
-		out.Standing = Undecided
+	case out.Exits >= from && (doubtful > 0 || t.clock()-c.newest < settleTime):
+		out.Restriction = Undecided
 	case t.sentenced(work, v, c):
-		out.Standing = Quarantined
-	case out.Ends >= aloneFrom:
-		out.Standing = Alone
-		out.Shun = t.shun(s)
+		out.Restriction = Quarantined
+	case out.Exits >= aloneFrom:
+		out.Restriction = TrialOnly
+		out.AvoidDomains = t.shun(s)
 		t.logAlone(work, s, c)
-	case out.Ends > 0:
-		out.Standing = Apart
+	case out.Exits > 0:
+		out.Restriction = Separated
 	}
 	return out
 }
--- a/internal/coordination/quarantine/log.go
+++ b/internal/coordination/quarantine/log.go
@@ -45,8 +45,8 @@
 	klog.InfoS("request quarantined again: a server ended under it after its term", "work", work, "ends", ends)
 }
 
-func logLearnt(s Sentence, source string) {
-	klog.InfoS("request quarantined: servers end under it", "work", s.Work, "ends", s.Ends, "termMs", s.TermMS, "ageMs", s.AgeMS, "source", source)
+func logLearnt(s Verdict, source string) {
+	klog.InfoS("request quarantined: servers end under it", "work", s.Fingerprint, "ends", s.Exits, "termMs", s.TermMS, "ageMs", s.AgeMS, "source", source)
 }
 
 func logCleared(work model.Fingerprint, ends int) {
--- a/internal/coordination/quarantine/model_test.go
+++ b/internal/coordination/quarantine/model_test.go
@@ -114,7 +114,7 @@
 		w.after(at, func() {
 			for _, r := range w.routers {
 				sentences, peer := r.tracker.Sentences(), w.any()
-				w.after(w.delay(), func() { peer.tracker.Heard(Report{Sentences: sentences}, r.name) })
+				w.after(w.delay(), func() { peer.tracker.Heard(Report{Verdicts: sentences}, r.name) })
 			}
 		})
 	}
@@ -175,30 +175,30 @@
 func (r *simRouter) serve(q *simRequest) {
 	w := r.w
 	v := r.tracker.Look(q.work)
-	switch v.Standing {
+	switch v.Restriction {
 	case Quarantined:
 		return
 	case Undecided:
 		w.after(20*time.Millisecond, func() { r.serve(q) })
 		return
-	case Alone:
+	case TrialOnly:
 		r.tryAlone(q, v)
 		return
 	}
 	if s := r.choose(q, v); s != nil {
-		r.send(q, s, v.Standing != Free)
+		r.send(q, s, v.Restriction != Unrestricted)
 	}
 }
 
-func (r *simRouter) choose(q *simRequest, v Verdict) *simServer {
+func (r *simRouter) choose(q *simRequest, v Assessment) *simServer {
 	var best *simServer
 	lowest := 0.0
 	for _, s := range r.w.servers {
-		if !s.up || q.busy[s.inc] || v.Shun[s.domain] {
+		if !s.up || q.busy[s.inc] || v.AvoidDomains[s.domain] {
 			continue
 		}
 		cost := float64(len(s.runs)) + r.w.rnd.Float64()
-		if v.Standing != Free {
+		if v.Restriction != Unrestricted {
 			cost += 5 * float64(r.tracker.Suspects(s.inc))
 		}
 		if best == nil || cost < lowest {
@@ -209,7 +209,7 @@
 }
 
 // tryAlone asks the keeper for a trial.
-func (r *simRouter) tryAlone(q *simRequest, v Verdict) {
+func (r *simRouter) tryAlone(q *simRequest, v Assessment) {
 	w := r.w
 	s := r.choose(q, v)
 	if q.waits++; q.waits > 20 {
@@ -227,11 +227,11 @@
 			switch {
 			case g.Granted:
 				r.send(q, s, true)
-			case g.Busy != model.Incarnation{}:
+			case g.BusyServer != model.Incarnation{}:
 				if q.busy == nil {
 					q.busy = map[model.Incarnation]bool{}
 				}
-				q.busy[g.Busy] = true
+				q.busy[g.BusyServer] = true
 				r.serve(q)
 			}
 		})
@@ -245,7 +245,7 @@
 	}
 	q.sends++
 	q.busy = nil
-	run := &simRun{simRequest: q, r: r, life: r.life, at: s, run: r.tracker.Begin(func() model.Fingerprint { return q.work }, suspect, Place{Server: s.inc, Domain: s.domain})}
+	run := &simRun{simRequest: q, r: r, life: r.life, at: s, run: r.tracker.Begin(func() model.Fingerprint { return q.work }, suspect, Location{Server: s.inc, Domain: s.domain})}
 	s.runs = append(s.runs, run)
 	inc := s.inc
 	if q.kills {
@@ -268,7 +268,7 @@
 	w.after(time.Duration(500+w.rnd.IntN(2500))*time.Millisecond, func() {
 		if slices.Contains(s.runs, run) {
 			s.runs = slices.DeleteFunc(s.runs, func(r *simRun) bool { return r == run })
-			run.run.End(Survived)
+			run.run.End(Completed)
 		}
 	})
 }
@@ -301,7 +301,7 @@
 	if r.life != run.life {
 		return
 	}
-	for _, server := range run.run.End(Broke) {
+	for _, server := range run.run.End(ConnectionLost) {
 		r.w.after(2*time.Millisecond, func() {
 			for _, s := range r.w.servers {
 				if s.inc == server && !s.up {
@@ -335,7 +335,7 @@
 	out := map[model.Fingerprint]int{}
 	for _, r := range w.routers {
 		for _, s := range r.tracker.Sentences() {
-			out[s.Work]++
+			out[s.Fingerprint]++
 		}
 	}
 	return out
--- a/internal/coordination/quarantine/report.go
+++ b/internal/coordination/quarantine/report.go
@@ -11,28 +11,28 @@
 
 // Report is what a router tells all others as soon as a server has ended under requests.
 type Report struct {
-	Ends      []EndReport         `json:"ends,omitempty"`
-	Cleared   []model.Fingerprint `json:"cleared,omitempty"`
-	Sentences []Sentence          `json:"sentences,omitempty"`
+	Exits    []ExitReport        `json:"ends,omitempty"`
+	Cleared  []model.Fingerprint `json:"cleared,omitempty"`
+	Verdicts []Verdict           `json:"sentences,omitempty"`
 }
 
-// EndReport names the requests that one router had at a server whose process ended.
-type EndReport struct {
-	Server  model.Incarnation `json:"server"`
-	Domain  string            `json:"domain"`
-	Present []Present         `json:"present"`
+// ExitReport names the requests that one router had at a server whose process ended.
+type ExitReport struct {
+	Server   model.Incarnation `json:"server"`
+	Domain   string            `json:"domain"`
+	Requests []RequestAtExit   `json:"present"`
 }
 
-// Present is one of them.
-type Present struct {
-	Work     model.Fingerprint `json:"work"`
-	Answered bool              `json:"answered,omitempty"`
-	Later    bool              `json:"later,omitempty"`
+// RequestAtExit is one of them.
+type RequestAtExit struct {
+	Fingerprint   model.Fingerprint `json:"work"`
+	AnswerStarted bool              `json:"answered,omitempty"`
+	LaterStage    bool              `json:"later,omitempty"`
 }
 
 // outbox is what the other routers are to be told.
 type outbox struct {
-	ends     map[model.Incarnation]*EndReport
+	ends     map[model.Incarnation]*ExitReport
 	cleared  map[model.Fingerprint]bool
 	verdicts map[model.Fingerprint]bool
 	// due says, once, that there is something.
@@ -41,7 +41,7 @@
 
 func newOutbox() outbox {
 	return outbox{
-		ends:     map[model.Incarnation]*EndReport{},
+		ends:     map[model.Incarnation]*ExitReport{},
 		cleared:  map[model.Fingerprint]bool{},
 		verdicts: map[model.Fingerprint]bool{},
 		due:      make(chan struct{}, 1),
@@ -58,11 +58,11 @@
 func (o *outbox) end(server model.Incarnation, domain string, present map[model.Fingerprint]presence) {
 	r := o.ends[server]
 	if r == nil {
-		r = &EndReport{Server: server, Domain: domain}
+		r = &ExitReport{Server: server, Domain: domain}
 		o.ends[server] = r
 	}
 	for work, p := range present {
-		r.Present = append(r.Present, Present{Work: work, Answered: p.answered, Later: p.later})
+		r.Requests = append(r.Requests, RequestAtExit{Fingerprint: work, AnswerStarted: p.answered, LaterStage: p.later})
 	}
 	o.wake()
 }
@@ -89,7 +89,7 @@
 	room := mostInReport
 	for work := range t.out.verdicts {
 		if v := t.verdicts[work]; v != nil {
-			r.Sentences = append(r.Sentences, t.sentence(work, v))
+			r.Verdicts = append(r.Verdicts, t.sentence(work, v))
 			room--
 		}
 		delete(t.out.verdicts, work)
@@ -106,10 +106,10 @@
 		if room <= 0 {
 			break
 		}
-		n := min(len(e.Present), room)
-		r.Ends = append(r.Ends, EndReport{Server: e.Server, Domain: e.Domain, Present: e.Present[:n]})
+		n := min(len(e.Requests), room)
+		r.Exits = append(r.Exits, ExitReport{Server: e.Server, Domain: e.Domain, Requests: e.Requests[:n]})
 		room -= n
-		if e.Present = e.Present[n:]; len(e.Present) == 0 {
+		if e.Requests = e.Requests[n:]; len(e.Requests) == 0 {
 			delete(t.out.ends, server)
 		}
 	}
@@ -127,15 +127,15 @@
 			logClearedBy(work, peer)
 		}
 	}
-	for _, e := range r.Ends {
+	for _, e := range r.Exits {
 		present := map[model.Fingerprint]presence{}
-		for _, p := range e.Present {
-			add(present, p.Work, presence{answered: p.Answered, later: p.Later})
+		for _, p := range e.Requests {
+			add(present, p.Fingerprint, presence{answered: p.AnswerStarted, later: p.LaterStage})
 		}
 		t.note(e.Server, e.Domain, present)
 	}
 	t.mu.Unlock()
-	t.Learn(r.Sentences, peer)
+	t.Learn(r.Verdicts, peer)
 }
 
 // reportPause is between two reports of one router. The first one after a rest is told
@@ -145,5 +145,5 @@
 	reportPause  = 50 * time.Millisecond
 )
 
-// Pauses gives how long to wait before a report and after it.
-func Pauses() (before, after time.Duration) { return reportGather, reportPause }
+// ReportDelays gives how long to wait before a report and after it.
+func ReportDelays() (before, after time.Duration) { return reportGather, reportPause }
--- a/internal/coordination/quarantine/run.go
+++ b/internal/coordination/quarantine/run.go
@@ -9,8 +9,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// Place is a server that runs a request, and its failure domain.
-type Place struct {
+// Location is a server that runs a request, and its failure domain.
+type Location struct {
 	Server model.Incarnation
 	Domain string
 }
@@ -24,7 +24,7 @@
 	of   func() model.Fingerprint
 
 	// The tracker's lock guards the rest.
-	places   []Place
+	places   []Location
 	answered bool
 	// charged is when a server ended under it that counts, since it was moved last; zero
 	// for none.
@@ -41,19 +41,19 @@
 
 // Results of a run.
 const (
-	// Unknown says nothing of the request: its caller left, time ran out, the server
+	// Inconclusive says nothing of the request: its caller left, time ran out, the server
 	// refused it or fell silent.
-	Unknown Result = iota
-	// Survived means that the server answered it whole, be it with a failure of its own.
-	Survived
-	// Broke means that the server's connection ended under it.
-	Broke
+	Inconclusive Result = iota
+	// Completed means that the server answered it whole, be it with a failure of its own.
+	Completed
+	// ConnectionLost means that the server's connection ended under it.
+	ConnectionLost
 )
 
 // Begin notes that servers begin to run a request. work gives its fingerprint; it is asked
 // for only if a server ends under it. suspect says that it is one, so that others of its
 // kind keep away.
-func (t *Tracker) Begin(work func() model.Fingerprint, suspect bool, places ...Place) *Run {
+func (t *Tracker) Begin(work func() model.Fingerprint, suspect bool, places ...Location) *Run {
 	r := &Run{t: t, of: work, suspect: suspect}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,7 +68,7 @@
 }
 
 // at makes the places those that run it. The caller holds the lock.
-func (r *Run) at(places []Place) {
+func (r *Run) at(places []Location) {
 	for _, p := range r.places {
 		delete(r.t.runs[p.Server], r)
 		if len(r.t.runs[p.Server]) == 0 {
@@ -85,7 +85,7 @@
 }
 
 // Move notes that other servers run it now.
-func (r *Run) Move(places []Place) {
+func (r *Run) Move(places []Location) {
 	r.t.mu.Lock()
 	defer r.t.mu.Unlock()
 	if r.t.clock()-r.charged >= togetherTime {
@@ -123,7 +123,7 @@
 // that, and one of a plain service, as nobody else watches those.
 func (r *Run) End(result Result) (doubtful []model.Incarnation) {
 	t := r.t
-	if result == Broke || result == Survived && t.Watching() {
+	if result == ConnectionLost || result == Completed && t.Watching() {
 		r.Work() // not under the lock: it reads the whole body
 	}
 	t.mu.Lock()
@@ -132,9 +132,9 @@
 	r.at(nil)
 	switch {
 	case len(places) == 0:
-	case result == Survived && t.watching():
+	case result == Completed && t.watching():
 		t.survived(r.Work())
-	case result == Broke:
+	case result == ConnectionLost:
 		return t.broke(r.Work(), places, r.answered)
 	}
 	return nil
@@ -156,7 +156,7 @@
 
 // broke takes in that a server's connection ended under a request. Only that of the first
 // server shows that; the ends of later ones are told by others. The caller holds the lock.
-func (t *Tracker) broke(work model.Fingerprint, places []Place, answered bool) (doubtful []model.Incarnation) {
+func (t *Tracker) broke(work model.Fingerprint, places []Location, answered bool) (doubtful []model.Incarnation) {
 	s := t.suspect(work)
 	at := places[0]
 	for _, p := range places {
--- a/internal/coordination/quarantine/tracker.go
+++ b/internal/coordination/quarantine/tracker.go
@@ -108,13 +108,13 @@
 // breakOff is a run whose connection ended.
 type breakOff struct {
 	at       time.Duration
-	places   []Place
+	places   []Location
 	answered bool
 }
 
 // ranAt tells whether a server took part.
 func (b breakOff) ranAt(server model.Incarnation) bool {
-	return slices.ContainsFunc(b.places, func(p Place) bool { return p.Server == server })
+	return slices.ContainsFunc(b.places, func(p Location) bool { return p.Server == server })
 }
 
 func (t *Tracker) suspect(work model.Fingerprint) *suspect {
--- a/internal/coordination/quarantine/tracker_test.go
+++ b/internal/coordination/quarantine/tracker_test.go
@@ -26,7 +26,7 @@
 func server(n int) model.Incarnation { return model.Incarnation{ID: fmt.Sprintf("s%d", n)} }
 
 func (b *bench) begin(w model.Fingerprint, n int, domain string) *Run {
-	return b.Begin(func() model.Fingerprint { return w }, false, Place{Server: server(n), Domain: domain})
+	return b.Begin(func() model.Fingerprint { return w }, false, Location{Server: server(n), Domain: domain})
 }
 
 // ends has servers end under a request, each in a domain of its own.
@@ -36,19 +36,19 @@
 		run := b.begin(w, n, domain)
 		b.now += 100 * time.Millisecond
 		b.Ended(server(n), domain)
-		run.End(Broke)
+		run.End(ConnectionLost)
 	}
 	b.now += settleTime
 }
 
 func TestStandingGrowsWithTheEnds(t *testing.T) {
 	b := newBench()
-	assert.Equal(t, b.Look(guilty).Standing, Free)
-	for n, want := range []Standing{Apart, Alone, Quarantined} {
+	assert.Equal(t, b.Look(guilty).Restriction, Unrestricted)
+	for n, want := range []Restriction{Separated, TrialOnly, Quarantined} {
 		b.ends(guilty, n)
 		v := b.Look(guilty)
-		assert.Equal(t, v.Standing, want)
-		assert.Equal(t, v.Ends, n+1)
+		assert.Equal(t, v.Restriction, want)
+		assert.Equal(t, v.Exits, n+1)
 	}
 }
 
@@ -58,23 +58,23 @@
 func TestBreakOffCountsBeforeTheEndIsKnown(t *testing.T) {
 	b := newBench()
 	b.ends(guilty, 1)
-	assert.Equal(t, len(b.begin(guilty, 2, "d2").End(Broke)), 1, "the server should be asked")
-	assert.Equal(t, b.Look(guilty).Standing, Alone)
-	b.begin(guilty, 3, "d3").End(Broke)
-	assert.Equal(t, b.Look(guilty).Standing, Undecided)
+	assert.Equal(t, len(b.begin(guilty, 2, "d2").End(ConnectionLost)), 1, "the server should be asked")
+	assert.Equal(t, b.Look(guilty).Restriction, TrialOnly)
+	b.begin(guilty, 3, "d3").End(ConnectionLost)
+	assert.Equal(t, b.Look(guilty).Restriction, Undecided)
 	b.Alive(server(2))
 	b.Alive(server(3))
-	assert.Equal(t, b.Look(guilty).Standing, Apart, "links failed, no server ended")
+	assert.Equal(t, b.Look(guilty).Restriction, Separated, "links failed, no server ended")
 }
 
 // A caller that leaves, a refusal and a silent server say nothing of a request.
 func TestOnlyBrokenConnectionsCount(t *testing.T) {
 	b := newBench()
 	for n := range 5 {
-		b.begin(guilty, n, "d").End(Unknown)
+		b.begin(guilty, n, "d").End(Inconclusive)
 		b.Ended(server(n), "d")
 	}
-	assert.Equal(t, b.Look(guilty).Standing, Free)
+	assert.Equal(t, b.Look(guilty).Restriction, Unrestricted)
 }
 
 // An answer, be it the server's own failure, clears a request of all that was held against
@@ -84,8 +84,8 @@
 	b.ends(guilty, 1, 2)
 	for _, ok := b.Report(); ok; _, ok = b.Report() {
 	}
-	b.begin(guilty, 7, "d").End(Survived)
-	assert.Equal(t, b.Look(guilty).Standing, Free)
+	b.begin(guilty, 7, "d").End(Completed)
+	assert.Equal(t, b.Look(guilty).Restriction, Unrestricted)
 	r, _ := b.Report()
 	assert.DeepEqual(t, r.Cleared, []model.Fingerprint{guilty})
 }
@@ -102,11 +102,11 @@
 		b.Ended(server(n), domain)
 	}
 	b.now += commonTime
-	assert.Equal(t, b.Look(guilty).Standing, Alone)
-	assert.Equal(t, b.Look(other).Standing, Alone)
+	assert.Equal(t, b.Look(guilty).Restriction, TrialOnly)
+	assert.Equal(t, b.Look(other).Restriction, TrialOnly)
 	b.ends(guilty, 4)
-	assert.Equal(t, b.Look(guilty).Standing, Quarantined)
-	assert.Equal(t, b.Look(other).Standing, Free, "its ends are explained")
+	assert.Equal(t, b.Look(guilty).Restriction, Quarantined)
+	assert.Equal(t, b.Look(other).Restriction, Unrestricted, "its ends are explained")
 }
 
 // Servers end under streams that had begun to come. That is how streams are lost that are
@@ -118,41 +118,41 @@
 		run.Answered()
 		b.Ended(server(n), "d")
 		b.now += 2 * commonTime
-		assert.Assert(t, b.Look(guilty).Standing < Quarantined, "after %d ends", n+1)
+		assert.Assert(t, b.Look(guilty).Restriction < Quarantined, "after %d ends", n+1)
 	}
 	b.ends(guilty, 99)
-	assert.Equal(t, b.Look(guilty).Standing, Quarantined)
+	assert.Equal(t, b.Look(guilty).Restriction, Quarantined)
 }
 
 // A later part of the chain ends each time: the request is to run alone at all of them.
 func TestLaterPartsOfChainsCount(t *testing.T) {
 	b := newBench()
 	for n := range 2 {
-		b.Begin(func() model.Fingerprint { return guilty }, false, Place{server(90 + n), "a"}, Place{server(n), "b"})
+		b.Begin(func() model.Fingerprint { return guilty }, false, Location{server(90 + n), "a"}, Location{server(n), "b"})
 		b.Ended(server(n), fmt.Sprintf("d%d", n))
 	}
 	v := b.Look(guilty)
-	assert.Equal(t, v.Standing, Alone)
-	assert.Assert(t, v.Wide)
+	assert.Equal(t, v.Restriction, TrialOnly)
+	assert.Assert(t, v.LaterStage)
 }
 
 // An engine in the middle of a chain ends, and the first one, which lives, cuts the answer
 // off; the router hears of both, in either order. That is one end, and the first engine is
 // not held against the request: taken for two, all streams of a lost engine ran alone.
 func TestOneEndOfAChainCountsOnce(t *testing.T) {
-	chain := []Place{{server(1), "a"}, {server(2), "b"}}
+	chain := []Location{{server(1), "a"}, {server(2), "b"}}
 	for _, endFirst := range []bool{true, false} {
 		b := newBench()
 		run := b.Begin(func() model.Fingerprint { return guilty }, false, chain...)
 		if endFirst {
 			b.Ended(server(2), "b")
 		}
-		assert.Equal(t, len(run.End(Broke)), 0)
-		assert.Equal(t, b.Look(guilty).Ends, 1)
+		assert.Equal(t, len(run.End(ConnectionLost)), 0)
+		assert.Equal(t, b.Look(guilty).Exits, 1)
 		if !endFirst {
 			b.Ended(server(2), "b")
 		}
-		assert.DeepEqual(t, b.Look(guilty), Verdict{Standing: Apart, Ends: 1, Wide: true})
+		assert.DeepEqual(t, b.Look(guilty), Assessment{Restriction: Separated, Exits: 1, LaterStage: true})
 	}
 }
 
@@ -161,18 +161,18 @@
 // told; one that ends an engine after each move has met as many as moves.
 func TestEnginesThatDropOutTogetherCountOnce(t *testing.T) {
 	b := newBench()
-	run := b.Begin(func() model.Fingerprint { return guilty }, false, Place{server(1), "a"}, Place{server(2), "a"}, Place{server(3), "a"})
+	run := b.Begin(func() model.Fingerprint { return guilty }, false, Location{server(1), "a"}, Location{server(2), "a"}, Location{server(3), "a"})
 	b.Ended(server(2), "a")
 	b.now += 10 * time.Millisecond
-	run.Move([]Place{{server(1), "a"}, {server(4), "b"}, {server(3), "a"}})
+	run.Move([]Location{{server(1), "a"}, {server(4), "b"}, {server(3), "a"}})
 	b.Ended(server(3), "a")
-	assert.Equal(t, b.Look(guilty).Ends, 1)
+	assert.Equal(t, b.Look(guilty).Exits, 1)
 	for n := range 2 {
 		b.now += 100 * time.Millisecond
-		run.Move([]Place{{server(1), "a"}, {server(10 + n), "b"}})
+		run.Move([]Location{{server(1), "a"}, {server(10 + n), "b"}})
 		b.Ended(server(10+n), "b")
 	}
-	assert.Equal(t, b.Look(guilty).Ends, 3)
+	assert.Equal(t, b.Look(guilty).Exits, 3)
 }
 
 // After its term a request runs alone. An answer frees it; an end brings it back at once,
@@ -183,15 +183,15 @@
 	b.Judge()
 	b.now += firstTerm
 	b.Expire()
-	assert.Equal(t, b.Look(guilty).Standing, Alone)
+	assert.Equal(t, b.Look(guilty).Restriction, TrialOnly)
 	b.ends(guilty, 4)
-	assert.Equal(t, b.Look(guilty).Standing, Quarantined)
+	assert.Equal(t, b.Look(guilty).Restriction, Quarantined)
 	b.now += firstTerm + time.Second
-	assert.Equal(t, b.Look(guilty).Standing, Quarantined, "twice as long")
+	assert.Equal(t, b.Look(guilty).Restriction, Quarantined, "twice as long")
 	b.now += firstTerm
-	assert.Equal(t, b.Look(guilty).Standing, Alone)
-	b.begin(guilty, 5, "d").End(Survived)
-	assert.Equal(t, b.Look(guilty).Standing, Free)
+	assert.Equal(t, b.Look(guilty).Restriction, TrialOnly)
+	b.begin(guilty, 5, "d").End(Completed)
+	assert.Equal(t, b.Look(guilty).Restriction, Unrestricted)
 }
 
 // Forgotten requests leave nothing behind, and much that comes at once is bounded.
@@ -208,7 +208,7 @@
 	}
 	crowd.Ended(server(1), "d")
 	assert.Equal(t, len(crowd.Tracker.ends[server(1)].present), mostAtOneEnd)
-	assert.Equal(t, crowd.Look(work(1)).Standing, Free, "a crowded end is no evidence")
+	assert.Equal(t, crowd.Look(work(1)).Restriction, Unrestricted, "a crowded end is no evidence")
 	for n := range 5 * mostOfOne {
 		run := b.begin(work(-1), 5000+n, "d")
 		run.Answered()
@@ -216,7 +216,7 @@
 	}
 	assert.Equal(t, len(b.suspects[work(-1)].ends), mostOfOne)
 	for n := range mostVerdicts + 50 {
-		b.Learn([]Sentence{{Work: work(n), TermMS: int64(1000 + n)}}, "peer")
+		b.Learn([]Verdict{{Fingerprint: work(n), TermMS: int64(1000 + n)}}, "peer")
 	}
 	assert.Equal(t, len(b.Sentences()), mostVerdicts)
 	b.now += evidenceFor + longestTerm
@@ -230,11 +230,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var reports []Report
 		for range rapid.IntRange(1, 12).Draw(t, "reports") {
-			end := EndReport{Server: server(rapid.IntRange(0, 5).Draw(t, "server")), Domain: "d"}
+			end := ExitReport{Server: server(rapid.IntRange(0, 5).Draw(t, "server")), Domain: "d"}
 			for range rapid.IntRange(0, 4).Draw(t, "present") {
-				end.Present = append(end.Present, Present{Work: work(rapid.IntRange(0, 4).Draw(t, "work")), Answered: rapid.Bool().Draw(t, "answered")})
+				end.Requests = append(end.Requests, RequestAtExit{Fingerprint: work(rapid.IntRange(0, 4).Draw(t, "work")), AnswerStarted: rapid.Bool().Draw(t, "answered")})
 			}
-			reports = append(reports, Report{Ends: []EndReport{end}})
+			reports = append(reports, Report{Exits: []ExitReport{end}})
 		}
 		a, b := newBench(), newBench()
 		for _, r := range reports {
@@ -256,7 +256,7 @@
 	trials := NewTrials(b.Tracker)
 	assert.Assert(t, trials.Ask(guilty, []model.Incarnation{server(1), server(2)}).Granted)
 	assert.Equal(t, trials.Ask(guilty, []model.Incarnation{server(3)}), Grant{WaitMS: 1000}, "it runs already")
-	assert.Equal(t, trials.Ask(work(1), []model.Incarnation{server(2)}).Busy, server(2))
+	assert.Equal(t, trials.Ask(work(1), []model.Incarnation{server(2)}).BusyServer, server(2))
 	assert.Assert(t, trials.Ask(work(1), []model.Incarnation{server(3)}).Granted)
 	b.now += trialTime
 	assert.Assert(t, trials.Ask(guilty, []model.Incarnation{server(2)}).Granted)
--- a/internal/coordination/quarantine/trials.go
+++ b/internal/coordination/quarantine/trials.go
@@ -37,9 +37,9 @@
 // Grant is the answer to who wants to run a suspect at servers.
 type Grant struct {
 	Granted bool `json:"granted"`
-	// Busy is a server that runs another suspect; empty where the request itself is on
+	// BusyServer is a server that runs another suspect; empty where the request itself is on
 	// trial.
-	Busy model.Incarnation `json:"busy,omitzero"`
+	BusyServer model.Incarnation `json:"busy,omitzero"`
 	// WaitMS is how long that lasts at most.
 	WaitMS int64 `json:"wait_ms,omitempty"`
 }
@@ -50,7 +50,7 @@
 // Who asks may have missed what others told: what the keeper knows against the request
 // counts as well.
 func (t *Trials) Ask(work model.Fingerprint, servers []model.Incarnation) Grant {
-	if t.tracker.Look(work).Standing > Alone {
+	if t.tracker.Look(work).Restriction > TrialOnly {
 		return Grant{}
 	}
 	t.mu.Lock()
@@ -62,7 +62,7 @@
 	}
 	for _, server := range servers {
 		if c, ok := t.servers[server]; ok {
-			return Grant{Busy: server, WaitMS: (c.until - now).Milliseconds()}
+			return Grant{BusyServer: server, WaitMS: (c.until - now).Milliseconds()}
 		}
 	}
 	t.works[work] = now + trialTime
--- a/internal/coordination/quarantine/verdict.go
+++ b/internal/coordination/quarantine/verdict.go
@@ -57,25 +57,25 @@
 	t.verdicts[work] = v
 }
 
-// Sentence is a verdict as routers tell it and as it is stored.
-type Sentence struct {
-	Work model.Fingerprint `json:"work"`
+// Verdict is a verdict as routers tell it and as it is stored.
+type Verdict struct {
+	Fingerprint model.Fingerprint `json:"work"`
 	// TermMS is how long the request is kept from servers, and AgeMS for how long it has
 	// been.
 	TermMS int64 `json:"term_ms"`
 	AgeMS  int64 `json:"age_ms"`
-	Ends   int   `json:"ends"`
+	Exits  int   `json:"ends"`
 }
 
-func (t *Tracker) sentence(work model.Fingerprint, v *verdict) Sentence {
-	return Sentence{Work: work, TermMS: v.term.Milliseconds(), AgeMS: (t.clock() - v.since).Milliseconds(), Ends: v.ends}
+func (t *Tracker) sentence(work model.Fingerprint, v *verdict) Verdict {
+	return Verdict{Fingerprint: work, TermMS: v.term.Milliseconds(), AgeMS: (t.clock() - v.since).Milliseconds(), Exits: v.ends}
 }
 
 // Sentences lists the requests whose terms go on.
-func (t *Tracker) Sentences() []Sentence {
+func (t *Tracker) Sentences() []Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []Sentence
+	var out []Verdict
 	for work, v := range t.verdicts {
 		if t.serving(v) {
 			out = append(out, t.sentence(work, v))
@@ -86,19 +86,19 @@
 
 // Learn takes in verdicts from somewhere else: a peer, or the store. A term that ends
 // later replaces one that ends sooner; one that is over is no news.
-func (t *Tracker) Learn(sentences []Sentence, source string) {
+func (t *Tracker) Learn(sentences []Verdict, source string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range sentences {
 		term := min(time.Duration(s.TermMS)*time.Millisecond, longestTerm)
 		left := term - max(time.Duration(s.AgeMS)*time.Millisecond, 0)
-		known := t.verdicts[s.Work]
+		known := t.verdicts[s.Fingerprint]
 		if left <= 0 {
 			continue
 		}
-		v := &verdict{since: t.clock() + left - term, term: term, ends: s.Ends}
+		v := &verdict{since: t.clock() + left - term, term: term, ends: s.Exits}
 		if known == nil {
-			t.keep(s.Work, v)
+			t.keep(s.Fingerprint, v)
 			logLearnt(s, source)
 			continue
 		}
--- a/internal/coordination/routing/budget.go
+++ b/internal/coordination/routing/budget.go
@@ -40,7 +40,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	share := limit * linkHeadroom / float64(max(b.links.Sharers(), 1))
+	share := limit * linkHeadroom / float64(max(b.links.RouterCount(), 1))
 	key := [2]string{from, to}
 	l, ok := b.buys[key]
 	burst := int(math.Ceil(share*linkBurst)) + 1
--- a/internal/coordination/routing/flow.go
+++ b/internal/coordination/routing/flow.go
@@ -19,12 +19,12 @@
 	flowTries = 2
 )
 
-// LinkRate gives how many positions a second go between two failure domains.
-type LinkRate = flow.LinkRate
+// InterconnectRate gives how many positions a second go between two failure domains.
+type InterconnectRate = flow.LinkRate
 
 // planner keeps a max-flow plan for each service.
 type planner struct {
-	link LinkRate
+	link InterconnectRate
 	mu   sync.Mutex
 	at   map[string]time.Time
 	plan map[string]*plan
@@ -109,9 +109,9 @@
 
 // byFlow draws a few chains along the plan and gives the one with the least
 // load; none if the plan has none with room. It tells whether there is a plan.
-func (r *Router) byFlow(ask Ask, all []candidate) (chain []Stage, planned bool) {
+func (r *Router) byFlow(ask ChainRequest, all []candidate) (chain []Stage, planned bool) {
 	everybody := func() []candidate { return r.everybody(ask.Service) }
-	pl := r.planner.planFor(ask.Service, everybody, ask.Need.To, r.now())
+	pl := r.planner.planFor(ask.Service, everybody, ask.Layers.To, r.now())
 	if pl.Rate <= 0 {
 		return nil, false
 	}
--- a/internal/coordination/routing/routing.go
+++ b/internal/coordination/routing/routing.go
@@ -48,16 +48,16 @@
 type Links struct {
 	Time LinkTime
 	// Rate may be nil for no limits.
-	Rate LinkRate
-	// Sharers tells how many entries share the links; nil for one.
-	Sharers func() int
+	Rate InterconnectRate
+	// RouterCount tells how many entries share the links; nil for one.
+	RouterCount func() int
 }
 
-// Ask is what a chain is wanted for.
-type Ask struct {
+// ChainRequest is what a chain is wanted for.
+type ChainRequest struct {
 	Service string
-	// Need is the layers to cover.
-	Need model.LayerRange
+	// Layers is the layers to cover.
+	Layers model.LayerRange
 	// Avoid names members by address that must not take part.
 	Avoid map[string]bool
 	// Positions is how many the request will run; 0 for a repair.
@@ -69,8 +69,8 @@
 	if rnd == nil {
 		rnd = rand.IntN
 	}
-	if links.Sharers == nil {
-		links.Sharers = func() int { return 1 }
+	if links.RouterCount == nil {
+		links.RouterCount = func() int { return 1 }
 	}
 	if links.Rate == nil {
 		links.Rate = func(_, _ string) float64 { return math.Inf(1) }
@@ -100,17 +100,17 @@
 // Chain chooses stages that cover the wanted layers. A whole model goes by the
 // plan; what the plan has no room for is refused, as any other chain would only
 // queue up on the links. A repair takes the nearest stages.
-func (r *Router) Chain(ask Ask) ([]Stage, error) {
+func (r *Router) Chain(ask ChainRequest) ([]Stage, error) {
 	all, err := r.candidates(ask.Service, ask.Avoid)
 	if err != nil {
 		return nil, err
 	}
-	if ask.Positions == 0 || ask.Need.From != 0 {
-		return r.nearest(ask.Service, all, ask.Need)
+	if ask.Positions == 0 || ask.Layers.From != 0 {
+		return r.nearest(ask.Service, all, ask.Layers)
 	}
 	chain, planned := r.byFlow(ask, all)
 	if !planned {
-		return r.nearest(ask.Service, all, ask.Need)
+		return r.nearest(ask.Service, all, ask.Layers)
 	}
 	if chain == nil {
 		return nil, fault.New(fault.Overloaded, "no chain of %s has room at its engines and links", ask.Service)
--- a/internal/coordination/routing/routing_test.go
+++ b/internal/coordination/routing/routing_test.go
@@ -51,7 +51,7 @@
 			}
 		}
 		need := model.LayerRange{To: 12}
-		chain, err := New(tb, Links{Time: near}, time.Now, nil).Chain(Ask{Service: "s", Need: need, Avoid: avoid})
+		chain, err := New(tb, Links{Time: near}, time.Now, nil).Chain(ChainRequest{Service: "s", Layers: need, Avoid: avoid})
 		possible := true
 		for _, c := range covered {
 			possible = possible && c
@@ -81,16 +81,16 @@
 		}
 	}
 	r := New(tb, Links{Time: near}, time.Now, func(int) int { return 0 })
-	chain, err := r.Chain(Ask{Service: "s", Need: model.LayerRange{To: 12}})
+	chain, err := r.Chain(ChainRequest{Service: "s", Layers: model.LayerRange{To: 12}})
 	assert.NilError(t, err)
 	assert.Equal(t, chain[0].Member.Instance.Address, "e0")
-	_, err = r.Chain(Ask{Service: "s", Need: model.LayerRange{To: 12}, Avoid: map[string]bool{"e0": true}})
+	_, err = r.Chain(ChainRequest{Service: "s", Layers: model.LayerRange{To: 12}, Avoid: map[string]bool{"e0": true}})
 	assert.NilError(t, err)
 }
 
 func TestNothingUpIsNoCapacity(t *testing.T) {
 	r := New(membership.New("self", time.Now), Links{Time: near}, time.Now, nil)
-	_, err := r.Chain(Ask{Service: "s", Need: model.LayerRange{To: 12}})
+	_, err := r.Chain(ChainRequest{Service: "s", Layers: model.LayerRange{To: 12}})
 	assert.Assert(t, fault.Is(err, fault.NoCapacity))
 	_, err = r.Plain("s", nil)
 	assert.Assert(t, fault.Is(err, fault.NoCapacity))
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -120,7 +120,7 @@
 		Config:      e.node.Config,
 		Rates:       limits.NewRates(e.sharers),
 		Retries:     limits.NewRetryBudget(),
-		Room:        admission.New(time.Now),
+		Room:        admission.NewLimiter(time.Now),
 		Grant:       e.grant,
 		Requests:    e.store,
 		Events:      e.node.Events,
@@ -318,7 +318,7 @@
 		known[[2]string{b, a}] = l
 	}
 	return routing.Links{
-		Sharers: e.sharers,
+		RouterCount: e.sharers,
 		Time: func(a, b model.Instance) time.Duration {
 			if l, ok := known[[2]string{a.FailureDomain, b.FailureDomain}]; ok {
 				return time.Duration(l.OneWay)
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -75,7 +75,7 @@
 	prober   *relay.Prober
 	liveness *liveness.Watcher
 	suspects *peers.Quarantine
-	archive  *quarantine.Archive
+	archive  *quarantine.Persister
 	links    *link.Server
 	backends *backend.Pool
 	front    *front.Server
@@ -211,7 +211,7 @@
 	tracker := quarantine.New(boottime.Now)
 	r.suspects = &peers.Quarantine{Exchange: r.exchange, Tracker: tracker, Trials: quarantine.NewTrials(tracker)}
 	r.suspects.Register(r.links)
-	r.archive = &quarantine.Archive{
+	r.archive = &quarantine.Persister{
 		Tracker: tracker,
 		Store:   r.store,
 		Key:     leader.QuarantineKey,
@@ -230,7 +230,7 @@
 		Chooser:     &chains.Chooser{Catalog: r.catalog, Health: r.health, Usage: r.memory, Interconnect: r.pipes, RouterCount: r.exchange.Routers, Self: r.settings.Router.Peers},
 		Memory:      r.memory,
 		Loans:       r.exchange.Loans,
-		Line:        admission.NewLine(),
+		Line:        admission.NewWaitQueue(),
 		Backends:    r.backends,
 		Observer:    r.metrics,
 		OnPanic:     r.metrics.panicked,
@@ -297,17 +297,17 @@
 		Eligible: func() bool { return !r.draining.Load() && r.follower.Watching() },
 	}
 	r.control = &placement.Controller{
-		Config:    r.config,
-		Catalog:   r.catalog,
-		Store:     r.store,
-		Engines:   relay.Engines{Relay: r.front.Relay},
-		Token:     r.elector.Token,
-		Fenced:    r.elector.Refused,
-		Traffic:   r.callersCame,
-		Suspected: r.health.Suspected,
-		Lost:      r.prober.Lost,
-		Streams:   func(engine model.Incarnation) float64 { return r.memory.Used(engine).Streams },
-		Now:       time.Now,
+		Config:       r.config,
+		Catalog:      r.catalog,
+		Store:        r.store,
+		Engines:      relay.Engines{Relay: r.front.Relay},
+		FencingToken: r.elector.Token,
+		OnFenced:     r.elector.Refused,
+		HasTraffic:   r.callersCame,
+		Suspected:    r.health.Suspected,
+		Unreachable:  r.prober.Lost,
+		StreamCount:  func(engine model.Incarnation) float64 { return r.memory.Used(engine).Streams },
+		Now:          time.Now,
 	}
 }
 
--- a/internal/experiment/baselines.go
+++ b/internal/experiment/baselines.go
@@ -17,7 +17,7 @@
 	plan := placement.Plan{}
 	next := 0
 	for _, e := range engines {
-		n := min(int(fullShare*e.Card.MB/spec.LayerMB), placement.MostLayers(spec, e.Card))
+		n := min(int(fullShare*e.Card.MB/spec.LayerMB), placement.MaxLayers(spec, e.Card))
 		if n <= 0 {
 			continue
 		}
@@ -35,7 +35,7 @@
 	plan := placement.Plan{}
 	for _, group := range domains(engines) {
 		if holdsModel(spec, group) {
-			placement.Chain(spec, group, plan)
+			placement.PlanChain(spec, group, plan)
 		}
 	}
 	return plan
@@ -49,13 +49,13 @@
 		var rest []placement.Engine
 		for _, class := range cardsOf(group) {
 			if holdsModel(spec, class) {
-				placement.Chain(spec, class, plan)
+				placement.PlanChain(spec, class, plan)
 			} else {
 				rest = append(rest, class...)
 			}
 		}
 		if holdsModel(spec, rest) {
-			placement.Chain(spec, rest, plan)
+			placement.PlanChain(spec, rest, plan)
 		}
 	}
 	return plan
@@ -80,7 +80,7 @@
 func holdsModel(spec *model.EngineSpec, engines []placement.Engine) bool {
 	layers := 0
 	for _, e := range engines {
-		layers += placement.MostLayers(spec, e.Card)
+		layers += placement.MaxLayers(spec, e.Card)
 	}
 	return layers >= spec.Layers
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -62,7 +62,7 @@
 		{"by size", bySize},
 		{"equal free tokens", equalTokens},
 		{"fast cards apart", fastApart},
-		{"planner", placement.Make},
+		{"planner", placement.BuildPlan},
 	}
 }
 
@@ -77,24 +77,24 @@
 
 func measure(site Site, name string, plan placement.Plan) Result {
 	spec, all := site.Spec, site.Engines
-	memory := placement.Flow(spec, plan, all, placement.MemorySupply(spec))
-	reading := placement.Flow(spec, plan, all, placement.ReadingSupply(spec))
+	memory := placement.MaxFlow(spec, plan, all, placement.MemoryCapacity(spec))
+	reading := placement.MaxFlow(spec, plan, all, placement.PrefillCapacity(spec))
 	r := Result{
 		Planner:     name,
 		Streams:     memory / usual(spec),
 		StreamShare: share(memory, placement.MemoryBound(spec, all)),
 		Prompts:     reading / float64(max(spec.UsualPrompt, 1)),
-		PromptShare: share(reading, placement.ReadingBound(spec, all)),
-		Bare:        len(placement.Uncovered(spec, plan, all)),
+		PromptShare: share(reading, placement.PrefillBound(spec, all)),
+		Bare:        len(placement.UncoveredLayers(spec, plan, all)),
 	}
 	for _, group := range domains(all) {
 		r.Domains = append(r.Domains, Domain{
 			Name:    group[0].Domain,
-			Streams: placement.Flow(spec, plan, group, placement.MemorySupply(spec)) / usual(spec),
-			Prompts: placement.Flow(spec, plan, group, placement.ReadingSupply(spec)) / float64(max(spec.UsualPrompt, 1)),
+			Streams: placement.MaxFlow(spec, plan, group, placement.MemoryCapacity(spec)) / usual(spec),
+			Prompts: placement.MaxFlow(spec, plan, group, placement.PrefillCapacity(spec)) / float64(max(spec.UsualPrompt, 1)),
 			TokenMS: tokenMS(spec, plan, group),
 
-			Parts:     placement.FewestParts(spec, plan, group),
+			Parts:     placement.MinStages(spec, plan, group),
 			Twice:     twice(spec, plan, group),
 			AfterLoss: afterLoss(spec, plan, group),
 		})
@@ -117,7 +117,7 @@
 	least := math.Inf(1)
 	for i := range engines {
 		left := slices.Delete(slices.Clone(engines), i, i+1)
-		least = math.Min(least, placement.Flow(spec, plan, left, placement.MemorySupply(spec)))
+		least = math.Min(least, placement.MaxFlow(spec, plan, left, placement.MemoryCapacity(spec)))
 	}
 	if math.IsInf(least, 1) {
 		return 0
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -29,7 +29,7 @@
 	for _, p := range Planners() {
 		plan := p.Make(site.Spec, site.Engines)
 		for _, e := range site.Engines {
-			assert.Assert(t, plan[e.Address].Len() <= placement.MostLayers(site.Spec, e.Card), "%s: %s holds %s", p.Name, e.Address, plan[e.Address])
+			assert.Assert(t, plan[e.Address].Len() <= placement.MaxLayers(site.Spec, e.Card), "%s: %s holds %s", p.Name, e.Address, plan[e.Address])
 		}
 		r := measure(site, p.Name, plan)
 		assert.Equal(t, r.Bare, 0, p.Name)
--- a/internal/protocol/owner/chain.go
+++ b/internal/protocol/owner/chain.go
@@ -66,9 +66,9 @@
 		return nil
 	}
 	if len(r.chain) == 0 {
-		chain, err := r.o.Router.Chain(routing.Ask{
+		chain, err := r.o.Router.Chain(routing.ChainRequest{
 			Service:   r.ask.Service,
-			Need:      model.LayerRange{To: r.layers},
+			Layers:    model.LayerRange{To: r.layers},
 			Avoid:     r.avoid,
 			Positions: r.positions(),
 		})
@@ -84,7 +84,7 @@
 			next = append(next, h)
 			continue
 		}
-		part, err := r.o.Router.Chain(routing.Ask{Service: r.ask.Service, Need: h.Range, Avoid: r.without(r.chain)})
+		part, err := r.o.Router.Chain(routing.ChainRequest{Service: r.ask.Service, Layers: h.Range, Avoid: r.without(r.chain)})
 		if err != nil {
 			return err
 		}
--- a/internal/protocol/owner/once.go
+++ b/internal/protocol/owner/once.go
@@ -60,7 +60,7 @@
 // chain for a pipeline.
 func (o *Owner) plan(j *job) ([]wire.Hop, error) {
 	if j.kind == model.KindPipeline {
-		chain, err := o.Router.Chain(routing.Ask{Service: j.ask.Service, Need: model.LayerRange{To: j.layers}, Positions: j.positions()})
+		chain, err := o.Router.Chain(routing.ChainRequest{Service: j.ask.Service, Layers: model.LayerRange{To: j.layers}, Positions: j.positions()})
 		if err != nil {
 			return nil, err
 		}
@@ -69,7 +69,7 @@
 	avoid := map[string]bool{}
 	var plan []wire.Hop
 	for len(plan) < gatesPerIntent {
-		m, err := o.Router.Plain(j.ask.Service, avoid)
+		m, err := o.Router.PlainServer(j.ask.Service, avoid)
 		if err != nil && len(plan) == 0 {
 			return nil, err
 		}
--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -52,9 +52,9 @@
 // Router chooses where work goes; see package routing.
 type Router interface {
 	// Chain covers layers with stages.
-	Chain(ask routing.Ask) ([]routing.Stage, error)
-	// Plain chooses a backend server of a plain service.
-	Plain(service string, avoid map[string]bool) (membership.Member, error)
+	Chain(ask routing.ChainRequest) ([]routing.Stage, error)
+	// PlainServer chooses a backend server of a plain service.
+	PlainServer(service string, avoid map[string]bool) (membership.Member, error)
 	// Describe tells a service's kind and the layers of its model.
 	Describe(service string) (model.ServiceKind, int, bool)
 }
@@ -77,7 +77,7 @@
 	Config      *config.Store
 	Rates       *limits.Rates
 	Retries     *limits.RetryBudget
-	Room        *admission.Room
+	Room        *admission.Limiter
 	Grant       Granter
 	Requests    *requests.Store
 	Events      *events.Log
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -22,7 +22,7 @@
 	mayHaveRun := false
 	var last *fault.Error
 	for attempt := int64(1); ; attempt++ {
-		m, err := o.Router.Plain(j.ask.Service, avoid)
+		m, err := o.Router.PlainServer(j.ask.Service, avoid)
 		if err != nil {
 			return giveUp(fault.From(orElse(last, err)), mayHaveRun, "no gate left to try")
 		}
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -121,8 +121,8 @@
 	if q.ticket.Idempotent() && q.runs+1 < q.ticket.Route.MaxAttempts && q.sends < maxSends {
 		defer q.giveUpIfSlow(run, cancel, b)()
 	}
-	record := q.Quarantine.Begin(q.work, q.barred.suspect, quarantine.Place{Server: b.Incarnation(), Domain: b.FailureDomain})
-	result := quarantine.Unknown
+	record := q.Quarantine.Begin(q.work, q.barred.suspect, quarantine.Location{Server: b.Incarnation(), Domain: b.FailureDomain})
+	result := quarantine.Inconclusive
 	defer func() { q.confirm(record.End(result)) }()
 	began := q.Now()
 	ans, err := q.exchange(run, b)
@@ -132,7 +132,7 @@
 		return nil, err
 	}
 	if !ans.verdict.NotRun {
-		result = quarantine.Survived
+		result = quarantine.Completed
 	}
 	q.judge(b, ans, q.Now().Sub(began))
 	return ans, nil
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -122,7 +122,7 @@
 	run, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	record := q.Quarantine.Begin(q.work, q.barred.suspect, places(parts)...)
-	result := quarantine.Unknown
+	result := quarantine.Inconclusive
 	defer func() { q.confirm(record.End(result)) }()
 	w := q.watch(run, cancel, parts, hold, record)
 	defer func() { q.granted = w.stop() || q.granted }()
@@ -159,7 +159,7 @@
 	s.ranEvents = 0
 	end := s.pass(ans, w)
 	if end == io.EOF {
-		result = quarantine.Survived
+		result = quarantine.Completed
 		if !q.out.head {
 			s.begin(ans)
 		}
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -45,12 +45,12 @@
 type Answer struct {
 	Status int
 	Header http.Header
-	Body   AnswerBody
+	Body   ResponseBody
 }
 
-// AnswerBody reads an answer's body. Read gives io.EOF only where the answer is
+// ResponseBody reads an answer's body. Read gives io.EOF only where the answer is
 // whole. Done must be called; further calls do nothing.
-type AnswerBody interface {
+type ResponseBody interface {
 	io.Reader
 	// Discard marks the connection as unfit for another request.
 	Discard()
@@ -105,7 +105,7 @@
 	Memory  *chains.UsageTracker
 	// Loans holds the budget for repeated sends, and what is borrowed for it.
 	Loans    *limits.Loans
-	Line     *admission.Line
+	Line     *admission.WaitQueue
 	Backends Backends
 	Observer Observer
 	// OnPanic counts a fault of the code that ended a request or one run of it, by
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -169,7 +169,7 @@
 // Engines gives orders to engines and reads their reports.
 type Engines struct{ Relay *Relay }
 
-var _ placement.Engines = Engines{}
+var _ placement.EngineClient = Engines{}
 
 // Report implements placement.Engines.
 func (e Engines) Report(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
@@ -191,7 +191,7 @@
 	}
 	switch status {
 	case http.StatusAccepted, http.StatusOK:
-		return placement.OrderTaken, nil
+		return placement.OrderAccepted, nil
 	case http.StatusPreconditionFailed:
 		return placement.OrderFenced, nil
 	}
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -61,25 +61,25 @@
 // It is asked before each send, the first as well as repeated ones: a request that ends the
 // servers which run it would else end one with each send, and with each return of its
 // caller, here or at another router.
-func (q *request) standing(ctx context.Context) (quarantine.Verdict, *fault.Error) {
+func (q *request) standing(ctx context.Context) (quarantine.Assessment, *fault.Error) {
 	if !q.Quarantine.Watching() {
 		q.barred = barred{}
-		return quarantine.Verdict{}, nil
+		return quarantine.Assessment{}, nil
 	}
 	v := q.Quarantine.Look(q.work())
-	for v.Standing == quarantine.Undecided {
+	for v.Restriction == quarantine.Undecided {
 		if !wait.For(ctx, undecidedPoll) {
 			return v, q.ended(ctx)
 		}
 		v = q.Quarantine.Look(q.work())
 	}
-	q.barred.suspect = v.Standing != quarantine.Free
-	q.barred.alone = v.Standing == quarantine.Alone
-	q.barred.domains = v.Shun
+	q.barred.suspect = v.Restriction != quarantine.Unrestricted
+	q.barred.alone = v.Restriction == quarantine.TrialOnly
+	q.barred.domains = v.AvoidDomains
 	if !q.barred.alone {
 		q.barred.servers = nil
 	}
-	if v.Standing == quarantine.Quarantined {
+	if v.Restriction == quarantine.Quarantined {
 		return v, q.quarantined(v)
 	}
 	return v, nil
@@ -87,28 +87,28 @@
 
 // quarantined is the final answer for a request under which servers end. It says whether
 // this attempt ran.
-func (q *request) quarantined(v quarantine.Verdict) *fault.Error {
-	klog.InfoS("request goes to no server", "request", q.call.Attempt, "work", q.work(), "ends", v.Ends, "runs", q.runs)
+func (q *request) quarantined(v quarantine.Assessment) *fault.Error {
+	klog.InfoS("request goes to no server", "request", q.call.Attempt, "work", q.work(), "ends", v.Exits, "runs", q.runs)
 	if q.runs == 0 {
-		return fault.New(fault.Quarantined, "%d backend servers ended under this request; it was not run this time", v.Ends)
+		return fault.New(fault.Quarantined, "%d backend servers ended under this request; it was not run this time", v.Exits)
 	}
-	return fault.New(fault.Quarantined, "%d backend servers ended under this request; this time it was begun at %d of them and will not be run again", v.Ends, q.runs)
+	return fault.New(fault.Quarantined, "%d backend servers ended under this request; this time it was begun at %d of them and will not be run again", v.Exits, q.runs)
 }
 
 // tryAlone asks for a trial at servers. Where one of them runs another suspect it is barred.
 func (q *request) tryAlone(ctx context.Context, servers []model.Incarnation) permission {
 	g := q.Trial(ctx, q.work(), servers)
-	klog.InfoS("request asks for a trial", "request", q.call.Attempt, "work", q.work(), "servers", len(servers), "first", servers[0], "granted", g.Granted, "busy", g.Busy, "waitMs", g.WaitMS)
+	klog.InfoS("request asks for a trial", "request", q.call.Attempt, "work", q.work(), "servers", len(servers), "first", servers[0], "granted", g.Granted, "busy", g.BusyServer, "waitMs", g.WaitMS)
 	switch {
 	case g.Granted:
 		return runNow
-	case g.Busy == (model.Incarnation{}) || q.barred.servers[g.Busy]:
+	case g.BusyServer == (model.Incarnation{}) || q.barred.servers[g.BusyServer]:
 		return notNow
 	}
 	if q.barred.servers == nil {
 		q.barred.servers = map[model.Incarnation]bool{}
 	}
-	q.barred.servers[g.Busy] = true
+	q.barred.servers[g.BusyServer] = true
 	return lookAgain
 }
 
@@ -126,7 +126,7 @@
 			return nil, nil, f
 		}
 		parts, hold, f := s.acquire(ctx)
-		if f != nil && v.Standing != quarantine.Alone {
+		if f != nil && v.Restriction != quarantine.TrialOnly {
 			return nil, nil, f
 		}
 		if f == nil {
@@ -142,7 +142,7 @@
 		}
 		// Who has begun to run keeps its place for a while; a new one may come back.
 		if s.runs == 0 || !s.Now().Before(until) || !wait.For(ctx, barredPoll) {
-			return nil, nil, s.onTrial(v.Ends)
+			return nil, nil, s.onTrial(v.Exits)
 		}
 		clear(s.barred.servers)
 	}
@@ -161,19 +161,19 @@
 
 // mayRunAt tells whether the stream may run at the engines that were found for it. Finding
 // them may have taken a while, in which more was learnt.
-func (s *stream) mayRunAt(ctx context.Context, parts []chains.Stage, before quarantine.Verdict) permission {
+func (s *stream) mayRunAt(ctx context.Context, parts []chains.Stage, before quarantine.Assessment) permission {
 	if !s.Quarantine.Watching() {
 		return runNow
 	}
 	v := s.Quarantine.Look(s.work())
 	switch {
-	case v.Standing != before.Standing:
+	case v.Restriction != before.Restriction:
 		return lookAgain
-	case v.Standing != quarantine.Alone:
+	case v.Restriction != quarantine.TrialOnly:
 		return runNow
 	}
 	servers := engines(parts)
-	if !v.Wide {
+	if !v.LaterStage {
 		servers = servers[:1]
 	}
 	return s.tryAlone(ctx, servers)
@@ -182,7 +182,7 @@
 // mayMove tells whether a running stream may be moved to another engine: a request that
 // ends engines as a later part of a chain would else end one after the other in one run.
 func (q *request) mayMove() bool {
-	return !q.Quarantine.Watching() || q.Quarantine.Look(q.work()).Standing < quarantine.Alone
+	return !q.Quarantine.Watching() || q.Quarantine.Look(q.work()).Restriction < quarantine.TrialOnly
 }
 
 // pickAlone chooses a server of a plain service for the next try.
@@ -194,10 +194,10 @@
 	for {
 		server := q.pickPlain()
 		switch {
-		case server != nil && v.Standing != quarantine.Alone:
+		case server != nil && v.Restriction != quarantine.TrialOnly:
 			return server, nil
-		case server == nil && v.Standing == quarantine.Alone:
-			return nil, q.onTrial(v.Ends)
+		case server == nil && v.Restriction == quarantine.TrialOnly:
+			return nil, q.onTrial(v.Exits)
 		case server == nil:
 			return nil, nil
 		}
@@ -205,7 +205,7 @@
 		case runNow:
 			return server, nil
 		case notNow:
-			return nil, q.onTrial(v.Ends)
+			return nil, q.onTrial(v.Exits)
 		}
 	}
 }
@@ -213,24 +213,24 @@
 // resultOf tells what the end of a run without a whole answer says of its request.
 func resultOf(why ending, err error) quarantine.Result {
 	if !errors.Is(err, ErrNotSent) && (why == brokenOff || why == engineGone) {
-		return quarantine.Broke
+		return quarantine.ConnectionLost
 	}
-	return quarantine.Unknown
+	return quarantine.Inconclusive
 }
 
 // survivedIf is what a single answer says, which was read whole unless err tells otherwise.
 func survivedIf(run context.Context, err error) quarantine.Result {
 	if err == nil {
-		return quarantine.Survived
+		return quarantine.Completed
 	}
 	return resultOf(endingOf(run, err), err)
 }
 
 // places lists the servers of a chain with their failure domains.
-func places(parts []chains.Stage) []quarantine.Place {
-	out := make([]quarantine.Place, len(parts))
+func places(parts []chains.Stage) []quarantine.Location {
+	out := make([]quarantine.Location, len(parts))
 	for i, p := range parts {
-		out[i] = quarantine.Place{Server: p.Server.Incarnation(), Domain: p.Server.FailureDomain}
+		out[i] = quarantine.Location{Server: p.Server.Incarnation(), Domain: p.Server.FailureDomain}
 	}
 	return out
 }
--- a/internal/standin/world/entry.go
+++ b/internal/standin/world/entry.go
@@ -56,7 +56,7 @@
 		Config:   cfg,
 		Rates:    limits.NewRates(func() int { return 1 }),
 		Retries:  limits.NewRetryBudget(),
-		Room:     admission.New(time.Now),
+		Room:     admission.NewLimiter(time.Now),
 		Grant:    led.Record,
 		Requests: e.Store,
 		Events:   log,
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -144,9 +144,9 @@
 
 func (w *World) router(table *membership.Table) owner.Router {
 	links := routing.Links{
-		Time:    w.LinkTime,
-		Rate:    w.LinkRate,
-		Sharers: func() int { return len(w.cfg.Entries) },
+		Time:        w.LinkTime,
+		Rate:        w.LinkRate,
+		RouterCount: func() int { return len(w.cfg.Entries) },
 	}
 	if w.cfg.Router != nil {
 		return w.cfg.Router(table, links)
--- a/internal/transport/peers/quarantine.go
+++ b/internal/transport/peers/quarantine.go
@@ -44,7 +44,7 @@
 
 // Run tells the peers until ctx ends.
 func (q *Quarantine) Run(ctx context.Context) {
-	before, after := quarantine.Pauses()
+	before, after := quarantine.ReportDelays()
 	remind := time.NewTicker(remindEvery)
 	defer remind.Stop()
 	for {
@@ -84,7 +84,7 @@
 		return
 	}
 	rand.Shuffle(len(sentences), func(i, j int) { sentences[i], sentences[j] = sentences[j], sentences[i] })
-	q.tell(quarantine.Report{Sentences: sentences[:min(len(sentences), mostReminded)]}, peers[rand.IntN(len(peers))])
+	q.tell(quarantine.Report{Verdicts: sentences[:min(len(sentences), mostReminded)]}, peers[rand.IntN(len(peers))])
 }
 
 func (q *Quarantine) heard(_ context.Context, from string, r quarantine.Report) (struct{}, error) {
@@ -94,7 +94,7 @@
 
 func (q *Quarantine) trial(_ context.Context, from string, ask wire.RouterTrial) (quarantine.Grant, error) {
 	g := q.Trials.Ask(ask.Work, ask.Servers)
-	klog.InfoS("trial of a request", "work", ask.Work, "peer", from, "servers", len(ask.Servers), "granted", g.Granted, "busy", g.Busy)
+	klog.InfoS("trial of a request", "work", ask.Work, "peer", from, "servers", len(ask.Servers), "granted", g.Granted, "busy", g.BusyServer)
 	return g, nil
 }
 
