--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -184,7 +184,7 @@
 // failed handles an engine's own failure: a stream that has not begun may be
 // tried elsewhere, else the failure is the answer. It is kept, to be the answer also
 // where trying elsewhere comes to nothing.
-func (s *stream) failed(ans *Answer, read *whole, err error) (done, complete bool, _ error) {
+func (s *stream) failed(ans *Response, read *whole, err error) (done, complete bool, _ error) {
 	if err != nil {
 		return false, false, fault.New(fault.BackendFailed, "%v", err)
 	}
@@ -196,7 +196,7 @@
 }
 
 // pass passes events on until the stream ends; io.EOF is its clean end.
-func (s *stream) pass(ans *Answer, w *chainWatch) error {
+func (s *stream) pass(ans *Response, w *chainWatch) error {
 	q := s.request
 	reader := eventReader{src: ans.Body}
 	for {
@@ -249,7 +249,7 @@
 
 // begin sends the head of the first engine's answer. Streams that are resumed
 // keep it, its signature included.
-func (s *stream) begin(ans *Answer) {
+func (s *stream) begin(ans *Response) {
 	h := http.Header{}
 	platform.AnswerHeaders(h, ans.Header)
 	s.out.Begin(ans.Status, h, -1)
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -22,7 +22,7 @@
 // faulty is a connection to backend servers whose code panics.
 type faulty struct{ sent int }
 
-func (f *faulty) Do(context.Context, string, *Request) (*Answer, error) {
+func (f *faulty) Do(context.Context, string, *Request) (*Response, error) {
 	f.sent++
 	panic("fault in the code")
 }
@@ -115,9 +115,9 @@
 
 type wellServed struct{}
 
-func (wellServed) Do(context.Context, string, *Request) (*Answer, error) {
+func (wellServed) Do(context.Context, string, *Request) (*Response, error) {
 	h := http.Header{"Response-Signature": {"s"}}
-	return &Answer{Status: http.StatusOK, Header: h, Body: &plainAnswer{*strings.NewReader("body")}}, nil
+	return &Response{Status: http.StatusOK, Header: h, Body: &plainAnswer{*strings.NewReader("body")}}, nil
 }
 
 func (wellServed) Drop(string) {}
@@ -147,7 +147,7 @@
 
 type aborting struct{ wellServed }
 
-func (aborting) Do(context.Context, string, *Request) (*Answer, error) { panic(http.ErrAbortHandler) }
+func (aborting) Do(context.Context, string, *Request) (*Response, error) { panic(http.ErrAbortHandler) }
 
 // A chain is silent and the code panics as its engines are asked. Only that run ends,
 // as if the chain had been found at fault; the stream is looked after elsewhere, and
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -30,7 +30,7 @@
 	answer  func(ctx context.Context) // runs before each answer to an order; may be nil
 }
 
-func (p *pathEngines) do(ctx context.Context, _ string, r *Request) (*Answer, error) {
+func (p *pathEngines) do(ctx context.Context, _ string, r *Request) (*Response, error) {
 	if r.Target != platform.OrderPath {
 		return report(emptyReport), nil
 	}
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -41,8 +41,8 @@
 	Body   []byte
 }
 
-// Answer is a backend server's answer while its body is read.
-type Answer struct {
+// Response is a backend server's answer while its body is read.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   ResponseBody
@@ -60,7 +60,7 @@
 // Backends sends requests to backend servers, each once. ErrNotSent is proof
 // that nothing was sent; after any other error the request may have run.
 type Backends interface {
-	Do(ctx context.Context, addr string, r *Request) (*Answer, error)
+	Do(ctx context.Context, addr string, r *Request) (*Response, error)
 	// Drop closes the idle connections to an address, whose process has ended:
 	// one that is silent would take another request.
 	Drop(addr string)
--- a/internal/protocol/relay/report_test.go
+++ b/internal/protocol/relay/report_test.go
@@ -18,8 +18,8 @@
 	discarded bool
 }
 
-func (e *unending) Do(context.Context, string, *Request) (*Answer, error) {
-	return &Answer{Status: http.StatusOK, Header: http.Header{}, Body: e}, nil
+func (e *unending) Do(context.Context, string, *Request) (*Response, error) {
+	return &Response{Status: http.StatusOK, Header: http.Header{}, Body: e}, nil
 }
 
 func (e *unending) Drop(string) {}
--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -74,15 +74,15 @@
 // was: only one that was sent cost an engine's work, and only one that was begun had
 // something of its answer.
 func TestEndTellsHowFarTheRequestWas(t *testing.T) {
-	sent := func(ctx context.Context, _ string, _ *Request) (*Answer, error) {
+	sent := func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 		<-ctx.Done()
 		return nil, io.ErrUnexpectedEOF
 	}
-	unsent := func(ctx context.Context, _ string, _ *Request) (*Answer, error) {
+	unsent := func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 		<-ctx.Done()
 		return nil, errNoConnection
 	}
-	begun := func(ctx context.Context, _ string, _ *Request) (*Answer, error) {
+	begun := func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 		return signed(http.StatusOK, &dripping{ctx: ctx}), nil
 	}
 	for _, at := range []struct {
@@ -123,7 +123,7 @@
 
 // Each way in which a run at a plain server ends has its own word in one line.
 func TestLostAnswerTellsWhy(t *testing.T) {
-	hangs := func(ctx context.Context, _ string, _ *Request) (*Answer, error) {
+	hangs := func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 		<-ctx.Done()
 		return nil, io.ErrUnexpectedEOF
 	}
@@ -135,8 +135,8 @@
 		{"caller left", hangs, func(_ *site, leave func()) { leave() }},
 		{"deadline", hangs, func(*site, func()) {}},
 		{"engine gone", hangs, func(s *site, _ func()) { s.EngineGone(inc("one")) }},
-		{"no connection", func(context.Context, string, *Request) (*Answer, error) { return nil, errNoConnection }, func(*site, func()) {}},
-		{"broken off", func(ctx context.Context, _ string, _ *Request) (*Answer, error) {
+		{"no connection", func(context.Context, string, *Request) (*Response, error) { return nil, errNoConnection }, func(*site, func()) {}},
+		{"broken off", func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 			wait.For(ctx, 10*time.Millisecond)
 			return nil, io.ErrUnexpectedEOF
 		}, func(*site, func()) {}},
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -71,14 +71,14 @@
 
 func (u unreachable) Unreachable(*model.BackendServer, string, error) { u.told() }
 
-func report(body string) *Answer { return signed(http.StatusOK, strings.NewReader(body)) }
+func report(body string) *Response { return signed(http.StatusOK, strings.NewReader(body)) }
 
 // The first engine does not tell what a silent chain waits for. While that is noted
 // an event comes: the chain works, and must not be ended for a silence that is over.
 func TestChainThatSpeaksAgainIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Answer, error) { return nil, errNoConnection })
+		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return nil, errNoConnection })
 		var asked atomic.Pointer[chainWatch]
 		s.Suspicions = unreachable{s.prober, func() { asked.Load().heard() }}
 		w, run := s.watched(t, route)
@@ -96,7 +96,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 1}
 		var asked atomic.Int64
-		s := chained(route, func(_ context.Context, _ string, r *Request) (*Answer, error) {
+		s := chained(route, func(_ context.Context, _ string, r *Request) (*Response, error) {
 			if r.Target != platform.ReportPath {
 				return report(""), nil
 			}
@@ -121,7 +121,7 @@
 func TestFinishedStreamIsNotGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Answer, error) {
+		s := chained(route, func(context.Context, string, *Request) (*Response, error) {
 			time.Sleep(50 * time.Millisecond)
 			return signed(http.StatusNotFound, strings.NewReader("")), nil
 		})
@@ -144,7 +144,7 @@
 	for _, answers := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			route := model.Route{Kind: streaming, MaxAttempts: 2}
-			s := chained(route, func(context.Context, string, *Request) (*Answer, error) {
+			s := chained(route, func(context.Context, string, *Request) (*Response, error) {
 				if answers {
 					return report(emptyReport), nil
 				}
@@ -168,7 +168,7 @@
 func TestStreamThatCannotGoOnIsNotEndedForAnothersView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Answer, error) { return report(emptyReport), nil })
+		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return report(emptyReport), nil })
 		_, run := s.watched(t, route)
 		other, _ := s.watched(t, model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2})
 		other.blame("far:1", 0, 1)
@@ -185,7 +185,7 @@
 func TestRunHearsOfAnEngineThatJustEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Answer, error) { return report(emptyReport), nil })
+		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return report(emptyReport), nil })
 		s.EngineGone(inc("far"))
 		_, run := s.watched(t, route)
 		assert.Equal(t, context.Cause(run), engineGone)
@@ -198,7 +198,7 @@
 func TestSilentChainIsKeptWhereNoRepeatIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Answer, error) { return report(emptyReport), nil })
+		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return report(emptyReport), nil })
 		s.Loans.Budget = limits.NewSharedRetries(0, 100, time.Hour, func() int { return 1 }, time.Now)
 		_, run := s.watched(t, route)
 		time.Sleep(5 * time.Second)
--- a/internal/transport/backend/pool.go
+++ b/internal/transport/backend/pool.go
@@ -142,7 +142,7 @@
 // Do sends a request and reads the head of its answer. The connection is
 // closed as soon as ctx ends. relay.ErrNotSent is proof that nothing was sent; after
 // any other error the request may have been carried out.
-func (p *Pool) Do(ctx context.Context, addr string, r *relay.Request) (*relay.Answer, error) {
+func (p *Pool) Do(ctx context.Context, addr string, r *relay.Request) (*relay.Response, error) {
 	for {
 		// A request whose caller left while it waited would work for nobody.
 		if ctx.Err() != nil {
@@ -163,7 +163,7 @@
 }
 
 // exchange sends a request over a connection and reads the head of the answer.
-func (p *Pool) exchange(ctx context.Context, c *conn, addr string, r *relay.Request) (*relay.Answer, error) {
+func (p *Pool) exchange(ctx context.Context, c *conn, addr string, r *relay.Request) (*relay.Response, error) {
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	sent := make(chan written, 1)
 	if len(r.Body) > inlineBody {
@@ -193,7 +193,7 @@
 	default:
 		// The server answered before it has read all of the body.
 	}
-	return &relay.Answer{Status: resp.StatusCode, Header: resp.Header, Body: b}, nil
+	return &relay.Response{Status: resp.StatusCode, Header: resp.Header, Body: b}, nil
 }
 
 // readHead skips interim answers.
--- a/internal/transport/backend/pool_test.go
+++ b/internal/transport/backend/pool_test.go
@@ -120,7 +120,7 @@
 func TestSecondDoneDoesNothing(t *testing.T) {
 	s := newServer(t, reply(ok))
 	p := NewPool()
-	ask := func() *relay.Answer {
+	ask := func() *relay.Response {
 		ans, err := p.Do(context.Background(), s.l.Addr().String(), &relay.Request{Method: http.MethodGet, Target: "/", Host: "h"})
 		assert.NilError(t, err)
 		return ans
--- a/internal/transport/front/end_test.go
+++ b/internal/transport/front/end_test.go
@@ -30,7 +30,7 @@
 		want   ended
 	}{
 		"caller leaves under its request": {
-			u: func(ctx context.Context, _ *relay.Request) (*relay.Answer, error) {
+			u: func(ctx context.Context, _ *relay.Request) (*relay.Response, error) {
 				close(began)
 				<-ctx.Done()
 				return nil, ctx.Err()
--- a/internal/transport/front/front_test.go
+++ b/internal/transport/front/front_test.go
@@ -29,9 +29,9 @@
 func (nobody) Repeat(_, _ string)                         {}
 
 // upstream answers every request by a script.
-type upstream func(ctx context.Context, r *relay.Request) (*relay.Answer, error)
+type upstream func(ctx context.Context, r *relay.Request) (*relay.Response, error)
 
-func (u upstream) Do(ctx context.Context, _ string, r *relay.Request) (*relay.Answer, error) {
+func (u upstream) Do(ctx context.Context, _ string, r *relay.Request) (*relay.Response, error) {
 	return u(ctx, r)
 }
 
@@ -42,10 +42,10 @@
 
 func (body) Done() {}
 
-func answer(text string) *relay.Answer {
+func answer(text string) *relay.Response {
 	h := http.Header{}
 	h.Set("Response-Signature", "sig")
-	return &relay.Answer{Status: 200, Header: h, Body: body{strings.NewReader(text)}}
+	return &relay.Response{Status: 200, Header: h, Body: body{strings.NewReader(text)}}
 }
 
 // config has one route to one plain service.
@@ -100,7 +100,7 @@
 	}
 }
 
-func echo(_ context.Context, r *relay.Request) (*relay.Answer, error) {
+func echo(_ context.Context, r *relay.Request) (*relay.Response, error) {
 	return answer(r.Method + " " + r.Target + " " + string(r.Body)), nil
 }
 
@@ -134,7 +134,7 @@
 // disturbs no other caller.
 func TestBadRequests(t *testing.T) {
 	reached := false
-	_, addr := serve(t, func(context.Context, *relay.Request) (*relay.Answer, error) {
+	_, addr := serve(t, func(context.Context, *relay.Request) (*relay.Response, error) {
 		reached = true
 		return answer(""), nil
 	})
@@ -195,7 +195,7 @@
 // told, so that the backend server's work ends.
 func TestCallerThatLeavesIsNoticed(t *testing.T) {
 	left := make(chan struct{})
-	_, addr := serve(t, func(ctx context.Context, _ *relay.Request) (*relay.Answer, error) {
+	_, addr := serve(t, func(ctx context.Context, _ *relay.Request) (*relay.Response, error) {
 		<-ctx.Done()
 		close(left)
 		return nil, ctx.Err()
--- a/internal/transport/front/lastcall_test.go
+++ b/internal/transport/front/lastcall_test.go
@@ -16,7 +16,7 @@
 // told so, which is a promise that it may come back on.
 func TestRequestAfterTheLastCallIsNotPassedOn(t *testing.T) {
 	passed := 0
-	s, addr := serve(t, func(ctx context.Context, r *relay.Request) (*relay.Answer, error) {
+	s, addr := serve(t, func(ctx context.Context, r *relay.Request) (*relay.Response, error) {
 		if ctx.Err() != nil {
 			return nil, relay.ErrNotSent
 		}
@@ -39,7 +39,7 @@
 // whose requests it had passed on saw their connections close.
 func TestStopWhoseTimeIsOverStillAnswers(t *testing.T) {
 	began := make(chan struct{})
-	s, addr := serve(t, func(ctx context.Context, _ *relay.Request) (*relay.Answer, error) {
+	s, addr := serve(t, func(ctx context.Context, _ *relay.Request) (*relay.Response, error) {
 		close(began)
 		<-ctx.Done()
 		return nil, ctx.Err()
--- a/internal/transport/front/rest_test.go
+++ b/internal/transport/front/rest_test.go
@@ -67,7 +67,7 @@
 	const idle = 300 * time.Millisecond
 	const rounds = 3
 	var passed sync.Map
-	_, addr := serve(t, func(ctx context.Context, r *relay.Request) (*relay.Answer, error) {
+	_, addr := serve(t, func(ctx context.Context, r *relay.Request) (*relay.Response, error) {
 		passed.Store(r.Target, true)
 		return echo(ctx, r)
 	})
