--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -56,7 +56,7 @@
 }
 
 // withService is a relay with one plain service and one server of it.
-func withService(backends Backends, observer *counted) *Relay {
+func withService(backends BackendClient, observer *counted) *Relay {
 	s, _ := half()
 	r := s.Relay
 	r.Backends = backends
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -57,9 +57,9 @@
 	Done()
 }
 
-// Backends sends requests to backend servers, each once. ErrNotSent is proof
+// BackendClient sends requests to backend servers, each once. ErrNotSent is proof
 // that nothing was sent; after any other error the request may have run.
-type Backends interface {
+type BackendClient interface {
 	Do(ctx context.Context, addr string, r *Request) (*Response, error)
 	// Drop closes the idle connections to an address, whose process has ended:
 	// one that is silent would take another request.
@@ -106,7 +106,7 @@
 	// Loans holds the budget for repeated sends, and what is borrowed for it.
 	Loans    *limits.Loans
 	Line     *admission.WaitQueue
-	Backends Backends
+	Backends BackendClient
 	Observer Observer
 	// OnPanic counts a fault of the code that ended a request or one run of it, by
 	// where it was; nil for nobody.
