--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -59,7 +59,7 @@
 func withService(backends BackendClient, observer *counted) *Relay {
 	s, _ := half()
 	r := s.Relay
-	r.Backends = backends
+	r.BackendClient = backends
 	r.Observer = observer
 	r.OnPanic = observer.panicked
 	r.Running = NewRunning()
@@ -156,7 +156,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		observer := &counted{}
 		s, _ := half()
-		s.Relay.Backends = &faulty{}
+		s.Relay.BackendClient = &faulty{}
 		s.Relay.Observer = observer
 		s.Relay.OnPanic = observer.panicked
 		s.Relay.Running = NewRunning()
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -104,10 +104,10 @@
 	Chooser *chains.Chooser
 	Memory  *chains.UsageTracker
 	// Loans holds the budget for repeated sends, and what is borrowed for it.
-	Loans    *limits.Loans
-	Line     *admission.WaitQueue
-	Backends BackendClient
-	Observer Observer
+	Loans         *limits.Loans
+	Line          *admission.WaitQueue
+	BackendClient BackendClient
+	Observer      Observer
 	// OnPanic counts a fault of the code that ended a request or one run of it, by
 	// where it was; nil for nobody.
 	OnPanic func(where string)
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -29,7 +29,7 @@
 // Report reads an engine's own report.
 func (r *Relay) Report(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
 	asked := r.Now()
-	ans, err := r.Backends.Do(ctx, b.Address, &Request{Method: http.MethodGet, Target: platform.ReportPath, Host: b.Address, Header: http.Header{}})
+	ans, err := r.BackendClient.Do(ctx, b.Address, &Request{Method: http.MethodGet, Target: platform.ReportPath, Host: b.Address, Header: http.Header{}})
 	if err != nil {
 		return model.EngineReport{}, err
 	}
@@ -80,7 +80,7 @@
 func (r *Relay) Ended(gone []model.BackendServer, evidence string) {
 	for _, b := range gone {
 		klog.InfoS("backend server's process ended", "server", b.Incarnation(), "address", b.Address, "evidence", evidence)
-		r.Backends.Drop(b.Address)
+		r.BackendClient.Drop(b.Address)
 		r.endedUnder(&b)
 		r.EngineGone(b.Incarnation())
 	}
@@ -106,7 +106,7 @@
 	if svc == nil || svc.HealthPath == "" {
 		return true, nil
 	}
-	ans, err := r.Backends.Do(ctx, b.Address, &Request{Method: http.MethodGet, Target: svc.HealthPath, Host: b.Address, Header: http.Header{}})
+	ans, err := r.BackendClient.Do(ctx, b.Address, &Request{Method: http.MethodGet, Target: svc.HealthPath, Host: b.Address, Header: http.Header{}})
 	if err != nil {
 		return true, err
 	}
@@ -148,7 +148,7 @@
 
 // order sends an order to an engine and gives the status and body of its answer.
 func (r *Relay) order(ctx context.Context, b *model.BackendServer, body []byte) (status int, answer []byte, err error) {
-	ans, err := r.Backends.Do(ctx, b.Address, &Request{
+	ans, err := r.BackendClient.Do(ctx, b.Address, &Request{
 		Method: http.MethodPost,
 		Target: platform.OrderPath,
 		Host:   b.Address,
--- a/internal/protocol/relay/report_test.go
+++ b/internal/protocol/relay/report_test.go
@@ -40,7 +40,7 @@
 // connection serves nothing else.
 func TestEndlessReport(t *testing.T) {
 	engine := &unending{}
-	r := &Relay{Backends: engine, Now: time.Now}
+	r := &Relay{BackendClient: engine, Now: time.Now}
 	_, err := r.Report(t.Context(), &model.BackendServer{})
 	assert.ErrorIs(t, err, errLongReport)
 	assert.Assert(t, engine.read <= 2*maxReport, "%d bytes", engine.read)
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -108,10 +108,10 @@
 	seen := &observed{}
 	rel := &Relay{
 		Config: current, Catalog: c, Health: health, Memory: memory,
-		Chooser:  &chains.Chooser{Catalog: c, Health: health, Usage: memory, Interconnect: chains.NewInterconnect(time.Now), RouterCount: func() int { return 1 }},
-		Line:     admission.NewWaitQueue(),
-		Loans:    &limits.Loans{Budget: limits.NewSharedRetries(0, 100, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
-		Backends: do, Observer: seen, Running: NewRunning(), Suspicions: prober, Domain: "a",
+		Chooser:       &chains.Chooser{Catalog: c, Health: health, Usage: memory, Interconnect: chains.NewInterconnect(time.Now), RouterCount: func() int { return 1 }},
+		Line:          admission.NewWaitQueue(),
+		Loans:         &limits.Loans{Budget: limits.NewSharedRetries(0, 100, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
+		BackendClient: do, Observer: seen, Running: NewRunning(), Suspicions: prober, Domain: "a",
 		Detector: detector.New(time.Now),
 		Clock:    func() time.Duration { return 0 }, Now: time.Now, ConfigTrust: time.Hour,
 		Quarantine: quarantine.New(func() time.Duration { return time.Since(began) }),
