--- a/internal/protocol/relay/panic.go
+++ b/internal/protocol/relay/panic.go
@@ -15,13 +15,13 @@
 
 // begun is a caller that remembers whether it has the head of an answer.
 type begun struct {
-	Caller
+	ResponseWriter
 	head bool
 }
 
 func (b *begun) Begin(status int, header http.Header, length int64) {
 	b.head = true
-	b.Caller.Begin(status, header, length)
+	b.ResponseWriter.Begin(status, header, length)
 }
 
 // contain, deferred, ends a request whose code panicked: its caller is told that the
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -66,8 +66,8 @@
 	Drop(addr string)
 }
 
-// Caller is who waits for the answer.
-type Caller interface {
+// ResponseWriter is who waits for the answer.
+type ResponseWriter interface {
 	// Begin sends the head. length is -1 where the body's end is not known.
 	Begin(status int, header http.Header, length int64)
 	// Write sends a part of the body at once.
@@ -165,8 +165,8 @@
 
 // Serve answers one request. whole is false where the caller's connection must
 // be broken off, because the answer cannot be completed.
-func (r *Relay) Serve(ctx context.Context, c *model.Call, caller Caller) (whole bool) {
-	q := &request{Relay: r, call: c, out: &begun{Caller: caller}, since: r.Now(), avoid: map[model.Incarnation]bool{}}
+func (r *Relay) Serve(ctx context.Context, c *model.Call, caller ResponseWriter) (whole bool) {
+	q := &request{Relay: r, call: c, out: &begun{ResponseWriter: caller}, since: r.Now(), avoid: map[model.Incarnation]bool{}}
 	defer q.contain(&whole)
 	table := r.table(ctx)
 	if table == nil {
