--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -300,7 +300,7 @@
 		Config:       r.config,
 		Catalog:      r.catalog,
 		Store:        r.store,
-		Engines:      relay.Engines{Relay: r.front.Relay},
+		Engines:      relay.EngineClient{Relay: r.front.Relay},
 		FencingToken: r.elector.Token,
 		OnFenced:     r.elector.Refused,
 		HasTraffic:   r.callersCame,
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -166,18 +166,18 @@
 	return ans.Status, answer, nil
 }
 
-// Engines gives orders to engines and reads their reports.
-type Engines struct{ Relay *Relay }
+// EngineClient gives orders to engines and reads their reports.
+type EngineClient struct{ Relay *Relay }
 
-var _ placement.EngineClient = Engines{}
+var _ placement.EngineClient = EngineClient{}
 
 // Report implements placement.Engines.
-func (e Engines) Report(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
+func (e EngineClient) Report(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
 	return e.Relay.Report(ctx, b)
 }
 
 // Place implements placement.Engines.
-func (e Engines) Place(ctx context.Context, b *model.BackendServer, held model.LayerRange, fence, expected int64) (placement.OrderResult, error) {
+func (e EngineClient) Place(ctx context.Context, b *model.BackendServer, held model.LayerRange, fence, expected int64) (placement.OrderResult, error) {
 	body, err := platform.EncodePlace(held, fence, expected)
 	if err != nil {
 		return placement.OrderUnknown, err
