--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -23,10 +23,10 @@
 	askAgain = time.Second
 )
 
-// Pacer finds engines that are slower than their cards. An engine knows its own
+// SlowdownMonitor finds engines that are slower than their cards. An engine knows its own
 // slowdown and says it when asked; it is asked when a chain through it is slow,
 // and while it stays slow.
-type Pacer struct {
+type SlowdownMonitor struct {
 	Memory  *chains.UsageTracker
 	Catalog *catalog.Catalog
 	Report  func(ctx context.Context, b *model.BackendServer) (model.EngineReport, error)
@@ -37,10 +37,10 @@
 }
 
 // NewPacer makes a pacer.
-func NewPacer() *Pacer { return &Pacer{asked: map[model.Incarnation]time.Time{}} }
+func NewPacer() *SlowdownMonitor { return &SlowdownMonitor{asked: map[model.Incarnation]time.Time{}} }
 
 // Check asks the engines of a chain that is slow.
-func (p *Pacer) Check(parts []chains.Stage, request string, seen, planned time.Duration) {
+func (p *SlowdownMonitor) Check(parts []chains.Stage, request string, seen, planned time.Duration) {
 	for _, part := range parts {
 		if p.due(part.Server.Incarnation()) {
 			go p.ask(part.Server, request, seen, planned)
@@ -49,7 +49,7 @@
 }
 
 // Recheck asks the engines that were slow when they were last asked.
-func (p *Pacer) Recheck() {
+func (p *SlowdownMonitor) Recheck() {
 	for _, inc := range p.Memory.SlowEngines() {
 		b := p.Catalog.Load().Find(inc)
 		if b == nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-func (p *Pacer) due(inc model.Incarnation) bool {
+func (p *SlowdownMonitor) due(inc model.Incarnation) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if at, ok := p.asked[inc]; ok && p.Now().Sub(at) < askAgain {
@@ -79,7 +79,7 @@
 	return true
 }
 
-func (p *Pacer) ask(b *model.BackendServer, request string, seen, planned time.Duration) {
+func (p *SlowdownMonitor) ask(b *model.BackendServer, request string, seen, planned time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportWait)
 	defer cancel()
 	report, err := p.Report(ctx, b)
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -115,7 +115,7 @@
 	Running *Running
 	// Suspicions is told of engines that do not answer.
 	Suspicions Suspicions
-	Pacer      *Pacer
+	Pacer      *SlowdownMonitor
 	// Detector relates the progress of streams to the engines they run through.
 	Detector *detector.Detector
 	// Quarantine knows the requests under which servers end. Trial asks whether one of
