--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -246,7 +246,7 @@
 		Now:           time.Now,
 		Started:       time.Now(),
 	}
-	rel.Pacer = relay.NewPacer()
+	rel.Pacer = relay.NewSlowdownMonitor()
 	rel.Pacer.Memory = r.memory
 	rel.Pacer.Catalog = r.catalog
 	rel.Pacer.Report = rel.Report
--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -36,8 +36,10 @@
 	asked map[model.Incarnation]time.Time
 }
 
-// NewPacer makes a pacer.
-func NewPacer() *SlowdownMonitor { return &SlowdownMonitor{asked: map[model.Incarnation]time.Time{}} }
+// NewSlowdownMonitor makes a pacer.
+func NewSlowdownMonitor() *SlowdownMonitor {
+	return &SlowdownMonitor{asked: map[model.Incarnation]time.Time{}}
+}
 
 // Check asks the engines of a chain that is slow.
 func (p *SlowdownMonitor) Check(parts []chains.Stage, request string, seen, planned time.Duration) {
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -174,7 +174,7 @@
 		a := &asked{slow: 3, server: &model.BackendServer{ID: "e", Service: "s", Address: "1:1", Revision: 1}}
 		c := catalog.New(time.Now)
 		c.Put(*a.server)
-		p := NewPacer()
+		p := NewSlowdownMonitor()
 		p.Memory = chains.NewUsageTracker(time.Now)
 		p.Catalog = c
 		p.Report = a.report
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -120,7 +120,7 @@
 		},
 		Listens: func(context.Context, string) error { return nil },
 	}
-	rel.Pacer = NewPacer()
+	rel.Pacer = NewSlowdownMonitor()
 	rel.Pacer.Memory = memory
 	rel.Pacer.Catalog = c
 	rel.Pacer.Report = rel.Report
