--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -246,11 +246,11 @@
 		Now:           time.Now,
 		Started:       time.Now(),
 	}
-	rel.Pacer = relay.NewSlowdownMonitor()
-	rel.Pacer.Memory = r.memory
-	rel.Pacer.Catalog = r.catalog
-	rel.Pacer.Report = rel.Report
-	rel.Pacer.Now = time.Now
+	rel.SlowdownMonitor = relay.NewSlowdownMonitor()
+	rel.SlowdownMonitor.Memory = r.memory
+	rel.SlowdownMonitor.Catalog = r.catalog
+	rel.SlowdownMonitor.Report = rel.Report
+	rel.SlowdownMonitor.Now = time.Now
 	r.prober.Health = r.health
 	r.prober.Catalog = r.catalog
 	r.prober.Report = rel.Report
@@ -352,7 +352,7 @@
 	go r.liveness.Run(background)
 	go r.every(background, controlEvery, func() {
 		r.expire()
-		r.front.Relay.Pacer.Recheck()
+		r.front.Relay.SlowdownMonitor.Recheck()
 		r.control.Tick(background)
 	})
 	go r.suspects.Run(background)
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -114,8 +114,8 @@
 	// Running is the work in progress at backend servers.
 	Running *Running
 	// Suspicions is told of engines that do not answer.
-	Suspicions Suspicions
-	Pacer      *SlowdownMonitor
+	Suspicions      Suspicions
+	SlowdownMonitor *SlowdownMonitor
 	// Detector relates the progress of streams to the engines they run through.
 	Detector *detector.Detector
 	// Quarantine knows the requests under which servers end. Trial asks whether one of
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -120,11 +120,11 @@
 		},
 		Listens: func(context.Context, string) error { return nil },
 	}
-	rel.Pacer = NewSlowdownMonitor()
-	rel.Pacer.Memory = memory
-	rel.Pacer.Catalog = c
-	rel.Pacer.Report = rel.Report
-	rel.Pacer.Now = time.Now
+	rel.SlowdownMonitor = NewSlowdownMonitor()
+	rel.SlowdownMonitor.Memory = memory
+	rel.SlowdownMonitor.Catalog = c
+	rel.SlowdownMonitor.Report = rel.Report
+	rel.SlowdownMonitor.Now = time.Now
 	return &site{Relay: rel, prober: prober, seen: seen}
 }
 
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -128,7 +128,7 @@
 	w.paceFrom = now
 	w.paceCount = 0
 	if float64(seen) > slowFactor*float64(planned) {
-		w.q.Pacer.Check(w.parts, w.q.call.Attempt, seen, planned)
+		w.q.SlowdownMonitor.Check(w.parts, w.q.call.Attempt, seen, planned)
 	}
 }
 
