--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -255,7 +255,7 @@
 	r.prober.Catalog = r.catalog
 	r.prober.Report = rel.Report
 	r.prober.Healthy = rel.Healthy
-	r.prober.Tell = r.exchange.Suspect
+	r.prober.AnnounceSuspect = r.exchange.Suspect
 	r.prober.TellRefused = r.exchange.Refused
 	r.prober.Now = time.Now
 	r.liveness = &liveness.Watcher{
--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -38,8 +38,8 @@
 	Health  *catalog.Health
 	Catalog *catalog.Catalog
 	Report  func(ctx context.Context, b *model.BackendServer) (model.EngineReport, error)
-	// Tell passes a suspicion on to the other routers.
-	Tell func(engine model.Incarnation, until time.Time)
+	// AnnounceSuspect passes a suspicion on to the other routers.
+	AnnounceSuspect func(engine model.Incarnation, until time.Time)
 	// Healthy asks a backend server whether it is well and not leaving.
 	Healthy func(ctx context.Context, b *model.BackendServer) (bool, error)
 	// TellRefused tells the other routers that an engine refuses work.
@@ -74,7 +74,7 @@
 		klog.InfoS("engine suspected", "request", request, "server", b.Incarnation(), "address", b.Address, "err", err, "until", until)
 	}
 	p.add(b.Incarnation(), true)
-	p.Tell(b.Incarnation(), until)
+	p.AnnounceSuspect(b.Incarnation(), until)
 }
 
 // Refused implements Suspicions. An engine refuses while it is full, for a
@@ -225,7 +225,7 @@
 	until := p.Now().Add(probeHold)
 	p.Health.SuspectUntil(b.Incarnation(), until)
 	if own {
-		p.Tell(b.Incarnation(), until)
+		p.AnnounceSuspect(b.Incarnation(), until)
 	}
 }
 
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -77,7 +77,7 @@
 		p.Catalog = catalog.New(time.Now)
 		p.Catalog.Put(*a.server)
 		p.Report = a.report
-		p.Tell = a.tell
+		p.AnnounceSuspect = a.tell
 		p.TellRefused = a.tell
 		p.Healthy = a.healthy
 		ctx, stop := context.WithCancel(context.Background())
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -104,7 +104,7 @@
 	prober.Now = time.Now
 	prober.Health = health
 	prober.Catalog = c
-	prober.Tell = func(model.Incarnation, time.Time) {}
+	prober.AnnounceSuspect = func(model.Incarnation, time.Time) {}
 	seen := &observed{}
 	rel := &Relay{
 		Config: current, Catalog: c, Health: health, Memory: memory,
