--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -83,7 +83,7 @@
 	s := newSite(resumable, true, do)
 	s.prober.Report = s.Report
 	s.prober.Healthy = func(context.Context, *model.BackendServer) (bool, error) { return true, nil }
-	s.prober.TellRefused = func(model.Incarnation, time.Time) {}
+	s.prober.AnnounceRefusal = func(model.Incarnation, time.Time) {}
 	s.Catalog.Remove("one", 1, 0)
 	s.Catalog.Remove("two", 1, 0)
 	for from, ids := range map[int][]string{0: {"head", "head2"}, 4: {"middle", "middle2"}, 8: {"tail", "tail2"}} {
--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -42,9 +42,9 @@
 	AnnounceSuspect func(engine model.Incarnation, until time.Time)
 	// Healthy asks a backend server whether it is well and not leaving.
 	Healthy func(ctx context.Context, b *model.BackendServer) (bool, error)
-	// TellRefused tells the other routers that an engine refuses work.
-	TellRefused func(engine model.Incarnation, until time.Time)
-	Now         func() time.Time
+	// AnnounceRefusal tells the other routers that an engine refuses work.
+	AnnounceRefusal func(engine model.Incarnation, until time.Time)
+	Now             func() time.Time
 
 	mu sync.Mutex
 	// ended holds engines whose process surely ended, or that were gone from the
@@ -112,7 +112,7 @@
 	}
 	until := p.Now().Add(pause)
 	p.Health.Refused(b.Incarnation(), until, !full)
-	p.TellRefused(b.Incarnation(), until)
+	p.AnnounceRefusal(b.Incarnation(), until)
 	klog.InfoS("engine refuses", "request", request, "server", b.Incarnation(), "address", b.Address, "status", status, "full", full, "well", well, "err", err,
 		"usedTokenLayers", report.UsedTokenLayers, "totalTokenLayers", report.TotalTokenLayers, "queued", report.Queued, "until", until)
 }
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -78,7 +78,7 @@
 		p.Catalog.Put(*a.server)
 		p.Report = a.report
 		p.AnnounceSuspect = a.tell
-		p.TellRefused = a.tell
+		p.AnnounceRefusal = a.tell
 		p.Healthy = a.healthy
 		ctx, stop := context.WithCancel(context.Background())
 		var done sync.WaitGroup
