--- a/internal/coordination/routing/routing.go
+++ b/internal/coordination/routing/routing.go
@@ -132,8 +132,8 @@
 	return nil, fault.New(fault.NoCapacity, "no free backend servers cover layers %s of %s", need, service)
 }
 
-// Plain chooses a backend server of a plain service.
-func (r *Router) Plain(service string, avoid map[string]bool) (membership.Member, error) {
+// PlainServer chooses a backend server of a plain service.
+func (r *Router) PlainServer(service string, avoid map[string]bool) (membership.Member, error) {
 	all, err := r.candidates(service, avoid)
 	if err != nil {
 		return membership.Member{}, err
--- a/internal/coordination/routing/routing_test.go
+++ b/internal/coordination/routing/routing_test.go
@@ -92,6 +92,6 @@
 	r := New(membership.New("self", time.Now), Links{Time: near}, time.Now, nil)
 	_, err := r.Chain(ChainRequest{Service: "s", Layers: model.LayerRange{To: 12}})
 	assert.Assert(t, fault.Is(err, fault.NoCapacity))
-	_, err = r.Plain("s", nil)
+	_, err = r.PlainServer("s", nil)
 	assert.Assert(t, fault.Is(err, fault.NoCapacity))
 }
