--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -236,7 +236,7 @@
 // readWhole reads an answer to its end. An answer that is cut short, or that
 // belongs to another request, is an error.
 func (q *request) readWhole(ans *Response) (*whole, error) {
-	defer ans.Body.Done()
+	defer ans.Body.Close()
 	v := platform.DecodeVerdict(ans.Status, ans.Header)
 	if v.Attempt != "" && v.Attempt != q.call.Attempt {
 		ans.Body.Discard()
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -132,7 +132,7 @@
 		result = resultOf(endingOf(run, err), err)
 		return false, false, s.missed(run, w, first, err)
 	}
-	defer ans.Body.Done()
+	defer ans.Body.Close()
 	v := platform.DecodeVerdict(ans.Status, ans.Header)
 	if v.Attempt != "" && v.Attempt != q.call.Attempt {
 		ans.Body.Discard()
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -111,7 +111,7 @@
 type plainAnswer struct{ strings.Reader }
 
 func (p *plainAnswer) Discard() {}
-func (p *plainAnswer) Done()    {}
+func (p *plainAnswer) Close()   {}
 
 type wellServed struct{}
 
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -54,7 +54,7 @@
 	io.Reader
 	// Discard marks the connection as unfit for another request.
 	Discard()
-	Done()
+	Close()
 }
 
 // BackendClient sends requests to backend servers, each once. ErrNotSent is proof
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return model.EngineReport{}, err
 	}
-	defer ans.Body.Done()
+	defer ans.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(ans.Body, maxReport+1))
 	if err != nil {
 		return model.EngineReport{}, err
@@ -110,7 +110,7 @@
 	if err != nil {
 		return true, err
 	}
-	defer ans.Body.Done()
+	defer ans.Body.Close()
 	if _, err := io.Copy(io.Discard, ans.Body); err != nil {
 		ans.Body.Discard()
 	}
@@ -158,7 +158,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer ans.Body.Done()
+	defer ans.Body.Close()
 	answer, err = io.ReadAll(io.LimitReader(ans.Body, maxOrderAnswer+1))
 	if err != nil || len(answer) > maxOrderAnswer {
 		ans.Body.Discard()
--- a/internal/protocol/relay/report_test.go
+++ b/internal/protocol/relay/report_test.go
@@ -23,7 +23,7 @@
 }
 
 func (e *unending) Drop(string) {}
-func (e *unending) Done()       {}
+func (e *unending) Close()      {}
 func (e *unending) Discard()    { e.discarded = true }
 
 func (e *unending) Read(p []byte) (int, error) {
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -53,7 +53,7 @@
 type heardBody struct{ io.Reader }
 
 func (heardBody) Discard() {}
-func (heardBody) Done()    {}
+func (heardBody) Close()   {}
 
 // listener is a caller that keeps what it is told.
 type listener struct {
--- a/internal/transport/backend/ended_test.go
+++ b/internal/transport/backend/ended_test.go
@@ -119,7 +119,7 @@
 	addr, r := notice(s)
 	ans, err := p.Do(context.Background(), addr, r)
 	assert.NilError(t, err)
-	ans.Body.Done()
+	ans.Body.Close()
 	_, requests := s.counts()
 	assert.Equal(t, requests, 1)
 }
@@ -138,7 +138,7 @@
 	for err == nil {
 		_, err = ans.Body.Read(buf)
 	}
-	ans.Body.Done()
+	ans.Body.Close()
 	_, _, err = get(t, p, s)
 	assert.NilError(t, err)
 	conns, _ := s.counts()
--- a/internal/transport/backend/pool.go
+++ b/internal/transport/backend/pool.go
@@ -264,10 +264,10 @@
 	return n, err
 }
 
-// Done ends the use of the answer: the connection is kept where the answer was
+// Close ends the use of the answer: the connection is kept where the answer was
 // read to its end and nothing stands behind it, else closed. Only the first call
 // counts: the connection may serve another request by the second one.
-func (b *Body) Done() {
+func (b *Body) Close() {
 	if b.done.Swap(true) {
 		return
 	}
--- a/internal/transport/backend/pool_test.go
+++ b/internal/transport/backend/pool_test.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return 0, "", err
 	}
-	defer ans.Body.Done()
+	defer ans.Body.Close()
 	raw, err := io.ReadAll(ans.Body)
 	return ans.Status, string(raw), err
 }
@@ -128,14 +128,14 @@
 	first := ask()
 	_, err := io.ReadAll(first.Body)
 	assert.NilError(t, err)
-	first.Body.Done()
+	first.Body.Close()
 	second := ask()
-	first.Body.Done()
+	first.Body.Close()
 	raw, err := io.ReadAll(second.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, string(raw), "body")
-	second.Body.Done()
-	ask().Body.Done()
+	second.Body.Close()
+	ask().Body.Close()
 	conns, _ := s.counts()
 	assert.Equal(t, conns, 1)
 }
@@ -296,7 +296,7 @@
 		assert.Equal(t, ans.Status, 413)
 		_, err = io.ReadAll(ans.Body)
 		assert.NilError(t, err)
-		ans.Body.Done()
+		ans.Body.Close()
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -315,7 +315,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ans, err := NewPool().Do(ctx, s.l.Addr().String(), &relay.Request{Method: http.MethodGet, Target: "/", Host: "h"})
 	assert.NilError(t, err)
-	defer ans.Body.Done()
+	defer ans.Body.Close()
 	cancel()
 	select {
 	case <-gone:
--- a/internal/transport/front/front_test.go
+++ b/internal/transport/front/front_test.go
@@ -40,7 +40,7 @@
 func (body) Discard()        {}
 func (upstream) Drop(string) {}
 
-func (body) Done() {}
+func (body) Close() {}
 
 func answer(text string) *relay.Response {
 	h := http.Header{}
