--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -27,7 +27,7 @@
 	panic("fault in the code")
 }
 
-func (f *faulty) Drop(string) {}
+func (f *faulty) CloseIdle(string) {}
 
 // counted counts what an observer is told.
 type counted struct{ requests, panics int }
@@ -120,7 +120,7 @@
 	return &Response{Status: http.StatusOK, Header: h, Body: &plainAnswer{*strings.NewReader("body")}}, nil
 }
 
-func (wellServed) Drop(string) {}
+func (wellServed) CloseIdle(string) {}
 
 // The same once the caller has the head of an answer. Another answer behind it would
 // belong to no request, so the connection is broken off and the caller sees that the
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -61,9 +61,9 @@
 // that nothing was sent; after any other error the request may have run.
 type BackendClient interface {
 	Do(ctx context.Context, addr string, r *Request) (*Response, error)
-	// Drop closes the idle connections to an address, whose process has ended:
+	// CloseIdle closes the idle connections to an address, whose process has ended:
 	// one that is silent would take another request.
-	Drop(addr string)
+	CloseIdle(addr string)
 }
 
 // ResponseWriter is who waits for the answer.
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -80,7 +80,7 @@
 func (r *Relay) Ended(gone []model.BackendServer, evidence string) {
 	for _, b := range gone {
 		klog.InfoS("backend server's process ended", "server", b.Incarnation(), "address", b.Address, "evidence", evidence)
-		r.BackendClient.Drop(b.Address)
+		r.BackendClient.CloseIdle(b.Address)
 		r.endedUnder(&b)
 		r.EngineGone(b.Incarnation())
 	}
--- a/internal/protocol/relay/report_test.go
+++ b/internal/protocol/relay/report_test.go
@@ -22,9 +22,9 @@
 	return &Response{Status: http.StatusOK, Header: http.Header{}, Body: e}, nil
 }
 
-func (e *unending) Drop(string) {}
-func (e *unending) Close()      {}
-func (e *unending) Discard()    { e.discarded = true }
+func (e *unending) CloseIdle(string) {}
+func (e *unending) Close()           {}
+func (e *unending) Discard()         { e.discarded = true }
 
 func (e *unending) Read(p []byte) (int, error) {
 	if e.read > 16*maxReport {
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -32,7 +32,7 @@
 	return s(ctx, addr, r)
 }
 
-func (s script) Drop(string) {}
+func (s script) CloseIdle(string) {}
 
 // observed counts repeated sends.
 type observed struct {
--- a/internal/transport/backend/ended_test.go
+++ b/internal/transport/backend/ended_test.go
@@ -133,7 +133,7 @@
 	addr, r := notice(s)
 	ans, err := p.Do(context.Background(), addr, r)
 	assert.NilError(t, err)
-	p.Drop(addr)
+	p.CloseIdle(addr)
 	buf := make([]byte, 16)
 	for err == nil {
 		_, err = ans.Body.Read(buf)
@@ -160,7 +160,7 @@
 				return
 			default:
 				p.Trim()
-				p.Drop(addr)
+				p.CloseIdle(addr)
 			}
 		}
 	})
--- a/internal/transport/backend/kept.go
+++ b/internal/transport/backend/kept.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// Drop closes the idle connections to an address, and keeps none of those in use:
+// CloseIdle closes the idle connections to an address, and keeps none of those in use:
 // what is known about the server there no longer holds.
-func (p *Pool) Drop(addr string) {
+func (p *Pool) CloseIdle(addr string) {
 	h := p.host(addr)
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/transport/front/front_test.go
+++ b/internal/transport/front/front_test.go
@@ -37,8 +37,8 @@
 
 type body struct{ io.Reader }
 
-func (body) Discard()        {}
-func (upstream) Drop(string) {}
+func (body) Discard()             {}
+func (upstream) CloseIdle(string) {}
 
 func (body) Close() {}
 
