--- a/internal/protocol/relay/panic.go
+++ b/internal/protocol/relay/panic.go
@@ -21,7 +21,7 @@
 
 func (b *begun) Begin(status int, header http.Header, length int64) {
 	b.head = true
-	b.ResponseWriter.Begin(status, header, length)
+	b.ResponseWriter.WriteHeader(status, header, length)
 }
 
 // contain, deferred, ends a request whose code panicked: its caller is told that the
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -45,7 +45,7 @@
 	cut    error // what writing gives from now on
 }
 
-func (a *answered) Begin(status int, header http.Header, _ int64) {
+func (a *answered) WriteHeader(status int, header http.Header, _ int64) {
 	a.status = status
 	a.header = header
 }
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -68,8 +68,8 @@
 
 // ResponseWriter is who waits for the answer.
 type ResponseWriter interface {
-	// Begin sends the head. length is -1 where the body's end is not known.
-	Begin(status int, header http.Header, length int64)
+	// WriteHeader sends the head. length is -1 where the body's end is not known.
+	WriteHeader(status int, header http.Header, length int64)
 	// Write sends a part of the body at once.
 	Write(p []byte) error
 }
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -62,7 +62,7 @@
 	body   strings.Builder
 }
 
-func (l *listener) Begin(status int, header http.Header, _ int64) {
+func (l *listener) WriteHeader(status int, header http.Header, _ int64) {
 	l.status = status
 	l.header = header
 }
--- a/internal/transport/front/caller.go
+++ b/internal/transport/front/caller.go
@@ -22,7 +22,7 @@
 	began    atomic.Bool
 }
 
-func (c *caller) Begin(status int, header http.Header, length int64) {
+func (c *caller) WriteHeader(status int, header http.Header, length int64) {
 	h := c.w.Header()
 	for name, values := range header {
 		h[name] = values
--- a/internal/transport/front/end_test.go
+++ b/internal/transport/front/end_test.go
@@ -105,7 +105,7 @@
 func TestEndOfAnAnswerHasItsOwnTime(t *testing.T) {
 	w := &clockedWriter{ResponseWriter: httptest.NewRecorder()}
 	out := &caller{w: w, rc: http.NewResponseController(w), draining: &atomic.Bool{}}
-	out.Begin(http.StatusOK, nil, -1)
+	out.WriteHeader(http.StatusOK, nil, -1)
 	assert.NilError(t, out.Write([]byte("id: 1\n\n")))
 	w.deadline = time.Now().Add(-time.Second)
 	out.ends()
