--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -83,8 +83,8 @@
 	m.scope.Tagged(map[string]string{"service": service}).Histogram("first_event_seconds", latencyBuckets).RecordDuration(took)
 }
 
-// Repeat implements relay.Observer.
-func (m *metrics) Repeat(service, reason string) {
+// Retry implements relay.Observer.
+func (m *metrics) Retry(service, reason string) {
 	m.scope.Tagged(map[string]string{"service": service, "reason": reason}).Counter("repeated_sends").Inc(1)
 }
 
--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -66,7 +66,7 @@
 		}
 		return false
 	}
-	q.Observer.Repeat(q.ticket.Service.Name, "resumed")
+	q.Observer.Retry(q.ticket.Service.Name, "resumed")
 	return true
 }
 
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -89,7 +89,7 @@
 		if err == nil {
 			w.hold.Move(next)
 			w.record.Move(places(next))
-			q.Observer.Repeat(q.ticket.Service.Name, "repath")
+			q.Observer.Retry(q.ticket.Service.Name, "repath")
 			return next
 		}
 		var refused conflict
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -34,7 +34,7 @@
 
 func (c *counted) Request(string, string, string, string, time.Duration) { c.requests++ }
 func (c *counted) FirstEvent(string, time.Duration)                      {}
-func (c *counted) Repeat(string, string)                                 {}
+func (c *counted) Retry(string, string)                                  {}
 func (c *counted) panicked(string)                                       { c.panics++ }
 
 // answered is a caller that takes the answer down.
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -78,7 +78,7 @@
 type Observer interface {
 	Request(route, service, outcome, kind string, took time.Duration)
 	FirstEvent(service string, took time.Duration)
-	Repeat(service, reason string)
+	Retry(service, reason string)
 }
 
 // Suspicions takes in evidence that an engine does not answer. It gets nothing
--- a/internal/protocol/relay/repeat.go
+++ b/internal/protocol/relay/repeat.go
@@ -29,7 +29,7 @@
 		}
 		return false
 	}
-	q.Observer.Repeat(q.ticket.Service.Name, reason)
+	q.Observer.Retry(q.ticket.Service.Name, reason)
 	return true
 }
 
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -43,7 +43,7 @@
 func (o *observed) Request(_, _, _, _ string, _ time.Duration) {}
 func (o *observed) FirstEvent(string, time.Duration)           {}
 
-func (o *observed) Repeat(_, _ string) {
+func (o *observed) Retry(_, _ string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.repeats++
--- a/internal/transport/front/front_test.go
+++ b/internal/transport/front/front_test.go
@@ -26,7 +26,7 @@
 
 func (nobody) Request(_, _, _, _ string, _ time.Duration) {}
 func (nobody) FirstEvent(string, time.Duration)           {}
-func (nobody) Repeat(_, _ string)                         {}
+func (nobody) Retry(_, _ string)                          {}
 
 // upstream answers every request by a script.
 type upstream func(ctx context.Context, r *relay.Request) (*relay.Response, error)
