--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -195,7 +195,7 @@
 		Pipes:    r.pipes,
 		Revision: func() model.Revision { return r.follower.Reported() },
 		PeerAt:   func(revision model.Revision) { r.follower.PeerAt(revision) },
-		Hint:     func(engine model.Incarnation) { r.prober.Hint(engine) },
+		Hint:     func(engine model.Incarnation) { r.prober.HandlePeerSuspicion(engine) },
 		Refuses:  r.health.SuspectedElsewhere,
 		Gone:     func(engine model.Incarnation) { r.front.Relay.EngineGone(engine) },
 		Clock:    boottime.Now,
--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -117,9 +117,9 @@
 		"usedTokenLayers", report.UsedTokenLayers, "totalTokenLayers", report.TotalTokenLayers, "queued", report.Queued, "until", until)
 }
 
-// Hint takes in another router's suspicion: the engine is asked before it gets
+// HandlePeerSuspicion takes in another router's suspicion: the engine is asked before it gets
 // more work from here, and what it answers here decides.
-func (p *Prober) Hint(inc model.Incarnation) {
+func (p *Prober) HandlePeerSuspicion(inc model.Incarnation) {
 	p.mu.Lock()
 	trusted := p.Now().Sub(p.answered[inc]) < trustProbe
 	_, known := p.suspects[inc]
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -141,16 +141,16 @@
 // work, and the peer's next words about it are not worth a probe each.
 func TestPeersSuspicionIsChecked(t *testing.T) {
 	probing(t, func(p *Prober, a *asked) {
-		p.Hint(inc("e"))
+		p.HandlePeerSuspicion(inc("e"))
 		time.Sleep(50 * time.Millisecond)
 		assert.Assert(t, !p.Health.Suspected(inc("e")))
 		for range 8 {
-			p.Hint(inc("e"))
+			p.HandlePeerSuspicion(inc("e"))
 			time.Sleep(250 * time.Millisecond)
 		}
 		assert.Equal(t, a.askedTimes(), 1)
 		assert.Equal(t, a.toldTimes(), 0, "what a peer told is not passed on as one's own")
-		p.Hint(inc("unknown"))
+		p.HandlePeerSuspicion(inc("unknown"))
 	})
 }
 
@@ -263,7 +263,7 @@
 				p.Health.Refused(inc("e"), hintAt.Add(leavingPause), true)
 			})
 			time.Sleep(time.Second)
-			p.Hint(inc("e"))
+			p.HandlePeerSuspicion(inc("e"))
 			time.Sleep(200 * time.Millisecond)
 			assert.Check(t, a.askedTimes() == 1)
 			assert.Check(t, p.Health.Suspected(inc("e")), "refused %v after the hint", refusedAt)
@@ -288,7 +288,7 @@
 					return a.report(ctx, b)
 				}
 				time.Sleep(probeEvery / 4)
-				p.Hint(inc("e"))
+				p.HandlePeerSuspicion(inc("e"))
 				time.Sleep(answerTime / 2)
 				news(p.Health)
 				time.Sleep(answerTime)
