--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -93,7 +93,7 @@
 	s.ranOn[two] = true
 	s.Catalog.Remove("one", 1, 0)
 	assert.DeepEqual(t, s.firstAmong(), map[model.Incarnation]bool{one: true, two: true})
-	s.Suspicions.Ended(one)
+	s.Suspicions.Exited(one)
 	assert.Assert(t, s.firstAmong() == nil)
 }
 
--- a/internal/protocol/relay/lost_test.go
+++ b/internal/protocol/relay/lost_test.go
@@ -39,7 +39,7 @@
 				b := *s.Catalog.Load().ByID("one")
 				b.Born = lost.Born
 				s.Catalog.Put(b)
-				time.AfterFunc(answerTime, func() { s.Suspicions.Ended(lost) })
+				time.AfterFunc(answerTime, func() { s.Suspicions.Exited(lost) })
 				time.Sleep(answerTime + c.asked)
 				_, err := s.Report(t.Context(), &b)
 				assert.Equal(t, err != nil, c.answer == other, "%v", err)
--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -249,8 +249,8 @@
 	return ok && s.failed && p.Now().Sub(s.since) >= lostAfter
 }
 
-// Ended implements Suspicions.
-func (p *Prober) Ended(inc model.Incarnation) {
+// Exited implements Suspicions.
+func (p *Prober) Exited(inc model.Incarnation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.note(inc)
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -87,8 +87,8 @@
 	Unreachable(b *model.BackendServer, request string, err error)
 	// Refused takes in that an engine answered and refused its work.
 	Refused(b *model.BackendServer, request string, status int)
-	// Ended takes in that an engine's process ended.
-	Ended(engine model.Incarnation)
+	// Exited takes in that an engine's process ended.
+	Exited(engine model.Incarnation)
 	// Answered takes in that this incarnation answered what it was asked at some
 	// time.
 	Answered(engine model.Incarnation, asked time.Time)
--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -104,7 +104,7 @@
 		r.endedUnder(b) // before its streams are moved: they may not all go anywhere
 		r.Suspicions.Unreachable(b, "", errEnded)
 	}
-	r.Suspicions.Ended(inc)
+	r.Suspicions.Exited(inc)
 	r.Running.leave(engineSet{inc: true}, engineGone)
 }
 
