--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -256,12 +256,12 @@
 	p.note(inc)
 }
 
-// Answered implements Suspicions. The end of an engine is told by entries that may be
+// Responded implements Suspicions. The end of an engine is told by entries that may be
 // late or odd, and by an entry that lapsed while the engine was cut off. Taken for
 // ended still, an engine that answers counts as no attempt, so that a request runs at
 // one engine more than its route allows, and plans do without it. Both times are
 // compared under the lock, so that no answer from before takes back newer news.
-func (p *Prober) Answered(inc model.Incarnation, asked time.Time) {
+func (p *Prober) Responded(inc model.Incarnation, asked time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	noted, ok := p.ended[inc]
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -89,9 +89,9 @@
 	Refused(b *model.BackendServer, request string, status int)
 	// Exited takes in that an engine's process ended.
 	Exited(engine model.Incarnation)
-	// Answered takes in that this incarnation answered what it was asked at some
+	// Responded takes in that this incarnation answered what it was asked at some
 	// time.
-	Answered(engine model.Incarnation, asked time.Time)
+	Responded(engine model.Incarnation, asked time.Time)
 	// Lost tells whether an engine's process ended or has long been silent.
 	Lost(engine model.Incarnation) bool
 }
