--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -90,7 +90,7 @@
 
 // follow carries out what follows from entries.
 func (s *routerSink) follow(news catalog.News) {
-	s.front.Relay.Ended(news.Ended, "its successor's entry")
+	s.front.Relay.HandleExits(news.Ended, "its successor's entry")
 	for _, claim := range news.Disputed {
 		go s.front.Relay.Settle(claim)
 	}
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -71,13 +71,13 @@
 	}
 	news := r.Catalog.Confirm(b.Incarnation(), report.Born, report.Holds)
 	klog.InfoS("engine's report is of another start", "server", b.Incarnation(), "address", b.Address, "born", report.Born, "news", len(news.Ended) > 0)
-	r.Ended(news.Ended, "its report")
+	r.HandleExits(news.Ended, "its report")
 	return errors.Wrapf(errRestarted, "at %d ms instead of %d", report.Born, b.Born)
 }
 
-// Ended takes in that incarnations of engines have surely ended, as others have
+// HandleExits takes in that incarnations of engines have surely ended, as others have
 // their place.
-func (r *Relay) Ended(gone []model.BackendServer, evidence string) {
+func (r *Relay) HandleExits(gone []model.BackendServer, evidence string) {
 	for _, b := range gone {
 		klog.InfoS("backend server's process ended", "server", b.Incarnation(), "address", b.Address, "evidence", evidence)
 		r.BackendClient.CloseIdle(b.Address)
