--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -197,7 +197,7 @@
 		PeerAt:   func(revision model.Revision) { r.follower.PeerAt(revision) },
 		Hint:     func(engine model.Incarnation) { r.prober.HandlePeerSuspicion(engine) },
 		Refuses:  r.health.SuspectedElsewhere,
-		Gone:     func(engine model.Incarnation) { r.front.Relay.EngineGone(engine) },
+		Gone:     func(engine model.Incarnation) { r.front.Relay.HandleEngineExit(engine) },
 		Clock:    boottime.Now,
 		Now:      time.Now,
 		Traffic:  r.traffic.Load,
@@ -265,7 +265,7 @@
 		Dial:    backend.Dial,
 		Gone: func(b *model.BackendServer) {
 			r.exchange.TellGone(b.Incarnation())
-			rel.EngineGone(b.Incarnation())
+			rel.HandleEngineExit(b.Incarnation())
 		},
 	}
 	r.front = &front.Server{Config: r.config, Relay: rel, Observer: r.metrics, OnRequest: func() { r.traffic.Store(true) }}
--- a/internal/protocol/relay/move_test.go
+++ b/internal/protocol/relay/move_test.go
@@ -31,9 +31,9 @@
 		})
 		w, run := s.watched(t, route)
 		w.last = true // as on the last send that a request has
-		s.EngineGone(inc("far"))
+		s.HandleEngineExit(inc("far"))
 		time.Sleep(10 * time.Millisecond)
-		s.EngineGone(inc("far"))
+		s.HandleEngineExit(inc("far"))
 		synctest.Wait()
 		parts, _ := w.state()
 		assert.Equal(t, parts[1].Server.ID, "spare")
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -82,7 +82,7 @@
 		klog.InfoS("backend server's process ended", "server", b.Incarnation(), "address", b.Address, "evidence", evidence)
 		r.BackendClient.CloseIdle(b.Address)
 		r.endedUnder(&b)
-		r.EngineGone(b.Incarnation())
+		r.HandleEngineExit(b.Incarnation())
 	}
 }
 
--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -96,10 +96,10 @@
 	}
 }
 
-// EngineGone takes in that an engine's process ended: nothing new goes there, and
+// HandleEngineExit takes in that an engine's process ended: nothing new goes there, and
 // the streams of this router that run through it are moved at once, before they
 // notice.
-func (r *Relay) EngineGone(inc model.Incarnation) {
+func (r *Relay) HandleEngineExit(inc model.Incarnation) {
 	if b := r.Catalog.Load().Find(inc); b != nil {
 		r.endedUnder(b) // before its streams are moved: they may not all go anywhere
 		r.Suspicions.Unreachable(b, "", errEnded)
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -355,8 +355,8 @@
 				return signed(http.StatusOK, strings.NewReader("id: 1\ndata: last words\n\n")), nil
 			})
 			time.AfterFunc(20*time.Millisecond, func() {
-				s.EngineGone(inc("one"))
-				s.EngineGone(inc("two"))
+				s.HandleEngineExit(inc("one"))
+				s.HandleEngineExit(inc("two"))
 			})
 			out := &listener{}
 			assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -134,7 +134,7 @@
 	}{
 		{"caller left", hangs, func(_ *site, leave func()) { leave() }},
 		{"deadline", hangs, func(*site, func()) {}},
-		{"engine gone", hangs, func(s *site, _ func()) { s.EngineGone(inc("one")) }},
+		{"engine gone", hangs, func(s *site, _ func()) { s.HandleEngineExit(inc("one")) }},
 		{"no connection", func(context.Context, string, *Request) (*Response, error) { return nil, errNoConnection }, func(*site, func()) {}},
 		{"broken off", func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 			wait.For(ctx, 10*time.Millisecond)
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -108,7 +108,7 @@
 		w, run := s.watched(t, route)
 		time.Sleep(firstSilence + nextSilence + 50*time.Millisecond) // amid the second question
 		assert.Equal(t, asked.Load(), int64(2))
-		s.EngineGone(inc("far"))
+		s.HandleEngineExit(inc("far"))
 		time.Sleep(100 * time.Millisecond)
 		assert.NilError(t, run.Err())
 		parts, _ := w.state()
@@ -126,7 +126,7 @@
 			return signed(http.StatusNotFound, strings.NewReader("")), nil
 		})
 		w, run := s.watched(t, route)
-		s.EngineGone(inc("far"))
+		s.HandleEngineExit(inc("far"))
 		synctest.Wait()
 		_ = w.stop()
 		time.Sleep(100 * time.Millisecond)
@@ -154,7 +154,7 @@
 			time.Sleep(5 * time.Second)
 			synctest.Wait()
 			assert.NilError(t, run.Err())
-			s.EngineGone(inc("far"))
+			s.HandleEngineExit(inc("far"))
 			time.Sleep(finalAnswerWait)
 			synctest.Wait()
 			assert.Equal(t, context.Cause(run), engineGone)
@@ -186,7 +186,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
 		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return report(emptyReport), nil })
-		s.EngineGone(inc("far"))
+		s.HandleEngineExit(inc("far"))
 		_, run := s.watched(t, route)
 		assert.Equal(t, context.Cause(run), engineGone)
 	})
