--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -92,7 +92,7 @@
 func (s *routerSink) follow(news catalog.News) {
 	s.front.Relay.HandleExits(news.Ended, "its successor's entry")
 	for _, claim := range news.Disputed {
-		go s.front.Relay.Settle(claim)
+		go s.front.Relay.VerifyIncarnation(claim)
 	}
 }
 
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -279,7 +279,7 @@
 		// doubles the time.
 		until, news := s.Health.Suspect(culprit.Incarnation())
 		if news && culprit.Born != 0 {
-			go s.Settle(*culprit)
+			go s.VerifyIncarnation(*culprit)
 		}
 		klog.InfoS("engine suspected: it does not hold its part", "request", s.call.Attempt, "server", culprit.Incarnation(), "until", until)
 	} else {
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -86,9 +86,9 @@
 	}
 }
 
-// Settle asks a server which of two incarnations it is: the one that is believed
+// VerifyIncarnation asks a server which of two incarnations it is: the one that is believed
 // in, or another one that an entry names and that may be older.
-func (r *Relay) Settle(claim model.BackendServer) {
+func (r *Relay) VerifyIncarnation(claim model.BackendServer) {
 	b := r.Catalog.Load().ByID(claim.ID)
 	if b == nil {
 		return
