--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -112,7 +112,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), repathWait)
 	defer cancel()
 	began := w.q.Now()
-	err := w.q.Repath(ctx, next[0].Server, w.q.call.Attempt, hops(next))
+	err := w.q.Reroute(ctx, next[0].Server, w.q.call.Attempt, hops(next))
 	klog.InfoS("stream rerouted", "request", w.q.call.Attempt, "lost", slices.Collect(maps.Keys(avoid)), "chain", describe(next), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
 	return err
 }
