--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -230,7 +230,7 @@
 		Chooser:       &chains.Chooser{Catalog: r.catalog, Health: r.health, Usage: r.memory, Interconnect: r.pipes, RouterCount: r.exchange.Routers, Self: r.settings.Router.Peers},
 		Memory:        r.memory,
 		Loans:         r.exchange.Loans,
-		Line:          admission.NewWaitQueue(),
+		WaitQueue:     admission.NewWaitQueue(),
 		BackendClient: r.backends,
 		Observer:      r.metrics,
 		OnPanic:       r.metrics.panicked,
@@ -414,7 +414,7 @@
 	for _, b := range r.engines() {
 		r.memory.Observe(b.Incarnation(), b.Holds)
 	}
-	r.metrics.router(r.front.Active(), r.front.Relay.Line.Len(), r.backends.Dialed(), r.config.Version())
+	r.metrics.router(r.front.Active(), r.front.Relay.WaitQueue.Len(), r.backends.Dialed(), r.config.Version())
 	r.metrics.newsSource(r.follower.Watching(), r.follower.Silence())
 }
 
--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -102,7 +102,7 @@
 	until := q.Now().Add(most)
 	waiting := admission.Request{Customer: q.ticket.Customer, Priority: -q.ticket.Priority}
 	q.waiting = true
-	got := q.Line.Wait(ctx, waiting, most, try)
+	got := q.WaitQueue.Wait(ctx, waiting, most, try)
 	// Not in the line: there a stream that no chain serves would hold up others.
 	for s.events > 0 && hold == nil && q.Now().Before(until) && wait.For(ctx, chainPoll) {
 		clear(q.avoid)
@@ -125,7 +125,7 @@
 	if verdict == chains.NoChain {
 		return nil, nil, fault.New(fault.NoCapacity, "the engines in reach do not hold all layers: %s", q.Chooser.ExplainNoChain(q.ticket.Service, demand))
 	}
-	f := fault.New(fault.Overloaded, "no chain has room: %d wait, waited %v, admitted %t, short of %s", q.Line.Len(), most, got,
+	f := fault.New(fault.Overloaded, "no chain has room: %d wait, waited %v, admitted %t, short of %s", q.WaitQueue.Len(), most, got,
 		q.Chooser.ExhaustedResource(q.ticket.Service, demand))
 	return nil, nil, f
 }
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -105,7 +105,7 @@
 	Memory  *chains.UsageTracker
 	// Loans holds the budget for repeated sends, and what is borrowed for it.
 	Loans         *limits.Loans
-	Line          *admission.WaitQueue
+	WaitQueue     *admission.WaitQueue
 	BackendClient BackendClient
 	Observer      Observer
 	// OnPanic counts a fault of the code that ended a request or one run of it, by
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -109,7 +109,7 @@
 	rel := &Relay{
 		Config: current, Catalog: c, Health: health, Memory: memory,
 		Chooser:       &chains.Chooser{Catalog: c, Health: health, Usage: memory, Interconnect: chains.NewInterconnect(time.Now), RouterCount: func() int { return 1 }},
-		Line:          admission.NewWaitQueue(),
+		WaitQueue:     admission.NewWaitQueue(),
 		Loans:         &limits.Loans{Budget: limits.NewSharedRetries(0, 100, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
 		BackendClient: do, Observer: seen, Running: NewRunning(), Suspicions: prober, Domain: "a",
 		Detector: detector.New(time.Now),
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -135,7 +135,7 @@
 				return parts, hold, nil
 			}
 			hold.Release()
-			s.Line.Poke()
+			s.WaitQueue.Poke()
 			if may == lookAgain {
 				continue
 			}
