--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -229,7 +229,7 @@
 		Health:        r.health,
 		Chooser:       &chains.Chooser{Catalog: r.catalog, Health: r.health, Usage: r.memory, Interconnect: r.pipes, RouterCount: r.exchange.Routers, Self: r.settings.Router.Peers},
 		Memory:        r.memory,
-		Loans:         r.exchange.Loans,
+		RetryBorrower: r.exchange.Loans,
 		WaitQueue:     admission.NewWaitQueue(),
 		BackendClient: r.backends,
 		Observer:      r.metrics,
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -103,8 +103,8 @@
 	Health  *catalog.Health
 	Chooser *chains.Chooser
 	Memory  *chains.UsageTracker
-	// Loans holds the budget for repeated sends, and what is borrowed for it.
-	Loans         *limits.Loans
+	// RetryBorrower holds the budget for repeated sends, and what is borrowed for it.
+	RetryBorrower *limits.Loans
 	WaitQueue     *admission.WaitQueue
 	BackendClient BackendClient
 	Observer      Observer
@@ -177,7 +177,7 @@
 	if denied != nil {
 		return q.deny(denied)
 	}
-	r.Loans.Budget.Request(ticket.Service.Name)
+	r.RetryBorrower.Budget.Request(ticket.Service.Name)
 	if !ticket.Deadline.IsZero() {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, ticket.Deadline)
--- a/internal/protocol/relay/repeat.go
+++ b/internal/protocol/relay/repeat.go
@@ -45,7 +45,7 @@
 		q.granted = false
 		return true
 	}
-	return q.Loans.Take(ctx, q.ticket.Service.Name)
+	return q.RetryBorrower.Take(ctx, q.ticket.Service.Name)
 }
 
 // maxSends bounds the sends of one request, refused ones included: an engine
