--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -240,7 +240,7 @@
 		Quarantine:    r.suspects.Tracker,
 		Trial:         r.suspects.Ask,
 		Listens:       r.backends.Listens,
-		Domain:        r.settings.FailureDomain,
+		FailureDomain: r.settings.FailureDomain,
 		ConfigTrust:   time.Duration(rt.ConfigApply),
 		Clock:         boottime.Now,
 		Now:           time.Now,
--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -73,7 +73,7 @@
 // acquire chooses a chain and reserves its memory, waiting a moment for room.
 func (s *stream) acquire(ctx context.Context) ([]chains.Stage, *chains.Reservation, *fault.Error) {
 	q := s.request
-	demand := chains.Requirements{Domain: q.Domain, Tokens: s.tokens, MaxEventGap: q.ticket.Route.TargetGap, Avoid: q.avoid, FirstStageIn: s.firstAmong(), Resumed: s.events > 0}
+	demand := chains.Requirements{Domain: q.FailureDomain, Tokens: s.tokens, MaxEventGap: q.ticket.Route.TargetGap, Avoid: q.avoid, FirstStageIn: s.firstAmong(), Resumed: s.events > 0}
 	if q.barred.suspect {
 		demand.ExcludeFirstStage = q.barred.bars
 		demand.FirstStageCost = q.beginCost
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -96,7 +96,7 @@
 				continue
 			}
 			cost := (1 + float64(view.Active)) * (0.01 + view.Latency.Seconds()) * (1 + 8*view.Failures)
-			if b.FailureDomain != q.Domain {
+			if b.FailureDomain != q.FailureDomain {
 				cost += 0.001
 			}
 			if best == nil || cost < lowest {
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -124,8 +124,8 @@
 	Trial      func(ctx context.Context, work model.Fingerprint, servers []model.Incarnation) quarantine.Grant
 	// Listens asks whether a process takes connections at an address; an error other than
 	// ErrRefused leaves that open.
-	Listens func(ctx context.Context, addr string) error
-	Domain  string
+	Listens       func(ctx context.Context, addr string) error
+	FailureDomain string
 	// ConfigTrust is how long ago the configuration may have been confirmed
 	// for a refusal that rests on it.
 	ConfigTrust time.Duration
