--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -241,7 +241,7 @@
 		Trial:         r.suspects.Ask,
 		Listens:       r.backends.Listens,
 		FailureDomain: r.settings.FailureDomain,
-		ConfigTrust:   time.Duration(rt.ConfigApply),
+		MaxConfigAge:  time.Duration(rt.ConfigApply),
 		Clock:         boottime.Now,
 		Now:           time.Now,
 		Started:       time.Now(),
--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -18,7 +18,7 @@
 func (q *request) deny(f *fault.Error) bool {
 	age := q.Config.Age(q.Clock())
 	permanent := f.Kind == fault.NotFound || f.Kind == fault.UnknownCustomer
-	if permanent && age > q.ConfigTrust {
+	if permanent && age > q.MaxConfigAge {
 		f = fault.New(fault.StaleConfig, "the configuration is not known to be current: %s", f.Msg)
 	}
 	return q.refuse(f)
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -126,9 +126,9 @@
 	// ErrRefused leaves that open.
 	Listens       func(ctx context.Context, addr string) error
 	FailureDomain string
-	// ConfigTrust is how long ago the configuration may have been confirmed
+	// MaxConfigAge is how long ago the configuration may have been confirmed
 	// for a refusal that rests on it.
-	ConfigTrust time.Duration
+	MaxConfigAge time.Duration
 	// Clock goes on while the instance is suspended.
 	Clock func() time.Duration
 	Now   func() time.Time
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -113,7 +113,7 @@
 		RetryBorrower: &limits.Loans{Budget: limits.NewSharedRetries(0, 100, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
 		BackendClient: do, Observer: seen, Running: NewRunning(), Suspicions: prober, FailureDomain: "a",
 		Detector: detector.New(time.Now),
-		Clock:    func() time.Duration { return 0 }, Now: time.Now, ConfigTrust: time.Hour,
+		Clock:    func() time.Duration { return 0 }, Now: time.Now, MaxConfigAge: time.Hour,
 		Quarantine: quarantine.New(func() time.Duration { return time.Since(began) }),
 		Trial: func(context.Context, model.Fingerprint, []model.Incarnation) quarantine.Grant {
 			return quarantine.Grant{Granted: true}
--- a/internal/transport/front/front_test.go
+++ b/internal/transport/front/front_test.go
@@ -67,7 +67,7 @@
 	rel := &relay.Relay{
 		Config: current, Catalog: cat, Health: catalog.NewHealth(time.Now), BackendClient: u, Observer: nobody{}, WaitQueue: admission.NewWaitQueue(), Running: relay.NewRunning(),
 		RetryBorrower: &limits.Loans{Budget: limits.NewSharedRetries(0.2, 10, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
-		Clock:         func() time.Duration { return 0 }, Now: time.Now, ConfigTrust: time.Hour,
+		Clock:         func() time.Duration { return 0 }, Now: time.Now, MaxConfigAge: time.Hour,
 		Quarantine: quarantine.New(func() time.Duration { return 0 }),
 		Listens:    func(context.Context, string) error { return nil },
 	}
