--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -238,7 +238,7 @@
 		Detector:      detector.New(time.Now),
 		Suspicions:    r.prober,
 		Quarantine:    r.suspects.Tracker,
-		Trial:         r.suspects.Ask,
+		RequestTrial:  r.suspects.Ask,
 		Listens:       r.backends.Listens,
 		FailureDomain: r.settings.FailureDomain,
 		MaxConfigAge:  time.Duration(rt.ConfigApply),
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -120,8 +120,8 @@
 	Detector *detector.Detector
 	// Quarantine knows the requests under which servers end. Trial asks whether one of
 	// them may run at servers, alone among its kind.
-	Quarantine *quarantine.Tracker
-	Trial      func(ctx context.Context, work model.Fingerprint, servers []model.Incarnation) quarantine.Grant
+	Quarantine   *quarantine.Tracker
+	RequestTrial func(ctx context.Context, work model.Fingerprint, servers []model.Incarnation) quarantine.Grant
 	// Listens asks whether a process takes connections at an address; an error other than
 	// ErrRefused leaves that open.
 	Listens       func(ctx context.Context, addr string) error
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -115,7 +115,7 @@
 		Detector: detector.New(time.Now),
 		Clock:    func() time.Duration { return 0 }, Now: time.Now, MaxConfigAge: time.Hour,
 		Quarantine: quarantine.New(func() time.Duration { return time.Since(began) }),
-		Trial: func(context.Context, model.Fingerprint, []model.Incarnation) quarantine.Grant {
+		RequestTrial: func(context.Context, model.Fingerprint, []model.Incarnation) quarantine.Grant {
 			return quarantine.Grant{Granted: true}
 		},
 		Listens: func(context.Context, string) error { return nil },
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -97,7 +97,7 @@
 
 // tryAlone asks for a trial at servers. Where one of them runs another suspect it is barred.
 func (q *request) tryAlone(ctx context.Context, servers []model.Incarnation) permission {
-	g := q.Trial(ctx, q.work(), servers)
+	g := q.RequestTrial(ctx, q.work(), servers)
 	klog.InfoS("request asks for a trial", "request", q.call.Attempt, "work", q.work(), "servers", len(servers), "first", servers[0], "granted", g.Granted, "busy", g.BusyServer, "waitMs", g.WaitMS)
 	switch {
 	case g.Granted:
