--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -122,10 +122,10 @@
 	// them may run at servers, alone among its kind.
 	Quarantine   *quarantine.Tracker
 	RequestTrial func(ctx context.Context, work model.Fingerprint, servers []model.Incarnation) quarantine.Grant
-	// Listens asks whether a process takes connections at an address; an error other than
+	// CheckListening asks whether a process takes connections at an address; an error other than
 	// ErrRefused leaves that open.
-	Listens       func(ctx context.Context, addr string) error
-	FailureDomain string
+	CheckListening func(ctx context.Context, addr string) error
+	FailureDomain  string
 	// MaxConfigAge is how long ago the configuration may have been confirmed
 	// for a refusal that rests on it.
 	MaxConfigAge time.Duration
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -118,7 +118,7 @@
 		RequestTrial: func(context.Context, model.Fingerprint, []model.Incarnation) quarantine.Grant {
 			return quarantine.Grant{Granted: true}
 		},
-		Listens: func(context.Context, string) error { return nil },
+		CheckListening: func(context.Context, string) error { return nil },
 	}
 	rel.SlowdownMonitor = NewSlowdownMonitor()
 	rel.SlowdownMonitor.Memory = memory
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -249,7 +249,7 @@
 func (r *Relay) confirmEnd(b *model.BackendServer) {
 	ctx, cancel := context.WithTimeout(context.Background(), listenTimeout)
 	defer cancel()
-	switch err := r.Listens(ctx, b.Address); {
+	switch err := r.CheckListening(ctx, b.Address); {
 	case err == nil:
 		r.Quarantine.Alive(b.Incarnation())
 	case errors.Is(err, ErrRefused):
--- a/internal/transport/front/front_test.go
+++ b/internal/transport/front/front_test.go
@@ -68,8 +68,8 @@
 		Config: current, Catalog: cat, Health: catalog.NewHealth(time.Now), BackendClient: u, Observer: nobody{}, WaitQueue: admission.NewWaitQueue(), Running: relay.NewRunning(),
 		RetryBorrower: &limits.Loans{Budget: limits.NewSharedRetries(0.2, 10, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
 		Clock:         func() time.Duration { return 0 }, Now: time.Now, MaxConfigAge: time.Hour,
-		Quarantine: quarantine.New(func() time.Duration { return 0 }),
-		Listens:    func(context.Context, string) error { return nil },
+		Quarantine:     quarantine.New(func() time.Duration { return 0 }),
+		CheckListening: func(context.Context, string) error { return nil },
 	}
 	s := &Server{Config: current, Relay: rel, Observer: make(ends, 64)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
