--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -81,9 +81,9 @@
 	Retry(service, reason string)
 }
 
-// Suspicions takes in evidence that an engine does not answer. It gets nothing
+// SuspectTracker takes in evidence that an engine does not answer. It gets nothing
 // until it has answered again.
-type Suspicions interface {
+type SuspectTracker interface {
 	Unreachable(b *model.BackendServer, request string, err error)
 	// Refused takes in that an engine answered and refused its work.
 	Refused(b *model.BackendServer, request string, status int)
@@ -114,7 +114,7 @@
 	// Running is the work in progress at backend servers.
 	Running *Running
 	// Suspicions is told of engines that do not answer.
-	Suspicions      Suspicions
+	Suspicions      SuspectTracker
 	SlowdownMonitor *SlowdownMonitor
 	// Detector relates the progress of streams to the engines they run through.
 	Detector *detector.Detector
