--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -236,7 +236,7 @@
 		OnPanic:        r.metrics.panicked,
 		Running:        relay.NewRunning(),
 		Detector:       detector.New(time.Now),
-		Suspicions:     r.prober,
+		Suspects:       r.prober,
 		Quarantine:     r.suspects.Tracker,
 		RequestTrial:   r.suspects.Ask,
 		CheckListening: r.backends.Listens,
--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -137,7 +137,7 @@
 func (s *stream) firstAmong() map[model.Incarnation]bool {
 	alive := map[model.Incarnation]bool{}
 	for inc := range s.ranOn {
-		if !s.Suspicions.Lost(inc) {
+		if !s.Suspects.Lost(inc) {
 			alive[inc] = true
 		}
 	}
--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -33,7 +33,7 @@
 	prober.Now = time.Now
 	prober.Health = health
 	prober.Catalog = c
-	r := &Relay{Detector: detector.New(time.Now), Catalog: c, Health: health, Chooser: chooser, Memory: memory, WaitQueue: admission.NewWaitQueue(), Suspicions: prober, FailureDomain: "a", Now: time.Now,
+	r := &Relay{Detector: detector.New(time.Now), Catalog: c, Health: health, Chooser: chooser, Memory: memory, WaitQueue: admission.NewWaitQueue(), Suspects: prober, FailureDomain: "a", Now: time.Now,
 		Quarantine: quarantine.New(func() time.Duration { return 0 })}
 	q := &request{Relay: r, call: &model.Call{Attempt: "1"}, since: time.Now(), avoid: map[model.Incarnation]bool{}}
 	q.ticket = routes.Admission{
@@ -93,7 +93,7 @@
 	s.ranOn[two] = true
 	s.Catalog.Remove("one", 1, 0)
 	assert.DeepEqual(t, s.firstAmong(), map[model.Incarnation]bool{one: true, two: true})
-	s.Suspicions.Exited(one)
+	s.Suspects.Exited(one)
 	assert.Assert(t, s.firstAmong() == nil)
 }
 
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -283,7 +283,7 @@
 		}
 		klog.InfoS("engine suspected: it does not hold its part", "request", s.call.Attempt, "server", culprit.Incarnation(), "until", until)
 	} else {
-		s.Suspicions.Refused(culprit, s.call.Attempt, status)
+		s.Suspects.Refused(culprit, s.call.Attempt, status)
 	}
 }
 
@@ -298,7 +298,7 @@
 			return fault.New(fault.NotConnected, "the run was ended before it was sent: %s", why)
 		}
 		s.avoid[first.Incarnation()] = true
-		s.Suspicions.Unreachable(first, s.call.Attempt, err)
+		s.Suspects.Unreachable(first, s.call.Attempt, err)
 		return fault.New(fault.NotConnected, "no connection to an engine")
 	}
 	s.runs++
--- a/internal/protocol/relay/lost_test.go
+++ b/internal/protocol/relay/lost_test.go
@@ -39,11 +39,11 @@
 				b := *s.Catalog.Load().ByID("one")
 				b.Born = lost.Born
 				s.Catalog.Put(b)
-				time.AfterFunc(answerTime, func() { s.Suspicions.Exited(lost) })
+				time.AfterFunc(answerTime, func() { s.Suspects.Exited(lost) })
 				time.Sleep(answerTime + c.asked)
 				_, err := s.Report(t.Context(), &b)
 				assert.Equal(t, err != nil, c.answer == other, "%v", err)
-				assert.Equal(t, s.Suspicions.Lost(lost), c.lost)
+				assert.Equal(t, s.Suspects.Lost(lost), c.lost)
 				q := &request{Relay: s.Relay, call: &model.Call{Attempt: "1"}}
 				q.ticket.Route = &model.Route{MaxAttempts: 2}
 				ran := &stream{request: q, ranOn: map[model.Incarnation]bool{lost: true, inc("two"): true}}
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -124,7 +124,7 @@
 		w.fail(server, err)
 		return
 	}
-	w.q.Suspicions.Refused(server, w.q.call.Attempt, http.StatusConflict)
+	w.q.Suspects.Refused(server, w.q.call.Attempt, http.StatusConflict)
 }
 
 func (w *chainWatch) isUnsure() bool {
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -113,8 +113,8 @@
 	OnPanic func(where string)
 	// Running is the work in progress at backend servers.
 	Running *Running
-	// Suspicions is told of engines that do not answer.
-	Suspicions      SuspectTracker
+	// Suspects is told of engines that do not answer.
+	Suspects        SuspectTracker
 	SlowdownMonitor *SlowdownMonitor
 	// Detector relates the progress of streams to the engines they run through.
 	Detector *detector.Detector
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -54,7 +54,7 @@
 	}
 	// A report that does not tell its start, as its entry does, may be of another one.
 	if report.Born == b.Born {
-		r.Suspicions.Responded(b.Incarnation(), asked)
+		r.Suspects.Responded(b.Incarnation(), asked)
 	}
 	return report, nil
 }
--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -102,9 +102,9 @@
 func (r *Relay) HandleEngineExit(inc model.Incarnation) {
 	if b := r.Catalog.Load().Find(inc); b != nil {
 		r.endedUnder(b) // before its streams are moved: they may not all go anywhere
-		r.Suspicions.Unreachable(b, "", errEnded)
+		r.Suspects.Unreachable(b, "", errEnded)
 	}
-	r.Suspicions.Exited(inc)
+	r.Suspects.Exited(inc)
 	r.Running.leave(engineSet{inc: true}, engineGone)
 }
 
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -184,7 +184,7 @@
 		return
 	}
 	if err != nil {
-		w.q.Suspicions.Unreachable(first, w.q.call.Attempt, err)
+		w.q.Suspects.Unreachable(first, w.q.call.Attempt, err)
 		w.giveUp(news, verdict{culprit: first.Incarnation(), why: silence, silences: n, err: err})
 		return
 	}
@@ -258,7 +258,7 @@
 // fail takes in that an engine of the chain does not do its part: all streams of this
 // router leave it.
 func (w *chainWatch) fail(server *model.BackendServer, err error) {
-	w.q.Suspicions.Unreachable(server, w.q.call.Attempt, err)
+	w.q.Suspects.Unreachable(server, w.q.call.Attempt, err)
 	w.q.Running.leave(engineSet{server.Incarnation(): true}, silence)
 }
 
