--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -112,7 +112,7 @@
 	// where it was; nil for nobody.
 	OnPanic func(where string)
 	// Running is the work in progress at backend servers.
-	Running *Running
+	Running *ActiveRuns
 	// Suspects is told of engines that do not answer.
 	Suspects        SuspectTracker
 	SlowdownMonitor *SlowdownMonitor
--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -24,8 +24,8 @@
 // was chosen before. On a busy machine a tenth of a second may lie between.
 const rememberGone = time.Second
 
-// Running holds the work in progress.
-type Running struct {
+// ActiveRuns holds the work in progress.
+type ActiveRuns struct {
 	mu   sync.Mutex
 	runs map[run]bool
 	// gone holds the servers that ended of late, and when that was told.
@@ -35,13 +35,13 @@
 }
 
 // NewRunning makes an empty set.
-func NewRunning() *Running {
-	return &Running{runs: map[run]bool{}, gone: map[model.Incarnation]time.Time{}, silent: map[model.Incarnation]time.Time{}}
+func NewRunning() *ActiveRuns {
+	return &ActiveRuns{runs: map[run]bool{}, gone: map[model.Incarnation]time.Time{}, silent: map[model.Incarnation]time.Time{}}
 }
 
 // add adds work that was given to some servers. It tells which of them has ended
 // meanwhile, if one has: whoever told of the end told only the work that was there.
-func (r *Running) add(w run, servers ...model.Incarnation) (gone model.Incarnation, ended bool) {
+func (r *ActiveRuns) add(w run, servers ...model.Incarnation) (gone model.Incarnation, ended bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs[w] = true
@@ -53,7 +53,7 @@
 	return model.Incarnation{}, false
 }
 
-func (r *Running) remove(w run) {
+func (r *ActiveRuns) remove(w run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.runs, w)
@@ -84,7 +84,7 @@
 // track ends a call when the server's process has ended. Where the server fell
 // silent its connection would tell only at the caller's deadline, too late for a
 // request that may be sent again.
-func (r *Running) track(ctx context.Context, server model.Incarnation, last bool) (run context.Context, cancel context.CancelCauseFunc, stop func()) {
+func (r *ActiveRuns) track(ctx context.Context, server model.Incarnation, last bool) (run context.Context, cancel context.CancelCauseFunc, stop func()) {
 	run, cancel = context.WithCancelCause(ctx)
 	c := &call{server: server, cancel: cancel, last: last}
 	if _, ended := r.add(c, server); ended {
@@ -112,7 +112,7 @@
 
 // leave tells all work in progress that incarnations of servers have ended, or are
 // believed to be at fault.
-func (r *Running) leave(lost engineSet, why ending) {
+func (r *ActiveRuns) leave(lost engineSet, why ending) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for inc := range lost {
@@ -139,7 +139,7 @@
 }
 
 // silentAmong lists the servers of a chain that were found silent or ended of late.
-func (r *Running) silentAmong(servers []model.Incarnation) engineSet {
+func (r *ActiveRuns) silentAmong(servers []model.Incarnation) engineSet {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	found := engineSet{}
