--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -34,8 +34,8 @@
 	silent map[model.Incarnation]time.Time
 }
 
-// NewRunning makes an empty set.
-func NewRunning() *ActiveRuns {
+// NewActiveRuns makes an empty set.
+func NewActiveRuns() *ActiveRuns {
 	return &ActiveRuns{runs: map[run]bool{}, gone: map[model.Incarnation]time.Time{}, silent: map[model.Incarnation]time.Time{}}
 }
 
