--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -234,7 +234,7 @@
 		BackendClient:  r.backends,
 		Observer:       r.metrics,
 		OnPanic:        r.metrics.panicked,
-		Running:        relay.NewActiveRuns(),
+		ActiveRuns:     relay.NewActiveRuns(),
 		Detector:       detector.New(time.Now),
 		Suspects:       r.prober,
 		Quarantine:     r.suspects.Tracker,
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -113,7 +113,7 @@
 
 // try sends the call to one server and reads its whole answer.
 func (q *request) try(ctx context.Context, b *model.BackendServer) (*whole, error) {
-	run, cancel, stop := q.Running.track(ctx, b.Incarnation(), !q.ticket.Idempotent())
+	run, cancel, stop := q.ActiveRuns.track(ctx, b.Incarnation(), !q.ticket.Idempotent())
 	defer stop()
 	q.avoid[b.Incarnation()] = true
 	q.chain = b.ID
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -78,7 +78,7 @@
 	if !q.ticket.Idempotent() || !q.mayMove() || w.isUnsure() {
 		return nil
 	}
-	avoid := q.Running.silentAmong(engines(parts))
+	avoid := q.ActiveRuns.silentAmong(engines(parts))
 	maps.Copy(avoid, lost)
 	for range mostMoves {
 		next := q.Chooser.Replace(q.ticket.Service, parts, avoid, w.hold.Tokens(), q.ticket.Route.TargetGap)
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -62,7 +62,7 @@
 	r.BackendClient = backends
 	r.Observer = observer
 	r.OnPanic = observer.panicked
-	r.Running = NewActiveRuns()
+	r.ActiveRuns = NewActiveRuns()
 	r.Config = &routes.ActiveConfig{}
 	r.Config.Apply(&model.RouteConfig{
 		Version:  1,
@@ -159,7 +159,7 @@
 		s.Relay.BackendClient = &faulty{}
 		s.Relay.Observer = observer
 		s.Relay.OnPanic = observer.panicked
-		s.Relay.Running = NewActiveRuns()
+		s.Relay.ActiveRuns = NewActiveRuns()
 		ctx, cancel := context.WithCancelCause(t.Context())
 		defer cancel(nil)
 		engine := s.Catalog.Load().Service("s")[0]
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -272,7 +272,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		engines := &pathEngines{}
 		s := threeParts(engines.do)
-		s.Running.leave(engineSet{inc("middle"): true}, silence)
+		s.ActiveRuns.leave(engineSet{inc("middle"): true}, silence)
 		w, _ := s.running(t, movable)
 		synctest.Wait()
 		assert.DeepEqual(t, ids(w), []string{"head", "middle2", "tail"})
@@ -292,6 +292,6 @@
 		s.HandleEngineExit(inc("middle"))
 		synctest.Wait()
 		assert.DeepEqual(t, ids(w), []string{"head", "middle3", "tail"})
-		assert.Equal(t, len(s.Running.silentAmong([]model.Incarnation{inc("middle2")})), 0)
+		assert.Equal(t, len(s.ActiveRuns.silentAmong([]model.Incarnation{inc("middle2")})), 0)
 	})
 }
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -111,8 +111,8 @@
 	// OnPanic counts a fault of the code that ended a request or one run of it, by
 	// where it was; nil for nobody.
 	OnPanic func(where string)
-	// Running is the work in progress at backend servers.
-	Running *ActiveRuns
+	// ActiveRuns is the work in progress at backend servers.
+	ActiveRuns *ActiveRuns
 	// Suspects is told of engines that do not answer.
 	Suspects        SuspectTracker
 	SlowdownMonitor *SlowdownMonitor
--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -105,7 +105,7 @@
 		r.Suspects.Unreachable(b, "", errEnded)
 	}
 	r.Suspects.Exited(inc)
-	r.Running.leave(engineSet{inc: true}, engineGone)
+	r.ActiveRuns.leave(engineSet{inc: true}, engineGone)
 }
 
 var errEnded = errors.New("its process ended")
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -111,7 +111,7 @@
 		Chooser:       &chains.Chooser{Catalog: c, Health: health, Usage: memory, Interconnect: chains.NewInterconnect(time.Now), RouterCount: func() int { return 1 }},
 		WaitQueue:     admission.NewWaitQueue(),
 		RetryBorrower: &limits.Loans{Budget: limits.NewSharedRetries(0, 100, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
-		BackendClient: do, Observer: seen, Running: NewActiveRuns(), Suspects: prober, FailureDomain: "a",
+		BackendClient: do, Observer: seen, ActiveRuns: NewActiveRuns(), Suspects: prober, FailureDomain: "a",
 		Detector: detector.New(time.Now),
 		Clock:    func() time.Duration { return 0 }, Now: time.Now, MaxConfigAge: time.Hour,
 		Quarantine: quarantine.New(func() time.Duration { return time.Since(began) }),
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -76,9 +76,9 @@
 	path := engines(parts)
 	w.progress = q.Detector.Track(path, q.eventInterval(parts), q.ticket.Route.TargetGap)
 	w.start()
-	if gone, ended := q.Running.add(w, path...); ended {
+	if gone, ended := q.ActiveRuns.add(w, path...); ended {
 		w.end(verdict{culprit: gone, why: engineGone})
-	} else if silent := q.Running.silentAmong(path); len(silent) > 0 {
+	} else if silent := q.ActiveRuns.silentAmong(path); len(silent) > 0 {
 		go w.leave(silent, silence)
 	}
 	return w
@@ -134,7 +134,7 @@
 
 // stop ends the watch. It tells whether a repeated send was taken from the budget.
 func (w *chainWatch) stop() (granted bool) {
-	w.q.Running.remove(w)
+	w.q.ActiveRuns.remove(w)
 	w.progress.Close()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -259,7 +259,7 @@
 // router leave it.
 func (w *chainWatch) fail(server *model.BackendServer, err error) {
 	w.q.Suspects.Unreachable(server, w.q.call.Attempt, err)
-	w.q.Running.leave(engineSet{server.Incarnation(): true}, silence)
+	w.q.ActiveRuns.leave(engineSet{server.Incarnation(): true}, silence)
 }
 
 // serverAt is the engine of a chain with an address; nil if there is none.
