--- a/internal/transport/front/caller.go
+++ b/internal/transport/front/caller.go
@@ -13,7 +13,7 @@
 // One that reads a byte a second would hold its stream's engine memory.
 const writeTime = 5 * time.Second
 
-// caller writes an answer. It implements relay.Caller.
+// caller writes an answer. It implements relay.ResponseWriter.
 type caller struct {
 	w        http.ResponseWriter
 	rc       *http.ResponseController
