--- a/internal/coordination/follow/fleet_test.go
+++ b/internal/coordination/follow/fleet_test.go
@@ -99,7 +99,7 @@
 func (n *node) start() {
 	ctx, stop := context.WithCancel(context.Background())
 	p := newPicture()
-	fl := &Follower{Store: n, Sink: p, Clock: n.fleet.clock, Replica: &replica.Replica{}, Ask: n.ask}
+	fl := &Follower{Store: n, Sink: p, Clock: n.fleet.clock, Replica: &replica.Replica{}, PollPeer: n.ask}
 	fl.Picker = &Picker{Self: n.Address, Domain: n.Domain, Routers: n.routers, Clock: n.fleet.clock}
 	n.mu.Lock()
 	n.fl, n.p, n.stop, n.done, n.heard = fl, p, stop, make(chan struct{}), map[string]time.Duration{}
@@ -144,7 +144,7 @@
 		}
 		for _, other := range n.fleet.nodes {
 			if other != n && !n.fleet.isCut(n.Address, other.Address) && !other.isSilent() {
-				other.hear(n.Address, fl.Reported())
+				other.hear(n.Address, fl.AdvertisedRevision())
 			}
 		}
 	}
@@ -156,7 +156,7 @@
 	fl := n.fl
 	n.mu.Unlock()
 	if fl != nil {
-		fl.PeerAt(revision)
+		fl.ObservePeerRevision(revision)
 	}
 }
 
@@ -178,18 +178,18 @@
 	return out
 }
 
-func (n *node) ask(ctx context.Context, addr string, after model.Revision, most time.Duration) (News, error) {
+func (n *node) ask(ctx context.Context, addr string, after model.Revision, most time.Duration) (Updates, error) {
 	to := n.fleet.node(addr)
 	time.Sleep(linkDelay)
 	fl, _ := to.running()
 	switch {
 	case fl == nil:
-		return News{}, errCutOff
+		return Updates{}, errCutOff
 	case to.isSilent() || n.isSilent() || n.fleet.isCut(n.Address, addr) || n.fleet.isCut(addr, n.Address):
 		<-ctx.Done()
-		return News{}, ctx.Err()
+		return Updates{}, ctx.Err()
 	}
-	news, err := fl.Tell(ctx, after, most)
+	news, err := fl.WaitForUpdates(ctx, after, most)
 	for i, it := range news.Items {
 		if len(it.Value) > modelLarge {
 			news.Items[i].Value, news.Items[i].Omitted = nil, true
@@ -198,7 +198,7 @@
 	time.Sleep(linkDelay)
 	if n.fleet.isCut(addr, n.Address) || to.isSilent() {
 		<-ctx.Done()
-		return News{}, ctx.Err()
+		return Updates{}, ctx.Err()
 	}
 	return news, err
 }
--- a/internal/coordination/follow/follow.go
+++ b/internal/coordination/follow/follow.go
@@ -73,15 +73,15 @@
 
 // Sink takes in what the store holds.
 type Sink interface {
-	// NewEra takes in that the store came back from an older copy: what this process wrote
+	// HandleStoreRestore takes in that the store came back from an older copy: what this process wrote
 	// there may be gone, and its leases may be another's. The whole range follows.
-	NewEra()
+	HandleStoreRestore()
 	// Reset takes in the whole range; what it lacks is gone. grace is how long
 	// what is gone may still be believed in.
 	Reset(page platform.Page, grace time.Duration)
 	Change(item platform.Item, grace time.Duration)
-	// Heard takes in that the picture was complete at a moment.
-	Heard(at time.Duration)
+	// Synced takes in that the picture was complete at a moment.
+	Synced(at time.Duration)
 }
 
 // Follower watches one prefix for one sink.
@@ -93,15 +93,15 @@
 	Clock func() time.Duration
 	// Picker chooses between the store and the routers that ask it; nil for always the
 	// store. Ask asks one of them.
-	Picker *Picker
-	Ask    func(ctx context.Context, addr string, after model.Revision, wait time.Duration) (News, error)
+	Picker   *Picker
+	PollPeer func(ctx context.Context, addr string, after model.Revision, wait time.Duration) (Updates, error)
 	// Replica holds what is known for others to ask; nil where nobody does.
 	Replica *replica.Replica
-	// Elsewhere is when, as far as known here, anybody last heard from the
+	// PeersLastContact is when, as far as known here, anybody last heard from the
 	// store; nil where nobody else is asked.
-	Elsewhere func() time.Duration
-	// Resting tells whether nothing here needs changes soon; nil for never.
-	Resting func() bool
+	PeersLastContact func() time.Duration
+	// Idle tells whether nothing here needs changes soon; nil for never.
+	Idle func() bool
 
 	revision    atomic.Int64 // up to which the picture is complete
 	eraSeen     atomic.Int64 // the first revision of the newest era that a call was answered in
@@ -127,8 +127,8 @@
 	owedAfter time.Duration             // when they may be asked for again
 }
 
-// Silence is how long ago the store last answered.
-func (f *Follower) Silence() time.Duration {
+// SinceLastContact is how long ago the store last answered.
+func (f *Follower) SinceLastContact() time.Duration {
 	return f.Clock() - time.Duration(f.lastHeard.Load())
 }
 
@@ -148,7 +148,7 @@
 	if !f.Watching() {
 		return firstWait
 	}
-	most := min(time.Duration(f.Picker.Watchers())*waitShare, longestWait)
+	most := min(time.Duration(f.Picker.WatcherCount())*waitShare, longestWait)
 	if most <= shortestWait {
 		return shortestWait
 	}
@@ -158,12 +158,12 @@
 // gather is the pause after changes.
 func (f *Follower) gather() time.Duration {
 	switch {
-	case f.Resting != nil && f.Resting():
+	case f.Idle != nil && f.Idle():
 		return restGather
 	case f.Picker == nil:
 		return gatherShare
 	}
-	return min(time.Duration(f.Picker.Watchers())*gatherShare, mostGather)
+	return min(time.Duration(f.Picker.WatcherCount())*gatherShare, mostGather)
 }
 
 // Run follows until ctx ends.
@@ -181,9 +181,9 @@
 			f.confirm(ctx)
 			between = firstPause
 			continue
-		case !f.source.Store():
+		case !f.source.IsStore():
 			klog.InfoS("no news from a peer", "peer", f.source.Address, "err", err, "revision", f.Revision())
-			f.Picker.Failed(f.source)
+			f.Picker.MarkFailed(f.source)
 			continue
 		case errors.Is(err, platform.ErrCompacted):
 			klog.InfoS("store history compacted, reading the whole range", "prefix", f.Prefix, "revision", f.Revision())
@@ -194,7 +194,7 @@
 			// Others hear from the store: it is this process that it leaves out. While
 			// nobody does, those who ask this one stay with it: all of them would else
 			// turn to a store that is away.
-			f.Picker.Failed(f.source)
+			f.Picker.MarkFailed(f.source)
 		}
 		if errors.Is(err, errCut) {
 			continue
@@ -210,7 +210,7 @@
 func (f *Follower) confirm(ctx context.Context) {
 	f.readOwed(ctx)
 	if len(f.owed) == 0 {
-		f.Sink.Heard(f.heard)
+		f.Sink.Synced(f.heard)
 		f.completeAt.Store(int64(f.heard))
 	}
 	if f.gathered {
@@ -234,15 +234,15 @@
 	f.mu.Unlock()
 	if before.Address != next.Address {
 		f.watching.Store(false)
-		klog.InfoS("store updates: source changed", "source", next.Address, "before", before.Address, "why", next.Why,
-			"revision", f.Revision(), "age", f.Silence())
+		klog.InfoS("store updates: source changed", "source", next.Address, "before", before.Address, "why", next.Reason,
+			"revision", f.Revision(), "age", f.SinceLastContact())
 	}
 }
 
 // turn asks the source once.
 func (f *Follower) turn(ctx context.Context) error {
 	switch {
-	case !f.source.Store():
+	case !f.source.IsStore():
 		return f.askPeer(ctx, f.source.Address)
 	case f.synced && !f.inOldEra():
 		return f.watch(ctx)
@@ -292,7 +292,7 @@
 	}
 	f.graceUntil.Store(int64(f.Clock() + comeBack))
 	klog.InfoS("the store came back from an older copy", "revision", revision, "before", before, "source", f.source.Address, "graceForRemoved", f.grace())
-	f.Sink.NewEra()
+	f.Sink.HandleStoreRestore()
 }
 
 // change takes in changes that are complete up to a revision.
--- a/internal/coordination/follow/follow_test.go
+++ b/internal/coordination/follow/follow_test.go
@@ -56,13 +56,13 @@
 	p.items[it.Key] = string(it.Value)
 }
 
-func (p *picture) NewEra() {
+func (p *picture) HandleStoreRestore() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.eras++
 }
 
-func (p *picture) Heard(time.Duration) {
+func (p *picture) Synced(time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.heard++
@@ -153,7 +153,7 @@
 // was removed meanwhile has left, and must get no work for even a moment.
 func TestFollowGivesNoGraceWhereAPeerWasConnected(t *testing.T) {
 	connected := func(fl *Follower) {
-		fl.Elsewhere = func() time.Duration { return fl.Clock() - 200*time.Millisecond }
+		fl.PeersLastContact = func() time.Duration { return fl.Clock() - 200*time.Millisecond }
 	}
 	follow(t, func(store *standin.Store, p *picture, _ *Follower) {
 		store.Put("server", []byte("1"))
@@ -176,18 +176,18 @@
 	follow(t, func(store *standin.Store, p *picture, fl *Follower) {
 		time.Sleep(2 * time.Second)
 		revision := store.PutUnseen("k", []byte("1"))
-		fl.PeerAt(revision)
+		fl.ObservePeerRevision(revision)
 		time.Sleep(behindTime / 2)
-		fl.PeerAt(revision)
+		fl.ObservePeerRevision(revision)
 		assert.Assert(t, !p.has("k", "1"))
 		time.Sleep(behindTime)
-		fl.PeerAt(revision)
+		fl.ObservePeerRevision(revision)
 		time.Sleep(100 * time.Millisecond)
 		assert.Assert(t, p.has("k", "1"))
 	}, func(fl *Follower) {
 		fl.Picker = othersWatch(fl, 20)
-		fl.Ask = func(context.Context, string, model.Revision, time.Duration) (News, error) {
-			return News{}, ErrNotWatching
+		fl.PollPeer = func(context.Context, string, model.Revision, time.Duration) (Updates, error) {
+			return Updates{}, ErrNotWatching
 		}
 	})
 }
@@ -198,16 +198,16 @@
 	follow(t, func(store *standin.Store, _ *picture, fl *Follower) {
 		time.Sleep(2 * time.Second)
 		before := store.Calls().Watches
-		fl.PeerAt(1 << 40)
+		fl.ObservePeerRevision(1 << 40)
 		time.Sleep(2 * behindTime)
-		fl.PeerAt(1 << 40)
+		fl.ObservePeerRevision(1 << 40)
 		time.Sleep(30 * time.Second)
 		assert.Assert(t, !fl.isBehind())
 		assert.Assert(t, store.Calls().Watches-before <= 25, "%d watches", store.Calls().Watches-before)
 	}, func(fl *Follower) {
 		fl.Picker = othersWatch(fl, 20)
-		fl.Ask = func(context.Context, string, model.Revision, time.Duration) (News, error) {
-			return News{}, ErrNotWatching
+		fl.PollPeer = func(context.Context, string, model.Revision, time.Duration) (Updates, error) {
+			return Updates{}, ErrNotWatching
 		}
 	})
 }
@@ -223,7 +223,7 @@
 		time.Sleep(time.Second)
 		store.Put("op/config", []byte("2"))
 		time.Sleep(decoding / 2)
-		news, err := fl.Tell(t.Context(), fl.Revision()-1, 0)
+		news, err := fl.WaitForUpdates(t.Context(), fl.Revision()-1, 0)
 		assert.NilError(t, err)
 		assert.Equal(t, len(news.Items), 0)
 		assert.Assert(t, news.Age > decoding, "the last answer that was taken in came before the change: %v", news.Age)
@@ -302,7 +302,7 @@
 		time.Sleep(2 * restGather)
 		calls = change(changes)
 		assert.Assert(t, calls >= changes*3/4, "%d calls", calls)
-	}, func(fl *Follower) { fl.Resting = resting.Load })
+	}, func(fl *Follower) { fl.Idle = resting.Load })
 }
 
 // Configurations come in quick succession, and an engine registers between them.
--- a/internal/coordination/follow/lag.go
+++ b/internal/coordination/follow/lag.go
@@ -8,9 +8,9 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// PeerAt takes in the revision of a peer's picture. Where it stays ahead, whoever is
+// ObservePeerRevision takes in the revision of a peer's picture. Where it stays ahead, whoever is
 // asked here is silent or behind: the question is cut, and another one is asked.
-func (f *Follower) PeerAt(revision model.Revision) {
+func (f *Follower) ObservePeerRevision(revision model.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ahead = max(f.ahead, revision)
@@ -22,18 +22,18 @@
 	}
 }
 
-// EraSeen takes in that some call to the store was answered in an era.
-func (f *Follower) EraSeen(era int64) {
+// ObserveEra takes in that some call to the store was answered in an era.
+func (f *Follower) ObserveEra(era int64) {
 	if first, err := model.NewRevision(era, 0); err == nil && era > f.Revision().Era() {
 		f.eraSeen.Store(int64(first))
-		f.PeerAt(first)
+		f.ObservePeerRevision(first)
 	}
 }
 
-// Reported is what peers are told: up to where this picture is complete, or the beginning of
+// AdvertisedRevision is what peers are told: up to where this picture is complete, or the beginning of
 // an era that this process has heard of from the store and has no picture of yet. A leader
 // need not watch the store, and those who do may be waiting on a silent connection.
-func (f *Follower) Reported() model.Revision {
+func (f *Follower) AdvertisedRevision() model.Revision {
 	return max(f.Revision(), model.Revision(f.eraSeen.Load()))
 }
 
@@ -49,7 +49,7 @@
 	case f.ahead <= f.Revision():
 		f.behindSince = 0
 		return false
-	case f.source.Store() && f.ahead.Era() > f.Revision().Era():
+	case f.source.IsStore() && f.ahead.Era() > f.Revision().Era():
 		// What is waited for will not come: the store counts anew. Those who ask a watcher
 		// stay with it, as it will know in a moment.
 		return true
@@ -58,7 +58,7 @@
 		return false
 	}
 	allowed := behindTime
-	if !f.source.Store() {
+	if !f.source.IsStore() {
 		allowed += f.gather()
 	}
 	return now-f.behindSince > allowed
@@ -83,7 +83,7 @@
 func (f *Follower) CallFailed() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.source.Store() && f.cut != nil {
+	if f.source.IsStore() && f.cut != nil {
 		f.doubted = true
 		f.cut()
 		f.cut = nil
--- a/internal/coordination/follow/news.go
+++ b/internal/coordination/follow/news.go
@@ -12,12 +12,12 @@
 	"github.com/skylarkwood/skylarkwood/internal/state/replica"
 )
 
-// News is a router's answer to one that asks it instead of the store.
-type News struct {
+// Updates is a router's answer to one that asks it instead of the store.
+type Updates struct {
 	replica.Answer
 	// Age is how long ago, when it answered, the router last heard from the store, and
-	// Held how long it had the question by then.
-	Age, Held time.Duration
+	// Elapsed how long it had the question by then.
+	Age, Elapsed time.Duration
 	// Grace is for how long removed entries may still be believed in.
 	Grace time.Duration
 }
@@ -28,23 +28,23 @@
 // errOlder says that a peer knows less than this process, or no more though others do.
 var errOlder = errors.New("the peer knows less than others")
 
-// Tell answers a peer: at once if something is known beyond a revision, else as soon as
+// WaitForUpdates answers a peer: at once if something is known beyond a revision, else as soon as
 // something is, or with nothing after a time. Only who asks the store itself answers:
 // two that ask each other would find each other up to date, whatever the store says.
-func (f *Follower) Tell(ctx context.Context, after model.Revision, most time.Duration) (News, error) {
+func (f *Follower) WaitForUpdates(ctx context.Context, after model.Revision, most time.Duration) (Updates, error) {
 	if !f.Watching() {
-		return News{}, ErrNotWatching
+		return Updates{}, ErrNotWatching
 	}
 	began := f.Clock()
 	f.Replica.Wait(ctx, after, min(most, peerWait))
 	if !f.Watching() {
-		return News{}, ErrNotWatching
+		return Updates{}, ErrNotWatching
 	}
 	// The age is taken first, and is that of what has been taken in: an answer of the
 	// store whose changes are still being decoded makes nothing younger.
-	news := News{Age: f.Clock() - time.Duration(f.completeAt.Load()), Grace: f.grace()}
+	news := Updates{Age: f.Clock() - time.Duration(f.completeAt.Load()), Grace: f.grace()}
 	news.Answer = f.Replica.Since(after)
-	news.Held = f.Clock() - began
+	news.Elapsed = f.Clock() - began
 	return news, nil
 }
 
@@ -66,7 +66,7 @@
 		return errCut
 	case err != nil:
 		return err
-	case news.Revision < after || urgent && news.Revision == after || news.Age < 0 || news.Held < 0:
+	case news.Revision < after || urgent && news.Revision == after || news.Age < 0 || news.Elapsed < 0:
 		return errors.WithMessagef(errOlder, "revision %d, %d here", news.Revision, after)
 	}
 	if news.Grace > f.grace() {
@@ -77,13 +77,13 @@
 	return nil
 }
 
-func (f *Follower) askWithin(ctx context.Context, addr string, after model.Revision, most time.Duration) (News, error) {
+func (f *Follower) askWithin(ctx context.Context, addr string, after model.Revision, most time.Duration) (Updates, error) {
 	ctx, cancel := context.WithTimeout(ctx, most+peerSlack)
 	defer cancel()
-	return f.Ask(ctx, addr, after, most)
+	return f.PollPeer(ctx, addr, after, most)
 }
 
-func (f *Follower) takeNews(news News) {
+func (f *Follower) takeNews(news Updates) {
 	if !news.Whole {
 		f.change(news.Items, news.Revision)
 		return
@@ -96,8 +96,8 @@
 // noteWord takes in when the peer's word was true. It was given after the question had
 // been held, so it is at least that much younger than the question; counted from when it
 // arrived, news that waited in a paused process would pass for new.
-func (f *Follower) noteWord(asked time.Duration, news News) {
-	heard := min(asked+news.Held, f.Clock()) - news.Age
+func (f *Follower) noteWord(asked time.Duration, news Updates) {
+	heard := min(asked+news.Elapsed, f.Clock()) - news.Age
 	f.lastHeard.Store(max(f.lastHeard.Load(), int64(heard)))
 	if f.lost {
 		klog.InfoS("store regained", "through", f.source.Address, "age", news.Age, "graceForRemoved", f.grace())
--- a/internal/coordination/follow/outage.go
+++ b/internal/coordination/follow/outage.go
@@ -9,7 +9,7 @@
 // noteHeard takes in that the store answered, and whether that ends an outage.
 func (f *Follower) noteHeard(at time.Duration) {
 	f.failures = 0
-	silent := f.Silence()
+	silent := f.SinceLastContact()
 	if f.lost || silent > longestWait+outageAfter {
 		if f.outage(at) > outageAfter {
 			f.graceUntil.Store(int64(at + comeBack))
@@ -28,15 +28,15 @@
 // would send work to servers that left long ago.
 func (f *Follower) outage(at time.Duration) time.Duration {
 	last := time.Duration(f.lastHeard.Load())
-	if f.Elsewhere != nil {
-		last = max(last, f.Elsewhere())
+	if f.PeersLastContact != nil {
+		last = max(last, f.PeersLastContact())
 	}
 	return at - last
 }
 
 func (f *Follower) noteLost(err error) {
 	if !f.lost {
-		klog.InfoS("store lost", "err", err, "lastHeard", f.Silence())
+		klog.InfoS("store lost", "err", err, "lastHeard", f.SinceLastContact())
 	}
 	f.lost = true
 }
--- a/internal/coordination/follow/picker.go
+++ b/internal/coordination/follow/picker.go
@@ -37,12 +37,12 @@
 type Source struct {
 	// Address is a router's link address; empty for the store itself.
 	Address string
-	// Why tells what made it the choice, for the log.
-	Why string
+	// Reason tells what made it the choice, for the log.
+	Reason string
 }
 
-// Store tells whether the store itself is asked.
-func (s Source) Store() bool { return s.Address == "" }
+// IsStore tells whether the store itself is asked.
+func (s Source) IsStore() bool { return s.Address == "" }
 
 // Picker chooses whom a router asks for news of the store. All routers rank those of a
 // failure domain alike, by rendezvous hashing, so that they agree on its watchers
@@ -64,21 +64,21 @@
 	own := domains[p.Domain]
 	watcher := slices.Contains(own, p.Self)
 	if watcher && !p.avoided("") {
-		return Source{Why: "this router watches for its failure domain"}
+		return Source{Reason: "this router watches for its failure domain"}
 	}
 	if addr := p.first(own); addr != "" {
-		return Source{Address: addr, Why: "watches for this failure domain"}
+		return Source{Address: addr, Reason: "watches for this failure domain"}
 	}
 	for _, addr := range p.foreign(domains) {
 		if !p.avoided(addr) {
-			return Source{Address: addr, Why: "watches for another failure domain"}
+			return Source{Address: addr, Reason: "watches for another failure domain"}
 		}
 	}
-	return Source{Why: "no watcher answers"}
+	return Source{Reason: "no watcher answers"}
 }
 
-// Failed takes in that a source did not answer, or knows less than others.
-func (p *Picker) Failed(s Source) {
+// MarkFailed takes in that a source did not answer, or knows less than others.
+func (p *Picker) MarkFailed(s Source) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock()
@@ -93,8 +93,8 @@
 	p.avoid[s.Address] = now + limits.Jitter(avoidTime)
 }
 
-// Watchers counts the routers that ask the store, over all failure domains.
-func (p *Picker) Watchers() int {
+// WatcherCount counts the routers that ask the store, over all failure domains.
+func (p *Picker) WatcherCount() int {
 	n := 0
 	for _, names := range p.watchers() {
 		n += len(names)
--- a/internal/coordination/follow/picker_test.go
+++ b/internal/coordination/follow/picker_test.go
@@ -38,9 +38,9 @@
 		askers := map[string]int{}
 		for _, r := range c.routers {
 			p := c.picker(r)
-			assert.Equal(t, p.Watchers(), tc.watchers)
+			assert.Equal(t, p.WatcherCount(), tc.watchers)
 			s := p.Pick()
-			if s.Store() {
+			if s.IsStore() {
 				store++
 				continue
 			}
@@ -61,23 +61,23 @@
 	foreign := map[string]bool{}
 	for _, r := range c.routers[:20] {
 		p := c.picker(r)
-		if p.Pick().Store() {
+		if p.Pick().IsStore() {
 			continue
 		}
 		for range watchersPerDomain {
 			s := p.Pick()
-			assert.Equal(t, s.Why, "watches for this failure domain")
-			p.Failed(s)
+			assert.Equal(t, s.Reason, "watches for this failure domain")
+			p.MarkFailed(s)
 		}
 		s := p.Pick()
-		assert.Equal(t, s.Why, "watches for another failure domain")
+		assert.Equal(t, s.Reason, "watches for another failure domain")
 		foreign[s.Address] = true
 		for range foreignTries {
-			p.Failed(p.Pick())
+			p.MarkFailed(p.Pick())
 		}
-		assert.Equal(t, p.Pick().Why, "no watcher answers")
+		assert.Equal(t, p.Pick().Reason, "no watcher answers")
 		c.now += 2 * avoidTime
-		assert.Equal(t, p.Pick().Why, "watches for this failure domain", "it goes back to its own domain")
+		assert.Equal(t, p.Pick().Reason, "watches for this failure domain", "it goes back to its own domain")
 		c.now -= 2 * avoidTime
 	}
 	assert.Assert(t, len(foreign) > 3, "asked: %v", foreign)
@@ -91,7 +91,7 @@
 	dead := map[string]bool{}
 	for _, r := range c.routers {
 		before[r.Address] = c.picker(r).Pick()
-		if r.Domain == "d0" && before[r.Address].Store() {
+		if r.Domain == "d0" && before[r.Address].IsStore() {
 			dead[r.Address] = true
 		}
 	}
@@ -107,7 +107,7 @@
 		s := c.picker(r).Pick()
 		if r.Domain != "d0" {
 			assert.Equal(t, s, before[r.Address])
-		} else if s.Store() {
+		} else if s.IsStore() {
 			store++
 		}
 	}
@@ -120,18 +120,18 @@
 	c := newCrowd(3, 2)
 	p := c.picker(c.routers[0])
 	s := p.Pick()
-	assert.Assert(t, s.Store())
-	p.Failed(s)
+	assert.Assert(t, s.IsStore())
+	p.MarkFailed(s)
 	assert.Equal(t, p.Pick().Address, c.routers[1].Address)
 	c.now += 2 * avoidTime
-	assert.Assert(t, p.Pick().Store())
+	assert.Assert(t, p.Pick().IsStore())
 }
 
 // A router that nobody else is known to watches for itself.
 func TestAloneItWatches(t *testing.T) {
 	p := newCrowd(0, 0).picker(Router{Address: "r", Domain: "d"})
-	assert.Assert(t, p.Pick().Store())
-	p.Failed(Source{})
-	assert.Assert(t, p.Pick().Store())
-	assert.Equal(t, p.Watchers(), 1)
+	assert.Assert(t, p.Pick().IsStore())
+	p.MarkFailed(Source{})
+	assert.Assert(t, p.Pick().IsStore())
+	assert.Equal(t, p.WatcherCount(), 1)
 }
--- a/internal/coordination/follow/restore_test.go
+++ b/internal/coordination/follow/restore_test.go
@@ -32,7 +32,7 @@
 			case err != nil:
 				fl.CallFailed()
 			default:
-				fl.EraSeen(it.Revision.Era())
+				fl.ObserveEra(it.Revision.Era())
 			}
 		}
 	}()
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -138,21 +138,21 @@
 func (r *Router) followStore() {
 	news := &peers.News{Pool: r.exchange.Pool}
 	r.follower = &follow.Follower{
-		Store:     r.store,
-		Prefix:    "",
-		Sink:      (*routerSink)(r),
-		Clock:     boottime.Now,
-		Picker:    &follow.Picker{Self: r.settings.Router.Peers, Domain: r.settings.FailureDomain, Routers: r.routersHeard, Clock: boottime.Now},
-		Ask:       news.Ask,
-		Replica:   &replica.Replica{},
-		Elsewhere: r.config.LastConfirmed,
-		Resting:   func() bool { return !r.callersCame() && r.elector.Token() == 0 },
+		Store:            r.store,
+		Prefix:           "",
+		Sink:             (*routerSink)(r),
+		Clock:            boottime.Now,
+		Picker:           &follow.Picker{Self: r.settings.Router.Peers, Domain: r.settings.FailureDomain, Routers: r.routersHeard, Clock: boottime.Now},
+		PollPeer:         news.Ask,
+		Replica:          &replica.Replica{},
+		PeersLastContact: r.config.LastConfirmed,
+		Idle:             func() bool { return !r.callersCame() && r.elector.Token() == 0 },
 	}
 	r.store.unanswered = r.follower.CallFailed
 	if store, ok := r.store.Store.(interface{ TellEra(func(era int64)) }); ok {
-		store.TellEra(r.follower.EraSeen)
+		store.TellEra(r.follower.ObserveEra)
 	}
-	news.Tell = r.follower.Tell
+	news.Tell = r.follower.WaitForUpdates
 	news.Register(r.links)
 }
 
@@ -193,8 +193,8 @@
 		Catalog:  r.catalog,
 		Memory:   r.memory,
 		Pipes:    r.pipes,
-		Revision: func() model.Revision { return r.follower.Reported() },
-		PeerAt:   func(revision model.Revision) { r.follower.PeerAt(revision) },
+		Revision: func() model.Revision { return r.follower.AdvertisedRevision() },
+		PeerAt:   func(revision model.Revision) { r.follower.ObservePeerRevision(revision) },
 		Hint:     func(engine model.Incarnation) { r.prober.HandlePeerSuspicion(engine) },
 		Refuses:  r.health.SuspectedElsewhere,
 		Gone:     func(engine model.Incarnation) { r.front.Relay.HandleEngineExit(engine) },
@@ -415,7 +415,7 @@
 		r.memory.Observe(b.Incarnation(), b.Holds)
 	}
 	r.metrics.router(r.front.Active(), r.front.Relay.WaitQueue.Len(), r.backends.Dialed(), r.config.Version())
-	r.metrics.newsSource(r.follower.Watching(), r.follower.Silence())
+	r.metrics.newsSource(r.follower.Watching(), r.follower.SinceLastContact())
 }
 
 // expire drops backend servers whose entries did not come back in time.
--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -18,8 +18,8 @@
 // routerSink hands what the store holds to those who need it.
 type routerSink Router
 
-// NewEra implements follow.Sink.
-func (s *routerSink) NewEra() {
+// HandleStoreRestore implements follow.Sink.
+func (s *routerSink) HandleStoreRestore() {
 	s.elector.NewEra()
 	s.control.NewEra()
 }
@@ -117,8 +117,8 @@
 	}
 }
 
-// Heard implements follow.Sink.
-func (s *routerSink) Heard(at time.Duration) { s.config.Confirm(at) }
+// Synced implements follow.Sink.
+func (s *routerSink) Synced(at time.Duration) { s.config.Confirm(at) }
 
 func (s *routerSink) applyConfig(it outside.Item) {
 	if it.Removed {
--- a/internal/transport/peers/news.go
+++ b/internal/transport/peers/news.go
@@ -37,7 +37,7 @@
 type News struct {
 	Pool *link.Pool
 	// Tell answers a question from this router's picture.
-	Tell func(ctx context.Context, after model.Revision, most time.Duration) (follow.News, error)
+	Tell func(ctx context.Context, after model.Revision, most time.Duration) (follow.Updates, error)
 
 	mu   sync.Mutex
 	last encoded
@@ -55,22 +55,22 @@
 func (n *News) Register(s *link.Server) { s.Register(wire.MethodRouterNews, link.Handle(n.answer)) }
 
 // Ask asks a router for news.
-func (n *News) Ask(ctx context.Context, addr string, after model.Revision, wait time.Duration) (follow.News, error) {
+func (n *News) Ask(ctx context.Context, addr string, after model.Revision, wait time.Duration) (follow.Updates, error) {
 	var rep wire.RouterNews
 	ask := wire.RouterNewsAsk{After: after, WaitMS: wait.Milliseconds()}
 	if err := n.Pool.Call(ctx, addr, wire.MethodRouterNews, ask, &rep); err != nil {
 		n.Pool.Reset(addr)
-		return follow.News{}, err
+		return follow.Updates{}, err
 	}
 	items, err := decodeItems(rep.Items, after, rep.Whole)
 	if err != nil {
-		return follow.News{}, err
+		return follow.Updates{}, err
 	}
-	return follow.News{
-		Answer: replica.Answer{Items: items, Revision: rep.Revision, Whole: rep.Whole},
-		Age:    milliseconds(rep.AgeMS),
-		Held:   milliseconds(rep.HeldMS),
-		Grace:  milliseconds(rep.GraceMS),
+	return follow.Updates{
+		Answer:  replica.Answer{Items: items, Revision: rep.Revision, Whole: rep.Whole},
+		Age:     milliseconds(rep.AgeMS),
+		Elapsed: milliseconds(rep.HeldMS),
+		Grace:   milliseconds(rep.GraceMS),
 	}, nil
 }
 
@@ -88,7 +88,7 @@
 		Revision: news.Revision,
 		Whole:    news.Whole,
 		AgeMS:    roundUp(news.Age),
-		HeldMS:   news.Held.Milliseconds(),
+		HeldMS:   news.Elapsed.Milliseconds(),
 		GraceMS:  news.Grace.Milliseconds(),
 		Items:    items,
 	}, err
--- a/internal/transport/peers/news_test.go
+++ b/internal/transport/peers/news_test.go
@@ -19,12 +19,12 @@
 )
 
 // telling is a router that answers each question with the same news.
-func telling(t *testing.T, news follow.News, err error) (asker *News, addr string) {
+func telling(t *testing.T, news follow.Updates, err error) (asker *News, addr string) {
 	l, lerr := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, lerr)
 	serving, stop := context.WithCancel(context.Background())
 	srv := link.NewServer(stampOf(l.Addr().String()))
-	n := &News{Tell: func(context.Context, model.Revision, time.Duration) (follow.News, error) { return news, err }}
+	n := &News{Tell: func(context.Context, model.Revision, time.Duration) (follow.Updates, error) { return news, err }}
 	n.Register(srv)
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(serving, l) }()
@@ -45,14 +45,14 @@
 	for i := range noise {
 		noise[i] = byte(rand.Uint32())
 	}
-	told := follow.News{
+	told := follow.Updates{
 		Answer: replica.Answer{Revision: 9, Items: []replica.Item{
 			{Item: platform.Item{Key: "servers/a", Value: []byte("entry"), Revision: 5, Lease: 7}},
 			{Item: platform.Item{Key: "servers/b", Revision: 6, Removed: true}},
 			{Item: platform.Item{Key: "op/config", Value: routes, Revision: 7}},
 			{Item: platform.Item{Key: "other", Value: noise, Revision: 8}},
 		}},
-		Age: 1500*time.Millisecond + time.Microsecond, Held: 30 * time.Millisecond, Grace: time.Second,
+		Age: 1500*time.Millisecond + time.Microsecond, Elapsed: 30 * time.Millisecond, Grace: time.Second,
 	}
 	n, addr := telling(t, told, nil)
 	got, err := n.Ask(t.Context(), addr, 4, time.Second)
@@ -66,7 +66,7 @@
 
 // A router that hears from the store through others says so, and is not believed.
 func TestOnlyWatchersAnswer(t *testing.T) {
-	n, addr := telling(t, follow.News{}, follow.ErrNotWatching)
+	n, addr := telling(t, follow.Updates{}, follow.ErrNotWatching)
 	_, err := n.Ask(t.Context(), addr, 4, time.Second)
 	assert.ErrorContains(t, err, follow.ErrNotWatching.Error())
 }
