--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -67,7 +67,7 @@
 // Put takes in a new or changed entry and tells what follows from it. An older
 // revision is passed over: pages of a range read and the watch that follows it
 // overlap.
-func (c *Catalog) Put(b model.BackendServer) News {
+func (c *Catalog) Put(b model.BackendServer) Conflicts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.put(b, 0)
@@ -75,32 +75,32 @@
 
 // put takes in an entry; read numbers the read of the whole list that it came
 // with, 0 for a change. The caller holds the lock.
-func (c *Catalog) put(b model.BackendServer, read int64) News {
+func (c *Catalog) put(b model.BackendServer, read int64) Conflicts {
 	old, ok := c.entries[b.ID]
 	if ok && !old.missing && old.server.Revision > b.Revision {
-		return News{}
+		return Conflicts{}
 	}
 	if ok && outdated(&old.server, &b) {
 		// Of a later write nothing is taken back; what comes next is newer than both.
 		old.server.Revision = b.Revision
 		old.missing = false
-		return News{}
+		return Conflicts{}
 	}
 	switch c.compare(old, &b) {
 	case passOver:
-		return News{}
+		return Conflicts{}
 	case ask:
-		return News{Disputed: []model.BackendServer{b}}
+		return Conflicts{Disputed: []model.BackendServer{b}}
 	case nobodys:
 		c.spoil(old, b.Revision)
-		return News{}
+		return Conflicts{}
 	}
 	c.stale.Store(true)
 	e := &entry{server: b, first: c.sightings.note(&b, read, c.now())}
 	c.entries[b.ID] = e
-	news := News{Ended: c.displaced(e)}
+	news := Conflicts{Exited: c.displaced(e)}
 	if ok && old.server.Born != b.Born {
-		news.Ended = append(news.Ended, old.server)
+		news.Exited = append(news.Exited, old.server)
 	}
 	return news
 }
@@ -165,10 +165,10 @@
 
 // Replace takes in the whole list: what it lacks was removed. malformed are the ids
 // whose entries name no server.
-func (c *Catalog) Replace(all []model.BackendServer, malformed map[string]model.Revision, grace time.Duration) News {
+func (c *Catalog) Replace(all []model.BackendServer, malformed map[string]model.Revision, grace time.Duration) Conflicts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var news News
+	var news Conflicts
 	listed := make(map[string]bool, len(all))
 	c.sightings.reads++
 	for _, b := range all {
--- a/internal/coordination/catalog/catalog_test.go
+++ b/internal/coordination/catalog/catalog_test.go
@@ -115,7 +115,7 @@
 	assert.Assert(t, !h.Suspected(inc("a")))
 	until, _ = h.Suspect(inc("a"))
 	assert.Equal(t, until.Sub(*at), 2*firstSuspicion)
-	h.Clear(inc("a"), *at)
+	h.ClearSuspicion(inc("a"), *at)
 	assert.Assert(t, !h.Suspected(inc("a")))
 	until, _ = h.Suspect(inc("a"))
 	assert.Equal(t, until.Sub(*at), firstSuspicion, "proof of work clears the failure count")
@@ -132,7 +132,7 @@
 	v := h.View(inc("a"))
 	assert.Equal(t, v.Active, 0)
 	assert.Equal(t, v.Latency, 40*time.Millisecond)
-	assert.Assert(t, v.Failures > 0 && v.Failures < failureWeight)
+	assert.Assert(t, v.FailureRate > 0 && v.FailureRate < failureWeight)
 }
 
 // An engine drains while the store is away, so that no entry says so. A stream
@@ -142,11 +142,11 @@
 	h := NewHealth(now)
 	given := *at
 	*at = at.Add(time.Second)
-	h.Refused(inc("a"), at.Add(4*time.Second), true)
+	h.RecordRefusal(inc("a"), at.Add(4*time.Second), true)
 	*at = at.Add(time.Second)
-	h.Clear(inc("a"), given)
+	h.ClearSuspicion(inc("a"), given)
 	assert.Assert(t, h.Suspected(inc("a")))
-	h.Clear(inc("a"), *at)
+	h.ClearSuspicion(inc("a"), *at)
 	assert.Assert(t, !h.Suspected(inc("a")))
 }
 
@@ -160,14 +160,14 @@
 	tried := 0
 	for range 50 {
 		if !h.View(inc("a")).Suspected {
-			h.Try(inc("a"))
+			h.RecordAttempt(inc("a"))
 			tried++
 		}
 	}
 	assert.Equal(t, tried, 1)
-	h.Clear(inc("a"), *at)
+	h.ClearSuspicion(inc("a"), *at)
 	assert.Assert(t, !h.View(inc("a")).Suspected)
-	h.Try(inc("a"))
+	h.RecordAttempt(inc("a"))
 	assert.Assert(t, !h.View(inc("a")).Suspected, "an engine without failures is not rationed")
 }
 
@@ -178,11 +178,11 @@
 	h := NewHealth(now)
 	until := at.Add(time.Second)
 	for range 4 {
-		h.SuspectedElsewhere(inc("a"), until)
+		h.SuspectFromPeer(inc("a"), until)
 		*at = at.Add(250 * time.Millisecond)
 	}
 	assert.Assert(t, !h.Suspected(inc("a")))
-	assert.Equal(t, h.NextSuspicion(inc("a")), 2*firstSuspicion)
+	assert.Equal(t, h.NextSuspicionPeriod(inc("a")), 2*firstSuspicion)
 }
 
 // Three thousand engines register in a bunch. What is known of them is complete
--- a/internal/coordination/catalog/health.go
+++ b/internal/coordination/catalog/health.go
@@ -96,9 +96,9 @@
 	})
 }
 
-// Refused takes in that a backend server refused work of this router and gets
+// RecordRefusal takes in that a backend server refused work of this router and gets
 // none until then. A lasting refusal counts as a failure.
-func (h *Health) Refused(inc model.Incarnation, until time.Time, lasting bool) {
+func (h *Health) RecordRefusal(inc model.Incarnation, until time.Time, lasting bool) {
 	h.with(inc, func(r *record) {
 		r.since = h.now()
 		r.until = until
@@ -110,9 +110,9 @@
 	})
 }
 
-// NextSuspicion is how long the next suspicion lasts: it doubles with each
+// NextSuspicionPeriod is how long the next suspicion lasts: it doubles with each
 // failure.
-func (h *Health) NextSuspicion(inc model.Incarnation) time.Duration {
+func (h *Health) NextSuspicionPeriod(inc model.Incarnation) time.Duration {
 	d := firstSuspicion
 	h.with(inc, func(r *record) { d = r.nextSuspicion() })
 	return d
@@ -122,9 +122,9 @@
 	return min(firstSuspicion<<min(r.failureCount, 6), longestSuspicion)
 }
 
-// SuspectedElsewhere takes in that another router's work was refused, and until
+// SuspectFromPeer takes in that another router's work was refused, and until
 // when nobody should send more. It counts as a failure here as well.
-func (h *Health) SuspectedElsewhere(inc model.Incarnation, until time.Time) {
+func (h *Health) SuspectFromPeer(inc model.Incarnation, until time.Time) {
 	now := h.now()
 	h.with(inc, func(r *record) {
 		if !until.After(r.until.Add(sameWord)) {
@@ -139,9 +139,9 @@
 	})
 }
 
-// Try takes in that a backend server is given work. One whose suspicion ran out
+// RecordAttempt takes in that a backend server is given work. One whose suspicion ran out
 // is not tried again for a moment.
-func (h *Health) Try(inc model.Incarnation) {
+func (h *Health) RecordAttempt(inc model.Incarnation) {
 	r, ok := h.records.Get(inc)
 	if !ok {
 		return
@@ -153,9 +153,9 @@
 	}
 }
 
-// Clear takes in proof that a backend server did work that it was given at some
+// ClearSuspicion takes in proof that a backend server did work that it was given at some
 // time. Work from before a suspicion proves nothing against it.
-func (h *Health) Clear(inc model.Incarnation, given time.Time) {
+func (h *Health) ClearSuspicion(inc model.Incarnation, given time.Time) {
 	h.with(inc, func(r *record) {
 		if given.Before(r.since) {
 			return
@@ -167,13 +167,13 @@
 	})
 }
 
-// Trust takes in that a backend server answered what it was asked at some time, and
+// RecordProbeSuccess takes in that a backend server answered what it was asked at some time, and
 // tells whether that counts. Its failure count stays until it has done work: one that answers
 // and does nothing would else be tried again every second. A refusal of work stays its
 // time: an engine that drains answers. An answer that was asked for before the
 // suspicion was last raised or confirmed says nothing against it; requests would go
 // where one has just been lost or refused.
-func (h *Health) Trust(inc model.Incarnation, asked time.Time) (counts bool) {
+func (h *Health) RecordProbeSuccess(inc model.Incarnation, asked time.Time) (counts bool) {
 	h.with(inc, func(r *record) {
 		if asked.Before(r.since) {
 			return
@@ -220,12 +220,12 @@
 	})
 }
 
-// Quit ends a request that tells nothing of its server: its caller left.
-func (h *Health) Quit(inc model.Incarnation) { h.with(inc, func(r *record) { r.active-- }) }
+// Cancel ends a request that tells nothing of its server: its caller left.
+func (h *Health) Cancel(inc model.Incarnation) { h.with(inc, func(r *record) { r.active-- }) }
 
-// Outcome takes in whether a backend server did work that is not bracketed by
+// RecordOutcome takes in whether a backend server did work that is not bracketed by
 // Begin and End.
-func (h *Health) Outcome(inc model.Incarnation, ok bool) {
+func (h *Health) RecordOutcome(inc model.Incarnation, ok bool) {
 	h.with(inc, func(r *record) { r.judge(h.now(), ok) })
 }
 
@@ -256,10 +256,10 @@
 
 // View is the evidence about one backend server.
 type View struct {
-	Suspected bool
-	Failures  float64
-	Latency   time.Duration
-	Active    int
+	Suspected   bool
+	FailureRate float64
+	Latency     time.Duration
+	Active      int
 }
 
 // View reads the evidence about one backend server.
@@ -267,7 +267,7 @@
 	var v View
 	now := h.now()
 	h.with(inc, func(r *record) {
-		v = View{Suspected: r.suspected(now), Failures: r.failureShare(now), Latency: r.latency, Active: r.active}
+		v = View{Suspected: r.suspected(now), FailureRate: r.failureShare(now), Latency: r.latency, Active: r.active}
 	})
 	return v
 }
--- a/internal/coordination/catalog/incarnation.go
+++ b/internal/coordination/catalog/incarnation.go
@@ -12,18 +12,18 @@
 // older one is told by which was heard of first; the start that they name is the
 // word of clocks that jump.
 
-// News is what follows from an entry beside the entry itself.
-type News struct {
-	// Ended are incarnations whose process has surely ended, as another one has
+// Conflicts is what follows from an entry beside the entry itself.
+type Conflicts struct {
+	// Exited are incarnations whose process has surely ended, as another one has
 	// their id or address.
-	Ended []model.BackendServer
+	Exited []model.BackendServer
 	// Disputed are incarnations that claim the id of one that is believed in, and
 	// may be older; the server at their address can tell.
 	Disputed []model.BackendServer
 }
 
-func (n *News) add(o News) {
-	n.Ended = append(n.Ended, o.Ended...)
+func (n *Conflicts) add(o Conflicts) {
+	n.Exited = append(n.Exited, o.Exited...)
 	n.Disputed = append(n.Disputed, o.Disputed...)
 }
 
@@ -61,15 +61,15 @@
 	return accept
 }
 
-// Confirm takes in which incarnation answers at a server's address, as it said
+// ResolveIncarnation takes in which incarnation answers at a server's address, as it said
 // itself. holds are the layers that it has. A word that was asked for while
 // another incarnation was believed in is too old to tell.
-func (c *Catalog) Confirm(asked model.Incarnation, born int64, holds model.LayerRange) News {
+func (c *Catalog) ResolveIncarnation(asked model.Incarnation, born int64, holds model.LayerRange) Conflicts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e, ok := c.entries[asked.ID]
 	if !ok || born == 0 || e.server.Born != asked.Born || e.server.Born == born {
-		return News{}
+		return Conflicts{}
 	}
 	b := e.server
 	b.Born = born
@@ -79,7 +79,7 @@
 	next.first = c.sightings.renew(b.Incarnation(), c.now())
 	c.entries[b.ID] = &next
 	c.stale.Store(true)
-	return News{Ended: []model.BackendServer{e.server}}
+	return Conflicts{Exited: []model.BackendServer{e.server}}
 }
 
 // displaced tells which older incarnation had a new entry's address.
@@ -194,8 +194,8 @@
 	return seen
 }
 
-// Forget drops what is remembered of incarnations that ended long ago.
-func (c *Catalog) Forget() {
+// PruneExited drops what is remembered of incarnations that ended long ago.
+func (c *Catalog) PruneExited() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
--- a/internal/coordination/catalog/incarnation_test.go
+++ b/internal/coordination/catalog/incarnation_test.go
@@ -29,7 +29,7 @@
 	c.Put(before)
 	h.Suspect(before.Incarnation())
 	news := c.Put(after)
-	assert.DeepEqual(t, news.Ended, []model.BackendServer{before})
+	assert.DeepEqual(t, news.Exited, []model.BackendServer{before})
 	assert.Assert(t, c.Load().Find(before.Incarnation()) == nil)
 	assert.Equal(t, c.Load().Find(after.Incarnation()).Holds.Len(), 0)
 	assert.Assert(t, !h.Suspected(after.Incarnation()))
@@ -41,11 +41,11 @@
 	_, now := clock()
 	c := New(now)
 	c.Put(start(100, 1, 9))
-	news := c.Confirm(model.Incarnation{ID: "a", Born: 100}, 200, model.LayerRange{})
-	assert.Equal(t, news.Ended[0].Born, int64(100))
+	news := c.ResolveIncarnation(model.Incarnation{ID: "a", Born: 100}, 200, model.LayerRange{})
+	assert.Equal(t, news.Exited[0].Born, int64(100))
 	assert.Equal(t, c.Load().ByID("a").Holds.Len(), 0)
 	news = c.Put(start(300, 2, 0))
-	assert.Equal(t, news.Ended[0].Born, int64(200))
+	assert.Equal(t, news.Exited[0].Born, int64(200))
 	assert.Equal(t, c.Load().ByID("a").Born, int64(300))
 }
 
@@ -58,7 +58,7 @@
 	c.Put(start(100, 1, 9))
 	c.Put(start(200, 2, 0))
 	news := c.Put(start(100, 3, 9))
-	assert.Equal(t, len(news.Ended)+len(news.Disputed), 0)
+	assert.Equal(t, len(news.Exited)+len(news.Disputed), 0)
 	assert.Equal(t, c.Load().ByID("a").Born, int64(200))
 	c.Remove("a", 4, 0)
 	c.Put(start(100, 5, 9))
@@ -76,8 +76,8 @@
 	asked := c.Load().ByID("a").Incarnation()
 	c.Put(start(200, 2, 0))
 	c.SetHolds(asked, model.LayerRange{To: 9})
-	news := c.Confirm(asked, 100, model.LayerRange{To: 9})
-	assert.Equal(t, len(news.Ended), 0)
+	news := c.ResolveIncarnation(asked, 100, model.LayerRange{To: 9})
+	assert.Equal(t, len(news.Exited), 0)
 	assert.Equal(t, c.Load().ByID("a").Born, int64(200))
 	assert.Equal(t, c.Load().ByID("a").Holds.Len(), 0)
 }
@@ -97,7 +97,7 @@
 			news := cat.Put(start(100, 2, 0))
 			assert.Equal(t, len(news.Disputed), 1)
 			assert.Equal(t, cat.Load().ByID("a").Born, int64(200), "until the engine is asked")
-			cat.Confirm(model.Incarnation{ID: "a", Born: 200}, c.answers, model.LayerRange{})
+			cat.ResolveIncarnation(model.Incarnation{ID: "a", Born: 200}, c.answers, model.LayerRange{})
 			assert.Equal(t, cat.Load().ByID("a").Born, c.stays)
 			cat.Put(start(c.answers, 3, 0))
 			assert.Equal(t, cat.Load().ByID("a").Born, c.stays, "and its next entry is taken in")
@@ -113,8 +113,8 @@
 	_, now := clock()
 	c := New(now)
 	c.Put(start(100, 1, 9))
-	assert.Equal(t, len(c.Put(start(100, 3, 9)).Ended), 0)
-	assert.Equal(t, len(c.Put(start(200, 5, 0)).Ended), 1)
+	assert.Equal(t, len(c.Put(start(100, 3, 9)).Exited), 0)
+	assert.Equal(t, len(c.Put(start(200, 5, 0)).Exited), 1)
 }
 
 // A cut heals: the engine crashed behind it and came back under another id at its
@@ -129,7 +129,7 @@
 	c.Put(young)
 	old.Revision = 6
 	news := c.Put(old)
-	assert.Equal(t, len(news.Ended), 0)
+	assert.Equal(t, len(news.Exited), 0)
 	assert.Equal(t, len(c.Load().Service("s")), 1)
 	assert.Equal(t, c.Load().Service("s")[0].ID, "new")
 	assert.Assert(t, c.Load().ByID("old") == nil)
@@ -145,8 +145,8 @@
 	c.Put(server("old", "1:1", 1))
 	c.Put(server("other", "2:1", 2))
 	news := c.Put(server("new", "1:1", 3))
-	assert.Equal(t, len(news.Ended), 1)
-	assert.Equal(t, news.Ended[0].ID, "old")
+	assert.Equal(t, len(news.Exited), 1)
+	assert.Equal(t, news.Exited[0].ID, "old")
 }
 
 // A router that starts reads both entries of one address at once. Their revisions
@@ -190,7 +190,7 @@
 	c := New(now)
 	c.Put(start(100, 1, 9))
 	news := c.Put(start(0, 2, 9))
-	assert.Equal(t, len(news.Ended), 0)
+	assert.Equal(t, len(news.Exited), 0)
 	assert.Equal(t, len(c.Load().Service("s")), 0)
 	c.Put(start(100, 3, 9))
 	assert.Equal(t, len(c.Load().Service("s")), 1)
@@ -212,7 +212,7 @@
 			} else if born := rapid.Int64Range(1, newest).Draw(rt, "late"); c.sightings.first[model.Incarnation{ID: "a", Born: born}].revision > 0 {
 				c.Put(start(born, revision, 9))
 			}
-			c.Forget()
+			c.PruneExited()
 			assert.Equal(rt, c.Load().ByID("a").Born, newest)
 		}
 	})
@@ -230,7 +230,7 @@
 	}
 	c.Remove("a", 101, 0)
 	*at = at.Add(2 * rememberFor)
-	c.Forget()
+	c.PruneExited()
 	h.Retain(func(inc model.Incarnation) bool { return c.Load().Find(inc) != nil })
 	assert.Equal(t, len(c.sightings.first)+len(c.sightings.last)+len(c.sightings.newest)+len(c.newest), 0)
 	assert.Equal(t, h.records.Len(), 0)
--- a/internal/coordination/chains/chains.go
+++ b/internal/coordination/chains/chains.go
@@ -65,8 +65,8 @@
 	FirstStageIn map[model.Incarnation]bool
 	// ExcludeFirstStage names further engines that the chain must not begin with, and BeginCost is
 	// what it costs a token to begin at an engine with so many streams; nil for none.
-	ExcludeFirstStage  func(engine *model.BackendServer) bool
-	FirstStageCost func(engine model.Incarnation, streams float64) time.Duration
+	ExcludeFirstStage func(engine *model.BackendServer) bool
+	FirstStageCost    func(engine model.Incarnation, streams float64) time.Duration
 }
 
 // Result says why there is no chain.
@@ -83,10 +83,10 @@
 
 // Chooser chooses chains.
 type Chooser struct {
-	Catalog *catalog.Catalog
-	Health  *catalog.Health
-	Usage  *UsageTracker
-	Interconnect   *Interconnect
+	Catalog      *catalog.Catalog
+	Health       *catalog.Health
+	Usage        *UsageTracker
+	Interconnect *Interconnect
 	// RouterCount counts the routers that share the pipes.
 	RouterCount func() int
 	// Self names this router; routers look at different engines where there are
@@ -194,7 +194,7 @@
 		per := perLayer(spec, card, used, c.Usage.Slowdown(inc))
 		fill := math.Min(used.TokenLayers/math.Max(capacity*fillLimit, 1), mostFill)
 		per *= 1 / (1 - fill)
-		doubt := doubtTime.Seconds() * math.Max(view.Failures-doubtFree, 0)
+		doubt := doubtTime.Seconds() * math.Max(view.FailureRate-doubtFree, 0)
 		if d.FirstStageCost != nil {
 			doubt += d.FirstStageCost(inc, used.FirstStageStreams).Seconds()
 		}
--- a/internal/coordination/chains/chains_test.go
+++ b/internal/coordination/chains/chains_test.go
@@ -510,15 +510,15 @@
 	assert.Equal(t, first(), "grey", "it costs least")
 	failures := 0
 	for ; first() == "grey" && failures < 50; failures++ {
-		w.health.Outcome(inc("grey"), false)
-		w.health.Outcome(inc("grey"), true)
+		w.health.RecordOutcome(inc("grey"), false)
+		w.health.RecordOutcome(inc("grey"), true)
 	}
 	assert.Assert(t, failures <= 12, "%d failures", failures)
 	w.now = w.now.Add(time.Minute)
 	assert.Equal(t, first(), "grey")
-	w.health.Outcome(inc("a2"), false)
-	w.health.Outcome(inc("a2"), false)
-	w.health.Outcome(inc("a2"), false)
+	w.health.RecordOutcome(inc("a2"), false)
+	w.health.RecordOutcome(inc("a2"), false)
+	w.health.RecordOutcome(inc("a2"), false)
 	parts, _ := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
 	assert.Equal(t, parts[len(parts)-1].Server.ID, "a2", "as a later part it fails nobody")
 }
--- a/internal/coordination/chains/cost.go
+++ b/internal/coordination/chains/cost.go
@@ -84,7 +84,7 @@
 // RecordStart takes in that a prompt goes through a chosen chain.
 func (c *Chooser) RecordStart(spec *model.EngineSpec, parts []Stage, tokens int) {
 	for _, p := range parts {
-		c.Health.Try(p.Server.Incarnation())
+		c.Health.RecordAttempt(p.Server.Incarnation())
 	}
 	c.read(spec, parts, tokens)
 	c.crossed(spec, parts, tokens)
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -196,7 +196,7 @@
 		Revision: func() model.Revision { return r.follower.AdvertisedRevision() },
 		PeerAt:   func(revision model.Revision) { r.follower.ObservePeerRevision(revision) },
 		Hint:     func(engine model.Incarnation) { r.prober.HandlePeerSuspicion(engine) },
-		Refuses:  r.health.SuspectedElsewhere,
+		Refuses:  r.health.SuspectFromPeer,
 		Gone:     func(engine model.Incarnation) { r.front.Relay.HandleEngineExit(engine) },
 		Clock:    boottime.Now,
 		Now:      time.Now,
@@ -406,7 +406,7 @@
 	r.suspects.Tracker.Expire()
 	r.metrics.quarantine(r.suspects.Tracker.Counts())
 	r.memory.ExpirePeers()
-	r.catalog.Forget()
+	r.catalog.PruneExited()
 	known := r.catalog.Load()
 	stands := func(inc model.Incarnation) bool { return known.Find(inc) != nil }
 	r.health.Retain(stands)
--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -89,8 +89,8 @@
 }
 
 // follow carries out what follows from entries.
-func (s *routerSink) follow(news catalog.News) {
-	s.front.Relay.HandleExits(news.Ended, "its successor's entry")
+func (s *routerSink) follow(news catalog.Conflicts) {
+	s.front.Relay.HandleExits(news.Exited, "its successor's entry")
 	for _, claim := range news.Disputed {
 		go s.front.Relay.VerifyIncarnation(claim)
 	}
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -95,7 +95,7 @@
 			if q.avoid[b.Incarnation()] || q.barred.bars(b) || view.Suspected && !allowSuspects {
 				continue
 			}
-			cost := (1 + float64(view.Active)) * (0.01 + view.Latency.Seconds()) * (1 + 8*view.Failures)
+			cost := (1 + float64(view.Active)) * (0.01 + view.Latency.Seconds()) * (1 + 8*view.FailureRate)
 			if b.FailureDomain != q.FailureDomain {
 				cost += 0.001
 			}
@@ -145,7 +145,7 @@
 	returns := false
 	defer func() {
 		if !returns {
-			q.Health.Quit(b.Incarnation())
+			q.Health.Cancel(b.Incarnation())
 		}
 	}()
 	ans, err := q.BackendClient.Do(run, b.Address, q.outbound(platform.Send{Instance: b.ID}))
@@ -208,7 +208,7 @@
 	}
 	klog.InfoS("answer lost", "request", q.call.Attempt, "work", q.work(), "why", why, "sent", sent, "server", b.Incarnation(), "err", err, "ms", took.Milliseconds())
 	if !why.blames(took) {
-		q.Health.Quit(b.Incarnation())
+		q.Health.Cancel(b.Incarnation())
 		return
 	}
 	q.Health.End(b.Incarnation(), false, 0)
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -146,7 +146,7 @@
 	q.runs++
 	s.ranOn[first.Incarnation()] = true
 	if ans.Status != http.StatusOK || v.Signature == "" {
-		s.Health.Outcome(first.Incarnation(), false)
+		s.Health.RecordOutcome(first.Incarnation(), false)
 		read, err := s.readWhole(ans)
 		result = survivedIf(run, err)
 		return s.failed(ans, read, err)
@@ -259,9 +259,9 @@
 // sent: an engine that drains finishes what it has and takes nothing new.
 func (s *stream) succeed(parts []chains.Stage, sent time.Time) {
 	for _, p := range parts {
-		s.Health.Clear(p.Server.Incarnation(), sent)
+		s.Health.ClearSuspicion(p.Server.Incarnation(), sent)
 	}
-	s.Health.Outcome(parts[0].Server.Incarnation(), true)
+	s.Health.RecordOutcome(parts[0].Server.Incarnation(), true)
 }
 
 // refused takes in which engine would not run its part.
--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -108,10 +108,10 @@
 	case !well:
 		pause = leavingPause
 	case !full:
-		pause = p.Health.NextSuspicion(b.Incarnation())
+		pause = p.Health.NextSuspicionPeriod(b.Incarnation())
 	}
 	until := p.Now().Add(pause)
-	p.Health.Refused(b.Incarnation(), until, !full)
+	p.Health.RecordRefusal(b.Incarnation(), until, !full)
 	p.AnnounceRefusal(b.Incarnation(), until)
 	klog.InfoS("engine refuses", "request", request, "server", b.Incarnation(), "address", b.Address, "status", status, "full", full, "well", well, "err", err,
 		"usedTokenLayers", report.UsedTokenLayers, "totalTokenLayers", report.TotalTokenLayers, "queued", report.Queued, "until", until)
@@ -216,7 +216,7 @@
 		delete(p.suspects, b.Incarnation())
 		p.answered[b.Incarnation()] = p.Now()
 		p.mu.Unlock()
-		trusted := p.Health.Trust(b.Incarnation(), asked)
+		trusted := p.Health.RecordProbeSuccess(b.Incarnation(), asked)
 		klog.InfoS("suspected engine answers", "server", b.Incarnation(), "after", p.Now().Sub(s.since), "trusted", trusted)
 		return
 	}
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -69,9 +69,9 @@
 	if b.Born == 0 || report.Born == 0 || report.Born == b.Born {
 		return nil
 	}
-	news := r.Catalog.Confirm(b.Incarnation(), report.Born, report.Holds)
-	klog.InfoS("engine's report is of another start", "server", b.Incarnation(), "address", b.Address, "born", report.Born, "news", len(news.Ended) > 0)
-	r.HandleExits(news.Ended, "its report")
+	news := r.Catalog.ResolveIncarnation(b.Incarnation(), report.Born, report.Holds)
+	klog.InfoS("engine's report is of another start", "server", b.Incarnation(), "address", b.Address, "born", report.Born, "news", len(news.Exited) > 0)
+	r.HandleExits(news.Exited, "its report")
 	return errors.Wrapf(errRestarted, "at %d ms instead of %d", report.Born, b.Born)
 }
 
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -137,7 +137,7 @@
 	for _, id := range []string{"one", "two"} {
 		view := s.Health.View(inc(id))
 		assert.Check(t, !view.Suspected, "%s is suspected", id)
-		assert.Check(t, view.Failures == 0, "%s is charged with a failure", id)
+		assert.Check(t, view.FailureRate == 0, "%s is charged with a failure", id)
 		assert.Check(t, view.Active == 0, "%s has work", id)
 	}
 	assert.Check(t, len(s.prober.due()) == 0, "a probe is due")
