--- a/internal/coordination/limits/limits.go
+++ b/internal/coordination/limits/limits.go
@@ -12,10 +12,10 @@
 	"github.com/skylarkwood/skylarkwood/internal/state/shard"
 )
 
-// Rates holds a customer's share of its rate at this entry. The balancer
+// RateLimiter holds a customer's share of its rate at this entry. The balancer
 // spreads callers evenly, so each of n entries grants an nth of the rate; a
 // central counter would cost a call for every request.
-type Rates struct {
+type RateLimiter struct {
 	entries  func() int
 	limiters *shard.Map[string, *share]
 }
@@ -27,15 +27,15 @@
 	limiter *rate.Limiter
 }
 
-// NewRates makes the shares of one entry; entries tells how many share.
-func NewRates(entries func() int) *Rates {
-	return &Rates{entries: entries, limiters: shard.New[string, *share]()}
+// NewRateLimiter makes the shares of one entry; entries tells how many share.
+func NewRateLimiter(entries func() int) *RateLimiter {
+	return &RateLimiter{entries: entries, limiters: shard.New[string, *share]()}
 }
 
 // Allow takes one request of a customer's rate (requests a second over all
 // entries, 0 for none) and burst. Where it is refused, the time after which
 // the share has room again is given.
-func (r *Rates) Allow(customer, service string, perSecond float64, burst int, now time.Time) (bool, time.Duration) {
+func (r *RateLimiter) Allow(customer, service string, perSecond float64, burst int, now time.Time) (bool, time.Duration) {
 	if perSecond <= 0 {
 		return true, 0
 	}
@@ -88,15 +88,15 @@
 	return &RetryBudget{tokens: retryReserve}
 }
 
-// Request adds a request's share.
-func (b *RetryBudget) Request() {
+// RecordRequest adds a request's share.
+func (b *RetryBudget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+retryShare, retryReserve)
 }
 
-// Retry takes one retry from the budget, if there is one.
-func (b *RetryBudget) Retry() bool {
+// Take takes one retry from the budget, if there is one.
+func (b *RetryBudget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/internal/coordination/limits/limits_test.go
+++ b/internal/coordination/limits/limits_test.go
@@ -14,13 +14,13 @@
 func TestPaceFindsTheKnee(t *testing.T) {
 	const batch, floor = 16, 20 * time.Millisecond
 	now := time.Unix(0, 0)
-	p := NewPace(batch, 1024, floor, func() time.Time { return now })
+	p := NewConcurrencyLimiter(batch, 1024, floor, func() time.Time { return now })
 	active := 0
 	for i := 0; i < 20000; i++ {
 		active = p.Limit() // demand fills whatever is allowed
 		queued := max(1, float64(active)/batch)
 		now = now.Add(5 * time.Millisecond)
-		p.Step(time.Duration(queued*float64(floor)), active)
+		p.RecordStep(time.Duration(queued*float64(floor)), active)
 	}
 	assert.Assert(t, active >= batch && active <= 4*batch, "limit %d", active)
 }
@@ -31,10 +31,10 @@
 		now := time.Unix(0, 0)
 		least := rapid.IntRange(1, 32).Draw(rt, "least")
 		most := rapid.IntRange(1, 64).Draw(rt, "most")
-		p := NewPace(least, most, time.Millisecond, func() time.Time { return now })
+		p := NewConcurrencyLimiter(least, most, time.Millisecond, func() time.Time { return now })
 		for n := rapid.IntRange(0, 200).Draw(rt, "steps"); n > 0; n-- {
 			now = now.Add(adjustEvery)
-			p.Step(time.Duration(rapid.IntRange(0, 100).Draw(rt, "ms"))*time.Millisecond, rapid.IntRange(0, 64).Draw(rt, "active"))
+			p.RecordStep(time.Duration(rapid.IntRange(0, 100).Draw(rt, "ms"))*time.Millisecond, rapid.IntRange(0, 64).Draw(rt, "active"))
 			assert.Assert(rt, p.Limit() >= min(least, most) && p.Limit() <= most)
 		}
 	})
@@ -47,7 +47,7 @@
 	now := time.Unix(0, 0)
 	allowed := 0
 	for e := 0; e < entries; e++ {
-		r := NewRates(func() int { return entries })
+		r := NewRateLimiter(func() int { return entries })
 		at := now
 		for i := 0; i < 1000*seconds; i++ {
 			at = at.Add(time.Millisecond)
@@ -69,8 +69,8 @@
 	const requests = 1000
 	retries := 0
 	for i := 0; i < requests; i++ {
-		b.Request()
-		for b.Retry() {
+		b.RecordRequest()
+		for b.Take() {
 			retries++
 		}
 	}
--- a/internal/coordination/limits/loans.go
+++ b/internal/coordination/limits/loans.go
@@ -27,16 +27,16 @@
 	loanPause = 250 * time.Millisecond
 )
 
-// Loans lets a router whose part of the shared budget is used up borrow from
+// RetryBorrower lets a router whose part of the shared budget is used up borrow from
 // peers that have spares. An engine's loss hits the routers of one failure
 // domain; their own parts are used up at once while the others' lie idle, and
 // streams that could go on are broken off. What is lent counts as spent at the
 // lender, so the sum over all routers holds whoever is cut off from whom.
-type Loans struct {
-	Budget *SharedRetries
-	// Ask asks a peer to lend; it gives how many it lent.
-	Ask func(ctx context.Context, peer, service string, want int) (int, error)
-	Now func() time.Time
+type RetryBorrower struct {
+	Budget *SharedRetryBudget
+	// Borrow asks a peer to lend; it gives how many it lent.
+	Borrow func(ctx context.Context, peer, service string, want int) (int, error)
+	Now    func() time.Time
 
 	mu       sync.Mutex
 	services map[string]*account
@@ -56,8 +56,8 @@
 	until time.Time // believed so long
 }
 
-// SeenSpares takes in what a peer could lend, and how long that is believed.
-func (l *Loans) SeenSpares(peer string, spares map[string]int, good time.Duration) {
+// SetPeerTokens takes in what a peer could lend, and how long that is believed.
+func (l *RetryBorrower) SetPeerTokens(peer string, spares map[string]int, good time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	until := l.Now().Add(good)
@@ -66,7 +66,7 @@
 	}
 }
 
-func (l *Loans) account(service string) *account {
+func (l *RetryBorrower) account(service string) *account {
 	if l.services == nil {
 		l.services = map[string]*account{}
 	}
@@ -81,7 +81,7 @@
 // Take takes one repeated send from the router's own part, or borrows it. Nothing is
 // taken after the end of ctx: the budget would be spent on a caller that left, and
 // miss where streams are interrupted.
-func (l *Loans) Take(ctx context.Context, service string) bool {
+func (l *RetryBorrower) Take(ctx context.Context, service string) bool {
 	for ctx.Err() == nil {
 		if l.Budget.Take(service) {
 			return true
@@ -103,7 +103,7 @@
 
 // borrowed takes one of the borrowed sends. Where none is left it gives what to
 // wait for before another try, nil if there is nothing to wait for.
-func (l *Loans) borrowed(service string) (wait <-chan struct{}, ok bool) {
+func (l *RetryBorrower) borrowed(service string) (wait <-chan struct{}, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Now()
@@ -124,7 +124,7 @@
 }
 
 // borrow asks the peers that told of most spares.
-func (l *Loans) borrow(service string, a *account) {
+func (l *RetryBorrower) borrow(service string, a *account) {
 	got := 0
 	var asked time.Time
 	for try := 0; try < loanTries && got == 0; try++ {
@@ -134,7 +134,7 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), loanWait)
 		asked = l.Now()
-		n, err := l.Ask(ctx, peer, service, loanSize)
+		n, err := l.Borrow(ctx, peer, service, loanSize)
 		cancel()
 		klog.InfoS("repeated sends borrowed", "service", service, "peer", peer, "lent", n, "err", err)
 		got = n
@@ -152,7 +152,7 @@
 }
 
 // richest chooses the peer to ask and counts the loan off what it told.
-func (l *Loans) richest(a *account) string {
+func (l *RetryBorrower) richest(a *account) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Now()
--- a/internal/coordination/limits/loans_test.go
+++ b/internal/coordination/limits/loans_test.go
@@ -13,16 +13,16 @@
 
 // borrowers is a fleet of routers that share a budget and lend to each other.
 type borrowers struct {
-	budgets map[string]*SharedRetries
-	loans   map[string]*Loans
+	budgets map[string]*SharedRetryBudget
+	loans   map[string]*RetryBorrower
 	cut     map[string]bool // peers that do not answer
 }
 
 func newBorrowers(ratio, slack float64, names ...string) *borrowers {
-	f := &borrowers{budgets: map[string]*SharedRetries{}, loans: map[string]*Loans{}, cut: map[string]bool{}}
+	f := &borrowers{budgets: map[string]*SharedRetryBudget{}, loans: map[string]*RetryBorrower{}, cut: map[string]bool{}}
 	for _, name := range names {
-		f.budgets[name] = NewSharedRetries(ratio, slack, 10*time.Second, func() int { return len(names) }, time.Now)
-		f.loans[name] = &Loans{Budget: f.budgets[name], Ask: f.ask, Now: time.Now}
+		f.budgets[name] = NewSharedRetryBudget(ratio, slack, 10*time.Second, func() int { return len(names) }, time.Now)
+		f.loans[name] = &RetryBorrower{Budget: f.budgets[name], Borrow: f.ask, Now: time.Now}
 	}
 	return f
 }
@@ -41,7 +41,7 @@
 	for from, b := range f.budgets {
 		for to, l := range f.loans {
 			if to != from {
-				l.SeenSpares(from, b.Spares(), 2*time.Second)
+				l.SetPeerTokens(from, b.SpareTokens(), 2*time.Second)
 			}
 		}
 	}
@@ -59,7 +59,7 @@
 		time.Sleep(10 * time.Second)
 		for _, b := range f.budgets {
 			for range perRouter {
-				b.Request("s")
+				b.RecordRequest("s")
 			}
 		}
 		f.tell()
@@ -89,10 +89,10 @@
 		f := newBorrowers(0.2, 300, "a", "b", "c")
 		time.Sleep(10 * time.Second)
 		for range 50 {
-			f.budgets["b"].Request("s")
+			f.budgets["b"].RecordRequest("s")
 		}
 		for range 10 {
-			f.budgets["c"].Request("s")
+			f.budgets["c"].RecordRequest("s")
 		}
 		for f.budgets["a"].Take("s") {
 		}
@@ -121,7 +121,7 @@
 		time.Sleep(10 * time.Second)
 		for f.budgets["a"].Take("s") {
 		}
-		f.budgets["b"].Request("s")
+		f.budgets["b"].RecordRequest("s")
 		f.tell()
 		assert.Assert(t, f.loans["a"].Take(context.Background(), "s"))
 		time.Sleep(loanLasts)
@@ -136,15 +136,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		const slack = 200
 		spent := 0
-		drain := func(b *SharedRetries) {
+		drain := func(b *SharedRetryBudget) {
 			for b.Take("s") {
 				spent++
 			}
 		}
-		old := NewSharedRetries(0.2, slack, 10*time.Second, func() int { return 1 }, time.Now)
+		old := NewSharedRetryBudget(0.2, slack, 10*time.Second, func() int { return 1 }, time.Now)
 		time.Sleep(10 * time.Second)
 		drain(old)
-		restarted := NewSharedRetries(0.2, slack, 10*time.Second, func() int { return 1 }, time.Now)
+		restarted := NewSharedRetryBudget(0.2, slack, 10*time.Second, func() int { return 1 }, time.Now)
 		drain(restarted)
 		assert.Assert(t, spent <= slack, "%d of %d", spent, slack)
 	})
@@ -157,15 +157,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newBorrowers(0, 20, "a", "b")
 		time.Sleep(10 * time.Second)
-		f.budgets["a"].Request("s")
-		before := f.budgets["a"].Spares()
+		f.budgets["a"].RecordRequest("s")
+		before := f.budgets["a"].SpareTokens()
 		assert.Assert(t, before["s"] > 0)
 		ctx, leave := context.WithCancel(context.Background())
 		leave()
 		for range 5 {
 			assert.Assert(t, !f.loans["a"].Take(ctx, "s"))
 		}
-		assert.DeepEqual(t, f.budgets["a"].Spares(), before)
+		assert.DeepEqual(t, f.budgets["a"].SpareTokens(), before)
 		assert.Assert(t, f.loans["a"].Take(context.Background(), "s"))
 	})
 }
@@ -180,7 +180,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newBorrowers(0.2, 300, "a", "b")
 			a := f.loans["a"]
-			a.Ask = func(_ context.Context, peer, service string, want int) (int, error) {
+			a.Borrow = func(_ context.Context, peer, service string, want int) (int, error) {
 				lent := f.budgets[peer].Lend(service, want)
 				time.Sleep(answerTime)
 				return lent, nil
@@ -188,13 +188,13 @@
 			time.Sleep(10 * time.Second)
 			for f.budgets["a"].Take("s") {
 			}
-			f.budgets["b"].Request("s")
+			f.budgets["b"].RecordRequest("s")
 			f.tell()
 			asked := time.Now()
 			assert.Assert(t, a.Take(context.Background(), "s"))
 			assert.Equal(t, time.Since(asked), answerTime)
 			time.Sleep(used - answerTime)
-			a.Ask = func(context.Context, string, string, int) (int, error) { return 0, nil }
+			a.Borrow = func(context.Context, string, string, int) (int, error) { return 0, nil }
 			assert.Equal(t, a.Take(context.Background(), "s"), granted, "%v after the question", used)
 		})
 	}
--- a/internal/coordination/limits/pace.go
+++ b/internal/coordination/limits/pace.go
@@ -20,9 +20,9 @@
 	shrink = 0.93
 )
 
-// Pace finds how many sessions an engine serves well, from how long its steps
+// ConcurrencyLimiter finds how many sessions an engine serves well, from how long its steps
 // take. The engine's load reports lag; its steps do not.
-type Pace struct {
+type ConcurrencyLimiter struct {
 	now   func() time.Time
 	floor time.Duration // a step's time unloaded; 0 until known
 	least float64
@@ -34,11 +34,11 @@
 	moved    time.Time
 }
 
-// NewPace starts at least sessions, enough to fill the engine's batches, and
+// NewConcurrencyLimiter starts at least sessions, enough to fill the engine's batches, and
 // never goes beyond most. floor is a step's time unloaded.
-func NewPace(least, most int, floor time.Duration, now func() time.Time) *Pace {
+func NewConcurrencyLimiter(least, most int, floor time.Duration, now func() time.Time) *ConcurrencyLimiter {
 	least = min(least, most)
-	return &Pace{
+	return &ConcurrencyLimiter{
 		now:   now,
 		floor: floor,
 		least: float64(least),
@@ -48,8 +48,8 @@
 	}
 }
 
-// Step takes in one step's time, with how many sessions are active.
-func (p *Pace) Step(d time.Duration, active int) {
+// RecordStep takes in one step's time, with how many sessions are active.
+func (p *ConcurrencyLimiter) RecordStep(d time.Duration, active int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.smoothed == 0 {
@@ -69,7 +69,7 @@
 }
 
 // Limit is how many sessions may be active now.
-func (p *Pace) Limit() int {
+func (p *ConcurrencyLimiter) Limit() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return int(p.limit)
--- a/internal/coordination/limits/retries.go
+++ b/internal/coordination/limits/retries.go
@@ -15,11 +15,11 @@
 	retrySafety = 0.9
 )
 
-// SharedRetries is one router's part of a budget for repeated sends that all
+// SharedRetryBudget is one router's part of a budget for repeated sends that all
 // routers share: in any window at most ratio x requests + slack, for a service.
 // Each router spends the ratio of its own requests and its share of the slack,
 // so that the sum holds though routers are cut off from each other.
-type SharedRetries struct {
+type SharedRetryBudget struct {
 	ratio   float64
 	slack   float64
 	window  time.Duration
@@ -37,9 +37,9 @@
 	repeats  [retryBuckets]int
 }
 
-// NewSharedRetries makes a budget; routers tells how many share it.
-func NewSharedRetries(ratio, slack float64, window time.Duration, routers func() int, now func() time.Time) *SharedRetries {
-	return &SharedRetries{
+// NewSharedRetryBudget makes a budget; routers tells how many share it.
+func NewSharedRetryBudget(ratio, slack float64, window time.Duration, routers func() int, now func() time.Time) *SharedRetryBudget {
+	return &SharedRetryBudget{
 		ratio:    ratio,
 		slack:    slack,
 		window:   window,
@@ -50,8 +50,8 @@
 	}
 }
 
-// Request counts a caller's request for a service.
-func (b *SharedRetries) Request(service string) {
+// RecordRequest counts a caller's request for a service.
+func (b *SharedRetryBudget) RecordRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.turn(service)
@@ -59,7 +59,7 @@
 }
 
 // Take takes one repeated send from the budget, if there is one.
-func (b *SharedRetries) Take(service string) bool {
+func (b *SharedRetryBudget) Take(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.turn(service)
@@ -76,7 +76,7 @@
 
 // Lend gives up to want repeated sends to another router and counts them as
 // spent here.
-func (b *SharedRetries) Lend(service string, want int) int {
+func (b *SharedRetryBudget) Lend(service string, want int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.turn(service)
@@ -85,8 +85,8 @@
 	return n
 }
 
-// Spares tells what could be lent, by service.
-func (b *SharedRetries) Spares() map[string]int {
+// SpareTokens tells what could be lent, by service.
+func (b *SharedRetryBudget) SpareTokens() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]int{}
@@ -99,7 +99,7 @@
 }
 
 // left is what may still be spent in this window. The caller holds the lock.
-func (b *SharedRetries) left(w *retryWindow) float64 {
+func (b *SharedRetryBudget) left(w *retryWindow) float64 {
 	requests := 0
 	repeats := 0
 	for i := range w.requests {
@@ -115,7 +115,7 @@
 }
 
 // turn moves a service's window on to now. The caller holds the lock.
-func (b *SharedRetries) turn(service string) *retryWindow {
+func (b *SharedRetryBudget) turn(service string) *retryWindow {
 	w, ok := b.services[service]
 	if !ok {
 		w = &retryWindow{}
--- a/internal/coordination/limits/retries_test.go
+++ b/internal/coordination/limits/retries_test.go
@@ -16,15 +16,15 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		routers := rapid.IntRange(1, 8).Draw(rt, "routers")
 		now := time.Unix(5000, 0)
-		var all []*SharedRetries
+		var all []*SharedRetryBudget
 		for range routers {
-			all = append(all, NewSharedRetries(ratio, slack, window, func() int { return routers }, func() time.Time { return now }))
+			all = append(all, NewSharedRetryBudget(ratio, slack, window, func() int { return routers }, func() time.Time { return now }))
 		}
 		var requests, repeats []time.Time
 		for range rapid.IntRange(10, 400).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 200).Draw(rt, "ms")) * time.Millisecond)
 			b := all[rapid.IntRange(0, routers-1).Draw(rt, "router")]
-			b.Request("s")
+			b.RecordRequest("s")
 			requests = append(requests, now)
 			for b.Take("s") {
 				repeats = append(repeats, now)
@@ -50,7 +50,7 @@
 
 func TestSharedRetriesComeBack(t *testing.T) {
 	now := time.Unix(5000, 0)
-	b := NewSharedRetries(0.2, 20, 10*time.Second, func() int { return 1 }, func() time.Time { return now })
+	b := NewSharedRetryBudget(0.2, 20, 10*time.Second, func() int { return 1 }, func() time.Time { return now })
 	assert.Assert(t, !b.Take("s"), "a router that starts does not know what it spent before")
 	now = now.Add(10 * time.Second)
 	taken := 0
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -118,7 +118,7 @@
 		Table:       e.node.Table,
 		Router:      routing.New(e.node.Table, e.links(), time.Now, nil),
 		Config:      e.node.Config,
-		Rates:       limits.NewRates(e.sharers),
+		Rates:       limits.NewRateLimiter(e.sharers),
 		Retries:     limits.NewRetryBudget(),
 		Room:        admission.NewLimiter(time.Now),
 		Grant:       e.grant,
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -203,8 +203,8 @@
 		Traffic:  r.traffic.Load,
 	}
 	rt := r.settings.Router
-	budget := limits.NewSharedRetries(rt.RetryRatio, rt.RetrySlack, time.Duration(rt.RetryWindow), r.exchange.Routers, time.Now)
-	r.exchange.Loans = &limits.Loans{Budget: budget, Ask: r.exchange.Borrow, Now: time.Now}
+	budget := limits.NewSharedRetryBudget(rt.RetryRatio, rt.RetrySlack, time.Duration(rt.RetryWindow), r.exchange.Routers, time.Now)
+	r.exchange.Loans = &limits.RetryBorrower{Budget: budget, Borrow: r.exchange.Borrow, Now: time.Now}
 	r.links = link.NewServer(stamp)
 	r.links.OwnHostOnly = true
 	r.exchange.Register(r.links)
--- a/internal/protocol/gate/gate.go
+++ b/internal/protocol/gate/gate.go
@@ -70,8 +70,8 @@
 	records map[wire.RunKey]*record
 	active  int
 	queue   *fair.Queue[*Ticket]
-	pace    *limits.Pace  // nil where the number of places is fixed
-	service time.Duration // smoothed time that a request holds its place
+	pace    *limits.ConcurrencyLimiter // nil where the number of places is fixed
+	service time.Duration              // smoothed time that a request holds its place
 	leaving bool
 	drained chan struct{}
 	settled bool // drained is closed
@@ -93,7 +93,7 @@
 
 // SetPace lets the number of places follow what the engine serves well, up to
 // the gate's capacity. It is called before the gate is used.
-func (g *Gate) SetPace(p *limits.Pace) { g.pace = p }
+func (g *Gate) SetPace(p *limits.ConcurrencyLimiter) { g.pace = p }
 
 // places is how many requests may run now.
 func (g *Gate) places() int {
--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -75,7 +75,7 @@
 	Table       *membership.Table
 	Router      Router
 	Config      *config.Store
-	Rates       *limits.Rates
+	Rates       *limits.RateLimiter
 	Retries     *limits.RetryBudget
 	Room        *admission.Limiter
 	Grant       Granter
@@ -325,7 +325,7 @@
 	defer o.intake.leave()
 	ctx, cancel := context.WithDeadline(context.Background(), j.req.Deadline)
 	defer cancel()
-	o.Retries.Request()
+	o.Retries.RecordRequest()
 	var out model.Outcome
 	switch {
 	case j.notRepeatable:
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -70,7 +70,7 @@
 		Services: []model.Service{{Name: "notices"}},
 	}, nil)
 	r.Catalog.Put(model.BackendServer{ID: "n", Service: "notices", Address: "n:1", FailureDomain: "a", Slots: 9})
-	r.RetryBorrower = &limits.Loans{Budget: limits.NewSharedRetries(1, 1, time.Second, func() int { return 1 }, time.Now), Now: time.Now}
+	r.RetryBorrower = &limits.RetryBorrower{Budget: limits.NewSharedRetryBudget(1, 1, time.Second, func() int { return 1 }, time.Now), Now: time.Now}
 	r.Clock = func() time.Duration { return 0 }
 	return r
 }
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -240,7 +240,7 @@
 		const budget = 30
 		engines := &pathEngines{}
 		s := threeParts(engines.do)
-		s.RetryBorrower.Budget = limits.NewSharedRetries(0, budget, time.Second, func() int { return 1 }, time.Now)
+		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, budget, time.Second, func() int { return 1 }, time.Now)
 		var streams []*chainWatch
 		for range 90 {
 			w, _ := s.running(t, resumable)
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -104,7 +104,7 @@
 	Chooser *chains.Chooser
 	Memory  *chains.UsageTracker
 	// RetryBorrower holds the budget for repeated sends, and what is borrowed for it.
-	RetryBorrower *limits.Loans
+	RetryBorrower *limits.RetryBorrower
 	WaitQueue     *admission.WaitQueue
 	BackendClient BackendClient
 	Observer      Observer
@@ -177,7 +177,7 @@
 	if denied != nil {
 		return q.deny(denied)
 	}
-	r.RetryBorrower.Budget.Request(ticket.Service.Name)
+	r.RetryBorrower.Budget.RecordRequest(ticket.Service.Name)
 	if !ticket.Deadline.IsZero() {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, ticket.Deadline)
--- a/internal/protocol/relay/repeat_test.go
+++ b/internal/protocol/relay/repeat_test.go
@@ -30,7 +30,7 @@
 			}
 			return signed(http.StatusOK, strings.NewReader("in time")), nil
 		})
-		s.RetryBorrower.Budget = limits.NewSharedRetries(0, 20, time.Minute, func() int { return 1 }, time.Now)
+		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 20, time.Minute, func() int { return 1 }, time.Now)
 		began := time.Now()
 		time.AfterFunc(2*time.Second, func() {
 			assert.Check(t, !s.RetryBorrower.Budget.Take("s"))
@@ -55,7 +55,7 @@
 				}
 				return signed(http.StatusOK, strings.NewReader("id: 1\ndata: a\n\n")), nil
 			})
-			s.RetryBorrower.Budget = limits.NewSharedRetries(0, 0, time.Second, func() int { return 1 }, time.Now)
+			s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 0, time.Second, func() int { return 1 }, time.Now)
 			out := &listener{}
 			assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 			assert.Equal(t, out.status, http.StatusOK, "generates %t: %s", generates, out.body.String())
@@ -79,7 +79,7 @@
 			}
 			return signed(http.StatusInternalServerError, strings.NewReader("failed")), nil
 		})
-		s.RetryBorrower.Budget = limits.NewSharedRetries(0, 2, time.Second, func() int { return 1 }, time.Now)
+		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 2, time.Second, func() int { return 1 }, time.Now)
 		time.Sleep(2 * time.Second) // until the slack, one send, may be spent
 		out := &listener{}
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -110,7 +110,7 @@
 		Config: current, Catalog: c, Health: health, Memory: memory,
 		Chooser:       &chains.Chooser{Catalog: c, Health: health, Usage: memory, Interconnect: chains.NewInterconnect(time.Now), RouterCount: func() int { return 1 }},
 		WaitQueue:     admission.NewWaitQueue(),
-		RetryBorrower: &limits.Loans{Budget: limits.NewSharedRetries(0, 100, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
+		RetryBorrower: &limits.RetryBorrower{Budget: limits.NewSharedRetryBudget(0, 100, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
 		BackendClient: do, Observer: seen, ActiveRuns: NewActiveRuns(), Suspects: prober, FailureDomain: "a",
 		Detector: detector.New(time.Now),
 		Clock:    func() time.Duration { return 0 }, Now: time.Now, MaxConfigAge: time.Hour,
@@ -288,7 +288,7 @@
 			}
 			return signed(http.StatusOK, strings.NewReader("late")), nil
 		})
-		s.RetryBorrower.Budget = limits.NewSharedRetries(0, 100, time.Hour, func() int { return 1 }, time.Now)
+		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 100, time.Hour, func() int { return 1 }, time.Now)
 		out := &listener{}
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.status, http.StatusOK)
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -199,7 +199,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
 		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return report(emptyReport), nil })
-		s.RetryBorrower.Budget = limits.NewSharedRetries(0, 100, time.Hour, func() int { return 1 }, time.Now)
+		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 100, time.Hour, func() int { return 1 }, time.Now)
 		_, run := s.watched(t, route)
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
--- a/internal/standin/world/entry.go
+++ b/internal/standin/world/entry.go
@@ -54,7 +54,7 @@
 		Table:    table,
 		Router:   w.router(table),
 		Config:   cfg,
-		Rates:    limits.NewRates(func() int { return 1 }),
+		Rates:    limits.NewRateLimiter(func() int { return 1 }),
 		Retries:  limits.NewRetryBudget(),
 		Room:     admission.NewLimiter(time.Now),
 		Grant:    led.Record,
--- a/internal/transport/front/front_test.go
+++ b/internal/transport/front/front_test.go
@@ -66,7 +66,7 @@
 	cat.Put(model.BackendServer{ID: "b", Service: "s", Address: "1:1"})
 	rel := &relay.Relay{
 		Config: current, Catalog: cat, Health: catalog.NewHealth(time.Now), BackendClient: u, Observer: nobody{}, WaitQueue: admission.NewWaitQueue(), ActiveRuns: relay.NewActiveRuns(),
-		RetryBorrower: &limits.Loans{Budget: limits.NewSharedRetries(0.2, 10, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
+		RetryBorrower: &limits.RetryBorrower{Budget: limits.NewSharedRetryBudget(0.2, 10, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
 		Clock:         func() time.Duration { return 0 }, Now: time.Now, MaxConfigAge: time.Hour,
 		Quarantine:     quarantine.New(func() time.Duration { return 0 }),
 		CheckListening: func(context.Context, string) error { return nil },
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -75,7 +75,7 @@
 	Now   func() time.Time
 	// Loans holds this router's part of the budget for repeated sends, and what
 	// it borrows.
-	Loans *limits.Loans
+	Loans *limits.RetryBorrower
 	// Refuses is told of engines that refused work of a peer, until when they
 	// should get none.
 	Refuses func(engine model.Incarnation, until time.Time)
