--- a/internal/coordination/config/config.go
+++ b/internal/coordination/config/config.go
@@ -12,10 +12,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is over how many values the templates are spread. At 17,000
+// BucketCount is over how many values the templates are spread. At 17,000
 // customers of some 400 bytes a bucket holds 27 KB, far below the service's
 // limit of a megabyte, and a change rewrites one of them.
-const Buckets = 256
+const BucketCount = 256
 
 // historyLimit is how many earlier changes of a template are kept.
 const historyLimit = 8
@@ -49,12 +49,12 @@
 
 // Change is one accepted state of a template.
 type Change struct {
-	Template Template  `json:"template"`
-	Revision int64     `json:"revision"` // of the template, from 1
-	Author   string    `json:"author"`
-	At       time.Time `json:"at"`
-	Config   int64     `json:"config"` // revision of the configuration that carries it
-	WriteID  string    `json:"write_id"`
+	Template       Template  `json:"template"`
+	Revision       int64     `json:"revision"` // of the template, from 1
+	Author         string    `json:"author"`
+	At             time.Time `json:"at"`
+	ConfigRevision int64     `json:"config"` // revision of the configuration that carries it
+	WriteID        string    `json:"write_id"`
 }
 
 // Record is a template with its earlier changes, newest first.
@@ -118,5 +118,5 @@
 }
 
 func bucketOf(customer string) int {
-	return int(xxhash.Sum64String(customer) % Buckets)
+	return int(xxhash.Sum64String(customer) % BucketCount)
 }
--- a/internal/coordination/config/store.go
+++ b/internal/coordination/config/store.go
@@ -169,12 +169,12 @@
 			t.Customer, rec.Current.Revision, rec.Current.Author, expected)
 	}
 	c := Change{
-		Template: t,
-		Revision: expected + 1,
-		Author:   author,
-		At:       s.now(),
-		Config:   head.Revision + 1,
-		WriteID:  id,
+		Template:       t,
+		Revision:       expected + 1,
+		Author:         author,
+		At:             s.now(),
+		ConfigRevision: head.Revision + 1,
+		WriteID:        id,
 	}
 	return c, s.write(ctx, head, version, i, bucket, c)
 }
--- a/internal/transport/api/operators.go
+++ b/internal/transport/api/operators.go
@@ -83,7 +83,7 @@
 		return nil, connectError(err)
 	}
 	wait := min(time.Duration(r.Msg.WaitMs)*time.Millisecond, maxWait)
-	missing := s.confirm(ctx, change.Config, wait)
+	missing := s.confirm(ctx, change.ConfigRevision, wait)
 	return connect.NewResponse(&v1.SetTemplateResponse{
 		Change:            changeMessage(change),
 		InForceEverywhere: len(missing) == 0,
@@ -189,7 +189,7 @@
 		Revision:       c.Revision,
 		Author:         c.Author,
 		ChangedAtMs:    c.At.UnixMilli(),
-		ConfigRevision: c.Config,
+		ConfigRevision: c.ConfigRevision,
 	}
 }
 
