--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -71,9 +71,9 @@
 	Deadline time.Time
 }
 
-// Enter waits for room. An error is the final answer: nothing of the request
+// Acquire waits for room. An error is the final answer: nothing of the request
 // went on. After nil, Leave must be called.
-func (r *Limiter) Enter(ctx context.Context, q Request) error {
+func (r *Limiter) Acquire(ctx context.Context, q Request) error {
 	if ctx.Err() != nil {
 		return r.refusal("the caller has left")
 	}
@@ -193,8 +193,8 @@
 	}
 }
 
-// Leave gives a place back. full tells that the engines had no room for it.
-func (r *Limiter) Leave(customer string, full bool) {
+// Release gives a place back. full tells that the engines had no room for it.
+func (r *Limiter) Release(customer string, full bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !full {
@@ -224,8 +224,8 @@
 	r.leftAt = now
 }
 
-// Full takes in that a gate or the router refused for lack of room.
-func (r *Limiter) Full() {
+// Overloaded takes in that a gate or the router refused for lack of room.
+func (r *Limiter) Overloaded() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.now().Sub(r.fullAt) < backOffEvery {
--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -19,9 +19,9 @@
 // fill lets n requests in, then says that the engines are full.
 func fill(t *testing.T, r *Limiter, customer string, n int) {
 	for i := 0; i < n; i++ {
-		assert.NilError(t, r.Enter(context.Background(), ask(customer, 3)))
+		assert.NilError(t, r.Acquire(context.Background(), ask(customer, 3)))
 	}
-	r.Full()
+	r.Overloaded()
 }
 
 // While nobody refuses, whatever comes goes in at once.
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := NewLimiter(time.Now)
 		for i := 0; i < 1000; i++ {
-			assert.NilError(t, r.Enter(context.Background(), ask("c", 0)))
+			assert.NilError(t, r.Acquire(context.Background(), ask("c", 0)))
 		}
 	})
 }
@@ -47,7 +47,7 @@
 		for i := 0; i < 100; i++ {
 			wg.Go(func() {
 				began := time.Now()
-				err := r.Enter(context.Background(), ask("flood", 3))
+				err := r.Acquire(context.Background(), ask("flood", 3))
 				assert.Check(t, fault.Is(err, fault.Overloaded))
 				mu.Lock()
 				defer mu.Unlock()
@@ -71,7 +71,7 @@
 		fill(t, r, "flood", 10)
 		order := make(chan string, 32)
 		enter := func(customer string) {
-			if r.Enter(context.Background(), ask(customer, 3)) == nil {
+			if r.Acquire(context.Background(), ask(customer, 3)) == nil {
 				order <- customer
 			}
 		}
@@ -81,9 +81,9 @@
 		synctest.Wait()
 		go enter("small")
 		synctest.Wait()
-		r.Leave("flood", false)
+		r.Release("flood", false)
 		synctest.Wait()
-		r.Leave("flood", false)
+		r.Release("flood", false)
 		synctest.Wait()
 		assert.Equal(t, <-order, "small")
 		time.Sleep(2 * maxWait)
@@ -100,15 +100,15 @@
 		for i := 0; i < blindQueue; i++ {
 			go func() {
 				began := time.Now()
-				assert.Check(t, fault.Is(r.Enter(context.Background(), ask("c", 1)), fault.Overloaded))
+				assert.Check(t, fault.Is(r.Acquire(context.Background(), ask("c", 1)), fault.Overloaded))
 				low <- time.Since(began)
 			}()
 		}
 		synctest.Wait()
 		high := make(chan error, 1)
-		go func() { high <- r.Enter(context.Background(), ask("c", 9)) }()
+		go func() { high <- r.Acquire(context.Background(), ask("c", 9)) }()
 		assert.Equal(t, <-low, time.Duration(0))
-		r.Leave("c", false)
+		r.Release("c", false)
 		assert.NilError(t, <-high)
 		time.Sleep(2 * maxWait)
 	})
@@ -122,7 +122,7 @@
 		fill(t, r, "c", 4)
 		ctx, cancel := context.WithTimeout(context.Background(), maxWait/4)
 		defer cancel()
-		assert.Assert(t, r.Enter(ctx, ask("c", 1)) != nil)
+		assert.Assert(t, r.Acquire(ctx, ask("c", 1)) != nil)
 		assert.Equal(t, r.queue.Len(), 0)
 	})
 }
@@ -137,10 +137,10 @@
 		fill(t, r, "flood", places)
 		for i := range small {
 			began := time.Now()
-			assert.NilError(t, r.Enter(context.Background(), ask(string(rune('a'+i)), 3)))
+			assert.NilError(t, r.Acquire(context.Background(), ask(string(rune('a'+i)), 3)))
 			assert.Equal(t, time.Since(began), time.Duration(0))
 		}
-		err := r.Enter(context.Background(), ask("flood", 3))
+		err := r.Acquire(context.Background(), ask("flood", 3))
 		assert.Assert(t, fault.Is(err, fault.Overloaded))
 	})
 }
@@ -160,14 +160,14 @@
 		left, leave := context.WithCancel(context.Background())
 		leave()
 		r := NewLimiter(time.Now)
-		assert.Check(t, r.Enter(left, ask("c", 3)) != nil)
+		assert.Check(t, r.Acquire(left, ask("c", 3)) != nil)
 		assert.Check(t, insiders(r) == 0)
 		for range 100 {
 			r := NewLimiter(time.Now)
 			fill(t, r, "c", 1)
 			ctx, leave := context.WithCancel(context.Background())
 			answer := make(chan error, 1)
-			go func() { answer <- r.Enter(ctx, ask("c", 3)) }()
+			go func() { answer <- r.Acquire(ctx, ask("c", 3)) }()
 			synctest.Wait()
 			r.mu.Lock()
 			leave()
@@ -186,7 +186,7 @@
 			r := NewLimiter(time.Now)
 			fill(t, r, "c", 1)
 			answer := make(chan error, 1)
-			go func() { answer <- r.Enter(context.Background(), ask("c", 3)) }()
+			go func() { answer <- r.Acquire(context.Background(), ask("c", 3)) }()
 			synctest.Wait()
 			r.mu.Lock()
 			time.Sleep(2 * maxWait) // the wait ends now as well
--- a/internal/coordination/admission/line.go
+++ b/internal/coordination/admission/line.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// Poke tells the front of the line that there may be room.
-func (l *WaitQueue) Poke() {
+// Notify tells the front of the line that there may be room.
+func (l *WaitQueue) Notify() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.poke()
--- a/internal/coordination/admission/line_test.go
+++ b/internal/coordination/admission/line_test.go
@@ -58,7 +58,7 @@
 		}
 		for range 3 {
 			room.Add(1)
-			l.Poke()
+			l.Notify()
 			time.Sleep(lineTick)
 			synctest.Wait()
 		}
@@ -106,7 +106,7 @@
 			room = l.Len() > 0
 			if room {
 				leave()
-				l.Poke()
+				l.Notify()
 			}
 			return false
 		}
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -106,8 +106,8 @@
 	standAfter, registerAt time.Duration
 }
 
-// Token is the fencing token while this process leads; 0 otherwise.
-func (e *Elector) Token() model.Revision {
+// FencingToken is the fencing token while this process leads; 0 otherwise.
+func (e *Elector) FencingToken() model.Revision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.token == 0 || e.token < e.highest || e.Clock() > e.claim.until {
@@ -116,9 +116,9 @@
 	return e.token
 }
 
-// Seen takes in the leadership key: who holds it and since which revision. An
+// Observe takes in the leadership key: who holds it and since which revision. An
 // empty value means that nobody does.
-func (e *Elector) Seen(value []byte, revision model.Revision) {
+func (e *Elector) Observe(value []byte, revision model.Revision) {
 	var c claim
 	if len(value) > 0 {
 		if err := json.Unmarshal(value, &c); err != nil {
@@ -150,14 +150,14 @@
 	}
 }
 
-// NewEra takes in that the store came back from an older copy: what this process wrote there
+// HandleStoreRestore takes in that the store came back from an older copy: what this process wrote there
 // may be gone, and the numbers of its leases may be given out to others.
 //
 // Nobody stands for as long as a leader may believe in its lease that has not heard of the
 // return: the key that kept others out is gone, and two would order engines. Tokens do not
 // fall, as revisions of a new era are higher than all before. Entries are written again
 // spread over time, or all routers would call at one moment.
-func (e *Elector) NewEra() {
+func (e *Elector) HandleStoreRestore() {
 	spread := registerSpread
 	if e.Eligible() {
 		spread = raceDelay // only who is registered stands
@@ -178,8 +178,8 @@
 	e.holder = ""
 }
 
-// Refused takes in that an engine has seen a higher token.
-func (e *Elector) Refused(token model.Revision) {
+// TokenRejected takes in that an engine has seen a higher token.
+func (e *Elector) TokenRejected(token model.Revision) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.token == token {
--- a/internal/coordination/leader/leader_test.go
+++ b/internal/coordination/leader/leader_test.go
@@ -56,7 +56,7 @@
 			continue
 		}
 		for _, it := range page.Items {
-			c.e.Seen(it.Value, it.Revision)
+			c.e.Observe(it.Value, it.Revision)
 		}
 		after = page.Revision
 	}
@@ -70,7 +70,7 @@
 func leaders(cs ...*candidate) int {
 	n := 0
 	for _, c := range cs {
-		if c.e.Token() != 0 {
+		if c.e.FencingToken() != 0 {
 			n++
 		}
 	}
@@ -97,13 +97,13 @@
 		store := standin.NewStore()
 		a := start(store, "a")
 		time.Sleep(2 * time.Second)
-		first := a.e.Token()
+		first := a.e.FencingToken()
 		assert.Assert(t, first != 0)
 		b := start(store, "b")
 		time.Sleep(2 * time.Second)
 		a.end()
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, b.e.Token() > first)
+		assert.Assert(t, b.e.FencingToken() > first)
 		b.end()
 	})
 }
@@ -151,13 +151,13 @@
 		store := standin.NewStore()
 		a := start(store, "a")
 		time.Sleep(2 * time.Second)
-		token := a.e.Token()
-		a.e.Refused(token)
-		assert.Equal(t, a.e.Token(), model.Revision(0))
+		token := a.e.FencingToken()
+		a.e.TokenRejected(token)
+		assert.Equal(t, a.e.FencingToken(), model.Revision(0))
 		it, err := store.Get(context.Background(), Key)
 		assert.NilError(t, err)
-		a.e.Seen(it.Value, it.Revision)
-		assert.Equal(t, a.e.Token(), model.Revision(0))
+		a.e.Observe(it.Value, it.Revision)
+		assert.Equal(t, a.e.FencingToken(), model.Revision(0))
 		a.end()
 	})
 }
@@ -208,7 +208,7 @@
 		led := 0
 		for range 200 {
 			time.Sleep(50 * time.Millisecond)
-			if token := c.e.Token(); token != 0 {
+			if token := c.e.FencingToken(); token != 0 {
 				led++
 				it, err := store.Get(ctx, Key)
 				assert.NilError(t, err, "it believes to lead without the key")
--- a/internal/coordination/leader/leave_test.go
+++ b/internal/coordination/leader/leave_test.go
@@ -38,17 +38,17 @@
 		store := &watched{Store: standin.NewStore(), revoking: func() {
 			mu.Lock()
 			defer mu.Unlock()
-			tokens = append(tokens, a.e.Token())
+			tokens = append(tokens, a.e.FencingToken())
 		}}
 		a, ctx := run(store, "a")
 		a.done.Go(func() { a.watch(ctx, store.Store) })
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, a.e.Token() != 0)
+		assert.Assert(t, a.e.FencingToken() != 0)
 		a.end()
 		mu.Lock()
 		defer mu.Unlock()
 		assert.DeepEqual(t, tokens, []model.Revision{0, 0})
-		assert.Equal(t, a.e.Token(), model.Revision(0))
+		assert.Equal(t, a.e.FencingToken(), model.Revision(0))
 	})
 }
 
@@ -65,8 +65,8 @@
 		a.end()
 		value, err := json.Marshal(claim{Instance: "a", Incarnation: "a-1"})
 		assert.NilError(t, err)
-		a.e.Seen(value, 3)
-		assert.Equal(t, a.e.Token(), model.Revision(0))
+		a.e.Observe(value, 3)
+		assert.Equal(t, a.e.FencingToken(), model.Revision(0))
 		_, err = store.Get(context.Background(), Key)
 		assert.ErrorIs(t, err, platform.ErrNotFound, "nobody can lead until the claim's lease has run out")
 	})
--- a/internal/coordination/leader/race_test.go
+++ b/internal/coordination/leader/race_test.go
@@ -22,7 +22,7 @@
 		before := store.Calls()
 		c, _ := run(store, "a") // it does not watch
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, c.e.Token(), model.Revision(0))
+		assert.Equal(t, c.e.FencingToken(), model.Revision(0))
 		// One lease and one write for its own entry.
 		assert.Equal(t, store.Calls().Writes-before.Writes, 2)
 		c.end()
@@ -37,7 +37,7 @@
 		revision := store.Put(Key, []byte(`{"instance":"b","incarnation":"b-1"}`))
 		e := &Elector{Store: store}
 		assert.Assert(t, e.taken(t.Context()))
-		e.Seen(nil, revision+1)
+		e.Observe(nil, revision+1)
 		assert.Assert(t, !e.taken(t.Context()))
 	})
 }
@@ -54,7 +54,7 @@
 		assert.Equal(t, leaders(all...), 1)
 		before := store.Calls()
 		for _, c := range all {
-			if c.e.Token() != 0 {
+			if c.e.FencingToken() != 0 {
 				c.end()
 			}
 		}
--- a/internal/coordination/leader/restore_test.go
+++ b/internal/coordination/leader/restore_test.go
@@ -47,7 +47,7 @@
 			page, err := store.Watch(ctx, Key, after, 200*time.Millisecond)
 			if err == nil && !store.cut.Load() {
 				for _, it := range page.Items {
-					c.e.Seen(it.Value, it.Revision)
+					c.e.Observe(it.Value, it.Revision)
 				}
 				after = page.Revision
 				continue
@@ -67,11 +67,11 @@
 		return before
 	}
 	if page.Revision.Era() > before.Era() {
-		c.e.NewEra()
+		c.e.HandleStoreRestore()
 	}
-	c.e.Seen(nil, page.Revision)
+	c.e.Observe(nil, page.Revision)
 	for _, it := range page.Items {
-		c.e.Seen(it.Value, it.Revision)
+		c.e.Observe(it.Value, it.Revision)
 	}
 	return page.Revision
 }
@@ -99,7 +99,7 @@
 // leader is the index of who leads; -1 for nobody.
 func (tr *trial) leader() int {
 	for i, c := range tr.all {
-		if c.e.Token() != 0 {
+		if c.e.FencingToken() != 0 {
 			return i
 		}
 	}
@@ -112,7 +112,7 @@
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		assert.Assert(tr.t, leaders(tr.all...) <= 1)
 		if i := tr.leader(); i >= 0 {
-			token := tr.all[i].e.Token()
+			token := tr.all[i].e.FencingToken()
 			assert.Assert(tr.t, token >= tr.highest, "token %s after %s", token, tr.highest)
 			tr.highest = token
 		}
@@ -122,7 +122,7 @@
 // led waits until somebody leads with a token of the present era.
 func (tr *trial) led(within time.Duration) {
 	for end := time.Now().Add(within); time.Now().Before(end); tr.pass(50 * time.Millisecond) {
-		if i := tr.leader(); i >= 0 && tr.all[i].e.Token().Era() == tr.store.Now(0).Era() {
+		if i := tr.leader(); i >= 0 && tr.all[i].e.FencingToken().Era() == tr.store.Now(0).Era() {
 			return
 		}
 	}
--- a/internal/coordination/quarantine/archive.go
+++ b/internal/coordination/quarantine/archive.go
@@ -60,8 +60,8 @@
 	Ends    int               `json:"ends"`
 }
 
-// Seen takes in the key as the store holds it; an empty value says that it does not exist.
-func (a *Persister) Seen(value []byte, revision model.Revision) {
+// Observe takes in the key as the store holds it; an empty value says that it does not exist.
+func (a *Persister) Observe(value []byte, revision model.Revision) {
 	var rec record
 	if len(value) > 0 {
 		if err := json.Unmarshal(value, &rec); err != nil {
@@ -75,7 +75,7 @@
 		stored[s.Work] = s.UntilMS
 		sentences = append(sentences, Verdict{Fingerprint: s.Work, TermMS: s.TermMS, AgeMS: s.TermMS - (s.UntilMS - now), Exits: s.Ends})
 	}
-	a.Tracker.Learn(sentences, "store")
+	a.Tracker.ApplyVerdicts(sentences, "store")
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.seen, a.revision, a.stored = true, revision, stored
@@ -83,7 +83,7 @@
 
 // Tick stores verdicts that are missing in the store, if that is this router's turn.
 func (a *Persister) Tick(ctx context.Context) {
-	sentences := a.Tracker.Sentences()
+	sentences := a.Tracker.Verdicts()
 	if expected, due := a.due(sentences, a.Rank()); due {
 		a.write(ctx, sentences, expected)
 	}
@@ -144,6 +144,6 @@
 	})
 	klog.InfoS("verdicts stored", "requests", len(rec.Requests), "revision", revision, "expected", expected, "err", err)
 	if err == nil {
-		a.Seen(value, revision)
+		a.Observe(value, revision)
 	}
 }
--- a/internal/coordination/quarantine/archive_test.go
+++ b/internal/coordination/quarantine/archive_test.go
@@ -48,24 +48,24 @@
 	a.Tick(t.Context())
 	assert.Equal(t, s.calls, 0)
 	b.ends(guilty, 1, 2, 3)
-	b.Judge()
+	b.EvaluateSuspects()
 	a.Tick(t.Context())
 	assert.Equal(t, s.calls, 0, "what the store holds is not known yet")
-	a.Seen(nil, 0)
+	a.Observe(nil, 0)
 	a.Tick(t.Context())
 	a.Tick(t.Context())
 	assert.Equal(t, s.calls, 1)
 
 	fresh := newBench()
 	fresh.now = b.now + firstTerm - time.Minute
-	fresh.archive(s, 0).Seen(s.value, s.revision)
-	assert.Equal(t, fresh.Look(guilty).Restriction, Quarantined)
+	fresh.archive(s, 0).Observe(s.value, s.revision)
+	assert.Equal(t, fresh.Assess(guilty).Restriction, Quarantined)
 	fresh.now += time.Minute + time.Second
-	assert.Equal(t, fresh.Look(guilty).Restriction, TrialOnly)
+	assert.Equal(t, fresh.Assess(guilty).Restriction, TrialOnly)
 	late := newBench()
 	late.now = b.now + 2*firstTerm
-	late.archive(s, 0).Seen(s.value, s.revision)
-	assert.Equal(t, late.Look(guilty).Restriction, Unrestricted, "what is over is not taken in again")
+	late.archive(s, 0).Observe(s.value, s.revision)
+	assert.Equal(t, late.Assess(guilty).Restriction, Unrestricted, "what is over is not taken in again")
 }
 
 // One router writes; the next one stands in when it does not, and where both write one of
@@ -74,11 +74,11 @@
 	s := &shelf{}
 	first, second := newBench(), newBench()
 	a, b := first.archive(s, 0), second.archive(s, 1)
-	a.Seen(nil, 0)
-	b.Seen(nil, 0)
+	a.Observe(nil, 0)
+	b.Observe(nil, 0)
 	for _, r := range []*bench{first, second} {
 		r.ends(guilty, 1, 2, 3)
-		r.Judge()
+		r.EvaluateSuspects()
 	}
 	b.Tick(t.Context())
 	assert.Equal(t, s.calls, 0)
@@ -88,12 +88,12 @@
 	a.Tick(t.Context())
 	assert.Equal(t, s.calls, 2, "it had not heard of the other's write")
 	assert.Equal(t, s.revision, model.Revision(7), "and did not replace it")
-	a.Seen(s.value, s.revision)
+	a.Observe(s.value, s.revision)
 	first.now += time.Minute
 	a.Tick(t.Context())
 	assert.Equal(t, s.calls, 2)
 	s.revision = 0
-	a.Seen(nil, 0)
+	a.Observe(nil, 0)
 	a.Tick(t.Context())
 	assert.Equal(t, s.calls, 3)
 }
@@ -103,9 +103,9 @@
 	s := &shelf{away: true}
 	b := newBench()
 	a := b.archive(s, 0)
-	a.Seen(nil, 0)
+	a.Observe(nil, 0)
 	b.ends(guilty, 1, 2, 3)
-	b.Judge()
+	b.EvaluateSuspects()
 	for range 150 {
 		a.Tick(t.Context())
 		b.now += 200 * time.Millisecond
@@ -123,11 +123,11 @@
 	b := newBench()
 	a := b.archive(s, 0)
 	for _, odd := range []string{"x", `{"requests":7}`, `{"requests":[{"work":"00"}]}`, `{"requests":[{"term_ms":1e300}]}`} {
-		a.Seen([]byte(odd), 3)
+		a.Observe([]byte(odd), 3)
 	}
 	b.ends(guilty, 1, 2, 3)
-	b.Judge()
+	b.EvaluateSuspects()
 	a.Tick(t.Context())
 	assert.Equal(t, s.revision, model.Revision(10))
-	assert.Equal(t, b.Look(model.Fingerprint{}).Restriction, Unrestricted)
+	assert.Equal(t, b.Assess(model.Fingerprint{}).Restriction, Unrestricted)
 }
--- a/internal/coordination/quarantine/cost_test.go
+++ b/internal/coordination/quarantine/cost_test.go
@@ -14,11 +14,11 @@
 	of := func() model.Fingerprint { return guilty }
 	places := []Location{{server(1), "a"}, {server(2), "a"}, {server(3), "a"}, {server(4), "a"}}
 	for b.Loop() {
-		if t.Watching() {
+		if t.HasSuspects() {
 			b.Fatal("suspects")
 		}
 		run := t.Begin(of, false, places...)
-		run.Answered()
+		run.AnswerStarted()
 		run.End(Completed)
 	}
 }
@@ -33,10 +33,10 @@
 			t.Begin(func() model.Fingerprint { return work(w) }, false, Location{server(n), fmt.Sprint("d", n%18)})
 		}
 		now += 500 * time.Millisecond
-		t.Ended(server(n), fmt.Sprint("d", n%18))
+		t.ServerExited(server(n), fmt.Sprint("d", n%18))
 	}
 	b.ResetTimer()
 	for b.Loop() {
-		t.Look(work(1))
+		t.Assess(work(1))
 	}
 }
--- a/internal/coordination/quarantine/judge.go
+++ b/internal/coordination/quarantine/judge.go
@@ -47,8 +47,8 @@
 	AvoidDomains map[string]bool
 }
 
-// Watching tells whether any request is under suspicion: else none need be looked up.
-func (t *Tracker) Watching() bool {
+// HasSuspects tells whether any request is under suspicion: else none need be looked up.
+func (t *Tracker) HasSuspects() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.watching()
@@ -56,8 +56,8 @@
 
 func (t *Tracker) watching() bool { return len(t.suspects)+len(t.verdicts) > 0 }
 
-// Look gives a request's standing.
-func (t *Tracker) Look(work model.Fingerprint) Assessment {
+// Assess gives a request's standing.
+func (t *Tracker) Assess(work model.Fingerprint) Assessment {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.verdicts[work]
@@ -91,9 +91,9 @@
 	return out
 }
 
-// Judge blames the requests against which the evidence is enough, whether they come again
+// EvaluateSuspects blames the requests against which the evidence is enough, whether they come again
 // or not.
-func (t *Tracker) Judge() {
+func (t *Tracker) EvaluateSuspects() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for work, s := range t.suspects {
--- a/internal/coordination/quarantine/model_test.go
+++ b/internal/coordination/quarantine/model_test.go
@@ -106,15 +106,15 @@
 	for at := time.Duration(0); at < 40*time.Second; at += 50 * time.Millisecond {
 		w.after(at, func() {
 			for _, r := range w.routers {
-				r.tracker.Judge()
+				r.tracker.EvaluateSuspects()
 			}
 		})
 	}
 	for at := time.Duration(0); at < 40*time.Second; at += time.Second {
 		w.after(at, func() {
 			for _, r := range w.routers {
-				sentences, peer := r.tracker.Sentences(), w.any()
-				w.after(w.delay(), func() { peer.tracker.Heard(Report{Verdicts: sentences}, r.name) })
+				sentences, peer := r.tracker.Verdicts(), w.any()
+				w.after(w.delay(), func() { peer.tracker.ApplyReport(Report{Verdicts: sentences}, r.name) })
 			}
 		})
 	}
@@ -152,19 +152,19 @@
 // flush sends what the router has to report, a moment later.
 func (r *simRouter) flush() {
 	select {
-	case <-r.tracker.Due():
+	case <-r.tracker.ReportDue():
 	default:
 		return
 	}
 	r.w.after(reportGather, func() {
 		for {
-			report, ok := r.tracker.Report()
+			report, ok := r.tracker.TakeReport()
 			if !ok {
 				return
 			}
 			for _, peer := range r.w.routers {
 				if peer != r && r.w.rnd.Float64() >= r.w.loss {
-					r.w.after(min(r.w.delay(), 25*time.Millisecond), func() { peer.tracker.Heard(report, r.name) })
+					r.w.after(min(r.w.delay(), 25*time.Millisecond), func() { peer.tracker.ApplyReport(report, r.name) })
 				}
 			}
 		}
@@ -174,7 +174,7 @@
 // serve handles one attempt.
 func (r *simRouter) serve(q *simRequest) {
 	w := r.w
-	v := r.tracker.Look(q.work)
+	v := r.tracker.Assess(q.work)
 	switch v.Restriction {
 	case Quarantined:
 		return
@@ -199,7 +199,7 @@
 		}
 		cost := float64(len(s.runs)) + r.w.rnd.Float64()
 		if v.Restriction != Unrestricted {
-			cost += 5 * float64(r.tracker.Suspects(s.inc))
+			cost += 5 * float64(r.tracker.SuspectRuns(s.inc))
 		}
 		if best == nil || cost < lowest {
 			best, lowest = s, cost
@@ -222,7 +222,7 @@
 	}
 	keeper := w.routers[0]
 	w.after(w.delay(), func() {
-		g := keeper.trials.Ask(q.work, []model.Incarnation{s.inc})
+		g := keeper.trials.Request(q.work, []model.Incarnation{s.inc})
 		w.after(w.delay(), func() {
 			switch {
 			case g.Granted:
@@ -262,7 +262,7 @@
 	}
 	w.after(time.Duration(100+w.rnd.IntN(200))*time.Millisecond, func() {
 		if slices.Contains(s.runs, run) {
-			run.run.Answered()
+			run.run.AnswerStarted()
 		}
 	})
 	w.after(time.Duration(500+w.rnd.IntN(2500))*time.Millisecond, func() {
@@ -288,7 +288,7 @@
 		w.after(w.delay(), func() { run.lost() })
 	}
 	for _, r := range w.routers {
-		w.after(5*time.Millisecond+w.delay(), func() { r.tracker.Ended(inc, domain) })
+		w.after(5*time.Millisecond+w.delay(), func() { r.tracker.ServerExited(inc, domain) })
 	}
 	w.after(simBack, func() {
 		s.up = true
@@ -305,9 +305,9 @@
 		r.w.after(2*time.Millisecond, func() {
 			for _, s := range r.w.servers {
 				if s.inc == server && !s.up {
-					r.tracker.Ended(server, s.domain)
+					r.tracker.ServerExited(server, s.domain)
 				} else if s.inc == server {
-					r.tracker.Alive(server)
+					r.tracker.ServerAlive(server)
 				}
 			}
 		})
@@ -334,7 +334,7 @@
 func (w *world) blamed() map[model.Fingerprint]int {
 	out := map[model.Fingerprint]int{}
 	for _, r := range w.routers {
-		for _, s := range r.tracker.Sentences() {
+		for _, s := range r.tracker.Verdicts() {
 			out[s.Fingerprint]++
 		}
 	}
--- a/internal/coordination/quarantine/report.go
+++ b/internal/coordination/quarantine/report.go
@@ -77,12 +77,12 @@
 	o.wake()
 }
 
-// Due tells when there is something to report.
-func (t *Tracker) Due() <-chan struct{} { return t.out.due }
+// ReportDue tells when there is something to report.
+func (t *Tracker) ReportDue() <-chan struct{} { return t.out.due }
 
-// Report takes what the other routers are to be told, as much as one message may hold;
+// TakeReport takes what the other routers are to be told, as much as one message may hold;
 // false if there is nothing.
-func (t *Tracker) Report() (Report, bool) {
+func (t *Tracker) TakeReport() (Report, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var r Report
@@ -119,8 +119,8 @@
 	return r, room < mostInReport
 }
 
-// Heard takes in a peer's report. The same one may come twice.
-func (t *Tracker) Heard(r Report, peer string) {
+// ApplyReport takes in a peer's report. The same one may come twice.
+func (t *Tracker) ApplyReport(r Report, peer string) {
 	t.mu.Lock()
 	for _, work := range r.Cleared {
 		if t.clear(work) > 0 {
@@ -135,7 +135,7 @@
 		t.note(e.Server, e.Domain, present)
 	}
 	t.mu.Unlock()
-	t.Learn(r.Verdicts, peer)
+	t.ApplyVerdicts(r.Verdicts, peer)
 }
 
 // reportPause is between two reports of one router. The first one after a rest is told
--- a/internal/coordination/quarantine/run.go
+++ b/internal/coordination/quarantine/run.go
@@ -61,8 +61,8 @@
 	return r
 }
 
-// Work is the fingerprint of what runs.
-func (r *Run) Work() model.Fingerprint {
+// Fingerprint is the fingerprint of what runs.
+func (r *Run) Fingerprint() model.Fingerprint {
 	r.once.Do(func() { r.work = r.of() })
 	return r.work
 }
@@ -94,8 +94,8 @@
 	r.at(places)
 }
 
-// Answered notes that an answer has begun.
-func (r *Run) Answered() {
+// AnswerStarted notes that an answer has begun.
+func (r *Run) AnswerStarted() {
 	r.t.mu.Lock()
 	defer r.t.mu.Unlock()
 	r.answered = true
@@ -123,8 +123,8 @@
 // that, and one of a plain service, as nobody else watches those.
 func (r *Run) End(result Result) (doubtful []model.Incarnation) {
 	t := r.t
-	if result == ConnectionLost || result == Completed && t.Watching() {
-		r.Work() // not under the lock: it reads the whole body
+	if result == ConnectionLost || result == Completed && t.HasSuspects() {
+		r.Fingerprint() // not under the lock: it reads the whole body
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,9 +133,9 @@
 	switch {
 	case len(places) == 0:
 	case result == Completed && t.watching():
-		t.survived(r.Work())
+		t.survived(r.Fingerprint())
 	case result == ConnectionLost:
-		return t.broke(r.Work(), places, r.answered)
+		return t.broke(r.Fingerprint(), places, r.answered)
 	}
 	return nil
 }
@@ -186,8 +186,8 @@
 	return true
 }
 
-// Suspects counts the runs of suspects that this router has at a server.
-func (t *Tracker) Suspects(server model.Incarnation) int {
+// SuspectRuns counts the runs of suspects that this router has at a server.
+func (t *Tracker) SuspectRuns(server model.Incarnation) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
--- a/internal/coordination/quarantine/tracker.go
+++ b/internal/coordination/quarantine/tracker.go
@@ -133,15 +133,15 @@
 	}
 }
 
-// Ended takes in that a server's process ended in a failure domain: the requests that it
+// ServerExited takes in that a server's process ended in a failure domain: the requests that it
 // ran, or that broke off there lately, may have ended it.
-func (t *Tracker) Ended(server model.Incarnation, domain string) {
+func (t *Tracker) ServerExited(server model.Incarnation, domain string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	present := map[model.Fingerprint]presence{}
 	for run := range t.runs[server] {
 		if run.charge() {
-			add(present, run.Work(), run.presenceAt(server))
+			add(present, run.Fingerprint(), run.presenceAt(server))
 		}
 	}
 	for work, s := range t.suspects {
@@ -242,9 +242,9 @@
 	}
 }
 
-// Alive takes in that a server whose connection broke off takes new ones: its process goes
+// ServerAlive takes in that a server whose connection broke off takes new ones: its process goes
 // on, and what broke off there blames nobody. Of a chain another engine may have ended.
-func (t *Tracker) Alive(server model.Incarnation) {
+func (t *Tracker) ServerAlive(server model.Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for work, s := range t.suspects {
--- a/internal/coordination/quarantine/tracker_test.go
+++ b/internal/coordination/quarantine/tracker_test.go
@@ -35,7 +35,7 @@
 		domain := fmt.Sprintf("d%d", n)
 		run := b.begin(w, n, domain)
 		b.now += 100 * time.Millisecond
-		b.Ended(server(n), domain)
+		b.ServerExited(server(n), domain)
 		run.End(ConnectionLost)
 	}
 	b.now += settleTime
@@ -43,10 +43,10 @@
 
 func TestStandingGrowsWithTheEnds(t *testing.T) {
 	b := newBench()
-	assert.Equal(t, b.Look(guilty).Restriction, Unrestricted)
+	assert.Equal(t, b.Assess(guilty).Restriction, Unrestricted)
 	for n, want := range []Restriction{Separated, TrialOnly, Quarantined} {
 		b.ends(guilty, n)
-		v := b.Look(guilty)
+		v := b.Assess(guilty)
 		assert.Equal(t, v.Restriction, want)
 		assert.Equal(t, v.Exits, n+1)
 	}
@@ -59,12 +59,12 @@
 	b := newBench()
 	b.ends(guilty, 1)
 	assert.Equal(t, len(b.begin(guilty, 2, "d2").End(ConnectionLost)), 1, "the server should be asked")
-	assert.Equal(t, b.Look(guilty).Restriction, TrialOnly)
+	assert.Equal(t, b.Assess(guilty).Restriction, TrialOnly)
 	b.begin(guilty, 3, "d3").End(ConnectionLost)
-	assert.Equal(t, b.Look(guilty).Restriction, Undecided)
-	b.Alive(server(2))
-	b.Alive(server(3))
-	assert.Equal(t, b.Look(guilty).Restriction, Separated, "links failed, no server ended")
+	assert.Equal(t, b.Assess(guilty).Restriction, Undecided)
+	b.ServerAlive(server(2))
+	b.ServerAlive(server(3))
+	assert.Equal(t, b.Assess(guilty).Restriction, Separated, "links failed, no server ended")
 }
 
 // A caller that leaves, a refusal and a silent server say nothing of a request.
@@ -72,9 +72,9 @@
 	b := newBench()
 	for n := range 5 {
 		b.begin(guilty, n, "d").End(Inconclusive)
-		b.Ended(server(n), "d")
+		b.ServerExited(server(n), "d")
 	}
-	assert.Equal(t, b.Look(guilty).Restriction, Unrestricted)
+	assert.Equal(t, b.Assess(guilty).Restriction, Unrestricted)
 }
 
 // An answer, be it the server's own failure, clears a request of all that was held against
@@ -82,11 +82,11 @@
 func TestAnswerClears(t *testing.T) {
 	b := newBench()
 	b.ends(guilty, 1, 2)
-	for _, ok := b.Report(); ok; _, ok = b.Report() {
+	for _, ok := b.TakeReport(); ok; _, ok = b.TakeReport() {
 	}
 	b.begin(guilty, 7, "d").End(Completed)
-	assert.Equal(t, b.Look(guilty).Restriction, Unrestricted)
-	r, _ := b.Report()
+	assert.Equal(t, b.Assess(guilty).Restriction, Unrestricted)
+	r, _ := b.TakeReport()
 	assert.DeepEqual(t, r.Cleared, []model.Fingerprint{guilty})
 }
 
@@ -99,14 +99,14 @@
 		domain := fmt.Sprintf("d%d", n)
 		b.begin(guilty, n, domain)
 		b.begin(other, n, domain)
-		b.Ended(server(n), domain)
+		b.ServerExited(server(n), domain)
 	}
 	b.now += commonTime
-	assert.Equal(t, b.Look(guilty).Restriction, TrialOnly)
-	assert.Equal(t, b.Look(other).Restriction, TrialOnly)
+	assert.Equal(t, b.Assess(guilty).Restriction, TrialOnly)
+	assert.Equal(t, b.Assess(other).Restriction, TrialOnly)
 	b.ends(guilty, 4)
-	assert.Equal(t, b.Look(guilty).Restriction, Quarantined)
-	assert.Equal(t, b.Look(other).Restriction, Unrestricted, "its ends are explained")
+	assert.Equal(t, b.Assess(guilty).Restriction, Quarantined)
+	assert.Equal(t, b.Assess(other).Restriction, Unrestricted, "its ends are explained")
 }
 
 // Servers end under streams that had begun to come. That is how streams are lost that are
@@ -115,13 +115,13 @@
 	b := newBench()
 	for n := range 2*guiltyFrom - 1 {
 		run := b.begin(guilty, n, "d")
-		run.Answered()
-		b.Ended(server(n), "d")
+		run.AnswerStarted()
+		b.ServerExited(server(n), "d")
 		b.now += 2 * commonTime
-		assert.Assert(t, b.Look(guilty).Restriction < Quarantined, "after %d ends", n+1)
+		assert.Assert(t, b.Assess(guilty).Restriction < Quarantined, "after %d ends", n+1)
 	}
 	b.ends(guilty, 99)
-	assert.Equal(t, b.Look(guilty).Restriction, Quarantined)
+	assert.Equal(t, b.Assess(guilty).Restriction, Quarantined)
 }
 
 // A later part of the chain ends each time: the request is to run alone at all of them.
@@ -129,9 +129,9 @@
 	b := newBench()
 	for n := range 2 {
 		b.Begin(func() model.Fingerprint { return guilty }, false, Location{server(90 + n), "a"}, Location{server(n), "b"})
-		b.Ended(server(n), fmt.Sprintf("d%d", n))
+		b.ServerExited(server(n), fmt.Sprintf("d%d", n))
 	}
-	v := b.Look(guilty)
+	v := b.Assess(guilty)
 	assert.Equal(t, v.Restriction, TrialOnly)
 	assert.Assert(t, v.LaterStage)
 }
@@ -145,14 +145,14 @@
 		b := newBench()
 		run := b.Begin(func() model.Fingerprint { return guilty }, false, chain...)
 		if endFirst {
-			b.Ended(server(2), "b")
+			b.ServerExited(server(2), "b")
 		}
 		assert.Equal(t, len(run.End(ConnectionLost)), 0)
-		assert.Equal(t, b.Look(guilty).Exits, 1)
+		assert.Equal(t, b.Assess(guilty).Exits, 1)
 		if !endFirst {
-			b.Ended(server(2), "b")
+			b.ServerExited(server(2), "b")
 		}
-		assert.DeepEqual(t, b.Look(guilty), Assessment{Restriction: Separated, Exits: 1, LaterStage: true})
+		assert.DeepEqual(t, b.Assess(guilty), Assessment{Restriction: Separated, Exits: 1, LaterStage: true})
 	}
 }
 
@@ -162,17 +162,17 @@
 func TestEnginesThatDropOutTogetherCountOnce(t *testing.T) {
 	b := newBench()
 	run := b.Begin(func() model.Fingerprint { return guilty }, false, Location{server(1), "a"}, Location{server(2), "a"}, Location{server(3), "a"})
-	b.Ended(server(2), "a")
+	b.ServerExited(server(2), "a")
 	b.now += 10 * time.Millisecond
 	run.Move([]Location{{server(1), "a"}, {server(4), "b"}, {server(3), "a"}})
-	b.Ended(server(3), "a")
-	assert.Equal(t, b.Look(guilty).Exits, 1)
+	b.ServerExited(server(3), "a")
+	assert.Equal(t, b.Assess(guilty).Exits, 1)
 	for n := range 2 {
 		b.now += 100 * time.Millisecond
 		run.Move([]Location{{server(1), "a"}, {server(10 + n), "b"}})
-		b.Ended(server(10+n), "b")
+		b.ServerExited(server(10+n), "b")
 	}
-	assert.Equal(t, b.Look(guilty).Exits, 3)
+	assert.Equal(t, b.Assess(guilty).Exits, 3)
 }
 
 // After its term a request runs alone. An answer frees it; an end brings it back at once,
@@ -180,18 +180,18 @@
 func TestTermsEndAndDouble(t *testing.T) {
 	b := newBench()
 	b.ends(guilty, 1, 2, 3)
-	b.Judge()
+	b.EvaluateSuspects()
 	b.now += firstTerm
 	b.Expire()
-	assert.Equal(t, b.Look(guilty).Restriction, TrialOnly)
+	assert.Equal(t, b.Assess(guilty).Restriction, TrialOnly)
 	b.ends(guilty, 4)
-	assert.Equal(t, b.Look(guilty).Restriction, Quarantined)
+	assert.Equal(t, b.Assess(guilty).Restriction, Quarantined)
 	b.now += firstTerm + time.Second
-	assert.Equal(t, b.Look(guilty).Restriction, Quarantined, "twice as long")
+	assert.Equal(t, b.Assess(guilty).Restriction, Quarantined, "twice as long")
 	b.now += firstTerm
-	assert.Equal(t, b.Look(guilty).Restriction, TrialOnly)
+	assert.Equal(t, b.Assess(guilty).Restriction, TrialOnly)
 	b.begin(guilty, 5, "d").End(Completed)
-	assert.Equal(t, b.Look(guilty).Restriction, Unrestricted)
+	assert.Equal(t, b.Assess(guilty).Restriction, Unrestricted)
 }
 
 // Forgotten requests leave nothing behind, and much that comes at once is bounded.
@@ -199,26 +199,26 @@
 	b := newBench()
 	for n := range mostEnds + 50 {
 		b.begin(work(n), n, "d")
-		b.Ended(server(n), "d")
+		b.ServerExited(server(n), "d")
 	}
 	assert.Assert(t, len(b.Tracker.ends) <= mostEnds)
 	crowd := newBench()
 	for n := range mostAtOneEnd + 50 {
 		crowd.begin(work(n), 1, "d")
 	}
-	crowd.Ended(server(1), "d")
+	crowd.ServerExited(server(1), "d")
 	assert.Equal(t, len(crowd.Tracker.ends[server(1)].present), mostAtOneEnd)
-	assert.Equal(t, crowd.Look(work(1)).Restriction, Unrestricted, "a crowded end is no evidence")
+	assert.Equal(t, crowd.Assess(work(1)).Restriction, Unrestricted, "a crowded end is no evidence")
 	for n := range 5 * mostOfOne {
 		run := b.begin(work(-1), 5000+n, "d")
-		run.Answered()
-		b.Ended(server(5000+n), "d")
+		run.AnswerStarted()
+		b.ServerExited(server(5000+n), "d")
 	}
 	assert.Equal(t, len(b.suspects[work(-1)].ends), mostOfOne)
 	for n := range mostVerdicts + 50 {
-		b.Learn([]Verdict{{Fingerprint: work(n), TermMS: int64(1000 + n)}}, "peer")
+		b.ApplyVerdicts([]Verdict{{Fingerprint: work(n), TermMS: int64(1000 + n)}}, "peer")
 	}
-	assert.Equal(t, len(b.Sentences()), mostVerdicts)
+	assert.Equal(t, len(b.Verdicts()), mostVerdicts)
 	b.now += evidenceFor + longestTerm
 	b.Expire()
 	assert.Equal(t, len(b.Tracker.ends)+len(b.suspects)+len(b.verdicts)+b.presences, 0)
@@ -238,14 +238,14 @@
 		}
 		a, b := newBench(), newBench()
 		for _, r := range reports {
-			a.Heard(r, "peer")
+			a.ApplyReport(r, "peer")
 		}
 		for _, r := range rapid.Permutation(append(reports, reports...)).Draw(t, "again") {
-			b.Heard(r, "peer")
+			b.ApplyReport(r, "peer")
 		}
 		a.now, b.now = time.Minute, time.Minute
 		for n := range 5 {
-			assert.DeepEqual(t, a.Look(work(n)), b.Look(work(n)))
+			assert.DeepEqual(t, a.Assess(work(n)), b.Assess(work(n)))
 		}
 		assert.Equal(t, a.presences, b.presences)
 	})
@@ -254,13 +254,13 @@
 func TestTrialsAreOneAtATime(t *testing.T) {
 	b := newBench()
 	trials := NewTrials(b.Tracker)
-	assert.Assert(t, trials.Ask(guilty, []model.Incarnation{server(1), server(2)}).Granted)
-	assert.Equal(t, trials.Ask(guilty, []model.Incarnation{server(3)}), Grant{WaitMS: 1000}, "it runs already")
-	assert.Equal(t, trials.Ask(work(1), []model.Incarnation{server(2)}).BusyServer, server(2))
-	assert.Assert(t, trials.Ask(work(1), []model.Incarnation{server(3)}).Granted)
+	assert.Assert(t, trials.Request(guilty, []model.Incarnation{server(1), server(2)}).Granted)
+	assert.Equal(t, trials.Request(guilty, []model.Incarnation{server(3)}), Grant{WaitMS: 1000}, "it runs already")
+	assert.Equal(t, trials.Request(work(1), []model.Incarnation{server(2)}).BusyServer, server(2))
+	assert.Assert(t, trials.Request(work(1), []model.Incarnation{server(3)}).Granted)
 	b.now += trialTime
-	assert.Assert(t, trials.Ask(guilty, []model.Incarnation{server(2)}).Granted)
+	assert.Assert(t, trials.Request(guilty, []model.Incarnation{server(2)}).Granted)
 	b.ends(guilty, 4, 5, 6)
 	b.now += trialTime
-	assert.Assert(t, !trials.Ask(guilty, []model.Incarnation{server(7)}).Granted, "the keeper knows more than who asks")
+	assert.Assert(t, !trials.Request(guilty, []model.Incarnation{server(7)}).Granted, "the keeper knows more than who asks")
 }
--- a/internal/coordination/quarantine/trials.go
+++ b/internal/coordination/quarantine/trials.go
@@ -44,13 +44,13 @@
 	WaitMS int64 `json:"wait_ms,omitempty"`
 }
 
-// Ask grants a run of a request at servers, or tells what stands against it: a request
+// Request grants a run of a request at servers, or tells what stands against it: a request
 // runs once at a time, and a server runs one suspect.
 //
 // Who asks may have missed what others told: what the keeper knows against the request
 // counts as well.
-func (t *Trials) Ask(work model.Fingerprint, servers []model.Incarnation) Grant {
-	if t.tracker.Look(work).Restriction > TrialOnly {
+func (t *Trials) Request(work model.Fingerprint, servers []model.Incarnation) Grant {
+	if t.tracker.Assess(work).Restriction > TrialOnly {
 		return Grant{}
 	}
 	t.mu.Lock()
--- a/internal/coordination/quarantine/verdict.go
+++ b/internal/coordination/quarantine/verdict.go
@@ -71,8 +71,8 @@
 	return Verdict{Fingerprint: work, TermMS: v.term.Milliseconds(), AgeMS: (t.clock() - v.since).Milliseconds(), Exits: v.ends}
 }
 
-// Sentences lists the requests whose terms go on.
-func (t *Tracker) Sentences() []Verdict {
+// Verdicts lists the requests whose terms go on.
+func (t *Tracker) Verdicts() []Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Verdict
@@ -84,9 +84,9 @@
 	return out
 }
 
-// Learn takes in verdicts from somewhere else: a peer, or the store. A term that ends
+// ApplyVerdicts takes in verdicts from somewhere else: a peer, or the store. A term that ends
 // later replaces one that ends sooner; one that is over is no news.
-func (t *Tracker) Learn(sentences []Verdict, source string) {
+func (t *Tracker) ApplyVerdicts(sentences []Verdict, source string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range sentences {
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -146,7 +146,7 @@
 		PollPeer:         news.Ask,
 		Replica:          &replica.Replica{},
 		PeersLastContact: r.config.LastConfirmed,
-		Idle:             func() bool { return !r.callersCame() && r.elector.Token() == 0 },
+		Idle:             func() bool { return !r.callersCame() && r.elector.FencingToken() == 0 },
 	}
 	r.store.unanswered = r.follower.CallFailed
 	if store, ok := r.store.Store.(interface{ TellEra(func(era int64)) }); ok {
@@ -301,8 +301,8 @@
 		Catalog:      r.catalog,
 		Store:        r.store,
 		Engines:      relay.EngineClient{Relay: r.front.Relay},
-		FencingToken: r.elector.Token,
-		OnFenced:     r.elector.Refused,
+		FencingToken: r.elector.FencingToken,
+		OnFenced:     r.elector.TokenRejected,
 		HasTraffic:   r.callersCame,
 		Suspected:    r.health.Suspected,
 		Unreachable:  r.prober.Lost,
@@ -356,7 +356,7 @@
 		r.control.Tick(background)
 	})
 	go r.suspects.Run(background)
-	go r.every(background, judgeEvery, r.suspects.Tracker.Judge)
+	go r.every(background, judgeEvery, r.suspects.Tracker.EvaluateSuspects)
 	go r.every(background, archiveEvery, func() { r.archive.Tick(background) })
 	go r.every(background, trimEvery, r.trim)
 	go r.every(background, callsEvery, r.store.log)
--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -20,7 +20,7 @@
 
 // HandleStoreRestore implements follow.Sink.
 func (s *routerSink) HandleStoreRestore() {
-	s.elector.NewEra()
+	s.elector.HandleStoreRestore()
 	s.control.NewEra()
 }
 
@@ -34,7 +34,7 @@
 	s.mu.Lock()
 	clear(s.members)
 	s.mu.Unlock()
-	s.archive.Seen(valueOf(page.Items, leader.QuarantineKey))
+	s.archive.Observe(valueOf(page.Items, leader.QuarantineKey))
 	leaderSeen := false
 	for _, it := range page.Items {
 		if !strings.HasPrefix(it.Key, platform.ServersPrefix) && it.Key != leader.QuarantineKey {
@@ -43,7 +43,7 @@
 		}
 	}
 	if !leaderSeen {
-		s.elector.Seen(nil, page.Revision)
+		s.elector.Observe(nil, page.Revision)
 	}
 	s.publishMembers()
 	klog.InfoS("store read", "revision", page.Revision, "items", len(page.Items), "servers", len(servers), "namingNone", len(malformed))
@@ -105,11 +105,11 @@
 	case strings.HasPrefix(it.Key, platform.ServersPrefix):
 		s.server(it, grace)
 	case it.Key == leader.Key:
-		s.elector.Seen(it.Value, it.Revision)
+		s.elector.Observe(it.Value, it.Revision)
 	case it.Key == leader.QuarantineKey && it.Removed:
-		s.archive.Seen(nil, 0)
+		s.archive.Observe(nil, 0)
 	case it.Key == leader.QuarantineKey:
-		s.archive.Seen(it.Value, it.Revision)
+		s.archive.Observe(it.Value, it.Revision)
 	case strings.HasPrefix(it.Key, leader.MemberPrefix):
 		s.member(it)
 	case strings.HasPrefix(it.Key, leader.PlanPrefix) && !it.Removed:
--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -361,7 +361,7 @@
 
 // serveAdmitted runs a pipeline request once there is room for it.
 func (o *Owner) serveAdmitted(ctx context.Context, j *job) model.Outcome {
-	err := o.Room.Enter(ctx, admission.Request{
+	err := o.Room.Acquire(ctx, admission.Request{
 		Customer: j.ask.Customer,
 		Priority: j.rule.Priority,
 		Deadline: j.req.Deadline,
@@ -370,7 +370,7 @@
 		return fault.NotRun(fault.From(err), "never handed over: refused at admission")
 	}
 	out := o.servePipeline(ctx, j, nil)
-	o.Room.Leave(j.ask.Customer, out.State == model.NotRun)
+	o.Room.Release(j.ask.Customer, out.State == model.NotRun)
 	return out
 }
 
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -91,7 +91,7 @@
 // runHolding runs the request through one chain and gives its memory back, also where
 // the run panics: the HTTP server recovers, and the memory would stay reserved.
 func (s *stream) runHolding(ctx context.Context, parts []chains.Stage, hold *chains.Reservation) (done, whole bool, err error) {
-	defer s.WaitQueue.Poke()
+	defer s.WaitQueue.Notify()
 	defer hold.Release()
 	return s.run(ctx, parts, hold)
 }
@@ -217,7 +217,7 @@
 		if s.ranEvents == 0 {
 			parts, _ := w.state()
 			s.succeed(parts, w.since)
-			w.record.Answered()
+			w.record.AnswerStarted()
 		}
 		s.ranEvents++
 		if !q.out.head {
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -42,7 +42,7 @@
 // beginCost is what it costs a suspect to begin at an engine: it keeps away from others of
 // its kind, and one that runs alone from engines that have many streams to lose.
 func (q *request) beginCost(engine model.Incarnation, streams float64) time.Duration {
-	company := float64(q.Quarantine.Suspects(engine))
+	company := float64(q.Quarantine.SuspectRuns(engine))
 	if q.barred.alone {
 		company += streams
 	}
@@ -62,16 +62,16 @@
 // servers which run it would else end one with each send, and with each return of its
 // caller, here or at another router.
 func (q *request) standing(ctx context.Context) (quarantine.Assessment, *fault.Error) {
-	if !q.Quarantine.Watching() {
+	if !q.Quarantine.HasSuspects() {
 		q.barred = barred{}
 		return quarantine.Assessment{}, nil
 	}
-	v := q.Quarantine.Look(q.work())
+	v := q.Quarantine.Assess(q.work())
 	for v.Restriction == quarantine.Undecided {
 		if !wait.For(ctx, undecidedPoll) {
 			return v, q.ended(ctx)
 		}
-		v = q.Quarantine.Look(q.work())
+		v = q.Quarantine.Assess(q.work())
 	}
 	q.barred.suspect = v.Restriction != quarantine.Unrestricted
 	q.barred.alone = v.Restriction == quarantine.TrialOnly
@@ -135,7 +135,7 @@
 				return parts, hold, nil
 			}
 			hold.Release()
-			s.WaitQueue.Poke()
+			s.WaitQueue.Notify()
 			if may == lookAgain {
 				continue
 			}
@@ -162,10 +162,10 @@
 // mayRunAt tells whether the stream may run at the engines that were found for it. Finding
 // them may have taken a while, in which more was learnt.
 func (s *stream) mayRunAt(ctx context.Context, parts []chains.Stage, before quarantine.Assessment) permission {
-	if !s.Quarantine.Watching() {
+	if !s.Quarantine.HasSuspects() {
 		return runNow
 	}
-	v := s.Quarantine.Look(s.work())
+	v := s.Quarantine.Assess(s.work())
 	switch {
 	case v.Restriction != before.Restriction:
 		return lookAgain
@@ -182,7 +182,7 @@
 // mayMove tells whether a running stream may be moved to another engine: a request that
 // ends engines as a later part of a chain would else end one after the other in one run.
 func (q *request) mayMove() bool {
-	return !q.Quarantine.Watching() || q.Quarantine.Look(q.work()).Restriction < quarantine.TrialOnly
+	return !q.Quarantine.HasSuspects() || q.Quarantine.Assess(q.work()).Restriction < quarantine.TrialOnly
 }
 
 // pickAlone chooses a server of a plain service for the next try.
@@ -251,7 +251,7 @@
 	defer cancel()
 	switch err := r.CheckListening(ctx, b.Address); {
 	case err == nil:
-		r.Quarantine.Alive(b.Incarnation())
+		r.Quarantine.ServerAlive(b.Incarnation())
 	case errors.Is(err, ErrRefused):
 		r.endedUnder(b)
 	}
@@ -261,6 +261,6 @@
 // One that was leaving ends as planned.
 func (r *Relay) endedUnder(b *model.BackendServer) {
 	if !b.Draining {
-		r.Quarantine.Ended(b.Incarnation(), b.FailureDomain)
+		r.Quarantine.ServerExited(b.Incarnation(), b.FailureDomain)
 	}
 }
--- a/internal/transport/peers/quarantine.go
+++ b/internal/transport/peers/quarantine.go
@@ -53,9 +53,9 @@
 			return
 		case <-remind.C:
 			q.remind()
-		case <-q.Tracker.Due():
+		case <-q.Tracker.ReportDue():
 			wait.For(ctx, before)
-			if r, ok := q.Tracker.Report(); ok {
+			if r, ok := q.Tracker.TakeReport(); ok {
 				q.tell(r, q.Exchange.peers()...)
 			}
 			wait.For(ctx, after)
@@ -78,7 +78,7 @@
 
 // remind tells one peer the verdicts, if there are any.
 func (q *Quarantine) remind() {
-	sentences := q.Tracker.Sentences()
+	sentences := q.Tracker.Verdicts()
 	peers := q.Exchange.peers()
 	if len(sentences) == 0 || len(peers) == 0 {
 		return
@@ -88,12 +88,12 @@
 }
 
 func (q *Quarantine) heard(_ context.Context, from string, r quarantine.Report) (struct{}, error) {
-	q.Tracker.Heard(r, from)
+	q.Tracker.ApplyReport(r, from)
 	return struct{}{}, nil
 }
 
 func (q *Quarantine) trial(_ context.Context, from string, ask wire.RouterTrial) (quarantine.Grant, error) {
-	g := q.Trials.Ask(ask.Work, ask.Servers)
+	g := q.Trials.Request(ask.Work, ask.Servers)
 	klog.InfoS("trial of a request", "work", ask.Work, "peer", from, "servers", len(ask.Servers), "granted", g.Granted, "busy", g.BusyServer)
 	return g, nil
 }
@@ -103,7 +103,7 @@
 func (q *Quarantine) Ask(ctx context.Context, work model.Fingerprint, servers []model.Incarnation) quarantine.Grant {
 	for _, addr := range q.keepers() {
 		if addr == q.Exchange.Self {
-			return q.Trials.Ask(work, servers)
+			return q.Trials.Request(work, servers)
 		}
 		var g quarantine.Grant
 		asking, cancel := context.WithTimeout(ctx, trialWait)
