--- a/internal/coordination/placement/controller.go
+++ b/internal/coordination/placement/controller.go
@@ -79,8 +79,8 @@
 	unsaved bool
 }
 
-// SeenPlan takes in a plan from the store.
-func (c *Controller) SeenPlan(service string, value []byte, revision model.Revision) {
+// ObservePlan takes in a plan from the store.
+func (c *Controller) ObservePlan(service string, value []byte, revision model.Revision) {
 	plan, err := DecodePlan(value)
 	if err != nil {
 		klog.InfoS("stored plan cannot be read", "service", service, "revision", revision, "err", err)
--- a/internal/coordination/placement/late_test.go
+++ b/internal/coordination/placement/late_test.go
@@ -36,7 +36,7 @@
 	slow := slowReports{shop: s, asked: make(chan struct{}, 8), release: make(chan struct{})}
 	s.c.Engines = slow
 	s.register("e", "e:1", "hala", "a100", model.LayerRange{})
-	s.c.SeenPlan("s", planOf(t, Plan{"e:1": {From: 0, To: 20}}), 1)
+	s.c.ObservePlan("s", planOf(t, Plan{"e:1": {From: 0, To: 20}}), 1)
 	s.c.Tick(context.Background())
 	<-slow.asked
 	return s, slow.release
@@ -69,7 +69,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, release := late(t)
 		want := model.LayerRange{From: 20, To: 40}
-		s.c.SeenPlan("s", planOf(t, Plan{"e:1": want}), 2)
+		s.c.ObservePlan("s", planOf(t, Plan{"e:1": want}), 2)
 		close(release)
 		synctest.Wait()
 		assert.Equal(t, s.ordersGiven(), int64(0))
@@ -102,7 +102,7 @@
 		s := newShop(t)
 		newer := Plan{"e:1": {From: 20, To: 40}}
 		s.c.Store = slowCommits{Store: s.store, before: func(revision model.Revision) {
-			s.c.SeenPlan("s", planOf(t, newer), revision+1)
+			s.c.ObservePlan("s", planOf(t, newer), revision+1)
 		}}
 		s.register("e", "e:1", "hala", "a100", model.LayerRange{})
 		token := model.Revision(s.token.Load())
--- a/internal/coordination/placement/restore_test.go
+++ b/internal/coordination/placement/restore_test.go
@@ -42,7 +42,7 @@
 				s.store.Restore(early)
 				s.c.NewEra()
 				if it, err := s.store.Get(context.Background(), leader.PlanPrefix+"s"); err == nil {
-					s.c.SeenPlan("s", it.Value, it.Revision)
+					s.c.ObservePlan("s", it.Value, it.Revision)
 				}
 				s.token.Store(int64(s.store.Put(leader.Key, []byte(`{}`))))
 				s.run(5 * time.Second)
--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -113,7 +113,7 @@
 	case strings.HasPrefix(it.Key, leader.MemberPrefix):
 		s.member(it)
 	case strings.HasPrefix(it.Key, leader.PlanPrefix) && !it.Removed:
-		s.control.SeenPlan(strings.TrimPrefix(it.Key, leader.PlanPrefix), it.Value, it.Revision)
+		s.control.ObservePlan(strings.TrimPrefix(it.Key, leader.PlanPrefix), it.Value, it.Revision)
 	}
 }
 
