--- a/internal/coordination/placement/controller.go
+++ b/internal/coordination/placement/controller.go
@@ -280,9 +280,9 @@
 	return c.plans[service].revision == p.revision
 }
 
-// NewEra takes in that the store came back from an older copy: the plans in force stay, and
+// HandleStoreRestore takes in that the store came back from an older copy: the plans in force stay, and
 // whoever leads writes them again.
-func (c *Controller) NewEra() {
+func (c *Controller) HandleStoreRestore() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for service, p := range c.plans {
--- a/internal/coordination/placement/restore_test.go
+++ b/internal/coordination/placement/restore_test.go
@@ -40,7 +40,7 @@
 					early = s.store.Copy()
 				}
 				s.store.Restore(early)
-				s.c.NewEra()
+				s.c.HandleStoreRestore()
 				if it, err := s.store.Get(context.Background(), leader.PlanPrefix+"s"); err == nil {
 					s.c.ObservePlan("s", it.Value, it.Revision)
 				}
--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -21,7 +21,7 @@
 // HandleStoreRestore implements follow.Sink.
 func (s *routerSink) HandleStoreRestore() {
 	s.elector.HandleStoreRestore()
-	s.control.NewEra()
+	s.control.HandleStoreRestore()
 }
 
 // Reset implements follow.Sink.
