--- a/internal/coordination/flow/dinic_test.go
+++ b/internal/coordination/flow/dinic_test.go
@@ -6,7 +6,7 @@
 // on Solve where no tokens go back to the first stage.
 
 // maxFlow is the most that engines and links carry.
-func maxFlow(groups []Group, layers int, link LinkRate) float64 {
+func maxFlow(groups []Group, layers int, link InterconnectRate) float64 {
 	b := newBuilder(groups, layers, link)
 	return b.net.maxFlow(b.source, b.sink)
 }
@@ -33,7 +33,7 @@
 	enters, leaves map[int]int
 }
 
-func newBuilder(groups []Group, layers int, link LinkRate) *builder {
+func newBuilder(groups []Group, layers int, link InterconnectRate) *builder {
 	b := &builder{net: &network{}, ways: map[pair]*way{}}
 	b.source = b.net.node()
 	b.sink = b.net.node()
@@ -78,7 +78,7 @@
 	return n
 }
 
-func (b *builder) way(p pair, link LinkRate, shares map[[2]string]int) *way {
+func (b *builder) way(p pair, link InterconnectRate, shares map[[2]string]int) *way {
 	if w, ok := b.ways[p]; ok {
 		return w
 	}
--- a/internal/coordination/flow/flow.go
+++ b/internal/coordination/flow/flow.go
@@ -26,9 +26,9 @@
 	Rate float64
 }
 
-// LinkRate gives how many positions a second go from one failure domain to
+// InterconnectRate gives how many positions a second go from one failure domain to
 // another; infinity for no limit.
-type LinkRate func(from, to string) float64
+type InterconnectRate func(from, to string) float64
 
 // Chain is groups in layer order, and how many positions a second they carry
 // together by the plan.
@@ -59,7 +59,7 @@
 
 // Solve plans for a model of so many layers. The plan is within about thrice the
 // precision of the best.
-func Solve(groups []Group, layers int, link LinkRate, precision float64) Plan {
+func Solve(groups []Group, layers int, link InterconnectRate, precision float64) Plan {
 	p := newPacker(groups, layers, link)
 	p.epsilon = precision
 	p.setPrices()
@@ -98,7 +98,7 @@
 	bound   float64
 }
 
-func newPacker(groups []Group, layers int, link LinkRate) *packer {
+func newPacker(groups []Group, layers int, link InterconnectRate) *packer {
 	p := &packer{
 		groups:  groups,
 		layers:  layers,
--- a/internal/coordination/flow/flow_test.go
+++ b/internal/coordination/flow/flow_test.go
@@ -21,7 +21,7 @@
 	for _, tc := range []struct {
 		name   string
 		groups []Group
-		link   LinkRate
+		link   InterconnectRate
 		want   float64
 	}{
 		{"narrowest stage", []Group{{"a", rng(0, 4), 10}, {"a", rng(4, 8), 7}}, free, 7},
--- a/internal/coordination/routing/flow.go
+++ b/internal/coordination/routing/flow.go
@@ -20,7 +20,7 @@
 )
 
 // InterconnectRate gives how many positions a second go between two failure domains.
-type InterconnectRate = flow.LinkRate
+type InterconnectRate = flow.InterconnectRate
 
 // planner keeps a max-flow plan for each service.
 type planner struct {
