--- a/internal/coordination/flow/flow.go
+++ b/internal/coordination/flow/flow.go
@@ -48,8 +48,8 @@
 
 // Precisions for Solve. The work grows with the inverse of its square.
 const (
-	// Fine is for bounds that figures are measured against.
-	Fine = 0.03
+	// FinePrecision is for bounds that figures are measured against.
+	FinePrecision = 0.03
 	// Coarse is for plans that are made again every second.
 	Coarse = 0.12
 )
--- a/internal/coordination/flow/flow_test.go
+++ b/internal/coordination/flow/flow_test.go
@@ -15,7 +15,7 @@
 func rng(from, to int) model.LayerRange { return model.LayerRange{From: from, To: to} }
 
 // near allows for the coarseness of the packing.
-func near(got, want float64) bool { return math.Abs(got-want) <= 4*Fine*want+1e-9 }
+func near(got, want float64) bool { return math.Abs(got-want) <= 4*FinePrecision*want+1e-9 }
 
 func TestKnownFlows(t *testing.T) {
 	for _, tc := range []struct {
@@ -34,7 +34,7 @@
 		{"slow link", []Group{{"a", rng(0, 4), 10}, {"b", rng(4, 8), 10}}, func(a, b string) float64 { return 2 }, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := Solve(tc.groups, 8, tc.link, Fine)
+			got := Solve(tc.groups, 8, tc.link, FinePrecision)
 			assert.Assert(t, near(got.Rate, tc.want), "%g, want %g", got.Rate, tc.want)
 		})
 	}
@@ -58,7 +58,7 @@
 			})
 		}
 		link := func(a, b string) float64 { return math.Inf(1) }
-		plan := Solve(groups, 8, link, Fine)
+		plan := Solve(groups, 8, link, FinePrecision)
 		used := make([]float64, len(groups))
 		for _, c := range plan.Chains {
 			next := 0
