--- a/internal/coordination/flow/flow.go
+++ b/internal/coordination/flow/flow.go
@@ -50,8 +50,8 @@
 const (
 	// FinePrecision is for bounds that figures are measured against.
 	FinePrecision = 0.03
-	// Coarse is for plans that are made again every second.
-	Coarse = 0.12
+	// CoarsePrecision is for plans that are made again every second.
+	CoarsePrecision = 0.12
 )
 
 // maxSteps bounds the work on odd inputs.
--- a/internal/coordination/flow/flow_test.go
+++ b/internal/coordination/flow/flow_test.go
@@ -98,6 +98,6 @@
 		return 5
 	}
 	for b.Loop() {
-		Solve(groups, 8, link, Coarse)
+		Solve(groups, 8, link, CoarsePrecision)
 	}
 }
--- a/internal/coordination/routing/flow.go
+++ b/internal/coordination/routing/flow.go
@@ -104,7 +104,7 @@
 
 func (p *planner) solve(everybody []candidate, layers int) *plan {
 	groups := groupsOf(everybody)
-	return &plan{Plan: flow.Solve(groups, layers, p.link, flow.Coarse), groups: groups}
+	return &plan{Plan: flow.Solve(groups, layers, p.link, flow.CoarsePrecision), groups: groups}
 }
 
 // byFlow draws a few chains along the plan and gives the one with the least
