--- a/bench/fleet_test.go
+++ b/bench/fleet_test.go
@@ -62,5 +62,5 @@
 		groups = append(groups, flow.Group{Domain: s.Domain, Range: s.Range, Rate: rate})
 	}
 	rate := func(a, b string) float64 { return between(a, b).Rate }
-	return flow.Solve(groups, layers, rate, flow.FinePrecision).Bound
+	return flow.Solve(groups, layers, rate, flow.FinePrecision).UpperBound
 }
--- a/internal/coordination/flow/flow.go
+++ b/internal/coordination/flow/flow.go
@@ -42,8 +42,8 @@
 	Chains []Chain
 	// Rate is the sum of the chains' rates, positions a second.
 	Rate float64
-	// Bound is proven: no plan carries more.
-	Bound float64
+	// UpperBound is proven: no plan carries more.
+	UpperBound float64
 }
 
 // Precisions for Solve. The work grows with the inverse of its square.
@@ -302,6 +302,6 @@
 		}
 		return chainKey(a.Groups) < chainKey(b.Groups)
 	})
-	out.Bound = p.bound
+	out.UpperBound = p.bound
 	return out
 }
--- a/internal/coordination/flow/flow_test.go
+++ b/internal/coordination/flow/flow_test.go
@@ -74,7 +74,7 @@
 		}
 		best := maxFlow(groups, 8, link)
 		assert.Assert(rt, near(plan.Rate, best), "plan %g, maximum flow %g", plan.Rate, best)
-		assert.Assert(rt, best == 0 || plan.Bound >= best*(1-1e-6), "bound %g below the maximum flow %g", plan.Bound, best)
+		assert.Assert(rt, best == 0 || plan.UpperBound >= best*(1-1e-6), "bound %g below the maximum flow %g", plan.UpperBound, best)
 	})
 }
 
