--- a/internal/coordination/liveness/liveness.go
+++ b/internal/coordination/liveness/liveness.go
@@ -41,8 +41,8 @@
 	// Engines lists the engines that are known.
 	Engines func() []*model.BackendServer
 	Dial    func(ctx context.Context, addr string) (net.Conn, error)
-	// Gone is told of an engine whose process has ended.
-	Gone func(b *model.BackendServer)
+	// OnExit is told of an engine whose process has ended.
+	OnExit func(b *model.BackendServer)
 
 	mu      sync.Mutex
 	watched map[model.Incarnation]context.CancelFunc
@@ -148,7 +148,7 @@
 		if err != nil {
 			if seen && ctx.Err() == nil && errors.Is(err, syscall.ECONNREFUSED) {
 				klog.InfoS("engine's process ended", "server", b.Incarnation(), "address", b.Address, "evidence", "a kept connection was closed and a new one refused")
-				s.Gone(b)
+				s.OnExit(b)
 				return
 			}
 			pause(ctx)
--- a/internal/coordination/liveness/liveness_test.go
+++ b/internal/coordination/liveness/liveness_test.go
@@ -65,7 +65,7 @@
 			Routers: func() []string { return []string{"a"} },
 			Engines: func() []*model.BackendServer { return []*model.BackendServer{{ID: "e", Address: "e:1"}} },
 			Dial:    e.accept,
-			Gone:    func(b *model.BackendServer) { gone = append(gone, b.ID) },
+			OnExit:  func(b *model.BackendServer) { gone = append(gone, b.ID) },
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		var done sync.WaitGroup
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -263,7 +263,7 @@
 		Routers: r.exchange.Alive,
 		Engines: r.engines,
 		Dial:    backend.Dial,
-		Gone: func(b *model.BackendServer) {
+		OnExit: func(b *model.BackendServer) {
 			r.exchange.TellGone(b.Incarnation())
 			rel.HandleEngineExit(b.Incarnation())
 		},
