--- a/internal/coordination/keepalive/keepalive.go
+++ b/internal/coordination/keepalive/keepalive.go
@@ -34,23 +34,23 @@
 	Serving              // a request is in progress
 )
 
-// Life is the life of one connection. Its zero value rests since the zero time. Its
+// ConnState is the life of one connection. Its zero value rests since the zero time. Its
 // owner keeps calls apart.
-type Life struct {
+type ConnState struct {
 	phase   Phase
 	since   time.Time // when the phase began
 	retired bool
 }
 
 // Rest begins to wait for the next request.
-func (l *Life) Rest(now time.Time) {
+func (l *ConnState) Rest(now time.Time) {
 	l.phase = Resting
 	l.since = now
 }
 
 // Heard takes in that bytes were read. The first ones of a head begin its time; later
 // ones don't prolong it, or a caller could hold the connection by single bytes.
-func (l *Life) Heard(now time.Time) {
+func (l *ConnState) Heard(now time.Time) {
 	if l.phase == Resting {
 		l.phase = Reading
 		l.since = now
@@ -58,13 +58,13 @@
 }
 
 // Take begins a request.
-func (l *Life) Take() { l.phase = Serving }
+func (l *ConnState) Take() { l.phase = Serving }
 
 // Retire ends the connection as soon as it rests: its router stops.
-func (l *Life) Retire() { l.retired = true }
+func (l *ConnState) Retire() { l.retired = true }
 
 // Phase gives the present phase.
-func (l *Life) Phase() Phase { return l.phase }
+func (l *ConnState) Phase() Phase { return l.phase }
 
 // longAgo is a bound that has passed.
 var longAgo = time.Unix(1, 0)
@@ -72,7 +72,7 @@
 // Until is when the phase must be over, by the limits that are in force now: a
 // connection that came to rest under a shorter time is used by its caller for as
 // long as the newest configuration says. Zero is no bound.
-func (l *Life) Until(limits model.CallerLimits) time.Time {
+func (l *ConnState) Until(limits model.CallerLimits) time.Time {
 	switch {
 	case l.phase == Serving:
 		return time.Time{}
@@ -87,7 +87,7 @@
 // Over decides at now whether the phase's time is over. Where bytes of the caller have
 // arrived and are not read yet it is not: a router that is short of processor time is
 // late to read them, which is not the caller's fault.
-func (l *Life) Over(now time.Time, limits model.CallerLimits, arrived bool) bool {
+func (l *ConnState) Over(now time.Time, limits model.CallerLimits, arrived bool) bool {
 	until := l.Until(limits)
 	return !until.IsZero() && !arrived && !now.Before(until)
 }
--- a/internal/coordination/keepalive/keepalive_test.go
+++ b/internal/coordination/keepalive/keepalive_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestRestEndsAfterTheIdleTimeAndAMargin(t *testing.T) {
-	var l Life
+	var l ConnState
 	l.Rest(start)
 	until := start.Add(limits.IdleTime + Margin(limits.IdleTime))
 	assert.Assert(t, !l.Over(until.Add(-1), limits, false))
@@ -26,7 +26,7 @@
 // Callers rest up to a third longer than the idle time that they were told, and find
 // their connections open; short times have a second at least.
 func TestMarginCoversCallersThatRestLonger(t *testing.T) {
-	var l Life
+	var l ConnState
 	l.Rest(start)
 	assert.Assert(t, !l.Over(start.Add(limits.IdleTime*4/3), limits, false))
 	assert.Equal(t, Margin(100*time.Millisecond), time.Second)
@@ -35,7 +35,7 @@
 // A router was short of processor time: the caller's request arrived before the idle
 // time ended, and is looked at after it. Closed now, the caller would have no answer.
 func TestBytesThatHaveArrivedKeepAConnection(t *testing.T) {
-	var l Life
+	var l ConnState
 	l.Rest(start)
 	assert.Assert(t, !l.Over(start.Add(time.Hour), limits, true))
 	l.Heard(start)
@@ -45,7 +45,7 @@
 // The operator lengthens the idle time while a connection rests, and its caller uses it
 // within the new one.
 func TestLimitsInForceNowCount(t *testing.T) {
-	var l Life
+	var l ConnState
 	l.Rest(start)
 	longer := limits
 	longer.IdleTime = time.Hour
@@ -55,7 +55,7 @@
 
 // A caller sends a head byte by byte.
 func TestHeadIsBoundedFromItsFirstByte(t *testing.T) {
-	var l Life
+	var l ConnState
 	l.Rest(start)
 	l.Heard(start.Add(time.Second))
 	l.Heard(start.Add(2 * time.Second))
@@ -65,7 +65,7 @@
 // A router stops: connections at rest end at once, those with a head under way don't,
 // those with a request end when it has been answered.
 func TestRetiredConnectionsEndAtRest(t *testing.T) {
-	var l Life
+	var l ConnState
 	l.Rest(start)
 	l.Heard(start)
 	l.Retire()
@@ -80,7 +80,7 @@
 // bytes that have arrived, is never ended here.
 func TestNoRequestIsEnded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l Life
+		var l ConnState
 		now := start
 		l.Rest(now)
 		t.Repeat(map[string]func(*rapid.T){
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -53,7 +53,7 @@
 	limits func() model.CallerLimits
 
 	mu      sync.Mutex
-	life    keepalive.Life
+	life    keepalive.ConnState
 	why     End // the first reason to end it; empty while there is none
 	cause   error
 	request *model.Call // in progress; nil while there is none
