--- a/internal/coordination/keepalive/keepalive.go
+++ b/internal/coordination/keepalive/keepalive.go
@@ -42,8 +42,8 @@
 	retired bool
 }
 
-// Rest begins to wait for the next request.
-func (l *ConnState) Rest(now time.Time) {
+// StartIdle begins to wait for the next request.
+func (l *ConnState) StartIdle(now time.Time) {
 	l.phase = Resting
 	l.since = now
 }
--- a/internal/coordination/keepalive/keepalive_test.go
+++ b/internal/coordination/keepalive/keepalive_test.go
@@ -17,7 +17,7 @@
 
 func TestRestEndsAfterTheIdleTimeAndAMargin(t *testing.T) {
 	var l ConnState
-	l.Rest(start)
+	l.StartIdle(start)
 	until := start.Add(limits.IdleTime + Margin(limits.IdleTime))
 	assert.Assert(t, !l.Over(until.Add(-1), limits, false))
 	assert.Assert(t, l.Over(until, limits, false))
@@ -27,7 +27,7 @@
 // their connections open; short times have a second at least.
 func TestMarginCoversCallersThatRestLonger(t *testing.T) {
 	var l ConnState
-	l.Rest(start)
+	l.StartIdle(start)
 	assert.Assert(t, !l.Over(start.Add(limits.IdleTime*4/3), limits, false))
 	assert.Equal(t, Margin(100*time.Millisecond), time.Second)
 }
@@ -36,7 +36,7 @@
 // time ended, and is looked at after it. Closed now, the caller would have no answer.
 func TestBytesThatHaveArrivedKeepAConnection(t *testing.T) {
 	var l ConnState
-	l.Rest(start)
+	l.StartIdle(start)
 	assert.Assert(t, !l.Over(start.Add(time.Hour), limits, true))
 	l.Heard(start)
 	assert.Assert(t, !l.Over(start.Add(time.Hour), limits, true))
@@ -46,7 +46,7 @@
 // within the new one.
 func TestLimitsInForceNowCount(t *testing.T) {
 	var l ConnState
-	l.Rest(start)
+	l.StartIdle(start)
 	longer := limits
 	longer.IdleTime = time.Hour
 	assert.Assert(t, !l.Over(start.Add(time.Minute), longer, false))
@@ -56,7 +56,7 @@
 // A caller sends a head byte by byte.
 func TestHeadIsBoundedFromItsFirstByte(t *testing.T) {
 	var l ConnState
-	l.Rest(start)
+	l.StartIdle(start)
 	l.Heard(start.Add(time.Second))
 	l.Heard(start.Add(2 * time.Second))
 	assert.Equal(t, l.Until(limits), start.Add(time.Second+limits.HeaderTime))
@@ -66,13 +66,13 @@
 // those with a request end when it has been answered.
 func TestRetiredConnectionsEndAtRest(t *testing.T) {
 	var l ConnState
-	l.Rest(start)
+	l.StartIdle(start)
 	l.Heard(start)
 	l.Retire()
 	assert.Assert(t, !l.Over(start, limits, false))
 	l.Take()
 	assert.Assert(t, !l.Over(start.Add(time.Hour), limits, false))
-	l.Rest(start.Add(time.Hour))
+	l.StartIdle(start.Add(time.Hour))
 	assert.Assert(t, l.Over(start.Add(time.Hour), limits, false))
 }
 
@@ -82,9 +82,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var l ConnState
 		now := start
-		l.Rest(now)
+		l.StartIdle(now)
 		t.Repeat(map[string]func(*rapid.T){
-			"rest":   func(*rapid.T) { l.Rest(now) },
+			"rest":   func(*rapid.T) { l.StartIdle(now) },
 			"heard":  func(*rapid.T) { l.Heard(now) },
 			"take":   func(*rapid.T) { l.Take() },
 			"retire": func(*rapid.T) { l.Retire() },
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -145,7 +145,7 @@
 func (c *timedConn) rest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.Rest(time.Now())
+	c.life.StartIdle(time.Now())
 }
 
 // take begins a request: a read that watches for the caller's leaving has no bound.
