--- a/internal/coordination/keepalive/keepalive.go
+++ b/internal/coordination/keepalive/keepalive.go
@@ -48,9 +48,9 @@
 	l.since = now
 }
 
-// Heard takes in that bytes were read. The first ones of a head begin its time; later
+// BytesRead takes in that bytes were read. The first ones of a head begin its time; later
 // ones don't prolong it, or a caller could hold the connection by single bytes.
-func (l *ConnState) Heard(now time.Time) {
+func (l *ConnState) BytesRead(now time.Time) {
 	if l.phase == Resting {
 		l.phase = Reading
 		l.since = now
--- a/internal/coordination/keepalive/keepalive_test.go
+++ b/internal/coordination/keepalive/keepalive_test.go
@@ -38,7 +38,7 @@
 	var l ConnState
 	l.StartIdle(start)
 	assert.Assert(t, !l.Over(start.Add(time.Hour), limits, true))
-	l.Heard(start)
+	l.BytesRead(start)
 	assert.Assert(t, !l.Over(start.Add(time.Hour), limits, true))
 }
 
@@ -57,8 +57,8 @@
 func TestHeadIsBoundedFromItsFirstByte(t *testing.T) {
 	var l ConnState
 	l.StartIdle(start)
-	l.Heard(start.Add(time.Second))
-	l.Heard(start.Add(2 * time.Second))
+	l.BytesRead(start.Add(time.Second))
+	l.BytesRead(start.Add(2 * time.Second))
 	assert.Equal(t, l.Until(limits), start.Add(time.Second+limits.HeaderTime))
 }
 
@@ -67,7 +67,7 @@
 func TestRetiredConnectionsEndAtRest(t *testing.T) {
 	var l ConnState
 	l.StartIdle(start)
-	l.Heard(start)
+	l.BytesRead(start)
 	l.Retire()
 	assert.Assert(t, !l.Over(start, limits, false))
 	l.Take()
@@ -85,7 +85,7 @@
 		l.StartIdle(now)
 		t.Repeat(map[string]func(*rapid.T){
 			"rest":   func(*rapid.T) { l.StartIdle(now) },
-			"heard":  func(*rapid.T) { l.Heard(now) },
+			"heard":  func(*rapid.T) { l.BytesRead(now) },
 			"take":   func(*rapid.T) { l.Take() },
 			"retire": func(*rapid.T) { l.Retire() },
 			"wait": func(t *rapid.T) {
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -138,7 +138,7 @@
 func (c *timedConn) heard() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.Heard(time.Now())
+	c.life.BytesRead(time.Now())
 }
 
 // rest begins to wait for a request.
