--- a/internal/coordination/keepalive/keepalive.go
+++ b/internal/coordination/keepalive/keepalive.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Take begins a request.
-func (l *ConnState) Take() { l.phase = Serving }
+// StartRequest begins a request.
+func (l *ConnState) StartRequest() { l.phase = Serving }
 
 // Retire ends the connection as soon as it rests: its router stops.
 func (l *ConnState) Retire() { l.retired = true }
--- a/internal/coordination/keepalive/keepalive_test.go
+++ b/internal/coordination/keepalive/keepalive_test.go
@@ -70,7 +70,7 @@
 	l.BytesRead(start)
 	l.Retire()
 	assert.Assert(t, !l.Over(start, limits, false))
-	l.Take()
+	l.StartRequest()
 	assert.Assert(t, !l.Over(start.Add(time.Hour), limits, false))
 	l.StartIdle(start.Add(time.Hour))
 	assert.Assert(t, l.Over(start.Add(time.Hour), limits, false))
@@ -86,7 +86,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"rest":   func(*rapid.T) { l.StartIdle(now) },
 			"heard":  func(*rapid.T) { l.BytesRead(now) },
-			"take":   func(*rapid.T) { l.Take() },
+			"take":   func(*rapid.T) { l.StartRequest() },
 			"retire": func(*rapid.T) { l.Retire() },
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 60_000).Draw(t, "ms")) * time.Millisecond)
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -152,7 +152,7 @@
 func (c *timedConn) take() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.Take()
+	c.life.StartRequest()
 	_ = c.SetReadDeadline(time.Time{}) // fails on a closed connection, which the next read tells
 }
 
