--- a/internal/coordination/keepalive/keepalive.go
+++ b/internal/coordination/keepalive/keepalive.go
@@ -60,8 +60,8 @@
 // StartRequest begins a request.
 func (l *ConnState) StartRequest() { l.phase = Serving }
 
-// Retire ends the connection as soon as it rests: its router stops.
-func (l *ConnState) Retire() { l.retired = true }
+// CloseWhenIdle ends the connection as soon as it rests: its router stops.
+func (l *ConnState) CloseWhenIdle() { l.retired = true }
 
 // Phase gives the present phase.
 func (l *ConnState) Phase() Phase { return l.phase }
--- a/internal/coordination/keepalive/keepalive_test.go
+++ b/internal/coordination/keepalive/keepalive_test.go
@@ -68,7 +68,7 @@
 	var l ConnState
 	l.StartIdle(start)
 	l.BytesRead(start)
-	l.Retire()
+	l.CloseWhenIdle()
 	assert.Assert(t, !l.Over(start, limits, false))
 	l.StartRequest()
 	assert.Assert(t, !l.Over(start.Add(time.Hour), limits, false))
@@ -87,7 +87,7 @@
 			"rest":   func(*rapid.T) { l.StartIdle(now) },
 			"heard":  func(*rapid.T) { l.BytesRead(now) },
 			"take":   func(*rapid.T) { l.StartRequest() },
-			"retire": func(*rapid.T) { l.Retire() },
+			"retire": func(*rapid.T) { l.CloseWhenIdle() },
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 60_000).Draw(t, "ms")) * time.Millisecond)
 			},
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -161,7 +161,7 @@
 func (c *timedConn) retire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.Retire()
+	c.life.CloseWhenIdle()
 	if c.life.Phase() == keepalive.Resting {
 		_ = c.SetReadDeadline(c.life.Until(c.limits())) // as above
 	}
