--- a/internal/coordination/keepalive/keepalive.go
+++ b/internal/coordination/keepalive/keepalive.go
@@ -69,10 +69,10 @@
 // longAgo is a bound that has passed.
 var longAgo = time.Unix(1, 0)
 
-// Until is when the phase must be over, by the limits that are in force now: a
+// Deadline is when the phase must be over, by the limits that are in force now: a
 // connection that came to rest under a shorter time is used by its caller for as
 // long as the newest configuration says. Zero is no bound.
-func (l *ConnState) Until(limits model.CallerLimits) time.Time {
+func (l *ConnState) Deadline(limits model.CallerLimits) time.Time {
 	switch {
 	case l.phase == Serving:
 		return time.Time{}
@@ -88,6 +88,6 @@
 // arrived and are not read yet it is not: a router that is short of processor time is
 // late to read them, which is not the caller's fault.
 func (l *ConnState) Over(now time.Time, limits model.CallerLimits, arrived bool) bool {
-	until := l.Until(limits)
+	until := l.Deadline(limits)
 	return !until.IsZero() && !arrived && !now.Before(until)
 }
--- a/internal/coordination/keepalive/keepalive_test.go
+++ b/internal/coordination/keepalive/keepalive_test.go
@@ -59,7 +59,7 @@
 	l.StartIdle(start)
 	l.BytesRead(start.Add(time.Second))
 	l.BytesRead(start.Add(2 * time.Second))
-	assert.Equal(t, l.Until(limits), start.Add(time.Second+limits.HeaderTime))
+	assert.Equal(t, l.Deadline(limits), start.Add(time.Second+limits.HeaderTime))
 }
 
 // A router stops: connections at rest end at once, those with a head under way don't,
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -94,7 +94,7 @@
 	if c.life.Phase() == keepalive.Serving {
 		return nil
 	}
-	return c.SetReadDeadline(c.life.Until(c.limits()))
+	return c.SetReadDeadline(c.life.Deadline(c.limits()))
 }
 
 // over decides what a read that reached its deadline stands for. Where it is not
@@ -111,7 +111,7 @@
 	arrived := tcp.Arrived(c.Conn)
 	ends := c.life.Over(time.Now(), limits, arrived)
 	if !ends {
-		next := c.life.Until(limits)
+		next := c.life.Deadline(limits)
 		if arrived {
 			next = time.Time{}
 		}
@@ -163,7 +163,7 @@
 	defer c.mu.Unlock()
 	c.life.CloseWhenIdle()
 	if c.life.Phase() == keepalive.Resting {
-		_ = c.SetReadDeadline(c.life.Until(c.limits())) // as above
+		_ = c.SetReadDeadline(c.life.Deadline(c.limits())) // as above
 	}
 }
 
