--- a/internal/coordination/keepalive/keepalive.go
+++ b/internal/coordination/keepalive/keepalive.go
@@ -84,10 +84,10 @@
 	return l.since.Add(limits.IdleTime + Margin(limits.IdleTime))
 }
 
-// Over decides at now whether the phase's time is over. Where bytes of the caller have
+// Expired decides at now whether the phase's time is over. Where bytes of the caller have
 // arrived and are not read yet it is not: a router that is short of processor time is
 // late to read them, which is not the caller's fault.
-func (l *ConnState) Over(now time.Time, limits model.CallerLimits, arrived bool) bool {
+func (l *ConnState) Expired(now time.Time, limits model.CallerLimits, arrived bool) bool {
 	until := l.Deadline(limits)
 	return !until.IsZero() && !arrived && !now.Before(until)
 }
--- a/internal/coordination/keepalive/keepalive_test.go
+++ b/internal/coordination/keepalive/keepalive_test.go
@@ -19,8 +19,8 @@
 	var l ConnState
 	l.StartIdle(start)
 	until := start.Add(limits.IdleTime + Margin(limits.IdleTime))
-	assert.Assert(t, !l.Over(until.Add(-1), limits, false))
-	assert.Assert(t, l.Over(until, limits, false))
+	assert.Assert(t, !l.Expired(until.Add(-1), limits, false))
+	assert.Assert(t, l.Expired(until, limits, false))
 }
 
 // Callers rest up to a third longer than the idle time that they were told, and find
@@ -28,7 +28,7 @@
 func TestMarginCoversCallersThatRestLonger(t *testing.T) {
 	var l ConnState
 	l.StartIdle(start)
-	assert.Assert(t, !l.Over(start.Add(limits.IdleTime*4/3), limits, false))
+	assert.Assert(t, !l.Expired(start.Add(limits.IdleTime*4/3), limits, false))
 	assert.Equal(t, Margin(100*time.Millisecond), time.Second)
 }
 
@@ -37,9 +37,9 @@
 func TestBytesThatHaveArrivedKeepAConnection(t *testing.T) {
 	var l ConnState
 	l.StartIdle(start)
-	assert.Assert(t, !l.Over(start.Add(time.Hour), limits, true))
+	assert.Assert(t, !l.Expired(start.Add(time.Hour), limits, true))
 	l.BytesRead(start)
-	assert.Assert(t, !l.Over(start.Add(time.Hour), limits, true))
+	assert.Assert(t, !l.Expired(start.Add(time.Hour), limits, true))
 }
 
 // The operator lengthens the idle time while a connection rests, and its caller uses it
@@ -49,8 +49,8 @@
 	l.StartIdle(start)
 	longer := limits
 	longer.IdleTime = time.Hour
-	assert.Assert(t, !l.Over(start.Add(time.Minute), longer, false))
-	assert.Assert(t, l.Over(start.Add(time.Minute), limits, false))
+	assert.Assert(t, !l.Expired(start.Add(time.Minute), longer, false))
+	assert.Assert(t, l.Expired(start.Add(time.Minute), limits, false))
 }
 
 // A caller sends a head byte by byte.
@@ -69,11 +69,11 @@
 	l.StartIdle(start)
 	l.BytesRead(start)
 	l.CloseWhenIdle()
-	assert.Assert(t, !l.Over(start, limits, false))
+	assert.Assert(t, !l.Expired(start, limits, false))
 	l.StartRequest()
-	assert.Assert(t, !l.Over(start.Add(time.Hour), limits, false))
+	assert.Assert(t, !l.Expired(start.Add(time.Hour), limits, false))
 	l.StartIdle(start.Add(time.Hour))
-	assert.Assert(t, l.Over(start.Add(time.Hour), limits, false))
+	assert.Assert(t, l.Expired(start.Add(time.Hour), limits, false))
 }
 
 // Whatever happens in whatever order: a connection with a request in progress, or with
@@ -93,7 +93,7 @@
 			},
 			"": func(t *rapid.T) {
 				arrived := rapid.Bool().Draw(t, "arrived")
-				if l.Over(now, limits, arrived) && (arrived || l.Phase() == Serving) {
+				if l.Expired(now, limits, arrived) && (arrived || l.Phase() == Serving) {
 					t.Fatal("ended with a request in it")
 				}
 			},
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -109,7 +109,7 @@
 	}
 	limits := c.limits()
 	arrived := tcp.Arrived(c.Conn)
-	ends := c.life.Over(time.Now(), limits, arrived)
+	ends := c.life.Expired(time.Now(), limits, arrived)
 	if !ends {
 		next := c.life.Deadline(limits)
 		if arrived {
