--- a/internal/coordination/keepalive/keepalive.go
+++ b/internal/coordination/keepalive/keepalive.go
@@ -27,9 +27,9 @@
 // Phase is what a connection is doing.
 type Phase int
 
-// The phases. Only Resting and Reading have a bound here.
+// The phases. Only Idle and Reading have a bound here.
 const (
-	Resting Phase = iota // nothing of the next request has been read
+	Idle    Phase = iota // nothing of the next request has been read
 	Reading              // a part of a head has been read
 	Serving              // a request is in progress
 )
@@ -44,14 +44,14 @@
 
 // StartIdle begins to wait for the next request.
 func (l *ConnState) StartIdle(now time.Time) {
-	l.phase = Resting
+	l.phase = Idle
 	l.since = now
 }
 
 // BytesRead takes in that bytes were read. The first ones of a head begin its time; later
 // ones don't prolong it, or a caller could hold the connection by single bytes.
 func (l *ConnState) BytesRead(now time.Time) {
-	if l.phase == Resting {
+	if l.phase == Idle {
 		l.phase = Reading
 		l.since = now
 	}
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -162,7 +162,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.life.CloseWhenIdle()
-	if c.life.Phase() == keepalive.Resting {
+	if c.life.Phase() == keepalive.Idle {
 		_ = c.SetReadDeadline(c.life.Deadline(c.limits())) // as above
 	}
 }
