--- a/internal/coordination/keepalive/keepalive.go
+++ b/internal/coordination/keepalive/keepalive.go
@@ -27,11 +27,11 @@
 // Phase is what a connection is doing.
 type Phase int
 
-// The phases. Only Idle and Reading have a bound here.
+// The phases. Only Idle and ReadingHeader have a bound here.
 const (
-	Idle    Phase = iota // nothing of the next request has been read
-	Reading              // a part of a head has been read
-	Serving              // a request is in progress
+	Idle          Phase = iota // nothing of the next request has been read
+	ReadingHeader              // a part of a head has been read
+	Serving                    // a request is in progress
 )
 
 // ConnState is the life of one connection. Its zero value rests since the zero time. Its
@@ -52,7 +52,7 @@
 // ones don't prolong it, or a caller could hold the connection by single bytes.
 func (l *ConnState) BytesRead(now time.Time) {
 	if l.phase == Idle {
-		l.phase = Reading
+		l.phase = ReadingHeader
 		l.since = now
 	}
 }
@@ -76,7 +76,7 @@
 	switch {
 	case l.phase == Serving:
 		return time.Time{}
-	case l.phase == Reading:
+	case l.phase == ReadingHeader:
 		return l.since.Add(limits.HeaderTime)
 	case l.retired:
 		return longAgo
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -119,7 +119,7 @@
 	}
 	c.mu.Unlock()
 	switch {
-	case ends && phase == keepalive.Reading:
+	case ends && phase == keepalive.ReadingHeader:
 		c.headTooSlow()
 	case ends:
 		c.endsBy(EndRested, nil)
