--- a/internal/coordination/keepalive/keepalive.go
+++ b/internal/coordination/keepalive/keepalive.go
@@ -19,8 +19,8 @@
 	leastMargin = time.Second
 )
 
-// Margin gives the margin beyond an idle time.
-func Margin(idle time.Duration) time.Duration {
+// IdleMargin gives the margin beyond an idle time.
+func IdleMargin(idle time.Duration) time.Duration {
 	return max(leastMargin, time.Duration(marginShare*float64(idle)))
 }
 
@@ -81,7 +81,7 @@
 	case l.retired:
 		return longAgo
 	}
-	return l.since.Add(limits.IdleTime + Margin(limits.IdleTime))
+	return l.since.Add(limits.IdleTime + IdleMargin(limits.IdleTime))
 }
 
 // Expired decides at now whether the phase's time is over. Where bytes of the caller have
--- a/internal/coordination/keepalive/keepalive_test.go
+++ b/internal/coordination/keepalive/keepalive_test.go
@@ -18,7 +18,7 @@
 func TestRestEndsAfterTheIdleTimeAndAMargin(t *testing.T) {
 	var l ConnState
 	l.StartIdle(start)
-	until := start.Add(limits.IdleTime + Margin(limits.IdleTime))
+	until := start.Add(limits.IdleTime + IdleMargin(limits.IdleTime))
 	assert.Assert(t, !l.Expired(until.Add(-1), limits, false))
 	assert.Assert(t, l.Expired(until, limits, false))
 }
@@ -29,7 +29,7 @@
 	var l ConnState
 	l.StartIdle(start)
 	assert.Assert(t, !l.Expired(start.Add(limits.IdleTime*4/3), limits, false))
-	assert.Equal(t, Margin(100*time.Millisecond), time.Second)
+	assert.Equal(t, IdleMargin(100*time.Millisecond), time.Second)
 }
 
 // A router was short of processor time: the caller's request arrived before the idle
--- a/internal/transport/front/rest_test.go
+++ b/internal/transport/front/rest_test.go
@@ -76,7 +76,7 @@
 		var lost, closed atomic.Int64
 		for i := range conns {
 			c := rest(t, addr, round*conns+i)
-			at := time.Now().Add(idle + keepalive.Margin(idle) - 500*time.Microsecond + time.Duration(i)*5*time.Microsecond)
+			at := time.Now().Add(idle + keepalive.IdleMargin(idle) - 500*time.Microsecond + time.Duration(i)*5*time.Microsecond)
 			all.Go(func() {
 				time.Sleep(time.Until(at))
 				if c.send(1) == nil && c.answered(1) == nil {
@@ -103,7 +103,7 @@
 	s.Config.Apply(config(2, short), nil)
 	c := rest(t, addr, 1)
 	s.Config.Apply(config(3, time.Minute), nil)
-	time.Sleep(short + keepalive.Margin(short) + 200*time.Millisecond)
+	time.Sleep(short + keepalive.IdleMargin(short) + 200*time.Millisecond)
 	assert.NilError(t, c.send(1))
 	assert.NilError(t, c.answered(1))
 }
