--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -17,19 +17,19 @@
 }
 
 // fill lets n requests in, then says that the engines are full.
-func fill(t *testing.T, r *Room, customer string, n int) {
+func fill(t *testing.T, r *Limiter, customer string, n int) {
 	for i := 0; i < n; i++ {
-		assert.NilError(t, r.Enter(context.Background(), ask(customer, 3)))
+		assert.NilError(t, r.Acquire(context.Background(), ask(customer, 3)))
 	}
-	r.Full()
+	r.Overloaded()
 }
 
 // While nobody refuses, whatever comes goes in at once.
 func TestNoLimitWithoutRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New(time.Now)
+		r := NewLimiter(time.Now)
 		for i := 0; i < 1000; i++ {
-			assert.NilError(t, r.Enter(context.Background(), ask("c", 0)))
+			assert.NilError(t, r.Acquire(context.Background(), ask("c", 0)))
 		}
 	})
 }
@@ -38,7 +38,7 @@
 // is refused at once, and each refusal says when to come back, not all the same.
 func TestFloodIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New(time.Now)
+		r := NewLimiter(time.Now)
 		fill(t, r, "flood", 10)
 		var wg sync.WaitGroup
 		var mu sync.Mutex
@@ -47,7 +47,7 @@
 		for i := 0; i < 100; i++ {
 			wg.Go(func() {
 				began := time.Now()
-				err := r.Enter(context.Background(), ask("flood", 3))
+				err := r.Acquire(context.Background(), ask("flood", 3))
 				assert.Check(t, fault.Is(err, fault.Overloaded))
 				mu.Lock()
 				defer mu.Unlock()
@@ -67,11 +67,11 @@
 // and goes in first.
 func TestSmallCustomerGoesBeforeTheFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New(time.Now)
+		r := NewLimiter(time.Now)
 		fill(t, r, "flood", 10)
 		order := make(chan string, 32)
 		enter := func(customer string) {
-			if r.Enter(context.Background(), ask(customer, 3)) == nil {
+			if r.Acquire(context.Background(), ask(customer, 3)) == nil {
 				order <- customer
 			}
 		}
@@ -81,9 +81,9 @@
 		synctest.Wait()
 		go enter("small")
 		synctest.Wait()
-		r.Leave("flood", false)
+		r.Release("flood", false)
 		synctest.Wait()
-		r.Leave("flood", false)
+		r.Release("flood", false)
 		synctest.Wait()
 		assert.Equal(t, <-order, "small")
 		time.Sleep(2 * maxWait)
@@ -94,21 +94,21 @@
 // one gets its final answer at that moment.
 func TestLowPriorityIsShedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New(time.Now)
+		r := NewLimiter(time.Now)
 		fill(t, r, "c", 4)
 		low := make(chan time.Duration, blindQueue)
 		for i := 0; i < blindQueue; i++ {
 			go func() {
 				began := time.Now()
-				assert.Check(t, fault.Is(r.Enter(context.Background(), ask("c", 1)), fault.Overloaded))
+				assert.Check(t, fault.Is(r.Acquire(context.Background(), ask("c", 1)), fault.Overloaded))
 				low <- time.Since(began)
 			}()
 		}
 		synctest.Wait()
 		high := make(chan error, 1)
-		go func() { high <- r.Enter(context.Background(), ask("c", 9)) }()
+		go func() { high <- r.Acquire(context.Background(), ask("c", 9)) }()
 		assert.Equal(t, <-low, time.Duration(0))
-		r.Leave("c", false)
+		r.Release("c", false)
 		assert.NilError(t, <-high)
 		time.Sleep(2 * maxWait)
 	})
@@ -118,11 +118,11 @@
 // place in the queue is gone.
 func TestDeadlineWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New(time.Now)
+		r := NewLimiter(time.Now)
 		fill(t, r, "c", 4)
 		ctx, cancel := context.WithTimeout(context.Background(), maxWait/4)
 		defer cancel()
-		assert.Assert(t, r.Enter(ctx, ask("c", 1)) != nil)
+		assert.Assert(t, r.Acquire(ctx, ask("c", 1)) != nil)
 		assert.Equal(t, r.queue.Len(), 0)
 	})
 }
@@ -133,20 +133,20 @@
 func TestBurstOfSmallCustomersDoesNotWaitForTheFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const places, small = 60, 5
-		r := New(time.Now)
+		r := NewLimiter(time.Now)
 		fill(t, r, "flood", places)
 		for i := range small {
 			began := time.Now()
-			assert.NilError(t, r.Enter(context.Background(), ask(string(rune('a'+i)), 3)))
+			assert.NilError(t, r.Acquire(context.Background(), ask(string(rune('a'+i)), 3)))
 			assert.Equal(t, time.Since(began), time.Duration(0))
 		}
-		err := r.Enter(context.Background(), ask("flood", 3))
+		err := r.Acquire(context.Background(), ask("flood", 3))
 		assert.Assert(t, fault.Is(err, fault.Overloaded))
 	})
 }
 
 // insiders counts who has a place, once all is quiet.
-func insiders(r *Room) int {
+func insiders(r *Limiter) int {
 	synctest.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -159,15 +159,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		left, leave := context.WithCancel(context.Background())
 		leave()
-		r := New(time.Now)
-		assert.Check(t, r.Enter(left, ask("c", 3)) != nil)
+		r := NewLimiter(time.Now)
+		assert.Check(t, r.Acquire(left, ask("c", 3)) != nil)
 		assert.Check(t, insiders(r) == 0)
 		for range 100 {
-			r := New(time.Now)
+			r := NewLimiter(time.Now)
 			fill(t, r, "c", 1)
 			ctx, leave := context.WithCancel(context.Background())
 			answer := make(chan error, 1)
-			go func() { answer <- r.Enter(ctx, ask("c", 3)) }()
+			go func() { answer <- r.Acquire(ctx, ask("c", 3)) }()
 			synctest.Wait()
 			r.mu.Lock()
 			leave()
@@ -183,10 +183,10 @@
 func TestRoomKeepsAPlaceThatWasGiven(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for range 100 {
-			r := New(time.Now)
+			r := NewLimiter(time.Now)
 			fill(t, r, "c", 1)
 			answer := make(chan error, 1)
-			go func() { answer <- r.Enter(context.Background(), ask("c", 3)) }()
+			go func() { answer <- r.Acquire(context.Background(), ask("c", 3)) }()
 			synctest.Wait()
 			r.mu.Lock()
 			time.Sleep(2 * maxWait) // the wait ends now as well
--- a/internal/coordination/keepalive/keepalive_test.go
+++ b/internal/coordination/keepalive/keepalive_test.go
@@ -16,84 +16,84 @@
 )
 
 func TestRestEndsAfterTheIdleTimeAndAMargin(t *testing.T) {
-	var l Life
-	l.Rest(start)
-	until := start.Add(limits.IdleTime + Margin(limits.IdleTime))
-	assert.Assert(t, !l.Over(until.Add(-1), limits, false))
-	assert.Assert(t, l.Over(until, limits, false))
+	var l ConnState
+	l.StartIdle(start)
+	until := start.Add(limits.IdleTime + IdleMargin(limits.IdleTime))
+	assert.Assert(t, !l.Expired(until.Add(-1), limits, false))
+	assert.Assert(t, l.Expired(until, limits, false))
 }
 
 // Callers rest up to a third longer than the idle time that they were told, and find
 // their connections open; short times have a second at least.
 func TestMarginCoversCallersThatRestLonger(t *testing.T) {
-	var l Life
-	l.Rest(start)
-	assert.Assert(t, !l.Over(start.Add(limits.IdleTime*4/3), limits, false))
-	assert.Equal(t, Margin(100*time.Millisecond), time.Second)
+	var l ConnState
+	l.StartIdle(start)
+	assert.Assert(t, !l.Expired(start.Add(limits.IdleTime*4/3), limits, false))
+	assert.Equal(t, IdleMargin(100*time.Millisecond), time.Second)
 }
 
 // A router was short of processor time: the caller's request arrived before the idle
 // time ended, and is looked at after it. Closed now, the caller would have no answer.
 func TestBytesThatHaveArrivedKeepAConnection(t *testing.T) {
-	var l Life
-	l.Rest(start)
-	assert.Assert(t, !l.Over(start.Add(time.Hour), limits, true))
-	l.Heard(start)
-	assert.Assert(t, !l.Over(start.Add(time.Hour), limits, true))
+	var l ConnState
+	l.StartIdle(start)
+	assert.Assert(t, !l.Expired(start.Add(time.Hour), limits, true))
+	l.BytesRead(start)
+	assert.Assert(t, !l.Expired(start.Add(time.Hour), limits, true))
 }
 
 // The operator lengthens the idle time while a connection rests, and its caller uses it
 // within the new one.
 func TestLimitsInForceNowCount(t *testing.T) {
-	var l Life
-	l.Rest(start)
+	var l ConnState
+	l.StartIdle(start)
 	longer := limits
 	longer.IdleTime = time.Hour
-	assert.Assert(t, !l.Over(start.Add(time.Minute), longer, false))
-	assert.Assert(t, l.Over(start.Add(time.Minute), limits, false))
+	assert.Assert(t, !l.Expired(start.Add(time.Minute), longer, false))
+	assert.Assert(t, l.Expired(start.Add(time.Minute), limits, false))
 }
 
 // A caller sends a head byte by byte.
 func TestHeadIsBoundedFromItsFirstByte(t *testing.T) {
-	var l Life
-	l.Rest(start)
-	l.Heard(start.Add(time.Second))
-	l.Heard(start.Add(2 * time.Second))
-	assert.Equal(t, l.Until(limits), start.Add(time.Second+limits.HeaderTime))
+	var l ConnState
+	l.StartIdle(start)
+	l.BytesRead(start.Add(time.Second))
+	l.BytesRead(start.Add(2 * time.Second))
+	assert.Equal(t, l.Deadline(limits), start.Add(time.Second+limits.HeaderTime))
 }
 
 // A router stops: connections at rest end at once, those with a head under way don't,
 // those with a request end when it has been answered.
 func TestRetiredConnectionsEndAtRest(t *testing.T) {
-	var l Life
-	l.Rest(start)
-	l.Heard(start)
-	l.Retire()
-	assert.Assert(t, !l.Over(start, limits, false))
-	l.Take()
-	assert.Assert(t, !l.Over(start.Add(time.Hour), limits, false))
-	l.Rest(start.Add(time.Hour))
-	assert.Assert(t, l.Over(start.Add(time.Hour), limits, false))
+	var l ConnState
+	l.StartIdle(start)
+	l.BytesRead(start)
+	l.CloseWhenIdle()
+	assert.Assert(t, !l.Expired(start, limits, false))
+	l.StartRequest()
+	assert.Assert(t, !l.Expired(start.Add(time.Hour), limits, false))
+	l.StartIdle(start.Add(time.Hour))
+	assert.Assert(t, l.Expired(start.Add(time.Hour), limits, false))
 }
 
 // Whatever happens in whatever order: a connection with a request in progress, or with
 // bytes that have arrived, is never ended here.
 func TestNoRequestIsEnded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l Life
+		var l ConnState
 		now := start
-		l.Rest(now)
+		l.StartIdle(now)
 		t.Repeat(map[string]func(*rapid.T){
-			"rest":   func(*rapid.T) { l.Rest(now) },
-			"heard":  func(*rapid.T) { l.Heard(now) },
-			"take":   func(*rapid.T) { l.Take() },
-			"retire": func(*rapid.T) { l.Retire() },
+			"rest":   func(*rapid.T) { l.StartIdle(now) },
+			"heard":  func(*rapid.T) { l.BytesRead(now) },
+			"take":   func(*rapid.T) { l.StartRequest() },
+			"retire": func(*rapid.T) { l.CloseWhenIdle() },
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 60_000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"": func(t *rapid.T) {
 				arrived := rapid.Bool().Draw(t, "arrived")
-				if l.Over(now, limits, arrived) && (arrived || l.Phase() == Serving) {
+				if l.Expired(now, limits, arrived) && (arrived || l.Phase() == Serving) {
 					t.Fatal("ended with a request in it")
 				}
 			},
--- a/internal/coordination/placement/restore_test.go
+++ b/internal/coordination/placement/restore_test.go
@@ -40,9 +40,9 @@
 					early = s.store.Copy()
 				}
 				s.store.Restore(early)
-				s.c.NewEra()
+				s.c.HandleStoreRestore()
 				if it, err := s.store.Get(context.Background(), leader.PlanPrefix+"s"); err == nil {
-					s.c.SeenPlan("s", it.Value, it.Revision)
+					s.c.ObservePlan("s", it.Value, it.Revision)
 				}
 				s.token.Store(int64(s.store.Put(leader.Key, []byte(`{}`))))
 				s.run(5 * time.Second)
--- a/internal/coordination/quarantine/model_test.go
+++ b/internal/coordination/quarantine/model_test.go
@@ -106,15 +106,15 @@
 	for at := time.Duration(0); at < 40*time.Second; at += 50 * time.Millisecond {
 		w.after(at, func() {
 			for _, r := range w.routers {
-				r.tracker.Judge()
+				r.tracker.EvaluateSuspects()
 			}
 		})
 	}
 	for at := time.Duration(0); at < 40*time.Second; at += time.Second {
 		w.after(at, func() {
 			for _, r := range w.routers {
-				sentences, peer := r.tracker.Sentences(), w.any()
-				w.after(w.delay(), func() { peer.tracker.Heard(Report{Sentences: sentences}, r.name) })
+				sentences, peer := r.tracker.Verdicts(), w.any()
+				w.after(w.delay(), func() { peer.tracker.ApplyReport(Report{Verdicts: sentences}, r.name) })
 			}
 		})
 	}
@@ -152,19 +152,19 @@
 // flush sends what the router has to report, a moment later.
 func (r *simRouter) flush() {
 	select {
-	case <-r.tracker.Due():
+	case <-r.tracker.ReportDue():
 	default:
 		return
 	}
 	r.w.after(reportGather, func() {
 		for {
-			report, ok := r.tracker.Report()
+			report, ok := r.tracker.TakeReport()
 			if !ok {
 				return
 			}
 			for _, peer := range r.w.routers {
 				if peer != r && r.w.rnd.Float64() >= r.w.loss {
-					r.w.after(min(r.w.delay(), 25*time.Millisecond), func() { peer.tracker.Heard(report, r.name) })
+					r.w.after(min(r.w.delay(), 25*time.Millisecond), func() { peer.tracker.ApplyReport(report, r.name) })
 				}
 			}
 		}
@@ -174,32 +174,32 @@
 // serve handles one attempt.
 func (r *simRouter) serve(q *simRequest) {
 	w := r.w
-	v := r.tracker.Look(q.work)
-	switch v.Standing {
+	v := r.tracker.Assess(q.work)
+	switch v.Restriction {
 	case Quarantined:
 		return
 	case Undecided:
 		w.after(20*time.Millisecond, func() { r.serve(q) })
 		return
-	case Alone:
+	case TrialOnly:
 		r.tryAlone(q, v)
 		return
 	}
 	if s := r.choose(q, v); s != nil {
-		r.send(q, s, v.Standing != Free)
+		r.send(q, s, v.Restriction != Unrestricted)
 	}
 }
 
-func (r *simRouter) choose(q *simRequest, v Verdict) *simServer {
+func (r *simRouter) choose(q *simRequest, v Assessment) *simServer {
 	var best *simServer
 	lowest := 0.0
 	for _, s := range r.w.servers {
-		if !s.up || q.busy[s.inc] || v.Shun[s.domain] {
+		if !s.up || q.busy[s.inc] || v.AvoidDomains[s.domain] {
 			continue
 		}
 		cost := float64(len(s.runs)) + r.w.rnd.Float64()
-		if v.Standing != Free {
-			cost += 5 * float64(r.tracker.Suspects(s.inc))
+		if v.Restriction != Unrestricted {
+			cost += 5 * float64(r.tracker.SuspectRuns(s.inc))
 		}
 		if best == nil || cost < lowest {
 			best, lowest = s, cost
@@ -209,7 +209,7 @@
 }
 
 // tryAlone asks the keeper for a trial.
-func (r *simRouter) tryAlone(q *simRequest, v Verdict) {
+func (r *simRouter) tryAlone(q *simRequest, v Assessment) {
 	w := r.w
 	s := r.choose(q, v)
 	if q.waits++; q.waits > 20 {
@@ -222,16 +222,16 @@
 	}
 	keeper := w.routers[0]
 	w.after(w.delay(), func() {
-		g := keeper.trials.Ask(q.work, []model.Incarnation{s.inc})
+		g := keeper.trials.Request(q.work, []model.Incarnation{s.inc})
 		w.after(w.delay(), func() {
 			switch {
 			case g.Granted:
 				r.send(q, s, true)
-			case g.Busy != model.Incarnation{}:
+			case g.BusyServer != model.Incarnation{}:
 				if q.busy == nil {
 					q.busy = map[model.Incarnation]bool{}
 				}
-				q.busy[g.Busy] = true
+				q.busy[g.BusyServer] = true
 				r.serve(q)
 			}
 		})
@@ -245,7 +245,7 @@
 	}
 	q.sends++
 	q.busy = nil
-	run := &simRun{simRequest: q, r: r, life: r.life, at: s, run: r.tracker.Begin(func() model.Fingerprint { return q.work }, suspect, Place{Server: s.inc, Domain: s.domain})}
+	run := &simRun{simRequest: q, r: r, life: r.life, at: s, run: r.tracker.Begin(func() model.Fingerprint { return q.work }, suspect, Location{Server: s.inc, Domain: s.domain})}
 	s.runs = append(s.runs, run)
 	inc := s.inc
 	if q.kills {
@@ -262,13 +262,13 @@
 	}
 	w.after(time.Duration(100+w.rnd.IntN(200))*time.Millisecond, func() {
 		if slices.Contains(s.runs, run) {
-			run.run.Answered()
+			run.run.AnswerStarted()
 		}
 	})
 	w.after(time.Duration(500+w.rnd.IntN(2500))*time.Millisecond, func() {
 		if slices.Contains(s.runs, run) {
 			s.runs = slices.DeleteFunc(s.runs, func(r *simRun) bool { return r == run })
-			run.run.End(Survived)
+			run.run.End(Completed)
 		}
 	})
 }
@@ -288,7 +288,7 @@
 		w.after(w.delay(), func() { run.lost() })
 	}
 	for _, r := range w.routers {
-		w.after(5*time.Millisecond+w.delay(), func() { r.tracker.Ended(inc, domain) })
+		w.after(5*time.Millisecond+w.delay(), func() { r.tracker.ServerExited(inc, domain) })
 	}
 	w.after(simBack, func() {
 		s.up = true
@@ -301,13 +301,13 @@
 	if r.life != run.life {
 		return
 	}
-	for _, server := range run.run.End(Broke) {
+	for _, server := range run.run.End(ConnectionLost) {
 		r.w.after(2*time.Millisecond, func() {
 			for _, s := range r.w.servers {
 				if s.inc == server && !s.up {
-					r.tracker.Ended(server, s.domain)
+					r.tracker.ServerExited(server, s.domain)
 				} else if s.inc == server {
-					r.tracker.Alive(server)
+					r.tracker.ServerAlive(server)
 				}
 			}
 		})
@@ -334,8 +334,8 @@
 func (w *world) blamed() map[model.Fingerprint]int {
 	out := map[model.Fingerprint]int{}
 	for _, r := range w.routers {
-		for _, s := range r.tracker.Sentences() {
-			out[s.Work]++
+		for _, s := range r.tracker.Verdicts() {
+			out[s.Fingerprint]++
 		}
 	}
 	return out
--- a/internal/coordination/quarantine/report.go
+++ b/internal/coordination/quarantine/report.go
@@ -11,28 +11,28 @@
 
 // Report is what a router tells all others as soon as a server has ended under requests.
 type Report struct {
-	Ends      []EndReport         `json:"ends,omitempty"`
-	Cleared   []model.Fingerprint `json:"cleared,omitempty"`
-	Sentences []Sentence          `json:"sentences,omitempty"`
+	Exits    []ExitReport        `json:"ends,omitempty"`
+	Cleared  []model.Fingerprint `json:"cleared,omitempty"`
+	Verdicts []Verdict           `json:"sentences,omitempty"`
 }
 
-// EndReport names the requests that one router had at a server whose process ended.
-type EndReport struct {
-	Server  model.Incarnation `json:"server"`
-	Domain  string            `json:"domain"`
-	Present []Present         `json:"present"`
+// ExitReport names the requests that one router had at a server whose process ended.
+type ExitReport struct {
+	Server   model.Incarnation `json:"server"`
+	Domain   string            `json:"domain"`
+	Requests []RequestAtExit   `json:"present"`
 }
 
-// Present is one of them.
-type Present struct {
-	Work     model.Fingerprint `json:"work"`
-	Answered bool              `json:"answered,omitempty"`
-	Later    bool              `json:"later,omitempty"`
+// RequestAtExit is one of them.
+type RequestAtExit struct {
+	Fingerprint   model.Fingerprint `json:"work"`
+	AnswerStarted bool              `json:"answered,omitempty"`
+	LaterStage    bool              `json:"later,omitempty"`
 }
 
 // outbox is what the other routers are to be told.
 type outbox struct {
-	ends     map[model.Incarnation]*EndReport
+	ends     map[model.Incarnation]*ExitReport
 	cleared  map[model.Fingerprint]bool
 	verdicts map[model.Fingerprint]bool
 	// due says, once, that there is something.
@@ -41,7 +41,7 @@
 
 func newOutbox() outbox {
 	return outbox{
-		ends:     map[model.Incarnation]*EndReport{},
+		ends:     map[model.Incarnation]*ExitReport{},
 		cleared:  map[model.Fingerprint]bool{},
 		verdicts: map[model.Fingerprint]bool{},
 		due:      make(chan struct{}, 1),
@@ -58,11 +58,11 @@
 func (o *outbox) end(server model.Incarnation, domain string, present map[model.Fingerprint]presence) {
 	r := o.ends[server]
 	if r == nil {
-		r = &EndReport{Server: server, Domain: domain}
+		r = &ExitReport{Server: server, Domain: domain}
 		o.ends[server] = r
 	}
 	for work, p := range present {
-		r.Present = append(r.Present, Present{Work: work, Answered: p.answered, Later: p.later})
+		r.Requests = append(r.Requests, RequestAtExit{Fingerprint: work, AnswerStarted: p.answered, LaterStage: p.later})
 	}
 	o.wake()
 }
@@ -77,19 +77,19 @@
 	o.wake()
 }
 
-// Due tells when there is something to report.
-func (t *Tracker) Due() <-chan struct{} { return t.out.due }
+// ReportDue tells when there is something to report.
+func (t *Tracker) ReportDue() <-chan struct{} { return t.out.due }
 
-// Report takes what the other routers are to be told, as much as one message may hold;
+// TakeReport takes what the other routers are to be told, as much as one message may hold;
 // false if there is nothing.
-func (t *Tracker) Report() (Report, bool) {
+func (t *Tracker) TakeReport() (Report, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var r Report
 	room := mostInReport
 	for work := range t.out.verdicts {
 		if v := t.verdicts[work]; v != nil {
-			r.Sentences = append(r.Sentences, t.sentence(work, v))
+			r.Verdicts = append(r.Verdicts, t.sentence(work, v))
 			room--
 		}
 		delete(t.out.verdicts, work)
@@ -106,10 +106,10 @@
 		if room <= 0 {
 			break
 		}
-		n := min(len(e.Present), room)
-		r.Ends = append(r.Ends, EndReport{Server: e.Server, Domain: e.Domain, Present: e.Present[:n]})
+		n := min(len(e.Requests), room)
+		r.Exits = append(r.Exits, ExitReport{Server: e.Server, Domain: e.Domain, Requests: e.Requests[:n]})
 		room -= n
-		if e.Present = e.Present[n:]; len(e.Present) == 0 {
+		if e.Requests = e.Requests[n:]; len(e.Requests) == 0 {
 			delete(t.out.ends, server)
 		}
 	}
@@ -119,23 +119,23 @@
 	return r, room < mostInReport
 }
 
-// Heard takes in a peer's report. The same one may come twice.
-func (t *Tracker) Heard(r Report, peer string) {
+// ApplyReport takes in a peer's report. The same one may come twice.
+func (t *Tracker) ApplyReport(r Report, peer string) {
 	t.mu.Lock()
 	for _, work := range r.Cleared {
 		if t.clear(work) > 0 {
 			logClearedBy(work, peer)
 		}
 	}
-	for _, e := range r.Ends {
+	for _, e := range r.Exits {
 		present := map[model.Fingerprint]presence{}
-		for _, p := range e.Present {
-			add(present, p.Work, presence{answered: p.Answered, later: p.Later})
+		for _, p := range e.Requests {
+			add(present, p.Fingerprint, presence{answered: p.AnswerStarted, later: p.LaterStage})
 		}
 		t.note(e.Server, e.Domain, present)
 	}
 	t.mu.Unlock()
-	t.Learn(r.Sentences, peer)
+	t.ApplyVerdicts(r.Verdicts, peer)
 }
 
 // reportPause is between two reports of one router. The first one after a rest is told
@@ -145,5 +145,5 @@
 	reportPause  = 50 * time.Millisecond
 )
 
-// Pauses gives how long to wait before a report and after it.
-func Pauses() (before, after time.Duration) { return reportGather, reportPause }
+// ReportDelays gives how long to wait before a report and after it.
+func ReportDelays() (before, after time.Duration) { return reportGather, reportPause }
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -63,11 +63,11 @@
 type Router struct {
 	settings settings.Settings
 	store    *countedStore
-	config   *routes.Current
+	config   *routes.ActiveConfig
 	catalog  *catalog.Catalog
 	health   *catalog.Health
-	memory   *chains.Memory
-	pipes    *chains.Pipes
+	memory   *chains.UsageTracker
+	pipes    *chains.Interconnect
 	elector  *leader.Elector
 	control  *placement.Controller
 	exchange *peers.Exchange
@@ -75,7 +75,7 @@
 	prober   *relay.Prober
 	liveness *liveness.Watcher
 	suspects *peers.Quarantine
-	archive  *quarantine.Archive
+	archive  *quarantine.Persister
 	links    *link.Server
 	backends *backend.Pool
 	front    *front.Server
@@ -105,11 +105,11 @@
 	r := &Router{
 		settings:  s,
 		store:     newCountedStore(store, m),
-		config:    &routes.Current{},
+		config:    &routes.ActiveConfig{},
 		catalog:   catalog.New(time.Now),
 		health:    catalog.NewHealth(time.Now),
-		memory:    chains.NewMemory(time.Now),
-		pipes:     chains.NewPipes(time.Now),
+		memory:    chains.NewUsageTracker(time.Now),
+		pipes:     chains.NewInterconnect(time.Now),
 		prober:    relay.NewProber(),
 		backends:  backend.NewPool(),
 		metrics:   m,
@@ -138,21 +138,21 @@
 func (r *Router) followStore() {
 	news := &peers.News{Pool: r.exchange.Pool}
 	r.follower = &follow.Follower{
-		Store:     r.store,
-		Prefix:    "",
-		Sink:      (*routerSink)(r),
-		Clock:     boottime.Now,
-		Picker:    &follow.Picker{Self: r.settings.Router.Peers, Domain: r.settings.FailureDomain, Routers: r.routersHeard, Clock: boottime.Now},
-		Ask:       news.Ask,
-		Replica:   &replica.Replica{},
-		Elsewhere: r.config.Heard,
-		Resting:   func() bool { return !r.callersCame() && r.elector.Token() == 0 },
+		Store:            r.store,
+		Prefix:           "",
+		Sink:             (*routerSink)(r),
+		Clock:            boottime.Now,
+		Picker:           &follow.Picker{Self: r.settings.Router.Peers, Domain: r.settings.FailureDomain, Routers: r.routersHeard, Clock: boottime.Now},
+		PollPeer:         news.Ask,
+		Replica:          &replica.Replica{},
+		PeersLastContact: r.config.LastConfirmed,
+		Idle:             func() bool { return !r.callersCame() && r.elector.FencingToken() == 0 },
 	}
 	r.store.unanswered = r.follower.CallFailed
 	if store, ok := r.store.Store.(interface{ TellEra(func(era int64)) }); ok {
-		store.TellEra(r.follower.EraSeen)
+		store.TellEra(r.follower.ObserveEra)
 	}
-	news.Tell = r.follower.Tell
+	news.Tell = r.follower.WaitForUpdates
 	news.Register(r.links)
 }
 
@@ -193,25 +193,25 @@
 		Catalog:  r.catalog,
 		Memory:   r.memory,
 		Pipes:    r.pipes,
-		Revision: func() model.Revision { return r.follower.Reported() },
-		PeerAt:   func(revision model.Revision) { r.follower.PeerAt(revision) },
-		Hint:     func(engine model.Incarnation) { r.prober.Hint(engine) },
-		Refuses:  r.health.SuspectedElsewhere,
-		Gone:     func(engine model.Incarnation) { r.front.Relay.EngineGone(engine) },
+		Revision: func() model.Revision { return r.follower.AdvertisedRevision() },
+		PeerAt:   func(revision model.Revision) { r.follower.ObservePeerRevision(revision) },
+		Hint:     func(engine model.Incarnation) { r.prober.HandlePeerSuspicion(engine) },
+		Refuses:  r.health.SuspectFromPeer,
+		Gone:     func(engine model.Incarnation) { r.front.Relay.HandleEngineExit(engine) },
 		Clock:    boottime.Now,
 		Now:      time.Now,
 		Traffic:  r.traffic.Load,
 	}
 	rt := r.settings.Router
-	budget := limits.NewSharedRetries(rt.RetryRatio, rt.RetrySlack, time.Duration(rt.RetryWindow), r.exchange.Routers, time.Now)
-	r.exchange.Loans = &limits.Loans{Budget: budget, Ask: r.exchange.Borrow, Now: time.Now}
+	budget := limits.NewSharedRetryBudget(rt.RetryRatio, rt.RetrySlack, time.Duration(rt.RetryWindow), r.exchange.Routers, time.Now)
+	r.exchange.Loans = &limits.RetryBorrower{Budget: budget, Borrow: r.exchange.Borrow, Now: time.Now}
 	r.links = link.NewServer(stamp)
 	r.links.OwnHostOnly = true
 	r.exchange.Register(r.links)
 	tracker := quarantine.New(boottime.Now)
 	r.suspects = &peers.Quarantine{Exchange: r.exchange, Tracker: tracker, Trials: quarantine.NewTrials(tracker)}
 	r.suspects.Register(r.links)
-	r.archive = &quarantine.Archive{
+	r.archive = &quarantine.Persister{
 		Tracker: tracker,
 		Store:   r.store,
 		Key:     leader.QuarantineKey,
@@ -224,48 +224,48 @@
 func (r *Router) buildRelay() {
 	rt := r.settings.Router
 	rel := &relay.Relay{
-		Config:      r.config,
-		Catalog:     r.catalog,
-		Health:      r.health,
-		Chooser:     &chains.Chooser{Catalog: r.catalog, Health: r.health, Memory: r.memory, Pipes: r.pipes, Routers: r.exchange.Routers, Self: r.settings.Router.Peers},
-		Memory:      r.memory,
-		Loans:       r.exchange.Loans,
-		Line:        admission.NewLine(),
-		Backends:    r.backends,
-		Observer:    r.metrics,
-		OnPanic:     r.metrics.panicked,
-		Running:     relay.NewRunning(),
-		Detector:    detector.New(time.Now),
-		Suspicions:  r.prober,
-		Quarantine:  r.suspects.Tracker,
-		Trial:       r.suspects.Ask,
-		Listens:     r.backends.Listens,
-		Domain:      r.settings.FailureDomain,
-		ConfigTrust: time.Duration(rt.ConfigApply),
-		Clock:       boottime.Now,
-		Now:         time.Now,
-		Started:     time.Now(),
+		Config:         r.config,
+		Catalog:        r.catalog,
+		Health:         r.health,
+		Chooser:        &chains.Chooser{Catalog: r.catalog, Health: r.health, Usage: r.memory, Interconnect: r.pipes, RouterCount: r.exchange.Routers, Self: r.settings.Router.Peers},
+		Memory:         r.memory,
+		RetryBorrower:  r.exchange.Loans,
+		WaitQueue:      admission.NewWaitQueue(),
+		BackendClient:  r.backends,
+		Observer:       r.metrics,
+		OnPanic:        r.metrics.panicked,
+		ActiveRuns:     relay.NewActiveRuns(),
+		Detector:       detector.New(time.Now),
+		Suspects:       r.prober,
+		Quarantine:     r.suspects.Tracker,
+		RequestTrial:   r.suspects.Ask,
+		CheckListening: r.backends.Listens,
+		FailureDomain:  r.settings.FailureDomain,
+		MaxConfigAge:   time.Duration(rt.ConfigApply),
+		Clock:          boottime.Now,
+		Now:            time.Now,
+		Started:        time.Now(),
 	}
-	rel.Pacer = relay.NewPacer()
-	rel.Pacer.Memory = r.memory
-	rel.Pacer.Catalog = r.catalog
-	rel.Pacer.Report = rel.Report
-	rel.Pacer.Now = time.Now
+	rel.SlowdownMonitor = relay.NewSlowdownMonitor()
+	rel.SlowdownMonitor.Memory = r.memory
+	rel.SlowdownMonitor.Catalog = r.catalog
+	rel.SlowdownMonitor.Report = rel.Report
+	rel.SlowdownMonitor.Now = time.Now
 	r.prober.Health = r.health
 	r.prober.Catalog = r.catalog
 	r.prober.Report = rel.Report
 	r.prober.Healthy = rel.Healthy
-	r.prober.Tell = r.exchange.Suspect
-	r.prober.TellRefused = r.exchange.Refused
+	r.prober.AnnounceSuspect = r.exchange.Suspect
+	r.prober.AnnounceRefusal = r.exchange.Refused
 	r.prober.Now = time.Now
 	r.liveness = &liveness.Watcher{
 		Self:    r.settings.Router.Peers,
 		Routers: r.exchange.Alive,
 		Engines: r.engines,
 		Dial:    backend.Dial,
-		Gone: func(b *model.BackendServer) {
+		OnExit: func(b *model.BackendServer) {
 			r.exchange.TellGone(b.Incarnation())
-			rel.EngineGone(b.Incarnation())
+			rel.HandleEngineExit(b.Incarnation())
 		},
 	}
 	r.front = &front.Server{Config: r.config, Relay: rel, Observer: r.metrics, OnRequest: func() { r.traffic.Store(true) }}
@@ -297,17 +297,17 @@
 		Eligible: func() bool { return !r.draining.Load() && r.follower.Watching() },
 	}
 	r.control = &placement.Controller{
-		Config:    r.config,
-		Catalog:   r.catalog,
-		Store:     r.store,
-		Engines:   relay.Engines{Relay: r.front.Relay},
-		Token:     r.elector.Token,
-		Fenced:    r.elector.Refused,
-		Traffic:   r.callersCame,
-		Suspected: r.health.Suspected,
-		Lost:      r.prober.Lost,
-		Streams:   func(engine model.Incarnation) float64 { return r.memory.Used(engine).Streams },
-		Now:       time.Now,
+		Config:       r.config,
+		Catalog:      r.catalog,
+		Store:        r.store,
+		Engines:      relay.EngineClient{Relay: r.front.Relay},
+		FencingToken: r.elector.FencingToken,
+		OnFenced:     r.elector.TokenRejected,
+		HasTraffic:   r.callersCame,
+		Suspected:    r.health.Suspected,
+		Unreachable:  r.prober.Lost,
+		StreamCount:  func(engine model.Incarnation) float64 { return r.memory.Used(engine).Streams },
+		Now:          time.Now,
 	}
 }
 
@@ -352,11 +352,11 @@
 	go r.liveness.Run(background)
 	go r.every(background, controlEvery, func() {
 		r.expire()
-		r.front.Relay.Pacer.Recheck()
+		r.front.Relay.SlowdownMonitor.Recheck()
 		r.control.Tick(background)
 	})
 	go r.suspects.Run(background)
-	go r.every(background, judgeEvery, r.suspects.Tracker.Judge)
+	go r.every(background, judgeEvery, r.suspects.Tracker.EvaluateSuspects)
 	go r.every(background, archiveEvery, func() { r.archive.Tick(background) })
 	go r.every(background, trimEvery, r.trim)
 	go r.every(background, callsEvery, r.store.log)
@@ -405,8 +405,8 @@
 	r.backends.Trim()
 	r.suspects.Tracker.Expire()
 	r.metrics.quarantine(r.suspects.Tracker.Counts())
-	r.memory.Expire()
-	r.catalog.Forget()
+	r.memory.ExpirePeers()
+	r.catalog.PruneExited()
 	known := r.catalog.Load()
 	stands := func(inc model.Incarnation) bool { return known.Find(inc) != nil }
 	r.health.Retain(stands)
@@ -414,8 +414,8 @@
 	for _, b := range r.engines() {
 		r.memory.Observe(b.Incarnation(), b.Holds)
 	}
-	r.metrics.router(r.front.Active(), r.front.Relay.Line.Len(), r.backends.Dialed(), r.config.Version())
-	r.metrics.newsSource(r.follower.Watching(), r.follower.Silence())
+	r.metrics.router(r.front.Active(), r.front.Relay.WaitQueue.Len(), r.backends.Dialed(), r.config.Version())
+	r.metrics.newsSource(r.follower.Watching(), r.follower.SinceLastContact())
 }
 
 // expire drops backend servers whose entries did not come back in time.
--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -18,10 +18,10 @@
 // routerSink hands what the store holds to those who need it.
 type routerSink Router
 
-// NewEra implements follow.Sink.
-func (s *routerSink) NewEra() {
-	s.elector.NewEra()
-	s.control.NewEra()
+// HandleStoreRestore implements follow.Sink.
+func (s *routerSink) HandleStoreRestore() {
+	s.elector.HandleStoreRestore()
+	s.control.HandleStoreRestore()
 }
 
 // Reset implements follow.Sink.
@@ -34,7 +34,7 @@
 	s.mu.Lock()
 	clear(s.members)
 	s.mu.Unlock()
-	s.archive.Seen(valueOf(page.Items, leader.QuarantineKey))
+	s.archive.Observe(valueOf(page.Items, leader.QuarantineKey))
 	leaderSeen := false
 	for _, it := range page.Items {
 		if !strings.HasPrefix(it.Key, platform.ServersPrefix) && it.Key != leader.QuarantineKey {
@@ -43,7 +43,7 @@
 		}
 	}
 	if !leaderSeen {
-		s.elector.Seen(nil, page.Revision)
+		s.elector.Observe(nil, page.Revision)
 	}
 	s.publishMembers()
 	klog.InfoS("store read", "revision", page.Revision, "items", len(page.Items), "servers", len(servers), "namingNone", len(malformed))
@@ -89,10 +89,10 @@
 }
 
 // follow carries out what follows from entries.
-func (s *routerSink) follow(news catalog.News) {
-	s.front.Relay.Ended(news.Ended, "its successor's entry")
+func (s *routerSink) follow(news catalog.Conflicts) {
+	s.front.Relay.HandleExits(news.Exited, "its successor's entry")
 	for _, claim := range news.Disputed {
-		go s.front.Relay.Settle(claim)
+		go s.front.Relay.VerifyIncarnation(claim)
 	}
 }
 
@@ -105,20 +105,20 @@
 	case strings.HasPrefix(it.Key, platform.ServersPrefix):
 		s.server(it, grace)
 	case it.Key == leader.Key:
-		s.elector.Seen(it.Value, it.Revision)
+		s.elector.Observe(it.Value, it.Revision)
 	case it.Key == leader.QuarantineKey && it.Removed:
-		s.archive.Seen(nil, 0)
+		s.archive.Observe(nil, 0)
 	case it.Key == leader.QuarantineKey:
-		s.archive.Seen(it.Value, it.Revision)
+		s.archive.Observe(it.Value, it.Revision)
 	case strings.HasPrefix(it.Key, leader.MemberPrefix):
 		s.member(it)
 	case strings.HasPrefix(it.Key, leader.PlanPrefix) && !it.Removed:
-		s.control.SeenPlan(strings.TrimPrefix(it.Key, leader.PlanPrefix), it.Value, it.Revision)
+		s.control.ObservePlan(strings.TrimPrefix(it.Key, leader.PlanPrefix), it.Value, it.Revision)
 	}
 }
 
-// Heard implements follow.Sink.
-func (s *routerSink) Heard(at time.Duration) { s.config.Confirm(at) }
+// Synced implements follow.Sink.
+func (s *routerSink) Synced(at time.Duration) { s.config.Confirm(at) }
 
 func (s *routerSink) applyConfig(it outside.Item) {
 	if it.Removed {
@@ -126,7 +126,7 @@
 		return
 	}
 	before := s.config.Version()
-	if p := s.config.Published(); p != nil && bytes.Equal(p.Raw, it.Value) {
+	if p := s.config.Raw(); p != nil && bytes.Equal(p.Raw, it.Value) {
 		klog.InfoS("configuration is in force already", "version", before, "revision", it.Revision)
 		return
 	}
--- a/internal/protocol/gate/gate.go
+++ b/internal/protocol/gate/gate.go
@@ -70,8 +70,8 @@
 	records map[wire.RunKey]*record
 	active  int
 	queue   *fair.Queue[*Ticket]
-	pace    *limits.Pace  // nil where the number of places is fixed
-	service time.Duration // smoothed time that a request holds its place
+	pace    *limits.ConcurrencyLimiter // nil where the number of places is fixed
+	service time.Duration              // smoothed time that a request holds its place
 	leaving bool
 	drained chan struct{}
 	settled bool // drained is closed
@@ -93,7 +93,7 @@
 
 // SetPace lets the number of places follow what the engine serves well, up to
 // the gate's capacity. It is called before the gate is used.
-func (g *Gate) SetPace(p *limits.Pace) { g.pace = p }
+func (g *Gate) SetPace(p *limits.ConcurrencyLimiter) { g.pace = p }
 
 // places is how many requests may run now.
 func (g *Gate) places() int {
@@ -220,7 +220,7 @@
 	t.held = true
 	t.since = g.now()
 	g.active++
-	g.queue.Hold(t.req.Key.Customer)
+	g.queue.Acquire(t.req.Key.Customer)
 	close(t.ready)
 }
 
@@ -275,7 +275,7 @@
 		return
 	}
 	g.active--
-	g.queue.Free(t.req.Key.Customer)
+	g.queue.Release(t.req.Key.Customer)
 	g.observe(g.now().Sub(t.since))
 	for g.active < g.places() {
 		next, ok := g.queue.Pop()
--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -52,9 +52,9 @@
 // Router chooses where work goes; see package routing.
 type Router interface {
 	// Chain covers layers with stages.
-	Chain(ask routing.Ask) ([]routing.Stage, error)
-	// Plain chooses a backend server of a plain service.
-	Plain(service string, avoid map[string]bool) (membership.Member, error)
+	Chain(ask routing.ChainRequest) ([]routing.Stage, error)
+	// PlainServer chooses a backend server of a plain service.
+	PlainServer(service string, avoid map[string]bool) (membership.Member, error)
 	// Describe tells a service's kind and the layers of its model.
 	Describe(service string) (model.ServiceKind, int, bool)
 }
@@ -75,9 +75,9 @@
 	Table       *membership.Table
 	Router      Router
 	Config      *config.Store
-	Rates       *limits.Rates
+	Rates       *limits.RateLimiter
 	Retries     *limits.RetryBudget
-	Room        *admission.Room
+	Room        *admission.Limiter
 	Grant       Granter
 	Requests    *requests.Store
 	Events      *events.Log
@@ -325,7 +325,7 @@
 	defer o.intake.leave()
 	ctx, cancel := context.WithDeadline(context.Background(), j.req.Deadline)
 	defer cancel()
-	o.Retries.Request()
+	o.Retries.RecordRequest()
 	var out model.Outcome
 	switch {
 	case j.notRepeatable:
@@ -361,7 +361,7 @@
 
 // serveAdmitted runs a pipeline request once there is room for it.
 func (o *Owner) serveAdmitted(ctx context.Context, j *job) model.Outcome {
-	err := o.Room.Enter(ctx, admission.Request{
+	err := o.Room.Acquire(ctx, admission.Request{
 		Customer: j.ask.Customer,
 		Priority: j.rule.Priority,
 		Deadline: j.req.Deadline,
@@ -370,7 +370,7 @@
 		return fault.NotRun(fault.From(err), "never handed over: refused at admission")
 	}
 	out := o.servePipeline(ctx, j, nil)
-	o.Room.Leave(j.ask.Customer, out.State == model.NotRun)
+	o.Room.Release(j.ask.Customer, out.State == model.NotRun)
 	return out
 }
 
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -22,7 +22,7 @@
 	mayHaveRun := false
 	var last *fault.Error
 	for attempt := int64(1); ; attempt++ {
-		m, err := o.Router.Plain(j.ask.Service, avoid)
+		m, err := o.Router.PlainServer(j.ask.Service, avoid)
 		if err != nil {
 			return giveUp(fault.From(orElse(last, err)), mayHaveRun, "no gate left to try")
 		}
@@ -56,7 +56,7 @@
 	if !ran {
 		return e.Kind.Answer().Retryable && attempt < maxRefusals
 	}
-	return o.Retries.Retry()
+	return o.Retries.Take()
 }
 
 func giveUp(e *fault.Error, mayHaveRun bool, evidence string) model.Outcome {
--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -27,16 +27,16 @@
 	}
 	c.Put(engine("first", model.LayerRange{To: 6}))
 	health := catalog.NewHealth(time.Now)
-	memory := chains.NewMemory(time.Now)
-	chooser := &chains.Chooser{Catalog: c, Health: health, Memory: memory, Pipes: chains.NewPipes(time.Now), Routers: func() int { return 1 }}
+	memory := chains.NewUsageTracker(time.Now)
+	chooser := &chains.Chooser{Catalog: c, Health: health, Usage: memory, Interconnect: chains.NewInterconnect(time.Now), RouterCount: func() int { return 1 }}
 	prober := NewProber()
 	prober.Now = time.Now
 	prober.Health = health
 	prober.Catalog = c
-	r := &Relay{Detector: detector.New(time.Now), Catalog: c, Health: health, Chooser: chooser, Memory: memory, Line: admission.NewLine(), Suspicions: prober, Domain: "a", Now: time.Now,
+	r := &Relay{Detector: detector.New(time.Now), Catalog: c, Health: health, Chooser: chooser, Memory: memory, WaitQueue: admission.NewWaitQueue(), Suspects: prober, FailureDomain: "a", Now: time.Now,
 		Quarantine: quarantine.New(func() time.Duration { return 0 })}
 	q := &request{Relay: r, call: &model.Call{Attempt: "1"}, since: time.Now(), avoid: map[model.Incarnation]bool{}}
-	q.ticket = routes.Ticket{
+	q.ticket = routes.Admission{
 		Route: &model.Route{TargetLatency: 500 * time.Millisecond, MaxAttempts: 2},
 		Service: &model.Service{Name: "s", Engine: &model.EngineSpec{
 			Layers: 12, LayerMB: 1000, KVTokenBytes: 1e6, StepTime: time.Millisecond, ReadRate: 1e5,
@@ -93,7 +93,7 @@
 	s.ranOn[two] = true
 	s.Catalog.Remove("one", 1, 0)
 	assert.DeepEqual(t, s.firstAmong(), map[model.Incarnation]bool{one: true, two: true})
-	s.Suspicions.Ended(one)
+	s.Suspects.Exited(one)
 	assert.Assert(t, s.firstAmong() == nil)
 }
 
@@ -112,7 +112,7 @@
 			assert.Assert(t, hold == nil)
 			assert.Assert(t, f != nil)
 			assert.Equal(t, s.Memory.Used(holder.Incarnation()).Streams, 0.0)
-			assert.Equal(t, s.Memory.New(holder.Incarnation()).Streams, 0.0)
+			assert.Equal(t, s.Memory.Recent(holder.Incarnation()).Streams, 0.0)
 		}
 	})
 }
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -95,8 +95,8 @@
 			if q.avoid[b.Incarnation()] || q.barred.bars(b) || view.Suspected && !allowSuspects {
 				continue
 			}
-			cost := (1 + float64(view.Active)) * (0.01 + view.Latency.Seconds()) * (1 + 8*view.Failures)
-			if b.FailureDomain != q.Domain {
+			cost := (1 + float64(view.Active)) * (0.01 + view.Latency.Seconds()) * (1 + 8*view.FailureRate)
+			if b.FailureDomain != q.FailureDomain {
 				cost += 0.001
 			}
 			if best == nil || cost < lowest {
@@ -113,7 +113,7 @@
 
 // try sends the call to one server and reads its whole answer.
 func (q *request) try(ctx context.Context, b *model.BackendServer) (*whole, error) {
-	run, cancel, stop := q.Running.track(ctx, b.Incarnation(), !q.ticket.Idempotent())
+	run, cancel, stop := q.ActiveRuns.track(ctx, b.Incarnation(), !q.ticket.Idempotent())
 	defer stop()
 	q.avoid[b.Incarnation()] = true
 	q.chain = b.ID
@@ -121,8 +121,8 @@
 	if q.ticket.Idempotent() && q.runs+1 < q.ticket.Route.MaxAttempts && q.sends < maxSends {
 		defer q.giveUpIfSlow(run, cancel, b)()
 	}
-	record := q.Quarantine.Begin(q.work, q.barred.suspect, quarantine.Place{Server: b.Incarnation(), Domain: b.FailureDomain})
-	result := quarantine.Unknown
+	record := q.Quarantine.Begin(q.work, q.barred.suspect, quarantine.Location{Server: b.Incarnation(), Domain: b.FailureDomain})
+	result := quarantine.Inconclusive
 	defer func() { q.confirm(record.End(result)) }()
 	began := q.Now()
 	ans, err := q.exchange(run, b)
@@ -132,7 +132,7 @@
 		return nil, err
 	}
 	if !ans.verdict.NotRun {
-		result = quarantine.Survived
+		result = quarantine.Completed
 	}
 	q.judge(b, ans, q.Now().Sub(began))
 	return ans, nil
@@ -145,10 +145,10 @@
 	returns := false
 	defer func() {
 		if !returns {
-			q.Health.Quit(b.Incarnation())
+			q.Health.Cancel(b.Incarnation())
 		}
 	}()
-	ans, err := q.Backends.Do(run, b.Address, q.outbound(platform.Send{Instance: b.ID}))
+	ans, err := q.BackendClient.Do(run, b.Address, q.outbound(platform.Send{Instance: b.ID}))
 	if err == nil {
 		read, err = q.readWhole(ans)
 	}
@@ -208,7 +208,7 @@
 	}
 	klog.InfoS("answer lost", "request", q.call.Attempt, "work", q.work(), "why", why, "sent", sent, "server", b.Incarnation(), "err", err, "ms", took.Milliseconds())
 	if !why.blames(took) {
-		q.Health.Quit(b.Incarnation())
+		q.Health.Cancel(b.Incarnation())
 		return
 	}
 	q.Health.End(b.Incarnation(), false, 0)
@@ -235,8 +235,8 @@
 
 // readWhole reads an answer to its end. An answer that is cut short, or that
 // belongs to another request, is an error.
-func (q *request) readWhole(ans *Answer) (*whole, error) {
-	defer ans.Body.Done()
+func (q *request) readWhole(ans *Response) (*whole, error) {
+	defer ans.Body.Close()
 	v := platform.DecodeVerdict(ans.Status, ans.Header)
 	if v.Attempt != "" && v.Attempt != q.call.Attempt {
 		ans.Body.Discard()
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -90,8 +90,8 @@
 
 // runHolding runs the request through one chain and gives its memory back, also where
 // the run panics: the HTTP server recovers, and the memory would stay reserved.
-func (s *stream) runHolding(ctx context.Context, parts []chains.Part, hold *chains.Hold) (done, whole bool, err error) {
-	defer s.Line.Poke()
+func (s *stream) runHolding(ctx context.Context, parts []chains.Stage, hold *chains.Reservation) (done, whole bool, err error) {
+	defer s.WaitQueue.Notify()
 	defer hold.Release()
 	return s.run(ctx, parts, hold)
 }
@@ -110,7 +110,7 @@
 
 // run sends the request through one chain and passes its events on. done says
 // that the caller has a final answer; whole that it is complete.
-func (s *stream) run(ctx context.Context, parts []chains.Part, hold *chains.Hold) (done, whole bool, err error) {
+func (s *stream) run(ctx context.Context, parts []chains.Stage, hold *chains.Reservation) (done, whole bool, err error) {
 	q := s.request
 	first := parts[0].Server
 	path := hops(parts)
@@ -122,17 +122,17 @@
 	run, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	record := q.Quarantine.Begin(q.work, q.barred.suspect, places(parts)...)
-	result := quarantine.Unknown
+	result := quarantine.Inconclusive
 	defer func() { q.confirm(record.End(result)) }()
 	w := q.watch(run, cancel, parts, hold, record)
 	defer func() { q.granted = w.stop() || q.granted }()
 	q.sends++
-	ans, err := q.Backends.Do(run, first.Address, q.outbound(send))
+	ans, err := q.BackendClient.Do(run, first.Address, q.outbound(send))
 	if err != nil {
 		result = resultOf(endingOf(run, err), err)
 		return false, false, s.missed(run, w, first, err)
 	}
-	defer ans.Body.Done()
+	defer ans.Body.Close()
 	v := platform.DecodeVerdict(ans.Status, ans.Header)
 	if v.Attempt != "" && v.Attempt != q.call.Attempt {
 		ans.Body.Discard()
@@ -146,7 +146,7 @@
 	q.runs++
 	s.ranOn[first.Incarnation()] = true
 	if ans.Status != http.StatusOK || v.Signature == "" {
-		s.Health.Outcome(first.Incarnation(), false)
+		s.Health.RecordOutcome(first.Incarnation(), false)
 		read, err := s.readWhole(ans)
 		result = survivedIf(run, err)
 		return s.failed(ans, read, err)
@@ -159,7 +159,7 @@
 	s.ranEvents = 0
 	end := s.pass(ans, w)
 	if end == io.EOF {
-		result = quarantine.Survived
+		result = quarantine.Completed
 		if !q.out.head {
 			s.begin(ans)
 		}
@@ -184,7 +184,7 @@
 // failed handles an engine's own failure: a stream that has not begun may be
 // tried elsewhere, else the failure is the answer. It is kept, to be the answer also
 // where trying elsewhere comes to nothing.
-func (s *stream) failed(ans *Answer, read *whole, err error) (done, complete bool, _ error) {
+func (s *stream) failed(ans *Response, read *whole, err error) (done, complete bool, _ error) {
 	if err != nil {
 		return false, false, fault.New(fault.BackendFailed, "%v", err)
 	}
@@ -196,7 +196,7 @@
 }
 
 // pass passes events on until the stream ends; io.EOF is its clean end.
-func (s *stream) pass(ans *Answer, w *chainWatch) error {
+func (s *stream) pass(ans *Response, w *chainWatch) error {
 	q := s.request
 	reader := eventReader{src: ans.Body}
 	for {
@@ -217,7 +217,7 @@
 		if s.ranEvents == 0 {
 			parts, _ := w.state()
 			s.succeed(parts, w.since)
-			w.record.Answered()
+			w.record.AnswerStarted()
 		}
 		s.ranEvents++
 		if !q.out.head {
@@ -249,7 +249,7 @@
 
 // begin sends the head of the first engine's answer. Streams that are resumed
 // keep it, its signature included.
-func (s *stream) begin(ans *Answer) {
+func (s *stream) begin(ans *Response) {
 	h := http.Header{}
 	platform.AnswerHeaders(h, ans.Header)
 	s.out.Begin(ans.Status, h, -1)
@@ -257,15 +257,15 @@
 
 // succeed takes in that the engines of a chain did their work, as of when it was
 // sent: an engine that drains finishes what it has and takes nothing new.
-func (s *stream) succeed(parts []chains.Part, sent time.Time) {
+func (s *stream) succeed(parts []chains.Stage, sent time.Time) {
 	for _, p := range parts {
-		s.Health.Clear(p.Server.Incarnation(), sent)
+		s.Health.ClearSuspicion(p.Server.Incarnation(), sent)
 	}
-	s.Health.Outcome(parts[0].Server.Incarnation(), true)
+	s.Health.RecordOutcome(parts[0].Server.Incarnation(), true)
 }
 
 // refused takes in which engine would not run its part.
-func (s *stream) refused(parts []chains.Part, v platform.Verdict, status int) {
+func (s *stream) refused(parts []chains.Stage, v platform.Verdict, status int) {
 	culprit := parts[0].Server
 	for _, p := range parts {
 		if p.Server.Address == v.Culprit {
@@ -279,11 +279,11 @@
 		// doubles the time.
 		until, news := s.Health.Suspect(culprit.Incarnation())
 		if news && culprit.Born != 0 {
-			go s.Settle(*culprit)
+			go s.VerifyIncarnation(*culprit)
 		}
 		klog.InfoS("engine suspected: it does not hold its part", "request", s.call.Attempt, "server", culprit.Incarnation(), "until", until)
 	} else {
-		s.Suspicions.Refused(culprit, s.call.Attempt, status)
+		s.Suspects.Refused(culprit, s.call.Attempt, status)
 	}
 }
 
@@ -298,7 +298,7 @@
 			return fault.New(fault.NotConnected, "the run was ended before it was sent: %s", why)
 		}
 		s.avoid[first.Incarnation()] = true
-		s.Suspicions.Unreachable(first, s.call.Attempt, err)
+		s.Suspects.Unreachable(first, s.call.Attempt, err)
 		return fault.New(fault.NotConnected, "no connection to an engine")
 	}
 	s.runs++
@@ -326,7 +326,7 @@
 	}
 }
 
-func hops(parts []chains.Part) []platform.Hop {
+func hops(parts []chains.Stage) []platform.Hop {
 	out := make([]platform.Hop, len(parts))
 	for i, p := range parts {
 		out[i] = platform.Hop{Address: p.Server.Address, Layers: p.Layers}
@@ -334,7 +334,7 @@
 	return out
 }
 
-func describe(parts []chains.Part) string {
+func describe(parts []chains.Stage) string {
 	var b strings.Builder
 	for i, p := range parts {
 		if i > 0 {
--- a/internal/protocol/relay/move_test.go
+++ b/internal/protocol/relay/move_test.go
@@ -23,7 +23,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
 		var orders atomic.Int64
-		s := chained(route, func(_ context.Context, _ string, r *Request) (*Answer, error) {
+		s := chained(route, func(_ context.Context, _ string, r *Request) (*Response, error) {
 			if r.Target == platform.OrderPath && orders.Add(1) == 1 {
 				return signed(http.StatusConflict, strings.NewReader("")), nil
 			}
@@ -31,9 +31,9 @@
 		})
 		w, run := s.watched(t, route)
 		w.last = true // as on the last send that a request has
-		s.EngineGone(inc("far"))
+		s.HandleEngineExit(inc("far"))
 		time.Sleep(10 * time.Millisecond)
-		s.EngineGone(inc("far"))
+		s.HandleEngineExit(inc("far"))
 		synctest.Wait()
 		parts, _ := w.state()
 		assert.Equal(t, parts[1].Server.ID, "spare")
--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -23,11 +23,11 @@
 	askAgain = time.Second
 )
 
-// Pacer finds engines that are slower than their cards. An engine knows its own
+// SlowdownMonitor finds engines that are slower than their cards. An engine knows its own
 // slowdown and says it when asked; it is asked when a chain through it is slow,
 // and while it stays slow.
-type Pacer struct {
-	Memory  *chains.Memory
+type SlowdownMonitor struct {
+	Memory  *chains.UsageTracker
 	Catalog *catalog.Catalog
 	Report  func(ctx context.Context, b *model.BackendServer) (model.EngineReport, error)
 	Now     func() time.Time
@@ -36,11 +36,13 @@
 	asked map[model.Incarnation]time.Time
 }
 
-// NewPacer makes a pacer.
-func NewPacer() *Pacer { return &Pacer{asked: map[model.Incarnation]time.Time{}} }
+// NewSlowdownMonitor makes a pacer.
+func NewSlowdownMonitor() *SlowdownMonitor {
+	return &SlowdownMonitor{asked: map[model.Incarnation]time.Time{}}
+}
 
 // Check asks the engines of a chain that is slow.
-func (p *Pacer) Check(parts []chains.Part, request string, seen, planned time.Duration) {
+func (p *SlowdownMonitor) Check(parts []chains.Stage, request string, seen, planned time.Duration) {
 	for _, part := range parts {
 		if p.due(part.Server.Incarnation()) {
 			go p.ask(part.Server, request, seen, planned)
@@ -49,11 +51,11 @@
 }
 
 // Recheck asks the engines that were slow when they were last asked.
-func (p *Pacer) Recheck() {
-	for _, inc := range p.Memory.Slow() {
+func (p *SlowdownMonitor) Recheck() {
+	for _, inc := range p.Memory.SlowEngines() {
 		b := p.Catalog.Load().Find(inc)
 		if b == nil {
-			p.Memory.Forget(inc)
+			p.Memory.RemoveSlowdown(inc)
 			continue
 		}
 		if p.due(inc) {
@@ -69,7 +71,7 @@
 	}
 }
 
-func (p *Pacer) due(inc model.Incarnation) bool {
+func (p *SlowdownMonitor) due(inc model.Incarnation) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if at, ok := p.asked[inc]; ok && p.Now().Sub(at) < askAgain {
@@ -79,7 +81,7 @@
 	return true
 }
 
-func (p *Pacer) ask(b *model.BackendServer, request string, seen, planned time.Duration) {
+func (p *SlowdownMonitor) ask(b *model.BackendServer, request string, seen, planned time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportWait)
 	defer cancel()
 	report, err := p.Report(ctx, b)
@@ -89,7 +91,7 @@
 	}
 	used := p.Memory.Used(b.Incarnation())
 	klog.InfoS("engine's report", "request", request, "server", b.Incarnation(), "usedTokenLayers", report.UsedTokenLayers, "totalTokenLayers", report.TotalTokenLayers,
-		"countedTokenLayers", used.TokenLayers, "countedStreams", used.Streams, "reading", used.Reading, "inFlight", report.Active, "queued", report.Queued, "slowdown", report.Slowdown)
+		"countedTokenLayers", used.TokenLayers, "countedStreams", used.Streams, "reading", used.PrefillLoad, "inFlight", report.Active, "queued", report.Queued, "slowdown", report.Slowdown)
 	if p.Memory.SetSlowdown(b.Incarnation(), report.Slowdown) {
 		klog.InfoS("engine's slowdown", "request", request, "server", b.Incarnation(), "factor", report.Slowdown, "eventGap", seen, "planned", planned)
 	}
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -22,19 +22,19 @@
 // faulty is a connection to backend servers whose code panics.
 type faulty struct{ sent int }
 
-func (f *faulty) Do(context.Context, string, *Request) (*Answer, error) {
+func (f *faulty) Do(context.Context, string, *Request) (*Response, error) {
 	f.sent++
 	panic("fault in the code")
 }
 
-func (f *faulty) Drop(string) {}
+func (f *faulty) CloseIdle(string) {}
 
 // counted counts what an observer is told.
 type counted struct{ requests, panics int }
 
 func (c *counted) Request(string, string, string, string, time.Duration) { c.requests++ }
 func (c *counted) FirstEvent(string, time.Duration)                      {}
-func (c *counted) Repeat(string, string)                                 {}
+func (c *counted) Retry(string, string)                                  {}
 func (c *counted) panicked(string)                                       { c.panics++ }
 
 // answered is a caller that takes the answer down.
@@ -45,7 +45,7 @@
 	cut    error // what writing gives from now on
 }
 
-func (a *answered) Begin(status int, header http.Header, _ int64) {
+func (a *answered) WriteHeader(status int, header http.Header, _ int64) {
 	a.status = status
 	a.header = header
 }
@@ -56,21 +56,21 @@
 }
 
 // withService is a relay with one plain service and one server of it.
-func withService(backends Backends, observer *counted) *Relay {
+func withService(backends BackendClient, observer *counted) *Relay {
 	s, _ := half()
 	r := s.Relay
-	r.Backends = backends
+	r.BackendClient = backends
 	r.Observer = observer
 	r.OnPanic = observer.panicked
-	r.Running = NewRunning()
-	r.Config = &routes.Current{}
+	r.ActiveRuns = NewActiveRuns()
+	r.Config = &routes.ActiveConfig{}
 	r.Config.Apply(&model.RouteConfig{
 		Version:  1,
 		Routes:   []model.Route{{Name: "notice", Kind: model.RouteNotRepeatable, MaxAttempts: 1, Split: []model.ServiceShare{{Service: "notices", Weight: 1}}}},
 		Services: []model.Service{{Name: "notices"}},
 	}, nil)
 	r.Catalog.Put(model.BackendServer{ID: "n", Service: "notices", Address: "n:1", FailureDomain: "a", Slots: 9})
-	r.Loans = &limits.Loans{Budget: limits.NewSharedRetries(1, 1, time.Second, func() int { return 1 }, time.Now), Now: time.Now}
+	r.RetryBorrower = &limits.RetryBorrower{Budget: limits.NewSharedRetryBudget(1, 1, time.Second, func() int { return 1 }, time.Now), Now: time.Now}
 	r.Clock = func() time.Duration { return 0 }
 	return r
 }
@@ -111,16 +111,16 @@
 type plainAnswer struct{ strings.Reader }
 
 func (p *plainAnswer) Discard() {}
-func (p *plainAnswer) Done()    {}
+func (p *plainAnswer) Close()   {}
 
 type wellServed struct{}
 
-func (wellServed) Do(context.Context, string, *Request) (*Answer, error) {
+func (wellServed) Do(context.Context, string, *Request) (*Response, error) {
 	h := http.Header{"Response-Signature": {"s"}}
-	return &Answer{Status: http.StatusOK, Header: h, Body: &plainAnswer{*strings.NewReader("body")}}, nil
+	return &Response{Status: http.StatusOK, Header: h, Body: &plainAnswer{*strings.NewReader("body")}}, nil
 }
 
-func (wellServed) Drop(string) {}
+func (wellServed) CloseIdle(string) {}
 
 // The same once the caller has the head of an answer. Another answer behind it would
 // belong to no request, so the connection is broken off and the caller sees that the
@@ -147,7 +147,7 @@
 
 type aborting struct{ wellServed }
 
-func (aborting) Do(context.Context, string, *Request) (*Answer, error) { panic(http.ErrAbortHandler) }
+func (aborting) Do(context.Context, string, *Request) (*Response, error) { panic(http.ErrAbortHandler) }
 
 // A chain is silent and the code panics as its engines are asked. Only that run ends,
 // as if the chain had been found at fault; the stream is looked after elsewhere, and
@@ -156,14 +156,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		observer := &counted{}
 		s, _ := half()
-		s.Relay.Backends = &faulty{}
+		s.Relay.BackendClient = &faulty{}
 		s.Relay.Observer = observer
 		s.Relay.OnPanic = observer.panicked
-		s.Relay.Running = NewRunning()
+		s.Relay.ActiveRuns = NewActiveRuns()
 		ctx, cancel := context.WithCancelCause(t.Context())
 		defer cancel(nil)
 		engine := s.Catalog.Load().Service("s")[0]
-		parts := []chains.Part{{Server: engine, Layers: engine.Holds}}
+		parts := []chains.Stage{{Server: engine, Layers: engine.Holds}}
 		w := s.watch(ctx, cancel, parts, s.Memory.Reserve(parts, 1), s.Quarantine.Begin(nil, false))
 		defer w.stop()
 		<-ctx.Done()
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -30,7 +30,7 @@
 	answer  func(ctx context.Context) // runs before each answer to an order; may be nil
 }
 
-func (p *pathEngines) do(ctx context.Context, _ string, r *Request) (*Answer, error) {
+func (p *pathEngines) do(ctx context.Context, _ string, r *Request) (*Response, error) {
 	if r.Target != platform.OrderPath {
 		return report(emptyReport), nil
 	}
@@ -83,7 +83,7 @@
 	s := newSite(resumable, true, do)
 	s.prober.Report = s.Report
 	s.prober.Healthy = func(context.Context, *model.BackendServer) (bool, error) { return true, nil }
-	s.prober.TellRefused = func(model.Incarnation, time.Time) {}
+	s.prober.AnnounceRefusal = func(model.Incarnation, time.Time) {}
 	s.Catalog.Remove("one", 1, 0)
 	s.Catalog.Remove("two", 1, 0)
 	for from, ids := range map[int][]string{0: {"head", "head2"}, 4: {"middle", "middle2"}, 8: {"tail", "tail2"}} {
@@ -102,9 +102,9 @@
 // running is a stream on the chain head, middle, tail with its watch.
 func (s *site) running(t *testing.T, route model.Route) (*chainWatch, context.Context) {
 	snap := s.Catalog.Load()
-	var parts []chains.Part
+	var parts []chains.Stage
 	for i, id := range []string{"head", "middle", "tail"} {
-		parts = append(parts, chains.Part{Server: snap.Find(inc(id)), Layers: model.LayerRange{From: 4 * i, To: 4*i + 4}})
+		parts = append(parts, chains.Stage{Server: snap.Find(inc(id)), Layers: model.LayerRange{From: 4 * i, To: 4*i + 4}})
 	}
 	return s.watchedOn(t, route, parts)
 }
@@ -223,7 +223,7 @@
 		time.Sleep(resumable.TargetGap)
 		engines.answerWith(nil)
 		before := engines.counted()
-		s.EngineGone(inc("middle"))
+		s.HandleEngineExit(inc("middle"))
 		synctest.Wait()
 		assert.Equal(t, engines.counted(), before)
 		assert.DeepEqual(t, ids(w), []string{"head", "middle", "tail"})
@@ -240,7 +240,7 @@
 		const budget = 30
 		engines := &pathEngines{}
 		s := threeParts(engines.do)
-		s.Loans.Budget = limits.NewSharedRetries(0, budget, time.Second, func() int { return 1 }, time.Now)
+		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, budget, time.Second, func() int { return 1 }, time.Now)
 		var streams []*chainWatch
 		for range 90 {
 			w, _ := s.running(t, resumable)
@@ -272,7 +272,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		engines := &pathEngines{}
 		s := threeParts(engines.do)
-		s.Running.leave(engineSet{inc("middle"): true}, silence)
+		s.ActiveRuns.leave(engineSet{inc("middle"): true}, silence)
 		w, _ := s.running(t, movable)
 		synctest.Wait()
 		assert.DeepEqual(t, ids(w), []string{"head", "middle2", "tail"})
@@ -289,9 +289,9 @@
 		w, _ := s.running(t, movable)
 		play([]*chainWatch{w}, 20)
 		engines.silence("middle:1", "middle2:1")
-		s.EngineGone(inc("middle"))
+		s.HandleEngineExit(inc("middle"))
 		synctest.Wait()
 		assert.DeepEqual(t, ids(w), []string{"head", "middle3", "tail"})
-		assert.Equal(t, len(s.Running.silentAmong([]model.Incarnation{inc("middle2")})), 0)
+		assert.Equal(t, len(s.ActiveRuns.silentAmong([]model.Incarnation{inc("middle2")})), 0)
 	})
 }
--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -38,13 +38,13 @@
 	Health  *catalog.Health
 	Catalog *catalog.Catalog
 	Report  func(ctx context.Context, b *model.BackendServer) (model.EngineReport, error)
-	// Tell passes a suspicion on to the other routers.
-	Tell func(engine model.Incarnation, until time.Time)
+	// AnnounceSuspect passes a suspicion on to the other routers.
+	AnnounceSuspect func(engine model.Incarnation, until time.Time)
 	// Healthy asks a backend server whether it is well and not leaving.
 	Healthy func(ctx context.Context, b *model.BackendServer) (bool, error)
-	// TellRefused tells the other routers that an engine refuses work.
-	TellRefused func(engine model.Incarnation, until time.Time)
-	Now         func() time.Time
+	// AnnounceRefusal tells the other routers that an engine refuses work.
+	AnnounceRefusal func(engine model.Incarnation, until time.Time)
+	Now             func() time.Time
 
 	mu sync.Mutex
 	// ended holds engines whose process surely ended, or that were gone from the
@@ -74,7 +74,7 @@
 		klog.InfoS("engine suspected", "request", request, "server", b.Incarnation(), "address", b.Address, "err", err, "until", until)
 	}
 	p.add(b.Incarnation(), true)
-	p.Tell(b.Incarnation(), until)
+	p.AnnounceSuspect(b.Incarnation(), until)
 }
 
 // Refused implements Suspicions. An engine refuses while it is full, for a
@@ -108,18 +108,18 @@
 	case !well:
 		pause = leavingPause
 	case !full:
-		pause = p.Health.NextSuspicion(b.Incarnation())
+		pause = p.Health.NextSuspicionPeriod(b.Incarnation())
 	}
 	until := p.Now().Add(pause)
-	p.Health.Refused(b.Incarnation(), until, !full)
-	p.TellRefused(b.Incarnation(), until)
+	p.Health.RecordRefusal(b.Incarnation(), until, !full)
+	p.AnnounceRefusal(b.Incarnation(), until)
 	klog.InfoS("engine refuses", "request", request, "server", b.Incarnation(), "address", b.Address, "status", status, "full", full, "well", well, "err", err,
 		"usedTokenLayers", report.UsedTokenLayers, "totalTokenLayers", report.TotalTokenLayers, "queued", report.Queued, "until", until)
 }
 
-// Hint takes in another router's suspicion: the engine is asked before it gets
+// HandlePeerSuspicion takes in another router's suspicion: the engine is asked before it gets
 // more work from here, and what it answers here decides.
-func (p *Prober) Hint(inc model.Incarnation) {
+func (p *Prober) HandlePeerSuspicion(inc model.Incarnation) {
 	p.mu.Lock()
 	trusted := p.Now().Sub(p.answered[inc]) < trustProbe
 	_, known := p.suspects[inc]
@@ -216,7 +216,7 @@
 		delete(p.suspects, b.Incarnation())
 		p.answered[b.Incarnation()] = p.Now()
 		p.mu.Unlock()
-		trusted := p.Health.Trust(b.Incarnation(), asked)
+		trusted := p.Health.RecordProbeSuccess(b.Incarnation(), asked)
 		klog.InfoS("suspected engine answers", "server", b.Incarnation(), "after", p.Now().Sub(s.since), "trusted", trusted)
 		return
 	}
@@ -225,7 +225,7 @@
 	until := p.Now().Add(probeHold)
 	p.Health.SuspectUntil(b.Incarnation(), until)
 	if own {
-		p.Tell(b.Incarnation(), until)
+		p.AnnounceSuspect(b.Incarnation(), until)
 	}
 }
 
@@ -249,19 +249,19 @@
 	return ok && s.failed && p.Now().Sub(s.since) >= lostAfter
 }
 
-// Ended implements Suspicions.
-func (p *Prober) Ended(inc model.Incarnation) {
+// Exited implements Suspicions.
+func (p *Prober) Exited(inc model.Incarnation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.note(inc)
 }
 
-// Answered implements Suspicions. The end of an engine is told by entries that may be
+// Responded implements Suspicions. The end of an engine is told by entries that may be
 // late or odd, and by an entry that lapsed while the engine was cut off. Taken for
 // ended still, an engine that answers counts as no attempt, so that a request runs at
 // one engine more than its route allows, and plans do without it. Both times are
 // compared under the lock, so that no answer from before takes back newer news.
-func (p *Prober) Answered(inc model.Incarnation, asked time.Time) {
+func (p *Prober) Responded(inc model.Incarnation, asked time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	noted, ok := p.ended[inc]
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -77,8 +77,8 @@
 		p.Catalog = catalog.New(time.Now)
 		p.Catalog.Put(*a.server)
 		p.Report = a.report
-		p.Tell = a.tell
-		p.TellRefused = a.tell
+		p.AnnounceSuspect = a.tell
+		p.AnnounceRefusal = a.tell
 		p.Healthy = a.healthy
 		ctx, stop := context.WithCancel(context.Background())
 		var done sync.WaitGroup
@@ -141,16 +141,16 @@
 // work, and the peer's next words about it are not worth a probe each.
 func TestPeersSuspicionIsChecked(t *testing.T) {
 	probing(t, func(p *Prober, a *asked) {
-		p.Hint(inc("e"))
+		p.HandlePeerSuspicion(inc("e"))
 		time.Sleep(50 * time.Millisecond)
 		assert.Assert(t, !p.Health.Suspected(inc("e")))
 		for range 8 {
-			p.Hint(inc("e"))
+			p.HandlePeerSuspicion(inc("e"))
 			time.Sleep(250 * time.Millisecond)
 		}
 		assert.Equal(t, a.askedTimes(), 1)
 		assert.Equal(t, a.toldTimes(), 0, "what a peer told is not passed on as one's own")
-		p.Hint(inc("unknown"))
+		p.HandlePeerSuspicion(inc("unknown"))
 	})
 }
 
@@ -174,12 +174,12 @@
 		a := &asked{slow: 3, server: &model.BackendServer{ID: "e", Service: "s", Address: "1:1", Revision: 1}}
 		c := catalog.New(time.Now)
 		c.Put(*a.server)
-		p := NewPacer()
-		p.Memory = chains.NewMemory(time.Now)
+		p := NewSlowdownMonitor()
+		p.Memory = chains.NewUsageTracker(time.Now)
 		p.Catalog = c
 		p.Report = a.report
 		p.Now = time.Now
-		parts := []chains.Part{{Server: a.server}}
+		parts := []chains.Stage{{Server: a.server}}
 		p.Check(parts, "r", time.Second, time.Millisecond)
 		p.Check(parts, "r", time.Second, time.Millisecond)
 		synctest.Wait()
@@ -260,10 +260,10 @@
 			}
 			hintAt := time.Now().Add(time.Second)
 			time.AfterFunc(time.Second+refusedAt, func() {
-				p.Health.Refused(inc("e"), hintAt.Add(leavingPause), true)
+				p.Health.RecordRefusal(inc("e"), hintAt.Add(leavingPause), true)
 			})
 			time.Sleep(time.Second)
-			p.Hint(inc("e"))
+			p.HandlePeerSuspicion(inc("e"))
 			time.Sleep(200 * time.Millisecond)
 			assert.Check(t, a.askedTimes() == 1)
 			assert.Check(t, p.Health.Suspected(inc("e")), "refused %v after the hint", refusedAt)
@@ -288,7 +288,7 @@
 					return a.report(ctx, b)
 				}
 				time.Sleep(probeEvery / 4)
-				p.Hint(inc("e"))
+				p.HandlePeerSuspicion(inc("e"))
 				time.Sleep(answerTime / 2)
 				news(p.Health)
 				time.Sleep(answerTime)
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -41,35 +41,35 @@
 	Body   []byte
 }
 
-// Answer is a backend server's answer while its body is read.
-type Answer struct {
+// Response is a backend server's answer while its body is read.
+type Response struct {
 	Status int
 	Header http.Header
-	Body   AnswerBody
+	Body   ResponseBody
 }
 
-// AnswerBody reads an answer's body. Read gives io.EOF only where the answer is
+// ResponseBody reads an answer's body. Read gives io.EOF only where the answer is
 // whole. Done must be called; further calls do nothing.
-type AnswerBody interface {
+type ResponseBody interface {
 	io.Reader
 	// Discard marks the connection as unfit for another request.
 	Discard()
-	Done()
+	Close()
 }
 
-// Backends sends requests to backend servers, each once. ErrNotSent is proof
+// BackendClient sends requests to backend servers, each once. ErrNotSent is proof
 // that nothing was sent; after any other error the request may have run.
-type Backends interface {
-	Do(ctx context.Context, addr string, r *Request) (*Answer, error)
-	// Drop closes the idle connections to an address, whose process has ended:
+type BackendClient interface {
+	Do(ctx context.Context, addr string, r *Request) (*Response, error)
+	// CloseIdle closes the idle connections to an address, whose process has ended:
 	// one that is silent would take another request.
-	Drop(addr string)
+	CloseIdle(addr string)
 }
 
-// Caller is who waits for the answer.
-type Caller interface {
-	// Begin sends the head. length is -1 where the body's end is not known.
-	Begin(status int, header http.Header, length int64)
+// ResponseWriter is who waits for the answer.
+type ResponseWriter interface {
+	// WriteHeader sends the head. length is -1 where the body's end is not known.
+	WriteHeader(status int, header http.Header, length int64)
 	// Write sends a part of the body at once.
 	Write(p []byte) error
 }
@@ -78,57 +78,57 @@
 type Observer interface {
 	Request(route, service, outcome, kind string, took time.Duration)
 	FirstEvent(service string, took time.Duration)
-	Repeat(service, reason string)
+	Retry(service, reason string)
 }
 
-// Suspicions takes in evidence that an engine does not answer. It gets nothing
+// SuspectTracker takes in evidence that an engine does not answer. It gets nothing
 // until it has answered again.
-type Suspicions interface {
+type SuspectTracker interface {
 	Unreachable(b *model.BackendServer, request string, err error)
 	// Refused takes in that an engine answered and refused its work.
 	Refused(b *model.BackendServer, request string, status int)
-	// Ended takes in that an engine's process ended.
-	Ended(engine model.Incarnation)
-	// Answered takes in that this incarnation answered what it was asked at some
+	// Exited takes in that an engine's process ended.
+	Exited(engine model.Incarnation)
+	// Responded takes in that this incarnation answered what it was asked at some
 	// time.
-	Answered(engine model.Incarnation, asked time.Time)
+	Responded(engine model.Incarnation, asked time.Time)
 	// Lost tells whether an engine's process ended or has long been silent.
 	Lost(engine model.Incarnation) bool
 }
 
 // Relay serves callers' requests.
 type Relay struct {
-	Config  *routes.Current
+	Config  *routes.ActiveConfig
 	Catalog *catalog.Catalog
 	Health  *catalog.Health
 	Chooser *chains.Chooser
-	Memory  *chains.Memory
-	// Loans holds the budget for repeated sends, and what is borrowed for it.
-	Loans    *limits.Loans
-	Line     *admission.Line
-	Backends Backends
-	Observer Observer
+	Memory  *chains.UsageTracker
+	// RetryBorrower holds the budget for repeated sends, and what is borrowed for it.
+	RetryBorrower *limits.RetryBorrower
+	WaitQueue     *admission.WaitQueue
+	BackendClient BackendClient
+	Observer      Observer
 	// OnPanic counts a fault of the code that ended a request or one run of it, by
 	// where it was; nil for nobody.
 	OnPanic func(where string)
-	// Running is the work in progress at backend servers.
-	Running *Running
-	// Suspicions is told of engines that do not answer.
-	Suspicions Suspicions
-	Pacer      *Pacer
+	// ActiveRuns is the work in progress at backend servers.
+	ActiveRuns *ActiveRuns
+	// Suspects is told of engines that do not answer.
+	Suspects        SuspectTracker
+	SlowdownMonitor *SlowdownMonitor
 	// Detector relates the progress of streams to the engines they run through.
 	Detector *detector.Detector
 	// Quarantine knows the requests under which servers end. Trial asks whether one of
 	// them may run at servers, alone among its kind.
-	Quarantine *quarantine.Tracker
-	Trial      func(ctx context.Context, work model.Fingerprint, servers []model.Incarnation) quarantine.Grant
-	// Listens asks whether a process takes connections at an address; an error other than
+	Quarantine   *quarantine.Tracker
+	RequestTrial func(ctx context.Context, work model.Fingerprint, servers []model.Incarnation) quarantine.Grant
+	// CheckListening asks whether a process takes connections at an address; an error other than
 	// ErrRefused leaves that open.
-	Listens func(ctx context.Context, addr string) error
-	Domain  string
-	// ConfigTrust is how long ago the configuration may have been confirmed
+	CheckListening func(ctx context.Context, addr string) error
+	FailureDomain  string
+	// MaxConfigAge is how long ago the configuration may have been confirmed
 	// for a refusal that rests on it.
-	ConfigTrust time.Duration
+	MaxConfigAge time.Duration
 	// Clock goes on while the instance is suspended.
 	Clock func() time.Duration
 	Now   func() time.Time
@@ -140,7 +140,7 @@
 type request struct {
 	*Relay
 	call   *model.Call
-	ticket routes.Ticket
+	ticket routes.Admission
 	out    *begun
 	since  time.Time
 	// runs counts the sends that may have run; sends counts all.
@@ -165,8 +165,8 @@
 
 // Serve answers one request. whole is false where the caller's connection must
 // be broken off, because the answer cannot be completed.
-func (r *Relay) Serve(ctx context.Context, c *model.Call, caller Caller) (whole bool) {
-	q := &request{Relay: r, call: c, out: &begun{Caller: caller}, since: r.Now(), avoid: map[model.Incarnation]bool{}}
+func (r *Relay) Serve(ctx context.Context, c *model.Call, caller ResponseWriter) (whole bool) {
+	q := &request{Relay: r, call: c, out: &begun{ResponseWriter: caller}, since: r.Now(), avoid: map[model.Incarnation]bool{}}
 	defer q.contain(&whole)
 	table := r.table(ctx)
 	if table == nil {
@@ -177,10 +177,10 @@
 	if denied != nil {
 		return q.deny(denied)
 	}
-	r.Loans.Budget.Request(ticket.Service.Name)
-	if !ticket.Until.IsZero() {
+	r.RetryBorrower.Budget.RecordRequest(ticket.Service.Name)
+	if !ticket.Deadline.IsZero() {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(ctx, ticket.Until)
+		ctx, cancel = context.WithDeadline(ctx, ticket.Deadline)
 		defer cancel()
 	}
 	if ticket.Service.Engine != nil {
@@ -206,7 +206,7 @@
 	timer := time.NewTimer(left)
 	defer timer.Stop()
 	select {
-	case <-r.Config.First():
+	case <-r.Config.Ready():
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -215,10 +215,10 @@
 
 // left is how much time the request has; 0 where it has no bound.
 func (q *request) left() time.Duration {
-	if q.ticket.Until.IsZero() {
+	if q.ticket.Deadline.IsZero() {
 		return 0
 	}
-	return max(q.ticket.Until.Sub(q.Now()), time.Millisecond)
+	return max(q.ticket.Deadline.Sub(q.Now()), time.Millisecond)
 }
 
 func (q *request) outbound(s platform.Send) *Request {
--- a/internal/protocol/relay/repeat_test.go
+++ b/internal/protocol/relay/repeat_test.go
@@ -22,7 +22,7 @@
 func TestSlowTryGoesElsewhereOnceItMay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := ""
-		s := newSite(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second, Timeout: time.Minute}, false, func(ctx context.Context, addr string, _ *Request) (*Answer, error) {
+		s := newSite(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second, Timeout: time.Minute}, false, func(ctx context.Context, addr string, _ *Request) (*Response, error) {
 			if slow == "" || slow == addr {
 				slow = addr
 				<-ctx.Done()
@@ -30,10 +30,10 @@
 			}
 			return signed(http.StatusOK, strings.NewReader("in time")), nil
 		})
-		s.Loans.Budget = limits.NewSharedRetries(0, 20, time.Minute, func() int { return 1 }, time.Now)
+		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 20, time.Minute, func() int { return 1 }, time.Now)
 		began := time.Now()
 		time.AfterFunc(2*time.Second, func() {
-			assert.Check(t, !s.Loans.Budget.Take("s"))
+			assert.Check(t, !s.RetryBorrower.Budget.Take("s"))
 		})
 		out := &listener{}
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
@@ -49,13 +49,13 @@
 	for _, generates := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			tries := 0
-			s := newSite(model.Route{Kind: streaming, MaxAttempts: 2, TargetLatency: time.Second}, generates, func(context.Context, string, *Request) (*Answer, error) {
+			s := newSite(model.Route{Kind: streaming, MaxAttempts: 2, TargetLatency: time.Second}, generates, func(context.Context, string, *Request) (*Response, error) {
 				if tries++; tries == 1 {
 					return nil, errNoConnection
 				}
 				return signed(http.StatusOK, strings.NewReader("id: 1\ndata: a\n\n")), nil
 			})
-			s.Loans.Budget = limits.NewSharedRetries(0, 0, time.Second, func() int { return 1 }, time.Now)
+			s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 0, time.Second, func() int { return 1 }, time.Now)
 			out := &listener{}
 			assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 			assert.Equal(t, out.status, http.StatusOK, "generates %t: %s", generates, out.body.String())
@@ -69,7 +69,7 @@
 func TestGrantIsKeptUntilItIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tries := 0
-		s := newSite(model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 3, TargetLatency: time.Second}, true, func(ctx context.Context, _ string, r *Request) (*Answer, error) {
+		s := newSite(model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 3, TargetLatency: time.Second}, true, func(ctx context.Context, _ string, r *Request) (*Response, error) {
 			if r.Target == platform.ReportPath {
 				return nil, errNoConnection
 			}
@@ -79,7 +79,7 @@
 			}
 			return signed(http.StatusInternalServerError, strings.NewReader("failed")), nil
 		})
-		s.Loans.Budget = limits.NewSharedRetries(0, 2, time.Second, func() int { return 1 }, time.Now)
+		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 2, time.Second, func() int { return 1 }, time.Now)
 		time.Sleep(2 * time.Second) // until the slack, one send, may be spent
 		out := &listener{}
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -29,11 +29,11 @@
 // Report reads an engine's own report.
 func (r *Relay) Report(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
 	asked := r.Now()
-	ans, err := r.Backends.Do(ctx, b.Address, &Request{Method: http.MethodGet, Target: platform.ReportPath, Host: b.Address, Header: http.Header{}})
+	ans, err := r.BackendClient.Do(ctx, b.Address, &Request{Method: http.MethodGet, Target: platform.ReportPath, Host: b.Address, Header: http.Header{}})
 	if err != nil {
 		return model.EngineReport{}, err
 	}
-	defer ans.Body.Done()
+	defer ans.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(ans.Body, maxReport+1))
 	if err != nil {
 		return model.EngineReport{}, err
@@ -54,7 +54,7 @@
 	}
 	// A report that does not tell its start, as its entry does, may be of another one.
 	if report.Born == b.Born {
-		r.Suspicions.Answered(b.Incarnation(), asked)
+		r.Suspects.Responded(b.Incarnation(), asked)
 	}
 	return report, nil
 }
@@ -69,26 +69,26 @@
 	if b.Born == 0 || report.Born == 0 || report.Born == b.Born {
 		return nil
 	}
-	news := r.Catalog.Confirm(b.Incarnation(), report.Born, report.Holds)
-	klog.InfoS("engine's report is of another start", "server", b.Incarnation(), "address", b.Address, "born", report.Born, "news", len(news.Ended) > 0)
-	r.Ended(news.Ended, "its report")
+	news := r.Catalog.ResolveIncarnation(b.Incarnation(), report.Born, report.Holds)
+	klog.InfoS("engine's report is of another start", "server", b.Incarnation(), "address", b.Address, "born", report.Born, "news", len(news.Exited) > 0)
+	r.HandleExits(news.Exited, "its report")
 	return errors.Wrapf(errRestarted, "at %d ms instead of %d", report.Born, b.Born)
 }
 
-// Ended takes in that incarnations of engines have surely ended, as others have
+// HandleExits takes in that incarnations of engines have surely ended, as others have
 // their place.
-func (r *Relay) Ended(gone []model.BackendServer, evidence string) {
+func (r *Relay) HandleExits(gone []model.BackendServer, evidence string) {
 	for _, b := range gone {
 		klog.InfoS("backend server's process ended", "server", b.Incarnation(), "address", b.Address, "evidence", evidence)
-		r.Backends.Drop(b.Address)
+		r.BackendClient.CloseIdle(b.Address)
 		r.endedUnder(&b)
-		r.EngineGone(b.Incarnation())
+		r.HandleEngineExit(b.Incarnation())
 	}
 }
 
-// Settle asks a server which of two incarnations it is: the one that is believed
+// VerifyIncarnation asks a server which of two incarnations it is: the one that is believed
 // in, or another one that an entry names and that may be older.
-func (r *Relay) Settle(claim model.BackendServer) {
+func (r *Relay) VerifyIncarnation(claim model.BackendServer) {
 	b := r.Catalog.Load().ByID(claim.ID)
 	if b == nil {
 		return
@@ -106,11 +106,11 @@
 	if svc == nil || svc.HealthPath == "" {
 		return true, nil
 	}
-	ans, err := r.Backends.Do(ctx, b.Address, &Request{Method: http.MethodGet, Target: svc.HealthPath, Host: b.Address, Header: http.Header{}})
+	ans, err := r.BackendClient.Do(ctx, b.Address, &Request{Method: http.MethodGet, Target: svc.HealthPath, Host: b.Address, Header: http.Header{}})
 	if err != nil {
 		return true, err
 	}
-	defer ans.Body.Done()
+	defer ans.Body.Close()
 	if _, err := io.Copy(io.Discard, ans.Body); err != nil {
 		ans.Body.Discard()
 	}
@@ -123,10 +123,10 @@
 
 func (c conflict) Error() string { return "path refused for " + c.address }
 
-// Repath orders the first engine of a running stream to send it over another
+// Reroute orders the first engine of a running stream to send it over another
 // path with the same first part. The error is a conflict where an engine of the path
 // does not take its part.
-func (r *Relay) Repath(ctx context.Context, first *model.BackendServer, attempt string, path []platform.Hop) error {
+func (r *Relay) Reroute(ctx context.Context, first *model.BackendServer, attempt string, path []platform.Hop) error {
 	body, err := platform.EncodeRepath(attempt, path)
 	if err != nil {
 		return err
@@ -148,7 +148,7 @@
 
 // order sends an order to an engine and gives the status and body of its answer.
 func (r *Relay) order(ctx context.Context, b *model.BackendServer, body []byte) (status int, answer []byte, err error) {
-	ans, err := r.Backends.Do(ctx, b.Address, &Request{
+	ans, err := r.BackendClient.Do(ctx, b.Address, &Request{
 		Method: http.MethodPost,
 		Target: platform.OrderPath,
 		Host:   b.Address,
@@ -158,7 +158,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer ans.Body.Done()
+	defer ans.Body.Close()
 	answer, err = io.ReadAll(io.LimitReader(ans.Body, maxOrderAnswer+1))
 	if err != nil || len(answer) > maxOrderAnswer {
 		ans.Body.Discard()
@@ -166,18 +166,18 @@
 	return ans.Status, answer, nil
 }
 
-// Engines gives orders to engines and reads their reports.
-type Engines struct{ Relay *Relay }
+// EngineClient gives orders to engines and reads their reports.
+type EngineClient struct{ Relay *Relay }
 
-var _ placement.Engines = Engines{}
+var _ placement.EngineClient = EngineClient{}
 
 // Report implements placement.Engines.
-func (e Engines) Report(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
+func (e EngineClient) Report(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
 	return e.Relay.Report(ctx, b)
 }
 
 // Place implements placement.Engines.
-func (e Engines) Place(ctx context.Context, b *model.BackendServer, held model.LayerRange, fence, expected int64) (placement.OrderResult, error) {
+func (e EngineClient) Place(ctx context.Context, b *model.BackendServer, held model.LayerRange, fence, expected int64) (placement.OrderResult, error) {
 	body, err := platform.EncodePlace(held, fence, expected)
 	if err != nil {
 		return placement.OrderUnknown, err
@@ -191,7 +191,7 @@
 	}
 	switch status {
 	case http.StatusAccepted, http.StatusOK:
-		return placement.OrderTaken, nil
+		return placement.OrderAccepted, nil
 	case http.StatusPreconditionFailed:
 		return placement.OrderFenced, nil
 	}
--- a/internal/protocol/relay/report_test.go
+++ b/internal/protocol/relay/report_test.go
@@ -18,13 +18,13 @@
 	discarded bool
 }
 
-func (e *unending) Do(context.Context, string, *Request) (*Answer, error) {
-	return &Answer{Status: http.StatusOK, Header: http.Header{}, Body: e}, nil
+func (e *unending) Do(context.Context, string, *Request) (*Response, error) {
+	return &Response{Status: http.StatusOK, Header: http.Header{}, Body: e}, nil
 }
 
-func (e *unending) Drop(string) {}
-func (e *unending) Done()       {}
-func (e *unending) Discard()    { e.discarded = true }
+func (e *unending) CloseIdle(string) {}
+func (e *unending) Close()           {}
+func (e *unending) Discard()         { e.discarded = true }
 
 func (e *unending) Read(p []byte) (int, error) {
 	if e.read > 16*maxReport {
@@ -40,7 +40,7 @@
 // connection serves nothing else.
 func TestEndlessReport(t *testing.T) {
 	engine := &unending{}
-	r := &Relay{Backends: engine, Now: time.Now}
+	r := &Relay{BackendClient: engine, Now: time.Now}
 	_, err := r.Report(t.Context(), &model.BackendServer{})
 	assert.ErrorIs(t, err, errLongReport)
 	assert.Assert(t, engine.read <= 2*maxReport, "%d bytes", engine.read)
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -26,13 +26,13 @@
 )
 
 // script is the backend servers: what they do with a request.
-type script func(ctx context.Context, addr string, r *Request) (*Answer, error)
+type script func(ctx context.Context, addr string, r *Request) (*Response, error)
 
-func (s script) Do(ctx context.Context, addr string, r *Request) (*Answer, error) {
+func (s script) Do(ctx context.Context, addr string, r *Request) (*Response, error) {
 	return s(ctx, addr, r)
 }
 
-func (s script) Drop(string) {}
+func (s script) CloseIdle(string) {}
 
 // observed counts repeated sends.
 type observed struct {
@@ -43,7 +43,7 @@
 func (o *observed) Request(_, _, _, _ string, _ time.Duration) {}
 func (o *observed) FirstEvent(string, time.Duration)           {}
 
-func (o *observed) Repeat(_, _ string) {
+func (o *observed) Retry(_, _ string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.repeats++
@@ -53,7 +53,7 @@
 type heardBody struct{ io.Reader }
 
 func (heardBody) Discard() {}
-func (heardBody) Done()    {}
+func (heardBody) Close()   {}
 
 // listener is a caller that keeps what it is told.
 type listener struct {
@@ -62,7 +62,7 @@
 	body   strings.Builder
 }
 
-func (l *listener) Begin(status int, header http.Header, _ int64) {
+func (l *listener) WriteHeader(status int, header http.Header, _ int64) {
 	l.status = status
 	l.header = header
 }
@@ -91,40 +91,40 @@
 	}
 	route.Name, route.Host, route.Prefix = "r", "h", "/"
 	route.Split = []model.ServiceShare{{Service: "s", Weight: 1}}
-	current := &routes.Current{}
+	current := &routes.ActiveConfig{}
 	current.Apply(&model.RouteConfig{Version: 1, Routes: []model.Route{route}, Services: []model.Service{svc}}, nil)
 	c := catalog.New(time.Now)
 	for _, id := range []string{"one", "two"} {
 		c.Put(model.BackendServer{ID: id, Service: "s", Address: id + ":1", FailureDomain: "a", Card: "fast", Holds: model.LayerRange{To: 12}, Slots: 9})
 	}
 	health := catalog.NewHealth(time.Now)
-	memory := chains.NewMemory(time.Now)
+	memory := chains.NewUsageTracker(time.Now)
 	began := time.Now()
 	prober := NewProber()
 	prober.Now = time.Now
 	prober.Health = health
 	prober.Catalog = c
-	prober.Tell = func(model.Incarnation, time.Time) {}
+	prober.AnnounceSuspect = func(model.Incarnation, time.Time) {}
 	seen := &observed{}
 	rel := &Relay{
 		Config: current, Catalog: c, Health: health, Memory: memory,
-		Chooser:  &chains.Chooser{Catalog: c, Health: health, Memory: memory, Pipes: chains.NewPipes(time.Now), Routers: func() int { return 1 }},
-		Line:     admission.NewLine(),
-		Loans:    &limits.Loans{Budget: limits.NewSharedRetries(0, 100, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
-		Backends: do, Observer: seen, Running: NewRunning(), Suspicions: prober, Domain: "a",
+		Chooser:       &chains.Chooser{Catalog: c, Health: health, Usage: memory, Interconnect: chains.NewInterconnect(time.Now), RouterCount: func() int { return 1 }},
+		WaitQueue:     admission.NewWaitQueue(),
+		RetryBorrower: &limits.RetryBorrower{Budget: limits.NewSharedRetryBudget(0, 100, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
+		BackendClient: do, Observer: seen, ActiveRuns: NewActiveRuns(), Suspects: prober, FailureDomain: "a",
 		Detector: detector.New(time.Now),
-		Clock:    func() time.Duration { return 0 }, Now: time.Now, ConfigTrust: time.Hour,
+		Clock:    func() time.Duration { return 0 }, Now: time.Now, MaxConfigAge: time.Hour,
 		Quarantine: quarantine.New(func() time.Duration { return time.Since(began) }),
-		Trial: func(context.Context, model.Fingerprint, []model.Incarnation) quarantine.Grant {
+		RequestTrial: func(context.Context, model.Fingerprint, []model.Incarnation) quarantine.Grant {
 			return quarantine.Grant{Granted: true}
 		},
-		Listens: func(context.Context, string) error { return nil },
+		CheckListening: func(context.Context, string) error { return nil },
 	}
-	rel.Pacer = NewPacer()
-	rel.Pacer.Memory = memory
-	rel.Pacer.Catalog = c
-	rel.Pacer.Report = rel.Report
-	rel.Pacer.Now = time.Now
+	rel.SlowdownMonitor = NewSlowdownMonitor()
+	rel.SlowdownMonitor.Memory = memory
+	rel.SlowdownMonitor.Catalog = c
+	rel.SlowdownMonitor.Report = rel.Report
+	rel.SlowdownMonitor.Now = time.Now
 	return &site{Relay: rel, prober: prober, seen: seen}
 }
 
@@ -137,16 +137,16 @@
 	for _, id := range []string{"one", "two"} {
 		view := s.Health.View(inc(id))
 		assert.Check(t, !view.Suspected, "%s is suspected", id)
-		assert.Check(t, view.Failures == 0, "%s is charged with a failure", id)
+		assert.Check(t, view.FailureRate == 0, "%s is charged with a failure", id)
 		assert.Check(t, view.Active == 0, "%s has work", id)
 	}
 	assert.Check(t, len(s.prober.due()) == 0, "a probe is due")
 }
 
-func signed(status int, body io.Reader) *Answer {
+func signed(status int, body io.Reader) *Response {
 	h := http.Header{}
 	h.Set("Response-Signature", "sig")
-	return &Answer{Status: status, Header: h, Body: heardBody{body}}
+	return &Response{Status: status, Header: h, Body: heardBody{body}}
 }
 
 var errNoConnection = errors.Wrap(ErrNotSent, "the connection was closed")
@@ -165,7 +165,7 @@
 	for _, kind := range []model.RouteKind{idempotent, notRepeatable, streaming} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, leave := context.WithCancel(t.Context())
-			s := newSite(model.Route{Kind: kind, MaxAttempts: 2, TargetLatency: time.Second}, kind == streaming, func(ctx context.Context, _ string, _ *Request) (*Answer, error) {
+			s := newSite(model.Route{Kind: kind, MaxAttempts: 2, TargetLatency: time.Second}, kind == streaming, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 				leave()
 				return nil, errNoConnection
 			})
@@ -188,7 +188,7 @@
 	for _, kind := range []model.RouteKind{idempotent, notRepeatable, streaming} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, leave := context.WithCancel(t.Context())
-			s := newSite(model.Route{Kind: kind, MaxAttempts: 2, TargetLatency: time.Second}, kind == streaming, func(ctx context.Context, _ string, _ *Request) (*Answer, error) {
+			s := newSite(model.Route{Kind: kind, MaxAttempts: 2, TargetLatency: time.Second}, kind == streaming, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 				leave()
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -211,7 +211,7 @@
 	for _, generates := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, leave := context.WithCancel(t.Context())
-			s := newSite(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, generates, func(context.Context, string, *Request) (*Answer, error) {
+			s := newSite(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, generates, func(context.Context, string, *Request) (*Response, error) {
 				leave()
 				return signed(http.StatusInternalServerError, strings.NewReader("the server's words")), nil
 			})
@@ -228,7 +228,7 @@
 // its stream reserved at the engines.
 func TestPanicGivesMemoryBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(model.Route{Kind: streaming, MaxAttempts: 1, TargetLatency: time.Second}, true, func(context.Context, string, *Request) (*Answer, error) {
+		s := newSite(model.Route{Kind: streaming, MaxAttempts: 1, TargetLatency: time.Second}, true, func(context.Context, string, *Request) (*Response, error) {
 			panic("unexpected")
 		})
 		out := &listener{}
@@ -244,7 +244,7 @@
 func TestRepeatAfterAFailureIsTakenOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sends := 0
-		s := newSite(model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2, TargetLatency: time.Second}, true, func(context.Context, string, *Request) (*Answer, error) {
+		s := newSite(model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2, TargetLatency: time.Second}, true, func(context.Context, string, *Request) (*Response, error) {
 			if sends++; sends == 1 {
 				return signed(http.StatusInternalServerError, strings.NewReader("failed")), nil
 			}
@@ -264,7 +264,7 @@
 	for _, attempts := range []int{1, 2} {
 		synctest.Test(t, func(t *testing.T) {
 			sends := 0
-			s := newSite(model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: attempts, TargetLatency: time.Second}, true, func(context.Context, string, *Request) (*Answer, error) {
+			s := newSite(model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: attempts, TargetLatency: time.Second}, true, func(context.Context, string, *Request) (*Response, error) {
 				sends++
 				return signed(http.StatusInternalServerError, strings.NewReader("failed")), nil
 			})
@@ -282,13 +282,13 @@
 // request may go nowhere else, so it stays where it is and gets its answer.
 func TestSlowTryIsKeptWhereNoRepeatIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, false, func(ctx context.Context, _ string, _ *Request) (*Answer, error) {
+		s := newSite(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, false, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 			if !wait.For(ctx, 3*time.Second) {
 				return nil, ctx.Err()
 			}
 			return signed(http.StatusOK, strings.NewReader("late")), nil
 		})
-		s.Loans.Budget = limits.NewSharedRetries(0, 100, time.Hour, func() int { return 1 }, time.Now)
+		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 100, time.Hour, func() int { return 1 }, time.Now)
 		out := &listener{}
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.status, http.StatusOK)
@@ -302,7 +302,7 @@
 func TestSlowTryIsRepeatedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := ""
-		s := newSite(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, false, func(ctx context.Context, addr string, _ *Request) (*Answer, error) {
+		s := newSite(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, false, func(ctx context.Context, addr string, _ *Request) (*Response, error) {
 			if slow == "" || slow == addr {
 				slow = addr
 				<-ctx.Done()
@@ -324,7 +324,7 @@
 // seconds. Nothing before it is no silence.
 func TestAnswerInOnePieceIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, true, func(ctx context.Context, _ string, r *Request) (*Answer, error) {
+		s := newSite(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, true, func(ctx context.Context, _ string, r *Request) (*Response, error) {
 			if r.Target == platform.ReportPath {
 				return signed(http.StatusOK, strings.NewReader("{}")), nil
 			}
@@ -348,15 +348,15 @@
 func TestLastAnswerOfAServerIsDelivered(t *testing.T) {
 	for _, kind := range []model.RouteKind{notRepeatable, streaming} {
 		synctest.Test(t, func(t *testing.T) {
-			s := newSite(model.Route{Kind: kind, MaxAttempts: 2, TargetLatency: time.Second}, kind == streaming, func(ctx context.Context, _ string, _ *Request) (*Answer, error) {
+			s := newSite(model.Route{Kind: kind, MaxAttempts: 2, TargetLatency: time.Second}, kind == streaming, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 				if !wait.For(ctx, 50*time.Millisecond) {
 					return nil, ctx.Err()
 				}
 				return signed(http.StatusOK, strings.NewReader("id: 1\ndata: last words\n\n")), nil
 			})
 			time.AfterFunc(20*time.Millisecond, func() {
-				s.EngineGone(inc("one"))
-				s.EngineGone(inc("two"))
+				s.HandleEngineExit(inc("one"))
+				s.HandleEngineExit(inc("two"))
 			})
 			out := &listener{}
 			assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -40,7 +40,7 @@
 	q      *request
 	run    context.Context
 	cancel context.CancelCauseFunc
-	hold   *chains.Hold
+	hold   *chains.Reservation
 	since  time.Time // when the run was sent
 	record *quarantine.Run
 	// progress is what the stream's events say of its engines.
@@ -51,7 +51,7 @@
 	fresh bool
 
 	mu      sync.Mutex
-	parts   []chains.Part
+	parts   []chains.Stage
 	timer   *time.Timer
 	begun   bool              // an event came
 	early   bool              // the timer is for the path check, not for a silence
@@ -69,16 +69,16 @@
 	paceCount int
 }
 
-func (q *request) watch(run context.Context, cancel context.CancelCauseFunc, parts []chains.Part, hold *chains.Hold, record *quarantine.Run) *chainWatch {
+func (q *request) watch(run context.Context, cancel context.CancelCauseFunc, parts []chains.Stage, hold *chains.Reservation, record *quarantine.Run) *chainWatch {
 	w := &chainWatch{q: q, run: run, cancel: cancel, parts: parts, hold: hold, record: record, since: q.Now()}
 	w.last = !q.ticket.Idempotent() || q.sends+1 >= maxSends
 	w.fresh = !w.last && q.runs+1 < q.ticket.Route.MaxAttempts
 	path := engines(parts)
 	w.progress = q.Detector.Track(path, q.eventInterval(parts), q.ticket.Route.TargetGap)
 	w.start()
-	if gone, ended := q.Running.add(w, path...); ended {
+	if gone, ended := q.ActiveRuns.add(w, path...); ended {
 		w.end(verdict{culprit: gone, why: engineGone})
-	} else if silent := q.Running.silentAmong(path); len(silent) > 0 {
+	} else if silent := q.ActiveRuns.silentAmong(path); len(silent) > 0 {
 		go w.leave(silent, silence)
 	}
 	return w
@@ -90,7 +90,7 @@
 	w.timer = time.AfterFunc(firstSilence, w.due)
 }
 
-func engines(parts []chains.Part) []model.Incarnation {
+func engines(parts []chains.Stage) []model.Incarnation {
 	out := make([]model.Incarnation, len(parts))
 	for i, p := range parts {
 		out[i] = p.Server.Incarnation()
@@ -105,7 +105,7 @@
 	w.quiet = 0
 	w.news++
 	w.early = true
-	next := w.progress.Progress()
+	next := w.progress.RecordEvent()
 	if !w.stopped {
 		w.timer.Reset(next)
 	}
@@ -128,13 +128,13 @@
 	w.paceFrom = now
 	w.paceCount = 0
 	if float64(seen) > slowFactor*float64(planned) {
-		w.q.Pacer.Check(w.parts, w.q.call.Attempt, seen, planned)
+		w.q.SlowdownMonitor.Check(w.parts, w.q.call.Attempt, seen, planned)
 	}
 }
 
 // stop ends the watch. It tells whether a repeated send was taken from the budget.
 func (w *chainWatch) stop() (granted bool) {
-	w.q.Running.remove(w)
+	w.q.ActiveRuns.remove(w)
 	w.progress.Close()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -144,7 +144,7 @@
 }
 
 // state gives the chain as it is now and the engine at fault, if one was found.
-func (w *chainWatch) state() ([]chains.Part, model.Incarnation) {
+func (w *chainWatch) state() ([]chains.Stage, model.Incarnation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.parts, w.culprit
@@ -184,7 +184,7 @@
 		return
 	}
 	if err != nil {
-		w.q.Suspicions.Unreachable(first, w.q.call.Attempt, err)
+		w.q.Suspects.Unreachable(first, w.q.call.Attempt, err)
 		w.giveUp(news, verdict{culprit: first.Incarnation(), why: silence, silences: n, err: err})
 		return
 	}
@@ -258,12 +258,12 @@
 // fail takes in that an engine of the chain does not do its part: all streams of this
 // router leave it.
 func (w *chainWatch) fail(server *model.BackendServer, err error) {
-	w.q.Suspicions.Unreachable(server, w.q.call.Attempt, err)
-	w.q.Running.leave(engineSet{server.Incarnation(): true}, silence)
+	w.q.Suspects.Unreachable(server, w.q.call.Attempt, err)
+	w.q.ActiveRuns.leave(engineSet{server.Incarnation(): true}, silence)
 }
 
 // serverAt is the engine of a chain with an address; nil if there is none.
-func serverAt(parts []chains.Part, addr string) *model.BackendServer {
+func serverAt(parts []chains.Stage, addr string) *model.BackendServer {
 	for _, p := range parts {
 		if p.Server.Address == addr {
 			return p.Server
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -33,9 +33,9 @@
 	return s
 }
 
-func (s *site) parts(second string) []chains.Part {
+func (s *site) parts(second string) []chains.Stage {
 	snap := s.Catalog.Load()
-	return []chains.Part{
+	return []chains.Stage{
 		{Server: snap.Find(inc("one")), Layers: model.LayerRange{To: 6}},
 		{Server: snap.Find(inc(second)), Layers: model.LayerRange{From: 6, To: 12}},
 	}
@@ -47,7 +47,7 @@
 }
 
 // watchedOn is a running stream through some engines and its watch.
-func (s *site) watchedOn(t *testing.T, route model.Route, parts []chains.Part) (*chainWatch, context.Context) {
+func (s *site) watchedOn(t *testing.T, route model.Route, parts []chains.Stage) (*chainWatch, context.Context) {
 	q := &request{Relay: s.Relay, call: &model.Call{Attempt: "1"}, since: time.Now(), avoid: map[model.Incarnation]bool{}}
 	table := s.Config.Load()
 	route.Host = "h"
@@ -71,16 +71,16 @@
 
 func (u unreachable) Unreachable(*model.BackendServer, string, error) { u.told() }
 
-func report(body string) *Answer { return signed(http.StatusOK, strings.NewReader(body)) }
+func report(body string) *Response { return signed(http.StatusOK, strings.NewReader(body)) }
 
 // The first engine does not tell what a silent chain waits for. While that is noted
 // an event comes: the chain works, and must not be ended for a silence that is over.
 func TestChainThatSpeaksAgainIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Answer, error) { return nil, errNoConnection })
+		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return nil, errNoConnection })
 		var asked atomic.Pointer[chainWatch]
-		s.Suspicions = unreachable{s.prober, func() { asked.Load().heard() }}
+		s.Suspects = unreachable{s.prober, func() { asked.Load().heard() }}
 		w, run := s.watched(t, route)
 		asked.Store(w)
 		time.Sleep(firstSilence + time.Millisecond)
@@ -96,7 +96,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 1}
 		var asked atomic.Int64
-		s := chained(route, func(_ context.Context, _ string, r *Request) (*Answer, error) {
+		s := chained(route, func(_ context.Context, _ string, r *Request) (*Response, error) {
 			if r.Target != platform.ReportPath {
 				return report(""), nil
 			}
@@ -108,7 +108,7 @@
 		w, run := s.watched(t, route)
 		time.Sleep(firstSilence + nextSilence + 50*time.Millisecond) // amid the second question
 		assert.Equal(t, asked.Load(), int64(2))
-		s.EngineGone(inc("far"))
+		s.HandleEngineExit(inc("far"))
 		time.Sleep(100 * time.Millisecond)
 		assert.NilError(t, run.Err())
 		parts, _ := w.state()
@@ -121,12 +121,12 @@
 func TestFinishedStreamIsNotGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Answer, error) {
+		s := chained(route, func(context.Context, string, *Request) (*Response, error) {
 			time.Sleep(50 * time.Millisecond)
 			return signed(http.StatusNotFound, strings.NewReader("")), nil
 		})
 		w, run := s.watched(t, route)
-		s.EngineGone(inc("far"))
+		s.HandleEngineExit(inc("far"))
 		synctest.Wait()
 		_ = w.stop()
 		time.Sleep(100 * time.Millisecond)
@@ -144,7 +144,7 @@
 	for _, answers := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			route := model.Route{Kind: streaming, MaxAttempts: 2}
-			s := chained(route, func(context.Context, string, *Request) (*Answer, error) {
+			s := chained(route, func(context.Context, string, *Request) (*Response, error) {
 				if answers {
 					return report(emptyReport), nil
 				}
@@ -154,7 +154,7 @@
 			time.Sleep(5 * time.Second)
 			synctest.Wait()
 			assert.NilError(t, run.Err())
-			s.EngineGone(inc("far"))
+			s.HandleEngineExit(inc("far"))
 			time.Sleep(finalAnswerWait)
 			synctest.Wait()
 			assert.Equal(t, context.Cause(run), engineGone)
@@ -168,7 +168,7 @@
 func TestStreamThatCannotGoOnIsNotEndedForAnothersView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Answer, error) { return report(emptyReport), nil })
+		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return report(emptyReport), nil })
 		_, run := s.watched(t, route)
 		other, _ := s.watched(t, model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2})
 		other.blame("far:1", 0, 1)
@@ -185,8 +185,8 @@
 func TestRunHearsOfAnEngineThatJustEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Answer, error) { return report(emptyReport), nil })
-		s.EngineGone(inc("far"))
+		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return report(emptyReport), nil })
+		s.HandleEngineExit(inc("far"))
 		_, run := s.watched(t, route)
 		assert.Equal(t, context.Cause(run), engineGone)
 	})
@@ -198,8 +198,8 @@
 func TestSilentChainIsKeptWhereNoRepeatIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Answer, error) { return report(emptyReport), nil })
-		s.Loans.Budget = limits.NewSharedRetries(0, 100, time.Hour, func() int { return 1 }, time.Now)
+		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return report(emptyReport), nil })
+		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 100, time.Hour, func() int { return 1 }, time.Now)
 		_, run := s.watched(t, route)
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
--- a/internal/transport/backend/ended_test.go
+++ b/internal/transport/backend/ended_test.go
@@ -119,7 +119,7 @@
 	addr, r := notice(s)
 	ans, err := p.Do(context.Background(), addr, r)
 	assert.NilError(t, err)
-	ans.Body.Done()
+	ans.Body.Close()
 	_, requests := s.counts()
 	assert.Equal(t, requests, 1)
 }
@@ -133,12 +133,12 @@
 	addr, r := notice(s)
 	ans, err := p.Do(context.Background(), addr, r)
 	assert.NilError(t, err)
-	p.Drop(addr)
+	p.CloseIdle(addr)
 	buf := make([]byte, 16)
 	for err == nil {
 		_, err = ans.Body.Read(buf)
 	}
-	ans.Body.Done()
+	ans.Body.Close()
 	_, _, err = get(t, p, s)
 	assert.NilError(t, err)
 	conns, _ := s.counts()
@@ -160,7 +160,7 @@
 				return
 			default:
 				p.Trim()
-				p.Drop(addr)
+				p.CloseIdle(addr)
 			}
 		}
 	})
--- a/internal/transport/front/end_test.go
+++ b/internal/transport/front/end_test.go
@@ -30,7 +30,7 @@
 		want   ended
 	}{
 		"caller leaves under its request": {
-			u: func(ctx context.Context, _ *relay.Request) (*relay.Answer, error) {
+			u: func(ctx context.Context, _ *relay.Request) (*relay.Response, error) {
 				close(began)
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -105,7 +105,7 @@
 func TestEndOfAnAnswerHasItsOwnTime(t *testing.T) {
 	w := &clockedWriter{ResponseWriter: httptest.NewRecorder()}
 	out := &caller{w: w, rc: http.NewResponseController(w), draining: &atomic.Bool{}}
-	out.Begin(http.StatusOK, nil, -1)
+	out.WriteHeader(http.StatusOK, nil, -1)
 	assert.NilError(t, out.Write([]byte("id: 1\n\n")))
 	w.deadline = time.Now().Add(-time.Second)
 	out.ends()
--- a/internal/transport/front/front_test.go
+++ b/internal/transport/front/front_test.go
@@ -26,26 +26,26 @@
 
 func (nobody) Request(_, _, _, _ string, _ time.Duration) {}
 func (nobody) FirstEvent(string, time.Duration)           {}
-func (nobody) Repeat(_, _ string)                         {}
+func (nobody) Retry(_, _ string)                          {}
 
 // upstream answers every request by a script.
-type upstream func(ctx context.Context, r *relay.Request) (*relay.Answer, error)
+type upstream func(ctx context.Context, r *relay.Request) (*relay.Response, error)
 
-func (u upstream) Do(ctx context.Context, _ string, r *relay.Request) (*relay.Answer, error) {
+func (u upstream) Do(ctx context.Context, _ string, r *relay.Request) (*relay.Response, error) {
 	return u(ctx, r)
 }
 
 type body struct{ io.Reader }
 
-func (body) Discard()        {}
-func (upstream) Drop(string) {}
+func (body) Discard()             {}
+func (upstream) CloseIdle(string) {}
 
-func (body) Done() {}
+func (body) Close() {}
 
-func answer(text string) *relay.Answer {
+func answer(text string) *relay.Response {
 	h := http.Header{}
 	h.Set("Response-Signature", "sig")
-	return &relay.Answer{Status: 200, Header: h, Body: body{strings.NewReader(text)}}
+	return &relay.Response{Status: 200, Header: h, Body: body{strings.NewReader(text)}}
 }
 
 // config has one route to one plain service.
@@ -60,16 +60,16 @@
 
 // serve starts a front before one plain service.
 func serve(t *testing.T, u upstream) (*Server, string) {
-	current := &routes.Current{}
+	current := &routes.ActiveConfig{}
 	current.Apply(config(1, 300*time.Millisecond), nil)
 	cat := catalog.New(time.Now)
 	cat.Put(model.BackendServer{ID: "b", Service: "s", Address: "1:1"})
 	rel := &relay.Relay{
-		Config: current, Catalog: cat, Health: catalog.NewHealth(time.Now), Backends: u, Observer: nobody{}, Line: admission.NewLine(), Running: relay.NewRunning(),
-		Loans: &limits.Loans{Budget: limits.NewSharedRetries(0.2, 10, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
-		Clock: func() time.Duration { return 0 }, Now: time.Now, ConfigTrust: time.Hour,
-		Quarantine: quarantine.New(func() time.Duration { return 0 }),
-		Listens:    func(context.Context, string) error { return nil },
+		Config: current, Catalog: cat, Health: catalog.NewHealth(time.Now), BackendClient: u, Observer: nobody{}, WaitQueue: admission.NewWaitQueue(), ActiveRuns: relay.NewActiveRuns(),
+		RetryBorrower: &limits.RetryBorrower{Budget: limits.NewSharedRetryBudget(0.2, 10, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
+		Clock:         func() time.Duration { return 0 }, Now: time.Now, MaxConfigAge: time.Hour,
+		Quarantine:     quarantine.New(func() time.Duration { return 0 }),
+		CheckListening: func(context.Context, string) error { return nil },
 	}
 	s := &Server{Config: current, Relay: rel, Observer: make(ends, 64)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -100,7 +100,7 @@
 	}
 }
 
-func echo(_ context.Context, r *relay.Request) (*relay.Answer, error) {
+func echo(_ context.Context, r *relay.Request) (*relay.Response, error) {
 	return answer(r.Method + " " + r.Target + " " + string(r.Body)), nil
 }
 
@@ -134,7 +134,7 @@
 // disturbs no other caller.
 func TestBadRequests(t *testing.T) {
 	reached := false
-	_, addr := serve(t, func(context.Context, *relay.Request) (*relay.Answer, error) {
+	_, addr := serve(t, func(context.Context, *relay.Request) (*relay.Response, error) {
 		reached = true
 		return answer(""), nil
 	})
@@ -195,7 +195,7 @@
 // told, so that the backend server's work ends.
 func TestCallerThatLeavesIsNoticed(t *testing.T) {
 	left := make(chan struct{})
-	_, addr := serve(t, func(ctx context.Context, _ *relay.Request) (*relay.Answer, error) {
+	_, addr := serve(t, func(ctx context.Context, _ *relay.Request) (*relay.Response, error) {
 		<-ctx.Done()
 		close(left)
 		return nil, ctx.Err()
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -60,11 +60,11 @@
 	Domain  string // own failure domain
 	Seeds   []string
 	Pool    *link.Pool
-	Config  *routes.Current
+	Config  *routes.ActiveConfig
 	Decode  func([]byte) (*model.RouteConfig, error)
 	Catalog *catalog.Catalog
-	Memory  *chains.Memory
-	Pipes   *chains.Pipes
+	Memory  *chains.UsageTracker
+	Pipes   *chains.Interconnect
 	// Revision is that of the store up to which this router's picture is
 	// complete; PeerAt is told a peer's.
 	Revision func() model.Revision
@@ -75,7 +75,7 @@
 	Now   func() time.Time
 	// Loans holds this router's part of the budget for repeated sends, and what
 	// it borrows.
-	Loans *limits.Loans
+	Loans *limits.RetryBorrower
 	// Refuses is told of engines that refused work of a peer, until when they
 	// should get none.
 	Refuses func(engine model.Incarnation, until time.Time)
--- a/internal/transport/peers/quarantine.go
+++ b/internal/transport/peers/quarantine.go
@@ -44,7 +44,7 @@
 
 // Run tells the peers until ctx ends.
 func (q *Quarantine) Run(ctx context.Context) {
-	before, after := quarantine.Pauses()
+	before, after := quarantine.ReportDelays()
 	remind := time.NewTicker(remindEvery)
 	defer remind.Stop()
 	for {
@@ -53,9 +53,9 @@
 			return
 		case <-remind.C:
 			q.remind()
-		case <-q.Tracker.Due():
+		case <-q.Tracker.ReportDue():
 			wait.For(ctx, before)
-			if r, ok := q.Tracker.Report(); ok {
+			if r, ok := q.Tracker.TakeReport(); ok {
 				q.tell(r, q.Exchange.peers()...)
 			}
 			wait.For(ctx, after)
@@ -78,23 +78,23 @@
 
 // remind tells one peer the verdicts, if there are any.
 func (q *Quarantine) remind() {
-	sentences := q.Tracker.Sentences()
+	sentences := q.Tracker.Verdicts()
 	peers := q.Exchange.peers()
 	if len(sentences) == 0 || len(peers) == 0 {
 		return
 	}
 	rand.Shuffle(len(sentences), func(i, j int) { sentences[i], sentences[j] = sentences[j], sentences[i] })
-	q.tell(quarantine.Report{Sentences: sentences[:min(len(sentences), mostReminded)]}, peers[rand.IntN(len(peers))])
+	q.tell(quarantine.Report{Verdicts: sentences[:min(len(sentences), mostReminded)]}, peers[rand.IntN(len(peers))])
 }
 
 func (q *Quarantine) heard(_ context.Context, from string, r quarantine.Report) (struct{}, error) {
-	q.Tracker.Heard(r, from)
+	q.Tracker.ApplyReport(r, from)
 	return struct{}{}, nil
 }
 
 func (q *Quarantine) trial(_ context.Context, from string, ask wire.RouterTrial) (quarantine.Grant, error) {
-	g := q.Trials.Ask(ask.Work, ask.Servers)
-	klog.InfoS("trial of a request", "work", ask.Work, "peer", from, "servers", len(ask.Servers), "granted", g.Granted, "busy", g.Busy)
+	g := q.Trials.Request(ask.Work, ask.Servers)
+	klog.InfoS("trial of a request", "work", ask.Work, "peer", from, "servers", len(ask.Servers), "granted", g.Granted, "busy", g.BusyServer)
 	return g, nil
 }
 
@@ -103,7 +103,7 @@
 func (q *Quarantine) Ask(ctx context.Context, work model.Fingerprint, servers []model.Incarnation) quarantine.Grant {
 	for _, addr := range q.keepers() {
 		if addr == q.Exchange.Self {
-			return q.Trials.Ask(work, servers)
+			return q.Trials.Request(work, servers)
 		}
 		var g quarantine.Grant
 		asking, cancel := context.WithTimeout(ctx, trialWait)
