--- a/internal/coordination/chains/memory.go
+++ b/internal/coordination/chains/memory.go
@@ -23,8 +23,8 @@
 	TokenLayers float64
 	// Streams is how many run through it, Firsts how many it received as the
 	// first engine of their chain.
-	Streams float64
-	FirstStageStreams  float64
+	Streams           float64
+	FirstStageStreams float64
 	// PrefillLoad is the share of its time that goes into reading prompts.
 	PrefillLoad float64
 }
