--- a/internal/coordination/chains/chains.go
+++ b/internal/coordination/chains/chains.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// fillLimit is the share of an engine's token memory that is reserved. It may
+	// maxReservedShare is the share of an engine's token memory that is reserved. It may
 	// exceed 1: streams reserve their whole answer and hold half of it on average.
-	fillLimit = 1.1
-	// slotLimit is the share of an engine's slots that is given out. Slots count the
+	maxReservedShare = 1.1
+	// maxSlotShare is the share of an engine's slots that is given out. Slots count the
 	// streams that begin there; other routers' counts arrive late, and an engine
 	// without a free slot queues for as long as an answer takes.
-	slotLimit = 0.92
-	// mostFill caps the fill that makes an engine look slower, so that its
+	maxSlotShare = 0.92
+	// maxCostFill caps the fill that makes an engine look slower, so that its
 	// cost stays finite.
-	mostFill = 0.9
-	// hopTime is what one more engine in a chain costs a token inside a failure
+	maxCostFill = 0.9
+	// hopDelay is what one more engine in a chain costs a token inside a failure
 	// domain: transmission, and the pass in progress.
-	hopTime = 400 * time.Microsecond
-	// crossTime is the one-way time between failure domains, and the bytes
+	hopDelay = 400 * time.Microsecond
+	// crossDomainDelay is the one-way time between failure domains, and the bytes
 	// between them that are paid for.
-	crossTime = 1500 * time.Microsecond
-	// awayTime is what it costs to begin in another failure domain than the
+	crossDomainDelay = 1500 * time.Microsecond
+	// remoteStartPenalty is what it costs to begin in another failure domain than the
 	// caller's router.
-	awayTime = 500 * time.Microsecond
-	// mostReading caps the share of an engine's time that goes into reading
+	remoteStartPenalty = 500 * time.Microsecond
+	// maxPrefillLoad caps the share of an engine's time that goes into reading
 	// prompts, so that its cost stays finite.
-	mostReading = 0.9
-	// doubtFree is the share of failures that every engine may have, and doubtTime
+	maxPrefillLoad = 0.9
+	// toleratedFailureRate is the share of failures that every engine may have, and doubtTime
 	// what all beyond it costs a token. An engine fails what it receives, so the
 	// failure costs a whole chain, however few layers the engine runs; one that
 	// fails at once looks idle and would draw all streams.
-	doubtFree = 0.1
-	doubtTime = 20 * time.Millisecond
-	// maxParts is the longest chain that engines take.
-	maxParts = 32
+	toleratedFailureRate = 0.1
+	failurePenalty       = 20 * time.Millisecond
+	// maxStages is the longest chain that engines take.
+	maxStages = 32
 )
 
 // Stage is one engine of a chain and the layers it runs.
@@ -100,22 +100,22 @@
 // of its engines counted, and tells why there is none.
 func (c *Chooser) Choose(svc *model.Service, d Requirements) ([]Stage, Result) {
 	cands := c.candidates(svc, d)
-	walk := walk{spec: svc.Engine, cands: cands, need: model.LayerRange{To: svc.Engine.Layers}, home: d.Domain}
-	walk.cross = c.crossings(svc.Engine, cands, d.Tokens, d.MaxEventGap)
+	s := search{spec: svc.Engine, cands: cands, layers: model.LayerRange{To: svc.Engine.Layers}, homeDomain: d.Domain}
+	s.crossing = c.crossingCosts(svc.Engine, cands, d.Tokens, d.MaxEventGap)
 	if d.Resumed {
-		c.resumed(&walk, d.Tokens)
+		c.useResumeCosts(&s, d.Tokens)
 	}
-	walk.room = true
-	walk.deferring = true
-	if chain := walk.shortest(); chain != nil {
+	s.requireCapacity = true
+	s.skipDeferred = true
+	if chain := s.shortest(); chain != nil {
 		return chain, Found
 	}
-	walk.deferring = false // engines in slow start are left out only as long as others serve
-	if chain := walk.shortest(); chain != nil {
+	s.skipDeferred = false // engines in slow start are left out only as long as others serve
+	if chain := s.shortest(); chain != nil {
 		return chain, Found
 	}
-	walk.room = false
-	if chain := walk.shortest(); chain != nil {
+	s.requireCapacity = false
+	if chain := s.shortest(); chain != nil {
 		return nil, CapacityExhausted
 	}
 	return nil, NoChain
@@ -126,17 +126,17 @@
 // is asked once a refusal, for the log.
 func (c *Chooser) ExhaustedResource(svc *model.Service, d Requirements) string {
 	cands := c.candidates(svc, d)
-	w := walk{spec: svc.Engine, cands: cands, need: model.LayerRange{To: svc.Engine.Layers}, home: d.Domain, room: true}
-	w.cross = c.crossings(svc.Engine, cands, d.Tokens, d.MaxEventGap)
-	if w.shortest() != nil {
+	s := search{spec: svc.Engine, cands: cands, layers: model.LayerRange{To: svc.Engine.Layers}, homeDomain: d.Domain, requireCapacity: true}
+	s.crossing = c.crossingCosts(svc.Engine, cands, d.Tokens, d.MaxEventGap)
+	if s.shortest() != nil {
 		return "none now"
 	}
-	pipes := w
-	pipes.cross = openPipes(w.cross)
-	if pipes.shortest() != nil {
+	unlimited := s
+	unlimited.crossing = withoutInterconnectLimits(s.crossing)
+	if unlimited.shortest() != nil {
 		return "pipes"
 	}
-	slots := w
+	slots := s
 	slots.cands = make([]candidate, len(cands))
 	for i, cand := range cands {
 		cand.noSlot = false
@@ -148,19 +148,19 @@
 	return "token memory"
 }
 
-// openPipes gives the crossings as they were if no pipe were used up.
-func openPipes(cross [][]float64) [][]float64 {
-	open := make([][]float64, len(cross))
+// withoutInterconnectLimits gives the crossings as they were if no pipe were used up.
+func withoutInterconnectLimits(cross [][]float64) [][]float64 {
+	unlimited := make([][]float64, len(cross))
 	for i, row := range cross {
-		open[i] = make([]float64, len(row))
+		unlimited[i] = make([]float64, len(row))
 		for j, cost := range row {
-			open[i][j] = cost
+			unlimited[i][j] = cost
 			if math.IsInf(cost, 1) {
-				open[i][j] = crossTime.Seconds()
+				unlimited[i][j] = crossDomainDelay.Seconds()
 			}
 		}
 	}
-	return open
+	return unlimited
 }
 
 func (c *Chooser) candidates(svc *model.Service, d Requirements) []candidate {
@@ -168,7 +168,7 @@
 	var out []candidate
 	domains := map[string]int{}
 	routers := c.RouterCount() // once: it counts all that were heard of
-	others := c.together(routers) - 1
+	domainPeers := c.routersPerDomain(routers) - 1
 	for _, b := range c.engines(svc.Name) {
 		inc := b.Incarnation()
 		card, ok := spec.Card(b.Card)
@@ -190,23 +190,23 @@
 		// that meet the same burst, or start together, all send it to the engine
 		// that looks best, and its requests queue. They do about what this router
 		// does, so its own new streams stand for theirs.
-		used.add(c.Usage.Recent(inc).times(others), 1)
-		per := perLayer(spec, card, used, c.Usage.Slowdown(inc))
-		fill := math.Min(used.TokenLayers/math.Max(capacity*fillLimit, 1), mostFill)
-		per *= 1 / (1 - fill)
-		doubt := doubtTime.Seconds() * math.Max(view.FailureRate-doubtFree, 0)
+		used.add(c.Usage.Recent(inc).scaled(domainPeers), 1)
+		secondsPerLayer := layerSeconds(spec, card, used, c.Usage.Slowdown(inc))
+		fill := math.Min(used.TokenLayers/math.Max(capacity*maxReservedShare, 1), maxCostFill)
+		secondsPerLayer *= 1 / (1 - fill)
+		firstStageCost := failurePenalty.Seconds() * math.Max(view.FailureRate-toleratedFailureRate, 0)
 		if d.FirstStageCost != nil {
-			doubt += d.FirstStageCost(inc, used.FirstStageStreams).Seconds()
+			firstStageCost += d.FirstStageCost(inc, used.FirstStageStreams).Seconds()
 		}
 		out = append(out, candidate{
-			server:   b,
-			domain:   id,
-			perLayer: per,
-			doubt:    doubt,
-			notFirst: d.FirstStageIn != nil && !d.FirstStageIn[inc] || d.ExcludeFirstStage != nil && d.ExcludeFirstStage(b),
-			deferred: c.Usage.defers(c.Self, inc, b.Holds, readTime(spec, b, d.Tokens, b.Holds.Len()), routers),
-			noSlot:   b.Slots > 0 && used.FirstStageStreams+1 > float64(b.Slots)*slotLimit,
-			full:     used.TokenLayers+float64(d.Tokens*b.Holds.Len()) > capacity*fillLimit,
+			server:          b,
+			domain:          id,
+			secondsPerLayer: secondsPerLayer,
+			firstStageCost:  firstStageCost,
+			excludedFirst:   d.FirstStageIn != nil && !d.FirstStageIn[inc] || d.ExcludeFirstStage != nil && d.ExcludeFirstStage(b),
+			deferred:        c.Usage.defers(c.Self, inc, b.Holds, prefillSeconds(spec, b, d.Tokens, b.Holds.Len()), routers),
+			noSlot:          b.Slots > 0 && used.FirstStageStreams+1 > float64(b.Slots)*maxSlotShare,
+			full:            used.TokenLayers+float64(d.Tokens*b.Holds.Len()) > capacity*maxReservedShare,
 		})
 	}
 	return out
--- a/internal/coordination/chains/chains_test.go
+++ b/internal/coordination/chains/chains_test.go
@@ -153,7 +153,7 @@
 	crossed := 0
 	for range routers {
 		p := NewInterconnect(func() time.Time { return now })
-		limit := pipeLimit(46*time.Millisecond, 0, 4)
+		limit := maxUtilization(46*time.Millisecond, 0, 4)
 		for p.Allows("a", "b", prompt, pipe*limit, routers) {
 			p.AddTraffic("a", "b", prompt)
 			crossed++
@@ -181,7 +181,7 @@
 	assert.Assert(t, used["a"]+used["b"] < 1000, "nothing was refused: %v", used)
 	for _, b := range w.catalog.Load().Service("s") {
 		card, _ := w.svc.Engine.Card(b.Card)
-		most := Capacity(w.svc.Engine, card, b.Holds) * fillLimit
+		most := Capacity(w.svc.Engine, card, b.Holds) * maxReservedShare
 		assert.Assert(t, w.chooser.Usage.Used(b.Incarnation()).TokenLayers <= most, "%s is over its memory", b.ID)
 	}
 }
@@ -428,7 +428,7 @@
 	m.SetPeerSlowdown(inc("a1"), 4)
 	assert.Equal(t, m.Slowdown(inc("a1")), 2.0)
 	assert.DeepEqual(t, m.OwnSlowdowns(), map[model.Incarnation]float64{inc("a1"): 2})
-	w.now = w.now.Add(slowExpiry)
+	w.now = w.now.Add(slowdownTTL)
 	assert.Equal(t, m.Slowdown(inc("a1")), 1.0)
 	assert.Assert(t, m.SetSlowdown(inc("a1"), 1), "healthy again is news")
 }
@@ -449,12 +449,12 @@
 	lookers := map[string]int{}
 	for i := range routers {
 		w.chooser.Self = fmt.Sprintf("10.1.0.%d:1", i)
-		w.chooser.subsets.of = nil
+		w.chooser.subsets.snapshot = nil
 		parts, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
 		assert.Equal(t, v, Found)
 		covers(t, parts, model.LayerRange{To: 80})
 		seen := w.chooser.engines("s")
-		assert.Equal(t, len(seen), 2*4*holdersKept)
+		assert.Equal(t, len(seen), 2*4*maxHolders)
 		for _, b := range seen {
 			lookers[b.ID]++
 		}
@@ -464,7 +464,7 @@
 		most = max(most, n)
 	}
 	assert.Assert(t, len(lookers) > 2*4*twins*9/10, "%d of %d engines are looked at", len(lookers), 2*4*twins)
-	assert.Assert(t, most <= 5*routers*holdersKept/twins, "one engine is looked at by %d routers of %d", most, routers)
+	assert.Assert(t, most <= 5*routers*maxHolders/twins, "one engine is looked at by %d routers of %d", most, routers)
 }
 
 func BenchmarkChooseAmongThousands(b *testing.B) {
--- a/internal/coordination/chains/cost.go
+++ b/internal/coordination/chains/cost.go
@@ -7,13 +7,13 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// perLayer is the time that a token takes in one layer of an engine, in
+// layerSeconds is the time that a token takes in one layer of an engine, in
 // seconds: a step of its card, longer for each stream that writes, and longer
 // while prompts are read in between. A slow engine takes longer for all of it.
-func perLayer(spec *model.EngineSpec, card model.Card, used Usage, slowdown float64) float64 {
+func layerSeconds(spec *model.EngineSpec, card model.Card, used Usage, slowdown float64) float64 {
 	step := spec.StepTime.Seconds() + spec.PerRequest.Seconds()*used.Streams
-	reading := math.Min(used.PrefillLoad*slowdown, mostReading)
-	return step * card.Pace * slowdown / float64(spec.Layers) / (1 - reading)
+	prefillLoad := math.Min(used.PrefillLoad*slowdown, maxPrefillLoad)
+	return step * card.Pace * slowdown / float64(spec.Layers) / (1 - prefillLoad)
 }
 
 // TokenTime is how long a token should take through a chain whose engines are
@@ -25,12 +25,12 @@
 		if !ok {
 			continue
 		}
-		sum += perLayer(spec, card, c.Usage.Used(p.Server.Incarnation()), 1) * float64(p.Layers.Len())
+		sum += layerSeconds(spec, card, c.Usage.Used(p.Server.Incarnation()), 1) * float64(p.Layers.Len())
 		if i > 0 && p.Server.FailureDomain != parts[i-1].Server.FailureDomain {
-			sum += crossTime.Seconds()
+			sum += crossDomainDelay.Seconds()
 			continue
 		}
-		sum += hopTime.Seconds()
+		sum += hopDelay.Seconds()
 	}
 	return time.Duration(sum * float64(time.Second))
 }
@@ -40,9 +40,9 @@
 	return float64(tokens) * spec.ActivationBytes * 8 / 1e6
 }
 
-// crossings gives the cost of going from one domain to another, by the domains'
+// crossingCosts gives the cost of going from one domain to another, by the domains'
 // indices, infinite where the pipe between them is used up.
-func (c *Chooser) crossings(spec *model.EngineSpec, cands []candidate, tokens int, gap time.Duration) [][]float64 {
+func (c *Chooser) crossingCosts(spec *model.EngineSpec, cands []candidate, tokens int, gap time.Duration) [][]float64 {
 	names := []string{}
 	for _, cand := range cands {
 		if cand.domain == len(names) {
@@ -54,31 +54,31 @@
 	for i := range names {
 		cost[i] = make([]float64, len(names))
 		for j := range names {
-			cost[i][j] = c.crossing(spec, names[i], names[j], tokens, gap, routers)
+			cost[i][j] = c.crossingCost(spec, names[i], names[j], tokens, gap, routers)
 		}
 	}
 	return cost
 }
 
-func (c *Chooser) crossing(spec *model.EngineSpec, a, b string, tokens int, gap time.Duration, routers int) float64 {
+func (c *Chooser) crossingCost(spec *model.EngineSpec, a, b string, tokens int, gap time.Duration, routers int) float64 {
 	if a == b {
-		return hopTime.Seconds()
+		return hopDelay.Seconds()
 	}
 	if spec.PipeMbps <= 0 {
-		return crossTime.Seconds()
+		return crossDomainDelay.Seconds()
 	}
 	mbit := CrossDomainMbit(spec, tokens)
 	transfer := mbit / spec.PipeMbps
-	limit := pipeLimit(time.Duration(transfer*float64(time.Second)), gap, spec.Stride)
+	limit := maxUtilization(time.Duration(transfer*float64(time.Second)), gap, spec.Stride)
 	if !c.Interconnect.Allows(a, b, mbit, limit*spec.PipeMbps, routers) {
 		return math.Inf(1)
 	}
 	// The prompt's transfer delays the first event; spread over the tokens of
 	// a usual answer it compares with times a token. A token itself waits for
 	// the transfers of others.
-	load := math.Min(c.Interconnect.Rate(a, b)/spec.PipeMbps, limit)
-	wait := load / (2 * (1 - load)) * transfer
-	return crossTime.Seconds() + wait + transfer/float64(max(spec.UsualAnswer, 1))
+	utilization := math.Min(c.Interconnect.Rate(a, b)/spec.PipeMbps, limit)
+	queueing := utilization / (2 * (1 - utilization)) * transfer
+	return crossDomainDelay.Seconds() + queueing + transfer/float64(max(spec.UsualAnswer, 1))
 }
 
 // RecordStart takes in that a prompt goes through a chosen chain.
@@ -86,19 +86,19 @@
 	for _, p := range parts {
 		c.Health.RecordAttempt(p.Server.Incarnation())
 	}
-	c.read(spec, parts, tokens)
-	c.crossed(spec, parts, tokens)
+	c.addPrefill(spec, parts, tokens)
+	c.addTraffic(spec, parts, tokens)
 }
 
-// read takes in the reading of so many tokens by each part.
-func (c *Chooser) read(spec *model.EngineSpec, parts []Stage, tokens int) {
+// addPrefill takes in the reading of so many tokens by each part.
+func (c *Chooser) addPrefill(spec *model.EngineSpec, parts []Stage, tokens int) {
 	for _, p := range parts {
-		c.Usage.AddPrefill(p.Server.Incarnation(), readTime(spec, p.Server, tokens, p.Layers.Len()))
+		c.Usage.AddPrefill(p.Server.Incarnation(), prefillSeconds(spec, p.Server, tokens, p.Layers.Len()))
 	}
 }
 
-// crossed takes in what neighbouring parts will move between failure domains.
-func (c *Chooser) crossed(spec *model.EngineSpec, parts []Stage, tokens int) {
+// addTraffic takes in what neighbouring parts will move between failure domains.
+func (c *Chooser) addTraffic(spec *model.EngineSpec, parts []Stage, tokens int) {
 	for i := 1; i < len(parts); i++ {
 		a, b := parts[i-1].Server.FailureDomain, parts[i].Server.FailureDomain
 		if a != b {
--- a/internal/coordination/chains/hold.go
+++ b/internal/coordination/chains/hold.go
@@ -2,17 +2,17 @@
 
 // Reservation is the memory that one stream reserved. Release gives it back, once.
 type Reservation struct {
-	memory *UsageTracker
-	parts  []Stage // nil once given back
-	tokens int
+	tracker *UsageTracker
+	parts   []Stage // nil once given back
+	tokens  int
 }
 
 // Reserve counts a stream of tokens on a chain.
 func (m *UsageTracker) Reserve(parts []Stage, tokens int) *Reservation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	h := &Reservation{memory: m, parts: parts, tokens: tokens}
-	h.count(1)
+	h := &Reservation{tracker: m, parts: parts, tokens: tokens}
+	h.apply(1)
 	return h
 }
 
@@ -21,35 +21,35 @@
 
 // Release gives the memory back.
 func (h *Reservation) Release() {
-	h.memory.mu.Lock()
-	defer h.memory.mu.Unlock()
-	h.count(-1)
+	h.tracker.mu.Lock()
+	defer h.tracker.mu.Unlock()
+	h.apply(-1)
 	h.parts = nil
 }
 
 // Move takes in that the stream runs through other engines now. After Release
 // it does nothing.
 func (h *Reservation) Move(parts []Stage) {
-	h.memory.mu.Lock()
-	defer h.memory.mu.Unlock()
+	h.tracker.mu.Lock()
+	defer h.tracker.mu.Unlock()
 	if h.parts == nil {
 		return
 	}
-	h.count(-1)
+	h.apply(-1)
 	h.parts = parts
-	h.count(1)
+	h.apply(1)
 }
 
-func (h *Reservation) count(sign int) {
+func (h *Reservation) apply(sign int) {
 	for i, p := range h.parts {
-		o := h.memory.owned(p.Server.Incarnation())
+		o := h.tracker.usageOf(p.Server.Incarnation())
 		o.tokenLayers += float64(sign * h.tokens * p.Layers.Len())
 		o.streams += sign
 		if i == 0 {
-			o.firsts += sign
+			o.firstStageStreams += sign
 		}
 		if sign > 0 {
-			o.begun(h.memory.now(), h.tokens*p.Layers.Len(), i == 0)
+			o.addRecent(h.tracker.now(), h.tokens*p.Layers.Len(), i == 0)
 		}
 	}
 }
--- a/internal/coordination/chains/memory.go
+++ b/internal/coordination/chains/memory.go
@@ -7,15 +7,15 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// slowExpiry is how long a reported slowdown is valid.
-const slowExpiry = 3 * time.Second
+// slowdownTTL is how long a reported slowdown is valid.
+const slowdownTTL = 3 * time.Second
 
-// readMemory is the averaging time of prompt reading.
-const readMemory = time.Second
+// prefillDecayTime is the averaging time of prompt reading.
+const prefillDecayTime = time.Second
 
-// untoldFor is over how long a router's new streams stand for those that its peers
+// recentDecayTime is over how long a router's new streams stand for those that its peers
 // have begun and not yet announced in a heartbeat.
-const untoldFor = 400 * time.Millisecond
+const recentDecayTime = 400 * time.Millisecond
 
 // Usage is what streams take of one engine.
 type Usage struct {
@@ -29,7 +29,7 @@
 	PrefillLoad float64
 }
 
-func (u Usage) times(n float64) Usage {
+func (u Usage) scaled(n float64) Usage {
 	return Usage{TokenLayers: n * u.TokenLayers, Streams: n * u.Streams, FirstStageStreams: n * u.FirstStageStreams, PrefillLoad: n * u.PrefillLoad}
 }
 
@@ -47,37 +47,37 @@
 	now func() time.Time
 
 	mu    sync.Mutex
-	own   map[model.Incarnation]*ownUse
-	peers map[string]peerCount
-	// peerSum adds up what the peers told, by incarnation: each choice of a chain
+	own   map[model.Incarnation]*ownUsage
+	peers map[string]peerUsage
+	// peerTotal adds up what the peers told, by incarnation: each choice of a chain
 	// reads every engine, and would else go through every peer for each.
-	peerSum map[model.Incarnation]Usage
-	// peerEnds is when the next peer's count expires.
-	peerEnds time.Time
-	slow     map[model.Incarnation]slowness
-	began    time.Time
-	records  map[model.Incarnation]*engineRecord
+	peerTotal map[model.Incarnation]Usage
+	// nextPeerExpiry is when the next peer's count expires.
+	nextPeerExpiry time.Time
+	slowdowns      map[model.Incarnation]slowdownReport
+	started        time.Time
+	records        map[model.Incarnation]*engineRecord
 }
 
-type ownUse struct {
-	tokenLayers float64
-	streams     int
-	firsts      int
-	reading     decaying
+type ownUsage struct {
+	tokenLayers       float64
+	streams           int
+	firstStageStreams int
+	prefill           decayingSum
 	// new are the streams that were reserved of late, the memory they take, and
 	// how many begin here.
-	newStreams, newTokenLayers, newFirsts decaying
-	// pending is what moved streams are expected to read there, in seconds.
-	pending decaying
+	recentStreams, recentTokenLayers, recentFirstStageStreams decayingSum
+	// pendingPrefill is what moved streams are expected to read there, in seconds.
+	pendingPrefill decayingSum
 }
 
-type peerCount struct {
-	until time.Time // believed so long
-	use   map[model.Incarnation]Usage
+type peerUsage struct {
+	expires time.Time // believed so long
+	usage   map[model.Incarnation]Usage
 }
 
-// slowness is an engine's slowdown as it reported it itself.
-type slowness struct {
+// slowdownReport is an engine's slowdown as it reported it itself.
+type slowdownReport struct {
 	at     time.Time
 	factor float64
 	own    bool // told to this router
@@ -85,8 +85,8 @@
 
 // NewUsageTracker makes an empty count.
 func NewUsageTracker(now func() time.Time) *UsageTracker {
-	return &UsageTracker{now: now, own: map[model.Incarnation]*ownUse{}, peers: map[string]peerCount{}, peerSum: map[model.Incarnation]Usage{}, slow: map[model.Incarnation]slowness{},
-		began: now(), records: map[model.Incarnation]*engineRecord{}}
+	return &UsageTracker{now: now, own: map[model.Incarnation]*ownUsage{}, peers: map[string]peerUsage{}, peerTotal: map[model.Incarnation]Usage{}, slowdowns: map[model.Incarnation]slowdownReport{},
+		started: now(), records: map[model.Incarnation]*engineRecord{}}
 }
 
 // Used is what is taken of an engine, as far as known here.
@@ -94,52 +94,52 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
-	if len(m.peers) > 0 && !now.Before(m.peerEnds) {
-		m.expire(now)
+	if len(m.peers) > 0 && !now.Before(m.nextPeerExpiry) {
+		m.recomputePeerTotal(now)
 	}
-	sum := m.peerSum[inc]
+	sum := m.peerTotal[inc]
 	if o, ok := m.own[inc]; ok {
-		sum.add(o.use(now), 1)
+		sum.add(o.usage(now), 1)
 	}
 	return sum
 }
 
-// count adds a peer's use to the sums, or takes it off. The caller holds the
+// addPeerUsage adds a peer's use to the sums, or takes it off. The caller holds the
 // lock.
-func (m *UsageTracker) count(use map[model.Incarnation]Usage, sign float64) {
+func (m *UsageTracker) addPeerUsage(use map[model.Incarnation]Usage, sign float64) {
 	for inc, u := range use {
-		sum := m.peerSum[inc]
+		sum := m.peerTotal[inc]
 		sum.add(u, sign)
-		m.peerSum[inc] = sum
+		m.peerTotal[inc] = sum
 	}
 }
 
-// expire drops counts whose time is over and finds when the next one ends. The
+// recomputePeerTotal drops counts whose time is over and finds when the next one ends. The
 // caller holds the lock.
-func (m *UsageTracker) expire(now time.Time) {
-	m.peerEnds = time.Time{}
+func (m *UsageTracker) recomputePeerTotal(now time.Time) {
+	m.nextPeerExpiry = time.Time{}
 	for peer, c := range m.peers {
-		if !now.Before(c.until) {
+		if !now.Before(c.expires) {
 			delete(m.peers, peer)
 			continue
 		}
-		m.noteEnd(c.until)
+		m.updateNextPeerExpiry(c.expires)
 	}
 	// Added up anew, so that sums hold no engine and no rounding of the past.
-	clear(m.peerSum)
+	clear(m.peerTotal)
 	for _, c := range m.peers {
-		m.count(c.use, 1)
+		m.addPeerUsage(c.usage, 1)
 	}
 }
 
-func (m *UsageTracker) noteEnd(until time.Time) {
-	if m.peerEnds.IsZero() || until.Before(m.peerEnds) {
-		m.peerEnds = until
+func (m *UsageTracker) updateNextPeerExpiry(until time.Time) {
+	if m.nextPeerExpiry.IsZero() || until.Before(m.nextPeerExpiry) {
+		m.nextPeerExpiry = until
 	}
 }
 
-func (o *ownUse) use(now time.Time) Usage {
-	return Usage{TokenLayers: o.tokenLayers, Streams: float64(o.streams), FirstStageStreams: float64(o.firsts), PrefillLoad: o.reading.read(now, readMemory)}
+func (o *ownUsage) usage(now time.Time) Usage {
+	return Usage{TokenLayers: o.tokenLayers, Streams: float64(o.streams), FirstStageStreams: float64(o.firstStageStreams), PrefillLoad: o.prefill.read(now, prefillDecayTime)}
 }
 
 // Slowdown is how much slower than its card an engine last said to be; 1 is as
@@ -147,7 +147,7 @@
 func (m *UsageTracker) Slowdown(inc model.Incarnation) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if s, ok := m.slow[inc]; ok && m.now().Sub(s.at) < slowExpiry {
+	if s, ok := m.slowdowns[inc]; ok && m.now().Sub(s.at) < slowdownTTL {
 		return s.factor
 	}
 	return 1
@@ -157,12 +157,12 @@
 func (m *UsageTracker) SetSlowdown(inc model.Incarnation, factor float64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	before, known := m.slow[inc]
+	before, known := m.slowdowns[inc]
 	if factor <= 1 {
-		delete(m.slow, inc)
+		delete(m.slowdowns, inc)
 		return known
 	}
-	m.slow[inc] = slowness{at: m.now(), factor: factor, own: true}
+	m.slowdowns[inc] = slowdownReport{at: m.now(), factor: factor, own: true}
 	return before.factor != factor
 }
 
@@ -171,10 +171,10 @@
 func (m *UsageTracker) SetPeerSlowdown(inc model.Incarnation, factor float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if s := m.slow[inc]; s.own && m.now().Sub(s.at) < slowExpiry {
+	if s := m.slowdowns[inc]; s.own && m.now().Sub(s.at) < slowdownTTL {
 		return
 	}
-	m.slow[inc] = slowness{at: m.now(), factor: factor}
+	m.slowdowns[inc] = slowdownReport{at: m.now(), factor: factor}
 }
 
 // SlowEngines lists the engines that told this router that they are slow.
@@ -182,7 +182,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []model.Incarnation
-	for inc, s := range m.slow {
+	for inc, s := range m.slowdowns {
 		if s.own {
 			out = append(out, inc)
 		}
@@ -195,7 +195,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := map[model.Incarnation]float64{}
-	for inc, s := range m.slow {
+	for inc, s := range m.slowdowns {
 		if s.own {
 			out[inc] = s.factor
 		}
@@ -207,25 +207,25 @@
 func (m *UsageTracker) RemoveSlowdown(inc model.Incarnation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.slow, inc)
+	delete(m.slowdowns, inc)
 }
 
 // AddPrefill counts the reading of a prompt at an engine, in seconds of its time.
 func (m *UsageTracker) AddPrefill(inc model.Incarnation, seconds float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.owned(inc).reading.add(m.now(), seconds/readMemory.Seconds(), readMemory)
+	m.usageOf(inc).prefill.add(m.now(), seconds/prefillDecayTime.Seconds(), prefillDecayTime)
 	if a, ok := m.records[inc]; ok {
-		a.spent += seconds
+		a.prefillSeconds += seconds
 	}
 }
 
-// begun counts a stream among the new ones.
-func (o *ownUse) begun(now time.Time, tokenLayers int, first bool) {
-	o.newStreams.add(now, 1, untoldFor)
-	o.newTokenLayers.add(now, float64(tokenLayers), untoldFor)
+// addRecent counts a stream among the new ones.
+func (o *ownUsage) addRecent(now time.Time, tokenLayers int, first bool) {
+	o.recentStreams.add(now, 1, recentDecayTime)
+	o.recentTokenLayers.add(now, float64(tokenLayers), recentDecayTime)
 	if first {
-		o.newFirsts.add(now, 1, untoldFor)
+		o.recentFirstStageStreams.add(now, 1, recentDecayTime)
 	}
 }
 
@@ -238,7 +238,7 @@
 		return Usage{}
 	}
 	now := m.now()
-	return Usage{TokenLayers: o.newTokenLayers.read(now, untoldFor), Streams: o.newStreams.read(now, untoldFor), FirstStageStreams: o.newFirsts.read(now, untoldFor)}
+	return Usage{TokenLayers: o.recentTokenLayers.read(now, recentDecayTime), Streams: o.recentStreams.read(now, recentDecayTime), FirstStageStreams: o.recentFirstStageStreams.read(now, recentDecayTime)}
 }
 
 // AddPendingPrefill counts reading that streams which are moved now add to an engine, those
@@ -246,7 +246,7 @@
 func (m *UsageTracker) AddPendingPrefill(inc model.Incarnation, seconds float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.owned(inc).pending.add(m.now(), seconds, readMemory)
+	m.usageOf(inc).pendingPrefill.add(m.now(), seconds, prefillDecayTime)
 }
 
 // PendingPrefill is what is left of that; it fades as it is worked off.
@@ -254,15 +254,15 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if o, ok := m.own[inc]; ok {
-		return o.pending.read(m.now(), readMemory)
+		return o.pendingPrefill.read(m.now(), prefillDecayTime)
 	}
 	return 0
 }
 
-func (m *UsageTracker) owned(inc model.Incarnation) *ownUse {
+func (m *UsageTracker) usageOf(inc model.Incarnation) *ownUsage {
 	o, ok := m.own[inc]
 	if !ok {
-		o = &ownUse{}
+		o = &ownUsage{}
 		m.own[inc] = o
 	}
 	return o
@@ -275,7 +275,7 @@
 	now := m.now()
 	out := make(map[model.Incarnation]Usage, len(m.own))
 	for inc, o := range m.own {
-		u := o.use(now)
+		u := o.usage(now)
 		if u.Streams > 0 || u.PrefillLoad > 0.001 {
 			out[inc] = u
 		} else {
@@ -290,16 +290,16 @@
 func (m *UsageTracker) SetPeerUsage(peer string, use map[model.Incarnation]Usage, good time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.count(m.peers[peer].use, -1)
-	c := peerCount{until: m.now().Add(good), use: use}
+	m.addPeerUsage(m.peers[peer].usage, -1)
+	c := peerUsage{expires: m.now().Add(good), usage: use}
 	m.peers[peer] = c
-	m.count(use, 1)
-	m.noteEnd(c.until)
+	m.addPeerUsage(use, 1)
+	m.updateNextPeerExpiry(c.expires)
 }
 
 // ExpirePeers forgets peers that have not told anything lately.
 func (m *UsageTracker) ExpirePeers() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expire(m.now())
+	m.recomputePeerTotal(m.now())
 }
--- a/internal/coordination/chains/missing.go
+++ b/internal/coordination/chains/missing.go
@@ -9,8 +9,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// mostReasons bounds what a refusal says of the holders that did not count.
-const mostReasons = 6
+// maxReasons bounds what a refusal says of the holders that did not count.
+const maxReasons = 6
 
 // ExplainNoChain explains why Choose found no chain: the layers that no engine offers, and
 // why those that hold them do not count; where every layer is offered somewhere,
@@ -24,43 +24,43 @@
 		if byDomain[domain] == nil {
 			byDomain[domain] = make([]bool, svc.Engine.Layers)
 		}
-		mark(byDomain[domain], cand.server.Holds)
-		mark(everywhere, cand.server.Holds)
+		markLayers(byDomain[domain], cand.server.Holds)
+		markLayers(everywhere, cand.server.Holds)
 	}
-	if gaps := gapsOf(everywhere); len(gaps) > 0 {
-		return c.explain(svc, gaps, "", d)
+	if gaps := uncoveredRanges(everywhere); len(gaps) > 0 {
+		return c.describeGaps(svc, gaps, "", d)
 	}
 	out := []string{"pipes used up"}
 	for _, domain := range slices.Sorted(maps.Keys(byDomain)) {
-		gaps := gapsOf(byDomain[domain])
+		gaps := uncoveredRanges(byDomain[domain])
 		if len(gaps) == 0 {
 			out = append(out, domain+" is whole")
 			continue
 		}
-		out = append(out, domain+" lacks "+c.explain(svc, gaps, domain, d))
+		out = append(out, domain+" lacks "+c.describeGaps(svc, gaps, domain, d))
 	}
 	return strings.Join(out, "; ")
 }
 
-// explain names layers and why their holders in a failure domain, or in any, do not
+// describeGaps names layers and why their holders in a failure domain, or in any, do not
 // count.
-func (c *Chooser) explain(svc *model.Service, gaps []model.LayerRange, domain string, d Requirements) string {
+func (c *Chooser) describeGaps(svc *model.Service, gaps []model.LayerRange, domain string, d Requirements) string {
 	var b strings.Builder
 	for _, g := range gaps {
 		fmt.Fprintf(&b, "%s ", g)
 	}
-	b.WriteString(c.holdersOf(svc, gaps, domain, d))
+	b.WriteString(c.describeHolders(svc, gaps, domain, d))
 	return b.String()
 }
 
-func mark(offered []bool, held model.LayerRange) {
+func markLayers(offered []bool, held model.LayerRange) {
 	for l := held.From; l < min(held.To, len(offered)); l++ {
 		offered[l] = true
 	}
 }
 
-// gapsOf lists the runs of layers that are not offered.
-func gapsOf(offered []bool) []model.LayerRange {
+// uncoveredRanges lists the runs of layers that are not offered.
+func uncoveredRanges(offered []bool) []model.LayerRange {
 	var out []model.LayerRange
 	for l, ok := range offered {
 		switch {
@@ -74,8 +74,8 @@
 	return out
 }
 
-// holdersOf tells why engines that hold some of the layers do not count.
-func (c *Chooser) holdersOf(svc *model.Service, gaps []model.LayerRange, domain string, d Requirements) string {
+// describeHolders tells why engines that hold some of the layers do not count.
+func (c *Chooser) describeHolders(svc *model.Service, gaps []model.LayerRange, domain string, d Requirements) string {
 	var out []string
 	for _, b := range c.Catalog.Load().All(svc.Name) {
 		if !overlapsAny(b.Holds, gaps) || domain != "" && b.FailureDomain != domain {
@@ -95,8 +95,8 @@
 	if len(out) == 0 {
 		return "held by nobody"
 	}
-	if more := len(out) - mostReasons; more > 0 {
-		out = append(out[:mostReasons], fmt.Sprintf("%d more", more))
+	if more := len(out) - maxReasons; more > 0 {
+		out = append(out[:maxReasons], fmt.Sprintf("%d more", more))
 	}
 	return strings.Join(out, ", ")
 }
--- a/internal/coordination/chains/move.go
+++ b/internal/coordination/chains/move.go
@@ -20,19 +20,19 @@
 	if lost[parts[0].Server.Incarnation()] {
 		return nil
 	}
-	m := move{Chooser: c, svc: svc, parts: parts, lost: lost, tokens: tokens, gap: gap}
-	next := m.around()
+	m := replacement{Chooser: c, svc: svc, parts: parts, lost: lost, tokens: tokens, gap: gap}
+	next := m.replaceLost()
 	if next == nil {
-		next = m.reroute()
+		next = m.rerouteAfterFirst()
 	}
 	if next != nil {
-		m.took(next)
+		m.recordLoad(next)
 	}
 	return next
 }
 
-// move is a running stream on its way to another chain.
-type move struct {
+// replacement is a running stream on its way to another chain.
+type replacement struct {
 	*Chooser
 	svc    *model.Service
 	parts  []Stage
@@ -41,21 +41,21 @@
 	gap    time.Duration
 }
 
-// around covers the layers of each lost part with engines outside of the chain.
-func (m *move) around() []Stage {
+// replaceLost covers the layers of each lost part with engines outside of the chain.
+func (m *replacement) replaceLost() []Stage {
 	used := map[model.Incarnation]bool{}
 	for _, p := range m.parts {
 		used[p.Server.Incarnation()] = true
 	}
 	next := make([]Stage, 0, len(m.parts)+1)
 	for at := 0; at < len(m.parts); {
-		end := m.lostFrom(at)
+		end := m.endOfLostRun(at)
 		if end == at {
 			next = append(next, m.parts[at])
 			at++
 			continue
 		}
-		with := m.bridge(next[len(next)-1], m.parts[at:end], m.parts[end:], used)
+		with := m.replaceRun(next[len(next)-1], m.parts[at:end], m.parts[end:], used)
 		if with == nil {
 			return nil
 		}
@@ -65,21 +65,21 @@
 		next = append(next, with...)
 		at = end
 	}
-	if len(next) > maxParts {
+	if len(next) > maxStages {
 		return nil
 	}
 	return next
 }
 
-// lostFrom gives the end of the run of lost parts that begins at an index.
-func (m *move) lostFrom(at int) (end int) {
+// endOfLostRun gives the end of the run of lost parts that begins at an index.
+func (m *replacement) endOfLostRun(at int) (end int) {
 	for end = at; end < len(m.parts) && m.lost[m.parts[end].Server.Incarnation()]; end++ {
 	}
 	return end
 }
 
-// bridge covers the layers of neighbouring lost parts between the parts around them.
-func (m *move) bridge(before Stage, lost, rest []Stage, used map[model.Incarnation]bool) []Stage {
+// replaceRun covers the layers of neighbouring lost parts between the parts around them.
+func (m *replacement) replaceRun(before Stage, lost, rest []Stage, used map[model.Incarnation]bool) []Stage {
 	after := ""
 	if len(rest) > 0 {
 		after = rest[0].Server.FailureDomain
@@ -91,14 +91,14 @@
 	}
 	edges := append([]Stage{before}, with...)
 	edges = append(edges, rest[:min(1, len(rest))]...)
-	if !m.roomToCross(m.svc.Engine, edges, m.tokens, m.gap) {
+	if !m.canCross(m.svc.Engine, edges, m.tokens, m.gap) {
 		return nil
 	}
 	return with
 }
 
-// reroute covers all layers after the first part anew.
-func (m *move) reroute() []Stage {
+// rerouteAfterFirst covers all layers after the first part anew.
+func (m *replacement) rerouteAfterFirst() []Stage {
 	first := m.parts[0]
 	need := model.LayerRange{From: first.Layers.To, To: m.svc.Engine.Layers}
 	avoid := map[model.Incarnation]bool{first.Server.Incarnation(): true}
@@ -106,11 +106,11 @@
 		avoid[inc] = true
 	}
 	with := m.cover(need, first.Server.FailureDomain, "", avoid)
-	if with == nil || 1+len(with) > maxParts {
+	if with == nil || 1+len(with) > maxStages {
 		return nil
 	}
 	next := append([]Stage{first}, with...)
-	if !m.roomToCross(m.svc.Engine, next[:2], m.tokens, m.gap) {
+	if !m.canCross(m.svc.Engine, next[:2], m.tokens, m.gap) {
 		return nil
 	}
 	return next
@@ -118,9 +118,9 @@
 
 // cover finds engines for some layers, between parts in two failure domains, so
 // that the stream's pause is shortest. after is empty where no part follows.
-func (m *move) cover(need model.LayerRange, before, after string, avoid map[model.Incarnation]bool) []Stage {
+func (m *replacement) cover(need model.LayerRange, before, after string, avoid map[model.Incarnation]bool) []Stage {
 	spec := m.svc.Engine
-	cross := crossTime.Seconds() * float64(max(spec.Stride, 1))
+	cross := crossDomainDelay.Seconds() * float64(max(spec.Stride, 1))
 	if spec.PipeMbps > 0 {
 		cross += CrossDomainMbit(spec, m.tokens) / spec.PipeMbps
 	}
@@ -132,7 +132,7 @@
 	for i := range cands {
 		b := cands[i].server
 		// The pause ends with the next event, which holds a stride of tokens.
-		cands[i].perLayer *= float64(max(spec.Stride, 1))
+		cands[i].secondsPerLayer *= float64(max(spec.Stride, 1))
 		if held[b.Incarnation()] {
 			cands[i].full = false // it holds the stream's memory already
 			continue
@@ -140,17 +140,17 @@
 		// Going there and coming back, in shares of the layers: a part of its own
 		// has no place in the search for them.
 		if b.FailureDomain != before {
-			cands[i].perLayer += cross / float64(need.Len())
+			cands[i].secondsPerLayer += cross / float64(need.Len())
 		}
 		if after != "" && b.FailureDomain != after {
-			cands[i].perLayer += cross / float64(need.Len())
+			cands[i].secondsPerLayer += cross / float64(need.Len())
 		}
 		waits := m.Usage.PendingPrefill(b.Incarnation()) / float64(b.Holds.Len())
-		cands[i].perLayer += waits + readTime(spec, b, m.tokens, 1)
+		cands[i].secondsPerLayer += waits + prefillSeconds(spec, b, m.tokens, 1)
 	}
-	walk := walk{spec: spec, cands: cands, need: need, home: before, room: true}
-	walk.cross = m.crossings(spec, cands, m.tokens, m.gap)
-	for i, row := range walk.cross {
+	walk := search{spec: spec, cands: cands, layers: need, homeDomain: before, requireCapacity: true}
+	walk.crossing = m.crossingCosts(spec, cands, m.tokens, m.gap)
+	for i, row := range walk.crossing {
 		for j := range row {
 			row[j] *= float64(max(spec.Stride, 1))
 			if i != j {
@@ -161,9 +161,9 @@
 	return walk.shortest()
 }
 
-// readTime is how long an engine reads so many tokens through so many layers, in
+// prefillSeconds is how long an engine reads so many tokens through so many layers, in
 // seconds, if it does nothing else.
-func readTime(spec *model.EngineSpec, b *model.BackendServer, tokens, layers int) float64 {
+func prefillSeconds(spec *model.EngineSpec, b *model.BackendServer, tokens, layers int) float64 {
 	card, ok := spec.Card(b.Card)
 	if !ok || spec.ReadRate <= 0 {
 		return 0
@@ -171,57 +171,57 @@
 	return float64(tokens) / spec.ReadRate * card.ReadFactor * float64(layers) / float64(spec.Layers)
 }
 
-// took takes in what the move costs: parts that the stream did not have read all
+// recordLoad takes in what the move costs: parts that the stream did not have read all
 // tokens so far, and pairs that it did not have move them between domains.
 //
 // All routers with streams through the lost engine move them at the same moment
 // and hear of each other only later. Those are mostly the ones of its failure
 // domain; each counts its own moves for all of these, so that together they
 // spread over the engines and do not all wait at the one that looks best.
-func (m *move) took(next []Stage) {
+func (m *replacement) recordLoad(next []Stage) {
 	spec := m.svc.Engine
 	had := map[Stage]bool{}
 	for _, p := range m.parts {
 		had[p] = true
 	}
-	together := m.together(m.RouterCount())
+	together := m.routersPerDomain(m.RouterCount())
 	for i, p := range next {
 		if had[p] {
 			continue
 		}
-		m.read(spec, next[i:i+1], m.tokens)
-		m.Usage.AddPendingPrefill(p.Server.Incarnation(), together*readTime(spec, p.Server, m.tokens, p.Layers.Len()))
-		m.crossed(spec, next[i-1:min(i+2, len(next))], m.tokens)
+		m.addPrefill(spec, next[i:i+1], m.tokens)
+		m.Usage.AddPendingPrefill(p.Server.Incarnation(), together*prefillSeconds(spec, p.Server, m.tokens, p.Layers.Len()))
+		m.addTraffic(spec, next[i-1:min(i+2, len(next))], m.tokens)
 	}
 }
 
-// takeOver is how long an engine that goes on with its other streams reads so many tokens
+// resumePrefillSeconds is how long an engine that goes on with its other streams reads so many tokens
 // through so many layers, in seconds: each chunk of them is read in a pass that makes
 // tokens for the others as well.
-func (c *Chooser) takeOver(spec *model.EngineSpec, b *model.BackendServer, tokens, layers int) float64 {
-	reading := readTime(spec, b, tokens, layers)
+func (c *Chooser) resumePrefillSeconds(spec *model.EngineSpec, b *model.BackendServer, tokens, layers int) float64 {
+	reading := prefillSeconds(spec, b, tokens, layers)
 	card, ok := spec.Card(b.Card)
 	if !ok || spec.Chunk <= 0 {
 		return reading
 	}
 	inc := b.Incarnation()
-	step := perLayer(spec, card, Usage{Streams: c.Usage.Used(inc).Streams}, c.Usage.Slowdown(inc)) * float64(layers)
+	step := layerSeconds(spec, card, Usage{Streams: c.Usage.Used(inc).Streams}, c.Usage.Slowdown(inc)) * float64(layers)
 	passes := float64(tokens) / float64(spec.Chunk)
 	return reading*c.Usage.Slowdown(inc) + passes*step*float64(max(spec.Stride, 1))
 }
 
-// resumed turns the costs of a search, in seconds a token, into the pause of a stream that
+// useResumeCosts turns the costs of a search, in seconds a token, into the pause of a stream that
 // goes on at other engines: they read all its tokens so far, after what they are to read
 // already, and make the tokens of an event.
-func (c *Chooser) resumed(w *walk, tokens int) {
+func (c *Chooser) useResumeCosts(w *search, tokens int) {
 	spec := w.spec
 	stride := float64(max(spec.Stride, 1))
 	for i := range w.cands {
 		b := w.cands[i].server
-		w.cands[i].perLayer *= stride
-		w.cands[i].perLayer += c.Usage.PendingPrefill(b.Incarnation())/float64(b.Holds.Len()) + c.takeOver(spec, b, tokens, 1)
+		w.cands[i].secondsPerLayer *= stride
+		w.cands[i].secondsPerLayer += c.Usage.PendingPrefill(b.Incarnation())/float64(b.Holds.Len()) + c.resumePrefillSeconds(spec, b, tokens, 1)
 	}
-	for i, row := range w.cross {
+	for i, row := range w.crossing {
 		for j := range row {
 			row[j] *= stride
 			if i != j && spec.PipeMbps > 0 {
@@ -235,17 +235,17 @@
 // have streams that go on at the same moment; each counts its own for those of its
 // failure domain, until they hear of each other.
 func (c *Chooser) RecordResume(spec *model.EngineSpec, parts []Stage, tokens int) {
-	together := c.together(c.RouterCount())
+	together := c.routersPerDomain(c.RouterCount())
 	for _, p := range parts {
-		c.Usage.AddPendingPrefill(p.Server.Incarnation(), together*c.takeOver(spec, p.Server, tokens, p.Layers.Len()))
+		c.Usage.AddPendingPrefill(p.Server.Incarnation(), together*c.resumePrefillSeconds(spec, p.Server, tokens, p.Layers.Len()))
 	}
 }
 
-// roomToCross tells whether the pipes between neighbouring parts have room for
+// canCross tells whether the pipes between neighbouring parts have room for
 // a stream of so many tokens.
-func (c *Chooser) roomToCross(spec *model.EngineSpec, parts []Stage, tokens int, gap time.Duration) bool {
+func (c *Chooser) canCross(spec *model.EngineSpec, parts []Stage, tokens int, gap time.Duration) bool {
 	for i := 1; i < len(parts); i++ {
-		if math.IsInf(c.crossing(spec, parts[i-1].Server.FailureDomain, parts[i].Server.FailureDomain, tokens, gap, c.RouterCount()), 1) {
+		if math.IsInf(c.crossingCost(spec, parts[i-1].Server.FailureDomain, parts[i].Server.FailureDomain, tokens, gap, c.RouterCount()), 1) {
 			return false
 		}
 	}
--- a/internal/coordination/chains/pipes.go
+++ b/internal/coordination/chains/pipes.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// pipeMemory is the averaging time of a pipe's traffic.
-	pipeMemory = time.Second
-	// gapShare is the share of the longest pause between events that waiting at a
+	// rateDecayTime is the averaging time of a pipe's traffic.
+	rateDecayTime = time.Second
+	// maxQueueingShare is the share of the longest pause between events that waiting at a
 	// pipe may take on average.
-	gapShare = 0.1
-	// usualGap is that pause for routes that name none.
-	usualGap = 200 * time.Millisecond
+	maxQueueingShare = 0.1
+	// defaultMaxEventGap is that pause for routes that name none.
+	defaultMaxEventGap = 200 * time.Millisecond
 )
 
-// ownShares is how many equal shares of what a pipe gives out one router may
+// sharesPerRouter is how many equal shares of what a pipe gives out one router may
 // take. When a domain loses an engine all routers turn to the pipes within the
 // quarter of a second before they hear of each other; four shares are for the
 // few routers of that domain.
-const ownShares = 4
+const sharesPerRouter = 4
 
 // DomainPair names two failure domains in alphabetical order.
 type DomainPair struct{ A, B string }
@@ -38,33 +38,33 @@
 	now func() time.Time
 
 	mu    sync.Mutex
-	own   map[DomainPair]*decaying
-	peers map[string]pipeCount
+	own   map[DomainPair]*decayingSum
+	peers map[string]peerRates
 }
 
-type pipeCount struct {
-	until time.Time // believed so long
-	rate  map[DomainPair]float64
+type peerRates struct {
+	expires time.Time // believed so long
+	rates   map[DomainPair]float64
 }
 
-// decaying is a sum whose parts fade over some time.
-type decaying struct {
+// decayingSum is a sum whose parts fade over some time.
+type decayingSum struct {
 	at    time.Time
 	value float64
 }
 
-func (d *decaying) add(now time.Time, n float64, over time.Duration) {
+func (d *decayingSum) add(now time.Time, n float64, over time.Duration) {
 	d.value = d.read(now, over) + n
 	d.at = now
 }
 
-func (d *decaying) read(now time.Time, over time.Duration) float64 {
+func (d *decayingSum) read(now time.Time, over time.Duration) float64 {
 	return d.value * math.Exp(-now.Sub(d.at).Seconds()/over.Seconds())
 }
 
 // NewInterconnect makes an empty count.
 func NewInterconnect(now func() time.Time) *Interconnect {
-	return &Interconnect{now: now, own: map[DomainPair]*decaying{}, peers: map[string]pipeCount{}}
+	return &Interconnect{now: now, own: map[DomainPair]*decayingSum{}, peers: map[string]peerRates{}}
 }
 
 // AddTraffic counts the megabits that a chain will move between two domains.
@@ -74,20 +74,20 @@
 	pair := pairOf(a, b)
 	d, ok := p.own[pair]
 	if !ok {
-		d = &decaying{}
+		d = &decayingSum{}
 		p.own[pair] = d
 	}
-	d.add(p.now(), mbit/pipeMemory.Seconds(), pipeMemory)
+	d.add(p.now(), mbit/rateDecayTime.Seconds(), rateDecayTime)
 }
 
-// pipeLimit is the share of a pipe's rate that is given out. Transfers go one
+// maxUtilization is the share of a pipe's rate that is given out. Transfers go one
 // after another: a token waits on average load/(2(1-load)) of a prompt's
 // transfer time (a queue with steady service), once for each token of an event.
-func pipeLimit(transfer, gap time.Duration, stride int) float64 {
+func maxUtilization(transfer, gap time.Duration, stride int) float64 {
 	if gap <= 0 {
-		gap = usualGap
+		gap = defaultMaxEventGap
 	}
-	wait := gapShare * gap.Seconds() / float64(max(stride, 1))
+	wait := maxQueueingShare * gap.Seconds() / float64(max(stride, 1))
 	return 2 * wait / (transfer.Seconds() + 2*wait)
 }
 
@@ -98,7 +98,7 @@
 	if rate := p.Rate(a, b); rate >= 1 && rate+mbit > given {
 		return false
 	}
-	share := given * ownShares / float64(max(routers, ownShares))
+	share := given * sharesPerRouter / float64(max(routers, sharesPerRouter))
 	own := p.ownRate(a, b)
 	return own+mbit <= share || own < 1
 }
@@ -107,7 +107,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if d, ok := p.own[pairOf(a, b)]; ok {
-		return d.read(p.now(), pipeMemory)
+		return d.read(p.now(), rateDecayTime)
 	}
 	return 0
 }
@@ -120,11 +120,11 @@
 	now := p.now()
 	sum := 0.0
 	if d, ok := p.own[pair]; ok {
-		sum = d.read(now, pipeMemory)
+		sum = d.read(now, rateDecayTime)
 	}
 	for _, c := range p.peers {
-		if now.Before(c.until) {
-			sum += c.rate[pair]
+		if now.Before(c.expires) {
+			sum += c.rates[pair]
 		}
 	}
 	return sum
@@ -136,7 +136,7 @@
 	defer p.mu.Unlock()
 	out := map[DomainPair]float64{}
 	for pair, d := range p.own {
-		if rate := d.read(p.now(), pipeMemory); rate >= 1 {
+		if rate := d.read(p.now(), rateDecayTime); rate >= 1 {
 			out[pair] = rate
 		}
 	}
@@ -148,5 +148,5 @@
 func (p *Interconnect) SetPeerRates(peer string, rate map[DomainPair]float64, good time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.peers[peer] = pipeCount{until: p.now().Add(good), rate: rate}
+	p.peers[peer] = peerRates{expires: p.now().Add(good), rates: rate}
 }
--- a/internal/coordination/chains/slowstart.go
+++ b/internal/coordination/chains/slowstart.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// slowStartTime is how long an engine that has just loaded is in slow start. Counts of
+	// slowStartPeriod is how long an engine that has just loaded is in slow start. Counts of
 	// routers in other failure domains take as long to arrive.
-	slowStartTime = 2500 * time.Millisecond
-	// slowStartShare is the share of its time that all routers together give to reading
+	slowStartPeriod = 2500 * time.Millisecond
+	// maxSlowStartLoad is the share of its time that all routers together give to reading
 	// prompts by the end of slow start.
-	slowStartShare = 0.8
-	// startupTime is the age of this process up to which all engines are new to it; none
+	maxSlowStartLoad = 0.8
+	// startupPeriod is the age of this process up to which all engines are new to it; none
 	// is put in slow start then.
-	startupTime = time.Second
+	startupPeriod = time.Second
 )
 
 // engineRecord is this router's use of an engine since the engine holds its layers.
 type engineRecord struct {
-	layers model.LayerRange
-	since  time.Time
-	spent  float64 // on reading there, in seconds of the engine's time
+	layers         model.LayerRange
+	since          time.Time
+	prefillSeconds float64 // on reading there, in seconds of the engine's time
 }
 
 // Observe notes which layers an engine holds, and since when.
@@ -40,8 +40,8 @@
 		return a
 	}
 	a = &engineRecord{layers: layers, since: m.now()}
-	if !ok && m.now().Sub(m.began) < startupTime {
-		a.since = m.began.Add(-slowStartTime)
+	if !ok && m.now().Sub(m.started) < startupPeriod {
+		a.since = m.started.Add(-slowStartPeriod)
 	}
 	m.records[inc] = a
 	return a
@@ -68,11 +68,11 @@
 	defer m.mu.Unlock()
 	a := m.record(inc, layers)
 	age := m.now().Sub(a.since)
-	if age >= slowStartTime {
+	if age >= slowStartPeriod {
 		return false
 	}
 	const steps = 1 << 16
 	phase := float64(spread.Hash(self, inc.ID)%steps) / steps
-	mine := slowStartShare * age.Seconds() / float64(max(routers, 1))
-	return a.spent+phase*seconds > mine
+	mine := maxSlowStartLoad * age.Seconds() / float64(max(routers, 1))
+	return a.prefillSeconds+phase*seconds > mine
 }
--- a/internal/coordination/chains/slowstart_test.go
+++ b/internal/coordination/chains/slowstart_test.go
@@ -58,7 +58,7 @@
 		hold := w.chooser.Usage.Reserve(parts, 900)
 		w.releases = append(w.releases, release{at: now.Add(lasts), hold: hold})
 		if first.ID == "new" {
-			backlog += time.Duration(readTime(w.svc.Engine, first, 774, parts[0].Layers.Len()) * float64(time.Second))
+			backlog += time.Duration(prefillSeconds(w.svc.Engine, first, 774, parts[0].Layers.Len()) * float64(time.Second))
 		}
 	}
 	for ; now.Sub(began) < 6*time.Second; now = now.Add(tick) {
@@ -109,7 +109,7 @@
 	}
 	now = now.Add(time.Minute)
 	began, read := now, 0.0
-	for ; now.Sub(began) < slowStartTime; now = now.Add(10 * time.Millisecond) {
+	for ; now.Sub(began) < slowStartPeriod; now = now.Add(10 * time.Millisecond) {
 		for r, m := range all {
 			if !m.defers(fmt.Sprint(r), inc("loaded"), model.LayerRange{To: 28}, prompt, routers) {
 				m.AddPrefill(inc("loaded"), prompt)
@@ -117,9 +117,9 @@
 			}
 		}
 		age := now.Sub(began).Seconds()
-		assert.Assert(t, read <= slowStartShare*age+routers*prompt/2+0.01, "%.3f s read at the age of %.2f s", read, age)
+		assert.Assert(t, read <= maxSlowStartLoad*age+routers*prompt/2+0.01, "%.3f s read at the age of %.2f s", read, age)
 	}
-	assert.Assert(t, read >= slowStartShare*slowStartTime.Seconds()/2, "%.3f s read", read)
+	assert.Assert(t, read >= maxSlowStartLoad*slowStartPeriod.Seconds()/2, "%.3f s read", read)
 	assert.Assert(t, !all[0].defers("0", inc("loaded"), model.LayerRange{To: 28}, prompt, routers), "it is young no longer")
 	assert.Assert(t, all[0].defers("0", inc("loaded"), model.LayerRange{From: 28, To: 56}, prompt, routers), "with other layers it is")
 }
@@ -128,9 +128,9 @@
 func TestEnginesOfAStartAreNotYoung(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := NewUsageTracker(func() time.Time { return now })
-	now = now.Add(startupTime / 2)
+	now = now.Add(startupPeriod / 2)
 	assert.Assert(t, !m.defers("0", inc("old"), model.LayerRange{To: 28}, 1, 100))
-	now = now.Add(startupTime)
+	now = now.Add(startupPeriod)
 	assert.Assert(t, m.defers("0", inc("loaded"), model.LayerRange{To: 28}, 1, 100))
 	m.Retain(func(i model.Incarnation) bool { return i == inc("old") })
 	assert.Equal(t, len(m.records), 1)
