--- a/internal/coordination/chains/chains.go
+++ b/internal/coordination/chains/chains.go
@@ -1,5 +1,5 @@
-// Package chains chooses through which engines a stream runs and keeps count of
-// the token memory that streams hold there.
+// Package chains selects the engines that serve a stream and tracks the load that streams
+// put on engines and on the interconnect between failure domains.
 package chains
 
 import (
@@ -11,35 +11,33 @@
 )
 
 const (
-	// maxReservedShare is the share of an engine's token memory that is reserved. It may
-	// exceed 1: streams reserve their whole answer and hold half of it on average.
+	// maxReservedShare is the share of an engine's token memory that may be reserved. It
+	// exceeds 1 because a stream reserves its whole answer and uses half of it on average.
 	maxReservedShare = 1.1
-	// maxSlotShare is the share of an engine's slots that is given out. Slots count the
-	// streams that begin there; other routers' counts arrive late, and an engine
-	// without a free slot queues for as long as an answer takes.
+	// maxSlotShare is the share of an engine's slots that may be used. The margin covers
+	// streams that other routers have started and not yet reported. An engine without a
+	// free slot queues new streams for the duration of an answer.
 	maxSlotShare = 0.92
-	// maxCostFill caps the fill that makes an engine look slower, so that its
-	// cost stays finite.
+	// maxCostFill caps the memory fill in the cost of an engine, to keep the cost finite.
 	maxCostFill = 0.9
-	// hopDelay is what one more engine in a chain costs a token inside a failure
-	// domain: transmission, and the pass in progress.
+	// hopDelay is the delay per token of one more stage within a failure domain. It covers
+	// transmission and the wait for the pass in progress.
 	hopDelay = 400 * time.Microsecond
-	// crossDomainDelay is the one-way time between failure domains, and the bytes
-	// between them that are paid for.
+	// crossDomainDelay is the delay per token of a hop between failure domains. It covers
+	// the one-way latency and the price of the traffic.
 	crossDomainDelay = 1500 * time.Microsecond
-	// remoteStartPenalty is what it costs to begin in another failure domain than the
-	// caller's router.
+	// remoteStartPenalty is the cost of a first stage outside the router's failure domain.
 	remoteStartPenalty = 500 * time.Microsecond
-	// maxPrefillLoad caps the share of an engine's time that goes into reading
-	// prompts, so that its cost stays finite.
+	// maxPrefillLoad caps the prefill load in the cost of an engine, to keep the cost
+	// finite.
 	maxPrefillLoad = 0.9
-	// toleratedFailureRate is the share of failures that every engine may have, and doubtTime
-	// what all beyond it costs a token. An engine fails what it receives, so the
-	// failure costs a whole chain, however few layers the engine runs; one that
-	// fails at once looks idle and would draw all streams.
+	// toleratedFailureRate is the failure rate that adds no cost to a first stage.
+	// failurePenalty is the cost per token of the rate above it. The penalty does not
+	// depend on the number of layers: a failed first stage fails the whole chain, and an
+	// engine that fails immediately looks idle and would attract all streams.
 	toleratedFailureRate = 0.1
 	failurePenalty       = 20 * time.Millisecond
-	// maxStages is the longest chain that engines take.
+	// maxStages is the maximum chain length that engines accept.
 	maxStages = 32
 )
 
@@ -49,68 +47,72 @@
 	Layers model.LayerRange
 }
 
-// Requirements is what a chain is wanted for.
+// Requirements describes the stream that a chain is selected for.
 type Requirements struct {
-	// Domain is the failure domain of the asking router.
+	// Domain is the failure domain of the requesting router.
 	Domain string
-	// Tokens is prompt and expected answer.
+	// Tokens is the prompt length plus the expected answer length.
 	Tokens int
-	// MaxEventGap is the longest pause between events that is in time; 0 for the usual.
+	// MaxEventGap is the maximum pause between events; 0 selects the default.
 	MaxEventGap time.Duration
-	// Resumed says that a running stream is to go on: its pause counts, not its time a token.
+	// Resumed selects the chain that continues an interrupted stream soonest, instead of
+	// the chain with the lowest time per token.
 	Resumed bool
-	// Avoid are engines that must not take part.
+	// Avoid contains engines that must not be used.
 	Avoid map[model.Incarnation]bool
-	// FirstStageIn are the engines that the chain may begin with; nil for any.
+	// FirstStageIn contains the engines allowed as the first stage; nil allows all.
 	FirstStageIn map[model.Incarnation]bool
-	// ExcludeFirstStage names further engines that the chain must not begin with, and BeginCost is
-	// what it costs a token to begin at an engine with so many streams; nil for none.
+	// ExcludeFirstStage reports whether an engine must not be the first stage.
+	// FirstStageCost returns the additional time per token of a first stage at an engine
+	// that is already the first stage of the given number of streams. Both may be nil.
 	ExcludeFirstStage func(engine *model.BackendServer) bool
 	FirstStageCost    func(engine model.Incarnation, streams float64) time.Duration
 }
 
-// Result says why there is no chain.
+// Result is the result of Choose.
 type Result int
 
-// Verdicts of a choice.
+// Results of Choose.
 const (
 	Found Result = iota
-	// CapacityExhausted means that chains exist and all are full.
+	// CapacityExhausted means that chains exist, but none has free capacity.
 	CapacityExhausted
-	// NoChain means that the engines in reach do not hold all layers.
+	// NoChain means that the usable engines and interconnects do not form a chain over all
+	// layers.
 	NoChain
 )
 
-// Chooser chooses chains.
+// Chooser selects chains.
 type Chooser struct {
 	Catalog      *catalog.Catalog
 	Health       *catalog.Health
 	Usage        *UsageTracker
 	Interconnect *Interconnect
-	// RouterCount counts the routers that share the pipes.
+	// RouterCount returns the number of routers that share the engines and the
+	// interconnect.
 	RouterCount func() int
-	// Self names this router; routers look at different engines where there are
-	// many.
+	// Self identifies this router. Routers of large services consider different subsets of
+	// the engines.
 	Self string
 
 	subsets subsets
 }
 
-// Choose finds the chain of least time per token that has room, with the load
-// of its engines counted, and tells why there is none.
-func (c *Chooser) Choose(svc *model.Service, d Requirements) ([]Stage, Result) {
-	cands := c.candidates(svc, d)
-	s := search{spec: svc.Engine, cands: cands, layers: model.LayerRange{To: svc.Engine.Layers}, homeDomain: d.Domain}
-	s.crossing = c.crossingCosts(svc.Engine, cands, d.Tokens, d.MaxEventGap)
-	if d.Resumed {
-		c.useResumeCosts(&s, d.Tokens)
+// Choose returns the chain with free capacity that has the lowest time per token under the
+// current load of the engines. Without such a chain it returns nil and the reason.
+func (c *Chooser) Choose(svc *model.Service, req Requirements) ([]Stage, Result) {
+	cands := c.candidates(svc, req)
+	s := search{spec: svc.Engine, cands: cands, layers: model.LayerRange{To: svc.Engine.Layers}, homeDomain: req.Domain}
+	s.crossing = c.crossingCosts(svc.Engine, cands, req.Tokens, req.MaxEventGap)
+	if req.Resumed {
+		c.useResumeCosts(&s, req.Tokens)
 	}
 	s.requireCapacity = true
 	s.skipDeferred = true
 	if chain := s.shortest(); chain != nil {
 		return chain, Found
 	}
-	s.skipDeferred = false // engines in slow start are left out only as long as others serve
+	s.skipDeferred = false // engines in slow start are skipped only while others have capacity
 	if chain := s.shortest(); chain != nil {
 		return chain, Found
 	}
@@ -121,15 +123,15 @@
 	return nil, NoChain
 }
 
-// ExhaustedResource names what there is too little of where Choose found no room: slots of
-// engines that begin chains, pipes between failure domains, or token memory. It
-// is asked once a refusal, for the log.
-func (c *Chooser) ExhaustedResource(svc *model.Service, d Requirements) string {
-	cands := c.candidates(svc, d)
-	s := search{spec: svc.Engine, cands: cands, layers: model.LayerRange{To: svc.Engine.Layers}, homeDomain: d.Domain, requireCapacity: true}
-	s.crossing = c.crossingCosts(svc.Engine, cands, d.Tokens, d.MaxEventGap)
+// ExhaustedResource names the resource that Choose lacked: slots of first stages,
+// interconnect rate ("pipes") or token memory. It repeats the search, and its result is
+// meant for error messages.
+func (c *Chooser) ExhaustedResource(svc *model.Service, req Requirements) string {
+	cands := c.candidates(svc, req)
+	s := search{spec: svc.Engine, cands: cands, layers: model.LayerRange{To: svc.Engine.Layers}, homeDomain: req.Domain, requireCapacity: true}
+	s.crossing = c.crossingCosts(svc.Engine, cands, req.Tokens, req.MaxEventGap)
 	if s.shortest() != nil {
-		return "none now"
+		return "none at present"
 	}
 	unlimited := s
 	unlimited.crossing = withoutInterconnectLimits(s.crossing)
@@ -148,10 +150,11 @@
 	return "token memory"
 }
 
-// withoutInterconnectLimits gives the crossings as they were if no pipe were used up.
-func withoutInterconnectLimits(cross [][]float64) [][]float64 {
-	unlimited := make([][]float64, len(cross))
-	for i, row := range cross {
+// withoutInterconnectLimits returns a copy of the costs in which no interconnect is at its
+// limit.
+func withoutInterconnectLimits(costs [][]float64) [][]float64 {
+	unlimited := make([][]float64, len(costs))
+	for i, row := range costs {
 		unlimited[i] = make([]float64, len(row))
 		for j, cost := range row {
 			unlimited[i][j] = cost
@@ -163,16 +166,16 @@
 	return unlimited
 }
 
-func (c *Chooser) candidates(svc *model.Service, d Requirements) []candidate {
+func (c *Chooser) candidates(svc *model.Service, req Requirements) []candidate {
 	spec := svc.Engine
 	var out []candidate
 	domains := map[string]int{}
-	routers := c.RouterCount() // once: it counts all that were heard of
+	routers := c.RouterCount() // evaluated once, because it counts all known routers
 	domainPeers := c.routersPerDomain(routers) - 1
 	for _, b := range c.engines(svc.Name) {
 		inc := b.Incarnation()
 		card, ok := spec.Card(b.Card)
-		if !ok || b.Holds.Len() <= 0 || b.Holds.To > spec.Layers || d.Avoid[inc] {
+		if !ok || b.Holds.Len() <= 0 || b.Holds.To > spec.Layers || req.Avoid[inc] {
 			continue
 		}
 		view := c.Health.View(inc)
@@ -186,38 +189,37 @@
 		}
 		capacity := Capacity(spec, card, b.Holds)
 		used := c.Usage.Used(inc)
-		// Peers have begun streams since they last told. Unless they count, routers
-		// that meet the same burst, or start together, all send it to the engine
-		// that looks best, and its requests queue. They do about what this router
-		// does, so its own new streams stand for theirs.
+		// The usage reported by peers lacks their most recent streams. Routers that receive
+		// the same burst would all select the same engine. Peers in the same failure domain
+		// are assumed to have started as many streams as this router.
 		used.add(c.Usage.Recent(inc).scaled(domainPeers), 1)
 		secondsPerLayer := layerSeconds(spec, card, used, c.Usage.Slowdown(inc))
 		fill := math.Min(used.TokenLayers/math.Max(capacity*maxReservedShare, 1), maxCostFill)
 		secondsPerLayer *= 1 / (1 - fill)
 		firstStageCost := failurePenalty.Seconds() * math.Max(view.FailureRate-toleratedFailureRate, 0)
-		if d.FirstStageCost != nil {
-			firstStageCost += d.FirstStageCost(inc, used.FirstStageStreams).Seconds()
+		if req.FirstStageCost != nil {
+			firstStageCost += req.FirstStageCost(inc, used.FirstStageStreams).Seconds()
 		}
 		out = append(out, candidate{
 			server:          b,
 			domain:          id,
 			secondsPerLayer: secondsPerLayer,
 			firstStageCost:  firstStageCost,
-			excludedFirst:   d.FirstStageIn != nil && !d.FirstStageIn[inc] || d.ExcludeFirstStage != nil && d.ExcludeFirstStage(b),
-			deferred:        c.Usage.defers(c.Self, inc, b.Holds, prefillSeconds(spec, b, d.Tokens, b.Holds.Len()), routers),
+			excludedFirst:   req.FirstStageIn != nil && !req.FirstStageIn[inc] || req.ExcludeFirstStage != nil && req.ExcludeFirstStage(b),
+			deferred:        c.Usage.defers(c.Self, inc, b.Holds, prefillSeconds(spec, b, req.Tokens, b.Holds.Len()), routers),
 			noSlot:          b.Slots > 0 && used.FirstStageStreams+1 > float64(b.Slots)*maxSlotShare,
-			full:            used.TokenLayers+float64(d.Tokens*b.Holds.Len()) > capacity*maxReservedShare,
+			full:            used.TokenLayers+float64(req.Tokens*b.Holds.Len()) > capacity*maxReservedShare,
 		})
 	}
 	return out
 }
 
-// Capacity is the token memory of an engine, in tokens x layers.
+// Capacity returns an engine's token memory in token-layers.
 func Capacity(spec *model.EngineSpec, card model.Card, held model.LayerRange) float64 {
-	free := card.MB - float64(held.Len())*spec.LayerMB
-	per := spec.LayerTokenMB()
-	if per <= 0 {
+	freeMB := card.MB - float64(held.Len())*spec.LayerMB
+	tokenMB := spec.LayerTokenMB()
+	if tokenMB <= 0 {
 		return 0
 	}
-	return math.Max(free/per, 0)
+	return math.Max(freeMB/tokenMB, 0)
 }
--- a/internal/coordination/chains/hold.go
+++ b/internal/coordination/chains/hold.go
@@ -1,55 +1,54 @@
 package chains
 
-// Reservation is the memory that one stream reserved. Release gives it back, once.
+// Reservation is the token memory reserved by one stream. The owner must call Release.
 type Reservation struct {
 	tracker *UsageTracker
-	parts   []Stage // nil once given back
+	stages  []Stage // nil after Release
 	tokens  int
 }
 
-// Reserve counts a stream of tokens on a chain.
-func (m *UsageTracker) Reserve(parts []Stage, tokens int) *Reservation {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	h := &Reservation{tracker: m, parts: parts, tokens: tokens}
-	h.apply(1)
-	return h
+// Reserve reserves memory for a number of tokens on all stages of a chain.
+func (t *UsageTracker) Reserve(stages []Stage, tokens int) *Reservation {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := &Reservation{tracker: t, stages: stages, tokens: tokens}
+	r.apply(1)
+	return r
 }
 
-// Tokens is how many tokens were reserved.
-func (h *Reservation) Tokens() int { return h.tokens }
+// Tokens returns the number of reserved tokens.
+func (r *Reservation) Tokens() int { return r.tokens }
 
-// Release gives the memory back.
-func (h *Reservation) Release() {
-	h.tracker.mu.Lock()
-	defer h.tracker.mu.Unlock()
-	h.apply(-1)
-	h.parts = nil
+// Release frees the memory. Further calls have no effect.
+func (r *Reservation) Release() {
+	r.tracker.mu.Lock()
+	defer r.tracker.mu.Unlock()
+	r.apply(-1)
+	r.stages = nil
 }
 
-// Move takes in that the stream runs through other engines now. After Release
-// it does nothing.
-func (h *Reservation) Move(parts []Stage) {
-	h.tracker.mu.Lock()
-	defer h.tracker.mu.Unlock()
-	if h.parts == nil {
+// Move transfers the reservation to other stages. It has no effect after Release.
+func (r *Reservation) Move(stages []Stage) {
+	r.tracker.mu.Lock()
+	defer r.tracker.mu.Unlock()
+	if r.stages == nil {
 		return
 	}
-	h.apply(-1)
-	h.parts = parts
-	h.apply(1)
+	r.apply(-1)
+	r.stages = stages
+	r.apply(1)
 }
 
-func (h *Reservation) apply(sign int) {
-	for i, p := range h.parts {
-		o := h.tracker.usageOf(p.Server.Incarnation())
-		o.tokenLayers += float64(sign * h.tokens * p.Layers.Len())
-		o.streams += sign
+func (r *Reservation) apply(sign int) {
+	for i, s := range r.stages {
+		u := r.tracker.usageOf(s.Server.Incarnation())
+		u.tokenLayers += float64(sign * r.tokens * s.Layers.Len())
+		u.streams += sign
 		if i == 0 {
-			o.firstStageStreams += sign
+			u.firstStageStreams += sign
 		}
 		if sign > 0 {
-			o.addRecent(h.tracker.now(), h.tokens*p.Layers.Len(), i == 0)
+			u.addRecent(r.tracker.now(), r.tokens*s.Layers.Len(), i == 0)
 		}
 	}
 }
--- a/internal/coordination/chains/memory.go
+++ b/internal/coordination/chains/memory.go
@@ -10,22 +10,22 @@
 // slowdownTTL is how long a reported slowdown is valid.
 const slowdownTTL = 3 * time.Second
 
-// prefillDecayTime is the averaging time of prompt reading.
+// prefillDecayTime is the time constant of the average prefill load.
 const prefillDecayTime = time.Second
 
-// recentDecayTime is over how long a router's new streams stand for those that its peers
-// have begun and not yet announced in a heartbeat.
+// recentDecayTime is the time constant after which a new stream is assumed to be contained
+// in heartbeats.
 const recentDecayTime = 400 * time.Millisecond
 
-// Usage is what streams take of one engine.
+// Usage is the load of streams on one engine.
 type Usage struct {
-	// TokenLayers is token memory, in tokens x layers.
+	// TokenLayers is the reserved token memory in token-layers.
 	TokenLayers float64
-	// Streams is how many run through it, Firsts how many it received as the
-	// first engine of their chain.
+	// Streams is the number of streams on the engine. FirstStageStreams is the number of
+	// those whose first stage is this engine.
 	Streams           float64
 	FirstStageStreams float64
-	// PrefillLoad is the share of its time that goes into reading prompts.
+	// PrefillLoad is the share of the engine's time spent on prefill.
 	PrefillLoad float64
 }
 
@@ -40,19 +40,19 @@
 	u.PrefillLoad += sign * o.PrefillLoad
 }
 
-// UsageTracker counts what streams take of engines: this router's own, and what
-// other routers last told of theirs. It counts by incarnation: streams that ran at
-// an engine which started again take nothing of it, and give nothing back.
+// UsageTracker tracks the usage of engines by this router's streams and the usage that
+// other routers report. Usage is kept per incarnation: it does not carry over to an engine
+// that restarted.
 type UsageTracker struct {
 	now func() time.Time
 
 	mu    sync.Mutex
 	own   map[model.Incarnation]*ownUsage
 	peers map[string]peerUsage
-	// peerTotal adds up what the peers told, by incarnation: each choice of a chain
-	// reads every engine, and would else go through every peer for each.
+	// peerTotal is the sum of the peers' usage. It is kept up to date because each search
+	// reads the usage of every engine.
 	peerTotal map[model.Incarnation]Usage
-	// nextPeerExpiry is when the next peer's count expires.
+	// nextPeerExpiry is the earliest expiry of a peer's usage.
 	nextPeerExpiry time.Time
 	slowdowns      map[model.Incarnation]slowdownReport
 	started        time.Time
@@ -64,77 +64,76 @@
 	streams           int
 	firstStageStreams int
 	prefill           decayingSum
-	// new are the streams that were reserved of late, the memory they take, and
-	// how many begin here.
+	// The usage of recently started streams.
 	recentStreams, recentTokenLayers, recentFirstStageStreams decayingSum
-	// pendingPrefill is what moved streams are expected to read there, in seconds.
+	// pendingPrefill is the expected prefill of moved streams, in seconds.
 	pendingPrefill decayingSum
 }
 
 type peerUsage struct {
-	expires time.Time // believed so long
+	expires time.Time
 	usage   map[model.Incarnation]Usage
 }
 
-// slowdownReport is an engine's slowdown as it reported it itself.
+// slowdownReport is a slowdown that an engine reported.
 type slowdownReport struct {
 	at     time.Time
 	factor float64
-	own    bool // told to this router
+	own    bool // reported to this router rather than to a peer
 }
 
-// NewUsageTracker makes an empty count.
+// NewUsageTracker returns a tracker without any usage.
 func NewUsageTracker(now func() time.Time) *UsageTracker {
 	return &UsageTracker{now: now, own: map[model.Incarnation]*ownUsage{}, peers: map[string]peerUsage{}, peerTotal: map[model.Incarnation]Usage{}, slowdowns: map[model.Incarnation]slowdownReport{},
 		started: now(), records: map[model.Incarnation]*engineRecord{}}
 }
 
-// Used is what is taken of an engine, as far as known here.
-func (m *UsageTracker) Used(inc model.Incarnation) Usage {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	now := m.now()
-	if len(m.peers) > 0 && !now.Before(m.nextPeerExpiry) {
-		m.recomputePeerTotal(now)
+// Used returns the known usage of an engine by the streams of all routers.
+func (t *UsageTracker) Used(inc model.Incarnation) Usage {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.now()
+	if len(t.peers) > 0 && !now.Before(t.nextPeerExpiry) {
+		t.recomputePeerTotal(now)
 	}
-	sum := m.peerTotal[inc]
-	if o, ok := m.own[inc]; ok {
+	sum := t.peerTotal[inc]
+	if o, ok := t.own[inc]; ok {
 		sum.add(o.usage(now), 1)
 	}
 	return sum
 }
 
-// addPeerUsage adds a peer's use to the sums, or takes it off. The caller holds the
+// addPeerUsage adds a peer's usage to the totals, multiplied by sign. The caller holds the
 // lock.
-func (m *UsageTracker) addPeerUsage(use map[model.Incarnation]Usage, sign float64) {
-	for inc, u := range use {
-		sum := m.peerTotal[inc]
+func (t *UsageTracker) addPeerUsage(usage map[model.Incarnation]Usage, sign float64) {
+	for inc, u := range usage {
+		sum := t.peerTotal[inc]
 		sum.add(u, sign)
-		m.peerTotal[inc] = sum
+		t.peerTotal[inc] = sum
 	}
 }
 
-// recomputePeerTotal drops counts whose time is over and finds when the next one ends. The
-// caller holds the lock.
-func (m *UsageTracker) recomputePeerTotal(now time.Time) {
-	m.nextPeerExpiry = time.Time{}
-	for peer, c := range m.peers {
+// recomputePeerTotal removes expired peer usage and updates the totals and the next expiry.
+// The caller holds the lock.
+func (t *UsageTracker) recomputePeerTotal(now time.Time) {
+	t.nextPeerExpiry = time.Time{}
+	for peer, c := range t.peers {
 		if !now.Before(c.expires) {
-			delete(m.peers, peer)
+			delete(t.peers, peer)
 			continue
 		}
-		m.updateNextPeerExpiry(c.expires)
+		t.updateNextPeerExpiry(c.expires)
 	}
-	// Added up anew, so that sums hold no engine and no rounding of the past.
-	clear(m.peerTotal)
-	for _, c := range m.peers {
-		m.addPeerUsage(c.usage, 1)
+	// Recomputing the totals removes engines no longer in use and rounding errors.
+	clear(t.peerTotal)
+	for _, c := range t.peers {
+		t.addPeerUsage(c.usage, 1)
 	}
 }
 
-func (m *UsageTracker) updateNextPeerExpiry(until time.Time) {
-	if m.nextPeerExpiry.IsZero() || until.Before(m.nextPeerExpiry) {
-		m.nextPeerExpiry = until
+func (t *UsageTracker) updateNextPeerExpiry(expires time.Time) {
+	if t.nextPeerExpiry.IsZero() || expires.Before(t.nextPeerExpiry) {
+		t.nextPeerExpiry = expires
 	}
 }
 
@@ -142,47 +141,48 @@
 	return Usage{TokenLayers: o.tokenLayers, Streams: float64(o.streams), FirstStageStreams: float64(o.firstStageStreams), PrefillLoad: o.prefill.read(now, prefillDecayTime)}
 }
 
-// Slowdown is how much slower than its card an engine last said to be; 1 is as
-// fast.
-func (m *UsageTracker) Slowdown(inc model.Incarnation) float64 {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if s, ok := m.slowdowns[inc]; ok && m.now().Sub(s.at) < slowdownTTL {
+// Slowdown returns the factor by which an engine reports to be slower than its accelerator
+// type; 1 if it reported none within slowdownTTL.
+func (t *UsageTracker) Slowdown(inc model.Incarnation) float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s, ok := t.slowdowns[inc]; ok && t.now().Sub(s.at) < slowdownTTL {
 		return s.factor
 	}
 	return 1
 }
 
-// SetSlowdown takes in an engine's own word; it tells whether that is news.
-func (m *UsageTracker) SetSlowdown(inc model.Incarnation, factor float64) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	before, known := m.slowdowns[inc]
+// SetSlowdown stores a slowdown that an engine reported to this router and reports whether
+// it differs from the previous one. A factor of 1 or less removes it.
+func (t *UsageTracker) SetSlowdown(inc model.Incarnation, factor float64) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	before, known := t.slowdowns[inc]
 	if factor <= 1 {
-		delete(m.slowdowns, inc)
+		delete(t.slowdowns, inc)
 		return known
 	}
-	m.slowdowns[inc] = slowdownReport{at: m.now(), factor: factor, own: true}
+	t.slowdowns[inc] = slowdownReport{at: t.now(), factor: factor, own: true}
 	return before.factor != factor
 }
 
-// SetPeerSlowdown takes in what an engine told another router. What it told this
-// one lately goes first.
-func (m *UsageTracker) SetPeerSlowdown(inc model.Incarnation, factor float64) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if s := m.slowdowns[inc]; s.own && m.now().Sub(s.at) < slowdownTTL {
+// SetPeerSlowdown stores a slowdown that an engine reported to another router. A valid
+// report to this router takes precedence.
+func (t *UsageTracker) SetPeerSlowdown(inc model.Incarnation, factor float64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s := t.slowdowns[inc]; s.own && t.now().Sub(s.at) < slowdownTTL {
 		return
 	}
-	m.slowdowns[inc] = slowdownReport{at: m.now(), factor: factor}
+	t.slowdowns[inc] = slowdownReport{at: t.now(), factor: factor}
 }
 
-// SlowEngines lists the engines that told this router that they are slow.
-func (m *UsageTracker) SlowEngines() []model.Incarnation {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// SlowEngines returns the engines that reported a slowdown to this router.
+func (t *UsageTracker) SlowEngines() []model.Incarnation {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var out []model.Incarnation
-	for inc, s := range m.slowdowns {
+	for inc, s := range t.slowdowns {
 		if s.own {
 			out = append(out, inc)
 		}
@@ -190,12 +190,12 @@
 	return out
 }
 
-// OwnSlowdowns copies what engines told this router of their slowdowns.
-func (m *UsageTracker) OwnSlowdowns() map[model.Incarnation]float64 {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// OwnSlowdowns returns a copy of the slowdowns reported to this router.
+func (t *UsageTracker) OwnSlowdowns() map[model.Incarnation]float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	out := map[model.Incarnation]float64{}
-	for inc, s := range m.slowdowns {
+	for inc, s := range t.slowdowns {
 		if s.own {
 			out[inc] = s.factor
 		}
@@ -203,24 +203,24 @@
 	return out
 }
 
-// RemoveSlowdown drops what is known of an engine that is gone.
-func (m *UsageTracker) RemoveSlowdown(inc model.Incarnation) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	delete(m.slowdowns, inc)
+// RemoveSlowdown removes the slowdown of an engine that exited.
+func (t *UsageTracker) RemoveSlowdown(inc model.Incarnation) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.slowdowns, inc)
 }
 
-// AddPrefill counts the reading of a prompt at an engine, in seconds of its time.
-func (m *UsageTracker) AddPrefill(inc model.Incarnation, seconds float64) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.usageOf(inc).prefill.add(m.now(), seconds/prefillDecayTime.Seconds(), prefillDecayTime)
-	if a, ok := m.records[inc]; ok {
-		a.prefillSeconds += seconds
+// AddPrefill records the prefill of a prompt at an engine, in seconds of engine time.
+func (t *UsageTracker) AddPrefill(inc model.Incarnation, seconds float64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.usageOf(inc).prefill.add(t.now(), seconds/prefillDecayTime.Seconds(), prefillDecayTime)
+	if r, ok := t.records[inc]; ok {
+		r.prefillSeconds += seconds
 	}
 }
 
-// addRecent counts a stream among the new ones.
+// addRecent adds a stream to the recent usage.
 func (o *ownUsage) addRecent(now time.Time, tokenLayers int, first bool) {
 	o.recentStreams.add(now, 1, recentDecayTime)
 	o.recentTokenLayers.add(now, float64(tokenLayers), recentDecayTime)
@@ -229,77 +229,78 @@
 	}
 }
 
-// Recent is what this router's streams of the last moment take of an engine.
-func (m *UsageTracker) Recent(inc model.Incarnation) Usage {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	o, ok := m.own[inc]
+// Recent returns the usage of an engine by streams that this router started recently.
+func (t *UsageTracker) Recent(inc model.Incarnation) Usage {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	o, ok := t.own[inc]
 	if !ok {
 		return Usage{}
 	}
-	now := m.now()
+	now := t.now()
 	return Usage{TokenLayers: o.recentTokenLayers.read(now, recentDecayTime), Streams: o.recentStreams.read(now, recentDecayTime), FirstStageStreams: o.recentFirstStageStreams.read(now, recentDecayTime)}
 }
 
-// AddPendingPrefill counts reading that streams which are moved now add to an engine, those
-// of other routers included, in seconds of its time. Peers are not told of it.
-func (m *UsageTracker) AddPendingPrefill(inc model.Incarnation, seconds float64) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.usageOf(inc).pendingPrefill.add(m.now(), seconds, prefillDecayTime)
+// AddPendingPrefill records the expected prefill of moved streams at an engine, in seconds
+// of engine time. It includes the estimated share of other routers and is not sent to
+// peers.
+func (t *UsageTracker) AddPendingPrefill(inc model.Incarnation, seconds float64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.usageOf(inc).pendingPrefill.add(t.now(), seconds, prefillDecayTime)
 }
 
-// PendingPrefill is what is left of that; it fades as it is worked off.
-func (m *UsageTracker) PendingPrefill(inc model.Incarnation) float64 {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if o, ok := m.own[inc]; ok {
-		return o.pendingPrefill.read(m.now(), prefillDecayTime)
+// PendingPrefill returns the remaining expected prefill in seconds. It decays over time.
+func (t *UsageTracker) PendingPrefill(inc model.Incarnation) float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if o, ok := t.own[inc]; ok {
+		return o.pendingPrefill.read(t.now(), prefillDecayTime)
 	}
 	return 0
 }
 
-func (m *UsageTracker) usageOf(inc model.Incarnation) *ownUsage {
-	o, ok := m.own[inc]
+func (t *UsageTracker) usageOf(inc model.Incarnation) *ownUsage {
+	o, ok := t.own[inc]
 	if !ok {
 		o = &ownUsage{}
-		m.own[inc] = o
+		t.own[inc] = o
 	}
 	return o
 }
 
-// OwnUsage copies what this router's streams take.
-func (m *UsageTracker) OwnUsage() map[model.Incarnation]Usage {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	now := m.now()
-	out := make(map[model.Incarnation]Usage, len(m.own))
-	for inc, o := range m.own {
+// OwnUsage returns a copy of the usage by this router's streams. It drops engines without
+// streams.
+func (t *UsageTracker) OwnUsage() map[model.Incarnation]Usage {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.now()
+	out := make(map[model.Incarnation]Usage, len(t.own))
+	for inc, o := range t.own {
 		u := o.usage(now)
 		if u.Streams > 0 || u.PrefillLoad > 0.001 {
 			out[inc] = u
 		} else {
-			delete(m.own, inc)
+			delete(t.own, inc)
 		}
 	}
 	return out
 }
 
-// SetPeerUsage takes in what another router's streams take, and how long that is to
-// be believed: a few exchanges.
-func (m *UsageTracker) SetPeerUsage(peer string, use map[model.Incarnation]Usage, good time.Duration) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.addPeerUsage(m.peers[peer].usage, -1)
-	c := peerUsage{expires: m.now().Add(good), usage: use}
-	m.peers[peer] = c
-	m.addPeerUsage(use, 1)
-	m.updateNextPeerExpiry(c.expires)
+// SetPeerUsage stores the usage by another router's streams. It is valid for ttl.
+func (t *UsageTracker) SetPeerUsage(peer string, usage map[model.Incarnation]Usage, ttl time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.addPeerUsage(t.peers[peer].usage, -1)
+	c := peerUsage{expires: t.now().Add(ttl), usage: usage}
+	t.peers[peer] = c
+	t.addPeerUsage(usage, 1)
+	t.updateNextPeerExpiry(c.expires)
 }
 
-// ExpirePeers forgets peers that have not told anything lately.
-func (m *UsageTracker) ExpirePeers() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.recomputePeerTotal(m.now())
+// ExpirePeers removes the usage of peers whose validity has passed.
+func (t *UsageTracker) ExpirePeers() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.recomputePeerTotal(t.now())
 }
--- a/internal/coordination/chains/missing.go
+++ b/internal/coordination/chains/missing.go
@@ -9,17 +9,17 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// maxReasons bounds what a refusal says of the holders that did not count.
+// maxReasons is the maximum number of engines listed in an explanation.
 const maxReasons = 6
 
-// ExplainNoChain explains why Choose found no chain: the layers that no engine offers, and
-// why those that hold them do not count; where every layer is offered somewhere,
-// the same for each failure domain, as the pipes between them are used up. It is
-// asked once a refusal, for the log.
-func (c *Chooser) ExplainNoChain(svc *model.Service, d Requirements) string {
+// ExplainNoChain describes why Choose returned NoChain. It names the layers that no usable
+// engine holds, and why the engines that hold them are unusable. If usable engines hold all
+// layers, the interconnect is at its limit, and the description covers each failure domain
+// separately. The result is meant for error messages.
+func (c *Chooser) ExplainNoChain(svc *model.Service, req Requirements) string {
 	everywhere := make([]bool, svc.Engine.Layers)
 	byDomain := map[string][]bool{}
-	for _, cand := range c.candidates(svc, d) {
+	for _, cand := range c.candidates(svc, req) {
 		domain := cand.server.FailureDomain
 		if byDomain[domain] == nil {
 			byDomain[domain] = make([]bool, svc.Engine.Layers)
@@ -28,28 +28,28 @@
 		markLayers(everywhere, cand.server.Holds)
 	}
 	if gaps := uncoveredRanges(everywhere); len(gaps) > 0 {
-		return c.describeGaps(svc, gaps, "", d)
+		return c.describeGaps(svc, gaps, "", req)
 	}
-	out := []string{"pipes used up"}
+	out := []string{"interconnect at its limit"}
 	for _, domain := range slices.Sorted(maps.Keys(byDomain)) {
 		gaps := uncoveredRanges(byDomain[domain])
 		if len(gaps) == 0 {
-			out = append(out, domain+" is whole")
+			out = append(out, domain+" holds all layers")
 			continue
 		}
-		out = append(out, domain+" lacks "+c.describeGaps(svc, gaps, domain, d))
+		out = append(out, domain+" lacks "+c.describeGaps(svc, gaps, domain, req))
 	}
 	return strings.Join(out, "; ")
 }
 
-// describeGaps names layers and why their holders in a failure domain, or in any, do not
-// count.
-func (c *Chooser) describeGaps(svc *model.Service, gaps []model.LayerRange, domain string, d Requirements) string {
+// describeGaps names layers and why the engines that hold them are unusable. An empty
+// domain stands for all domains.
+func (c *Chooser) describeGaps(svc *model.Service, gaps []model.LayerRange, domain string, req Requirements) string {
 	var b strings.Builder
 	for _, g := range gaps {
 		fmt.Fprintf(&b, "%s ", g)
 	}
-	b.WriteString(c.describeHolders(svc, gaps, domain, d))
+	b.WriteString(c.describeHolders(svc, gaps, domain, req))
 	return b.String()
 }
 
@@ -59,7 +59,7 @@
 	}
 }
 
-// uncoveredRanges lists the runs of layers that are not offered.
+// uncoveredRanges returns the ranges of layers that are not offered.
 func uncoveredRanges(offered []bool) []model.LayerRange {
 	var out []model.LayerRange
 	for l, ok := range offered {
@@ -74,26 +74,26 @@
 	return out
 }
 
-// describeHolders tells why engines that hold some of the layers do not count.
-func (c *Chooser) describeHolders(svc *model.Service, gaps []model.LayerRange, domain string, d Requirements) string {
+// describeHolders lists the engines that hold some of the layers and why each is unusable.
+func (c *Chooser) describeHolders(svc *model.Service, gaps []model.LayerRange, domain string, req Requirements) string {
 	var out []string
 	for _, b := range c.Catalog.Load().All(svc.Name) {
 		if !overlapsAny(b.Holds, gaps) || domain != "" && b.FailureDomain != domain {
 			continue
 		}
-		why := "not looked at"
+		reason := "not considered"
 		switch {
 		case b.Draining:
-			why = "leaving"
-		case d.Avoid[b.Incarnation()]:
-			why = "avoided"
+			reason = "leaving"
+		case req.Avoid[b.Incarnation()]:
+			reason = "avoided"
 		case c.Health.View(b.Incarnation()).Suspected:
-			why = "suspected"
+			reason = "suspected"
 		}
-		out = append(out, b.ID+" "+why)
+		out = append(out, b.ID+" "+reason)
 	}
 	if len(out) == 0 {
-		return "held by nobody"
+		return "held by no engine"
 	}
 	if more := len(out) - maxReasons; more > 0 {
 		out = append(out[:maxReasons], fmt.Sprintf("%d more", more))
--- a/internal/coordination/chains/pipes.go
+++ b/internal/coordination/chains/pipes.go
@@ -7,22 +7,21 @@
 )
 
 const (
-	// rateDecayTime is the averaging time of a pipe's traffic.
+	// rateDecayTime is the time constant of the average traffic rate.
 	rateDecayTime = time.Second
-	// maxQueueingShare is the share of the longest pause between events that waiting at a
-	// pipe may take on average.
+	// maxQueueingShare is the share of the maximum event gap that queueing at the
+	// interconnect may take on average.
 	maxQueueingShare = 0.1
-	// defaultMaxEventGap is that pause for routes that name none.
+	// defaultMaxEventGap is the maximum event gap of routes that set none.
 	defaultMaxEventGap = 200 * time.Millisecond
 )
 
-// sharesPerRouter is how many equal shares of what a pipe gives out one router may
-// take. When a domain loses an engine all routers turn to the pipes within the
-// quarter of a second before they hear of each other; four shares are for the
-// few routers of that domain.
+// sharesPerRouter is how many equal shares of the usable rate one router may use. It
+// exceeds 1 because mostly the routers of one failure domain use the interconnect after a
+// loss.
 const sharesPerRouter = 4
 
-// DomainPair names two failure domains in alphabetical order.
+// DomainPair is two failure domains in alphabetical order.
 type DomainPair struct{ A, B string }
 
 func pairOf(a, b string) DomainPair {
@@ -32,8 +31,8 @@
 	return DomainPair{A: a, B: b}
 }
 
-// Interconnect counts what chains move between failure domains, in Mbit/s: this
-// router's own streams, and what others last told of theirs.
+// Interconnect tracks the traffic of chains between failure domains in Mbit/s, by this
+// router's streams and as reported by other routers.
 type Interconnect struct {
 	now func() time.Time
 
@@ -43,11 +42,11 @@
 }
 
 type peerRates struct {
-	expires time.Time // believed so long
+	expires time.Time
 	rates   map[DomainPair]float64
 }
 
-// decayingSum is a sum whose parts fade over some time.
+// decayingSum is a sum whose terms decay exponentially.
 type decayingSum struct {
 	at    time.Time
 	value float64
@@ -62,67 +61,67 @@
 	return d.value * math.Exp(-now.Sub(d.at).Seconds()/over.Seconds())
 }
 
-// NewInterconnect makes an empty count.
+// NewInterconnect returns an Interconnect without traffic.
 func NewInterconnect(now func() time.Time) *Interconnect {
 	return &Interconnect{now: now, own: map[DomainPair]*decayingSum{}, peers: map[string]peerRates{}}
 }
 
-// AddTraffic counts the megabits that a chain will move between two domains.
-func (p *Interconnect) AddTraffic(a, b string, mbit float64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// AddTraffic records the traffic in Mbit that a chain will cause between two domains.
+func (ic *Interconnect) AddTraffic(a, b string, mbit float64) {
+	ic.mu.Lock()
+	defer ic.mu.Unlock()
 	pair := pairOf(a, b)
-	d, ok := p.own[pair]
+	d, ok := ic.own[pair]
 	if !ok {
 		d = &decayingSum{}
-		p.own[pair] = d
+		ic.own[pair] = d
 	}
-	d.add(p.now(), mbit/rateDecayTime.Seconds(), rateDecayTime)
+	d.add(ic.now(), mbit/rateDecayTime.Seconds(), rateDecayTime)
 }
 
-// maxUtilization is the share of a pipe's rate that is given out. Transfers go one
-// after another: a token waits on average load/(2(1-load)) of a prompt's
-// transfer time (a queue with steady service), once for each token of an event.
-func maxUtilization(transfer, gap time.Duration, stride int) float64 {
-	if gap <= 0 {
-		gap = defaultMaxEventGap
+// maxUtilization returns the share of the interconnect's rate that may be used. It models
+// an M/D/1 queue: a token waits load/(2(1-load)) of a prompt's transfer time on average,
+// once per token of an event.
+func maxUtilization(transfer, maxEventGap time.Duration, stride int) float64 {
+	if maxEventGap <= 0 {
+		maxEventGap = defaultMaxEventGap
 	}
-	wait := maxQueueingShare * gap.Seconds() / float64(max(stride, 1))
+	wait := maxQueueingShare * maxEventGap.Seconds() / float64(max(stride, 1))
 	return 2 * wait / (transfer.Seconds() + 2*wait)
 }
 
-// Allows tells whether there is room for so many megabits more between two
-// domains, where so many Mbit/s are given out to some routers.
-func (p *Interconnect) Allows(a, b string, mbit, given float64, routers int) bool {
-	// One request passes an idle pipe even where it is more than is given.
-	if rate := p.Rate(a, b); rate >= 1 && rate+mbit > given {
+// Allows reports whether a request of mbit may be added between two domains. limit is the
+// total rate in Mbit/s that all routers may use.
+func (ic *Interconnect) Allows(a, b string, mbit, limit float64, routers int) bool {
+	// An idle interconnect accepts one request of any size.
+	if rate := ic.Rate(a, b); rate >= 1 && rate+mbit > limit {
 		return false
 	}
-	share := given * sharesPerRouter / float64(max(routers, sharesPerRouter))
-	own := p.ownRate(a, b)
+	share := limit * sharesPerRouter / float64(max(routers, sharesPerRouter))
+	own := ic.ownRate(a, b)
 	return own+mbit <= share || own < 1
 }
 
-func (p *Interconnect) ownRate(a, b string) float64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if d, ok := p.own[pairOf(a, b)]; ok {
-		return d.read(p.now(), rateDecayTime)
+func (ic *Interconnect) ownRate(a, b string) float64 {
+	ic.mu.Lock()
+	defer ic.mu.Unlock()
+	if d, ok := ic.own[pairOf(a, b)]; ok {
+		return d.read(ic.now(), rateDecayTime)
 	}
 	return 0
 }
 
-// Rate is what passes between two domains, in Mbit/s, as far as known here.
-func (p *Interconnect) Rate(a, b string) float64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// Rate returns the known traffic of all routers between two domains, in Mbit/s.
+func (ic *Interconnect) Rate(a, b string) float64 {
+	ic.mu.Lock()
+	defer ic.mu.Unlock()
 	pair := pairOf(a, b)
-	now := p.now()
+	now := ic.now()
 	sum := 0.0
-	if d, ok := p.own[pair]; ok {
+	if d, ok := ic.own[pair]; ok {
 		sum = d.read(now, rateDecayTime)
 	}
-	for _, c := range p.peers {
+	for _, c := range ic.peers {
 		if now.Before(c.expires) {
 			sum += c.rates[pair]
 		}
@@ -130,23 +129,22 @@
 	return sum
 }
 
-// OwnRates copies what this router's streams move.
-func (p *Interconnect) OwnRates() map[DomainPair]float64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// OwnRates returns the traffic of this router's streams in Mbit/s.
+func (ic *Interconnect) OwnRates() map[DomainPair]float64 {
+	ic.mu.Lock()
+	defer ic.mu.Unlock()
 	out := map[DomainPair]float64{}
-	for pair, d := range p.own {
-		if rate := d.read(p.now(), rateDecayTime); rate >= 1 {
+	for pair, d := range ic.own {
+		if rate := d.read(ic.now(), rateDecayTime); rate >= 1 {
 			out[pair] = rate
 		}
 	}
 	return out
 }
 
-// SetPeerRates takes in what another router's streams move, and how long that is to
-// be believed.
-func (p *Interconnect) SetPeerRates(peer string, rate map[DomainPair]float64, good time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.peers[peer] = peerRates{expires: p.now().Add(good), rates: rate}
+// SetPeerRates stores the traffic of another router's streams in Mbit/s. It is valid for ttl.
+func (ic *Interconnect) SetPeerRates(peer string, rate map[DomainPair]float64, ttl time.Duration) {
+	ic.mu.Lock()
+	defer ic.mu.Unlock()
+	ic.peers[peer] = peerRates{expires: ic.now().Add(ttl), rates: rate}
 }
--- a/internal/coordination/chains/slowstart.go
+++ b/internal/coordination/chains/slowstart.go
@@ -8,71 +8,72 @@
 )
 
 const (
-	// slowStartPeriod is how long an engine that has just loaded is in slow start. Counts of
-	// routers in other failure domains take as long to arrive.
+	// slowStartPeriod is how long an engine is in slow start after it loaded layers. Usage
+	// reports of routers in other failure domains take up to this long to arrive.
 	slowStartPeriod = 2500 * time.Millisecond
-	// maxSlowStartLoad is the share of its time that all routers together give to reading
-	// prompts by the end of slow start.
+	// maxSlowStartLoad is the share of an engine's time that the prefill of all routers may
+	// reach by the end of slow start.
 	maxSlowStartLoad = 0.8
-	// startupPeriod is the age of this process up to which all engines are new to it; none
-	// is put in slow start then.
+	// startupPeriod is the time after the start of this process in which new engines skip
+	// slow start, because all engines are new to the process.
 	startupPeriod = time.Second
 )
 
-// engineRecord is this router's use of an engine since the engine holds its layers.
+// engineRecord is this router's use of an engine since the engine loaded its layers.
 type engineRecord struct {
 	layers         model.LayerRange
 	since          time.Time
-	prefillSeconds float64 // on reading there, in seconds of the engine's time
+	prefillSeconds float64 // prefill of this router at the engine
 }
 
-// Observe notes which layers an engine holds, and since when.
-func (m *UsageTracker) Observe(inc model.Incarnation, layers model.LayerRange) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.record(inc, layers)
+// Observe records which layers an engine holds. A change of layers starts slow start.
+func (t *UsageTracker) Observe(inc model.Incarnation, layers model.LayerRange) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.record(inc, layers)
 }
 
-// record is Observe for those who hold the lock.
-func (m *UsageTracker) record(inc model.Incarnation, layers model.LayerRange) *engineRecord {
-	a, ok := m.records[inc]
-	if ok && a.layers == layers {
-		return a
+// record implements Observe. The caller holds the lock.
+func (t *UsageTracker) record(inc model.Incarnation, layers model.LayerRange) *engineRecord {
+	r, ok := t.records[inc]
+	if ok && r.layers == layers {
+		return r
 	}
-	a = &engineRecord{layers: layers, since: m.now()}
-	if !ok && m.now().Sub(m.started) < startupPeriod {
-		a.since = m.started.Add(-slowStartPeriod)
+	r = &engineRecord{layers: layers, since: t.now()}
+	if !ok && t.now().Sub(t.started) < startupPeriod {
+		r.since = t.started.Add(-slowStartPeriod)
 	}
-	m.records[inc] = a
-	return a
+	t.records[inc] = r
+	return r
 }
 
-// Retain forgets the engines that are not known any more.
-func (m *UsageTracker) Retain(known func(inc model.Incarnation) bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for inc := range m.records {
+// Retain removes the records of engines that are not known.
+func (t *UsageTracker) Retain(known func(inc model.Incarnation) bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for inc := range t.records {
 		if !known(inc) {
-			delete(m.records, inc)
+			delete(t.records, inc)
 		}
 	}
 }
 
-// defers tells whether this router leaves an engine in slow start to other routers for
-// now. seconds is the time that the engine would read the prompt.
+// defers reports whether this router should leave an engine in slow start to other routers
+// for now. seconds is the prefill time of the prompt at the engine.
 //
-// A loaded engine looks idle to all routers at once. Each takes an equal share of its
-// time, which grows from none, and a phase by hash keeps them from beginning together.
-func (m *UsageTracker) defers(self string, inc model.Incarnation, layers model.LayerRange, seconds float64, routers int) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	a := m.record(inc, layers)
-	age := m.now().Sub(a.since)
+// A newly loaded engine looks idle to all routers. Each router may use an equal share of
+// its time, which grows from zero. A phase derived from a hash prevents routers from
+// starting at the same time.
+func (t *UsageTracker) defers(self string, inc model.Incarnation, layers model.LayerRange, seconds float64, routers int) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.record(inc, layers)
+	age := t.now().Sub(r.since)
 	if age >= slowStartPeriod {
 		return false
 	}
 	const steps = 1 << 16
 	phase := float64(spread.Hash(self, inc.ID)%steps) / steps
-	mine := maxSlowStartLoad * age.Seconds() / float64(max(routers, 1))
-	return a.prefillSeconds+phase*seconds > mine
+	limit := maxSlowStartLoad * age.Seconds() / float64(max(routers, 1))
+	return r.prefillSeconds+phase*seconds > limit
 }
--- a/internal/coordination/chains/subset.go
+++ b/internal/coordination/chains/subset.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// minEnginesForSubset is the number of engines from which on a router considers a subset.
+	// minEnginesForSubset is the number of engines from which a router considers only a
+	// subset.
 	minEnginesForSubset = 300
-	// maxHolders is how many engines with the same layers, in the same failure
-	// domain, a router considers. More than two are for engines that are full or lost.
+	// maxHolders is the maximum number of engines with the same layers and failure domain
+	// that a router considers.
 	maxHolders = 4
 )
 
-// subsets remembers what a router looks at of each service's engines, as long as
-// the engines stay the same.
+// subsets caches the considered engines of each service for one catalog snapshot.
 type subsets struct {
 	mu        sync.Mutex
 	snapshot  *catalog.Snapshot
 	byService map[string][]*model.BackendServer
 }
 
-// routersPerDomain is how many of the routers, this one included, a failure domain has on
-// average: those that send to the same engines in the same situation.
+// routersPerDomain returns the average number of routers per failure domain, this one
+// included. The routers of a domain tend to select the same engines.
 func (c *Chooser) routersPerDomain(routers int) float64 {
 	return math.Max(float64(routers)/float64(max(c.Catalog.Load().Domains(), 1)), 1)
 }
 
-// engines lists the engines that a search for a chain considers. The cost of a search
-// grows with them. Routers keep different holders of each range, so that together they
-// use all engines.
+// engines returns the engines that a search considers. The cost of a search grows with
+// their number. The subsets of different routers differ, so that together they use all
+// engines.
 func (c *Chooser) engines(service string) []*model.BackendServer {
 	snapshot := c.Catalog.Load()
 	all := snapshot.Service(service)
@@ -49,21 +49,21 @@
 		c.subsets.snapshot = snapshot
 		c.subsets.byService = map[string][]*model.BackendServer{}
 	}
-	kept, ok := c.subsets.byService[service]
+	subset, ok := c.subsets.byService[service]
 	if !ok {
-		kept = selectHolders(all, c.Self)
-		c.subsets.byService[service] = kept
+		subset = selectHolders(all, c.Self)
+		c.subsets.byService[service] = subset
 	}
-	return kept
+	return subset
 }
 
-// holderGroup is what engines have in common that stand in for each other.
+// holderGroup identifies engines that can substitute for each other.
 type holderGroup struct {
 	domain string
 	holds  model.LayerRange
 }
 
-// selectHolders chooses a router's holders of each range.
+// selectHolders returns this router's subset of the engines.
 func selectHolders(all []*model.BackendServer, self string) []*model.BackendServer {
 	groups := map[holderGroup][]*model.BackendServer{}
 	for _, b := range all {
--- a/internal/coordination/chains/walk.go
+++ b/internal/coordination/chains/walk.go
@@ -7,23 +7,23 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// candidate is an engine that may take part, with its cost per layer.
+// candidate is an engine that may be used in a chain, with its costs.
 type candidate struct {
 	server          *model.BackendServer
 	domain          int
-	secondsPerLayer float64 // seconds
-	firstStageCost  float64 // what it costs to begin with it, in seconds
+	secondsPerLayer float64
+	firstStageCost  float64 // seconds
 	full            bool
-	// deferred says that this router leaves it to others for now.
+	// deferred is set while the engine is in slow start and left to other routers.
 	deferred bool
-	// noSlot says that it can take no more chains that begin with it.
+	// noSlot is set if the engine has no free slot for a first stage.
 	noSlot bool
-	// excludedFirst says that the chain must not begin with it.
+	// excludedFirst is set if the engine must not be the first stage.
 	excludedFirst bool
 }
 
-// pathCost is the best pathCost to have run the layers so far with the last one at a
-// candidate; from is the candidate that ran the layer before.
+// pathCost is the cost of the cheapest path whose latest layer runs at a candidate.
+// previous is the candidate of the layer before.
 type pathCost struct {
 	cost     float64
 	previous int
@@ -31,28 +31,27 @@
 
 const noCandidate = -1
 
-// tablePool are reused between searches.
+// tablePool holds tables for reuse between searches.
 var tablePool = sync.Pool{New: func() any { return new([]pathCost) }}
 
-// search is one search for a chain.
 type search struct {
 	spec       *model.EngineSpec
 	cands      []candidate
 	layers     model.LayerRange
 	homeDomain string
 	crossing   [][]float64
-	// requireCapacity demands that every engine has token memory left.
+	// requireCapacity skips engines without free capacity.
 	requireCapacity bool
-	// skipDeferred leaves out engines that are left to others.
+	// skipDeferred skips engines that are left to other routers.
 	skipDeferred bool
 }
 
-// shortest walks the layers in order. At each layer an engine either goes on
-// from the layer before, or takes over from the best engine of some domain. It
-// costs layers x engines x domains steps.
-func (w *search) shortest() []Stage {
-	n := len(w.cands)
-	layers := w.layers.Len()
+// shortest returns the cheapest chain, or nil. It is a dynamic program over the layers.
+// Each layer runs at the engine of the previous layer or follows the cheapest engine of any
+// domain. It takes time proportional to layers x engines x domains.
+func (s *search) shortest() []Stage {
+	n := len(s.cands)
+	layers := s.layers.Len()
 	if n == 0 || layers == 0 {
 		return nil
 	}
@@ -62,98 +61,99 @@
 		*scratch = make([]pathCost, layers*n)
 	}
 	table := (*scratch)[:layers*n]
-	domainBest := make([]int, len(w.crossing))
+	domainBest := make([]int, len(s.crossing))
 	for layer := 0; layer < layers; layer++ {
 		row := table[layer*n : (layer+1)*n]
 		if layer == 0 {
-			w.fillFirst(row)
+			s.fillFirst(row)
 			continue
 		}
 		before := table[(layer-1)*n : layer*n]
-		if !w.cheapestPerDomain(before, domainBest) {
+		if !s.cheapestPerDomain(before, domainBest) {
 			return nil
 		}
-		w.fillNext(row, before, domainBest, layer)
+		s.fillNext(row, before, domainBest, layer)
 	}
-	return traceback(w.cands, table, w.layers)
+	return traceback(s.cands, table, s.layers)
 }
 
-func (w *search) usable(c *candidate, layer int) bool {
-	return !(w.requireCapacity && c.full) && !(w.skipDeferred && c.deferred) && c.holds(w.layers.From+layer)
+func (s *search) usable(c *candidate, layer int) bool {
+	return !(s.requireCapacity && c.full) && !(s.skipDeferred && c.deferred) && c.holds(s.layers.From+layer)
 }
 
-func (w *search) fillFirst(row []pathCost) {
-	for e := range w.cands {
-		c := &w.cands[e]
+func (s *search) fillFirst(row []pathCost) {
+	for e := range s.cands {
+		c := &s.cands[e]
 		row[e] = pathCost{cost: math.Inf(1), previous: noCandidate}
-		begins := !c.excludedFirst && !(w.requireCapacity && w.layers.From == 0 && c.noSlot)
-		if begins && w.usable(c, 0) {
-			row[e].cost = c.secondsPerLayer + w.startCost(c)
+		eligible := !c.excludedFirst && !(s.requireCapacity && s.layers.From == 0 && c.noSlot)
+		if eligible && s.usable(c, 0) {
+			row[e].cost = c.secondsPerLayer + s.startCost(c)
 		}
 	}
 }
 
-func (w *search) fillNext(row, before []pathCost, domainBest []int, layer int) {
-	for e := range w.cands {
-		c := &w.cands[e]
+func (s *search) fillNext(row, before []pathCost, domainBest []int, layer int) {
+	for e := range s.cands {
+		c := &s.cands[e]
 		row[e] = pathCost{cost: math.Inf(1), previous: noCandidate}
-		if !w.usable(c, layer) {
+		if !s.usable(c, layer) {
 			continue
 		}
 		best := before[e].cost
 		from := e
-		for d, near := range domainBest {
-			if near == noCandidate || near == e {
+		for d, cheapest := range domainBest {
+			if cheapest == noCandidate || cheapest == e {
 				continue
 			}
-			if cost := before[near].cost + w.crossing[d][c.domain]; cost < best {
+			if cost := before[cheapest].cost + s.crossing[d][c.domain]; cost < best {
 				best = cost
-				from = near
+				from = cheapest
 			}
 		}
 		row[e] = pathCost{cost: best + c.secondsPerLayer, previous: from}
 	}
 }
 
-// cheapestPerDomain finds the cheapest candidate of each domain; false if there is none.
-func (w *search) cheapestPerDomain(row []pathCost, domainBest []int) bool {
+// cheapestPerDomain finds the cheapest candidate of each domain. It returns false if there
+// is none.
+func (s *search) cheapestPerDomain(row []pathCost, domainBest []int) bool {
 	for i := range domainBest {
 		domainBest[i] = noCandidate
 	}
-	any := false
-	for e := range w.cands {
+	found := false
+	for e := range s.cands {
 		if math.IsInf(row[e].cost, 1) {
 			continue
 		}
-		any = true
-		d := w.cands[e].domain
+		found = true
+		d := s.cands[e].domain
 		if domainBest[d] == noCandidate || row[e].cost < row[domainBest[d]].cost {
 			domainBest[d] = e
 		}
 	}
-	return any
+	return found
 }
 
 func (c *candidate) holds(layer int) bool {
 	return c.server.Holds.From <= layer && layer < c.server.Holds.To
 }
 
-// startCost is what it costs to begin with a candidate; a running stream that is moved
-// does not send anything to it.
-func (w *search) startCost(c *candidate) float64 {
+// startCost returns the cost of a first stage. A search that does not begin at layer 0
+// serves a running stream, which sends no new request.
+func (s *search) startCost(c *candidate) float64 {
 	cost := 0.0
-	if w.layers.From == 0 {
+	if s.layers.From == 0 {
 		cost += c.firstStageCost
 	}
-	if c.server.FailureDomain != w.homeDomain {
+	if c.server.FailureDomain != s.homeDomain {
 		cost += remoteStartPenalty.Seconds()
 	}
 	return cost
 }
 
-func traceback(cands []candidate, table []pathCost, need model.LayerRange) []Stage {
+func traceback(cands []candidate, table []pathCost, needed model.LayerRange) []Stage {
 	n := len(cands)
-	layers := need.Len()
+	layers := needed.Len()
 	last := noCandidate
 	end := table[(layers-1)*n:]
 	for e := range cands {
@@ -164,31 +164,31 @@
 	if last == noCandidate {
 		return nil
 	}
-	who := make([]int, layers)
+	chosen := make([]int, layers)
 	for layer, e := layers-1, last; layer >= 0; layer-- {
-		who[layer] = e
+		chosen[layer] = e
 		e = table[layer*n+e].previous
 	}
-	return mergeStages(cands, who, need.From)
+	return mergeStages(cands, chosen, needed.From)
 }
 
-// mergeStages makes parts of the engine chosen for each layer. An engine that comes
-// twice takes what lies between as well: it holds a contiguous range, and
-// engines refuse a chain that names one of them twice.
-func mergeStages(cands []candidate, who []int, from int) []Stage {
+// mergeStages combines consecutive layers on the same engine into stages. An engine that
+// occurs twice also takes the layers in between: it holds a contiguous range, and engines
+// refuse a chain that contains one of them twice.
+func mergeStages(cands []candidate, chosen []int, from int) []Stage {
 	lastOf := map[int]int{}
-	for layer, e := range who {
+	for layer, e := range chosen {
 		lastOf[e] = layer
 	}
-	var parts []Stage
-	for layer := 0; layer < len(who); {
-		e := who[layer]
+	var stages []Stage
+	for layer := 0; layer < len(chosen); {
+		e := chosen[layer]
 		end := lastOf[e] + 1
-		parts = append(parts, Stage{Server: cands[e].server, Layers: model.LayerRange{From: from + layer, To: from + end}})
+		stages = append(stages, Stage{Server: cands[e].server, Layers: model.LayerRange{From: from + layer, To: from + end}})
 		layer = end
 	}
-	if len(parts) > maxStages {
+	if len(stages) > maxStages {
 		return nil
 	}
-	return parts
+	return stages
 }
