--- a/internal/coordination/flow/flow.go
+++ b/internal/coordination/flow/flow.go
@@ -26,9 +26,9 @@
 	Rate float64
 }
 
-// LinkRate gives how many positions a second go from one failure domain to
+// InterconnectRate gives how many positions a second go from one failure domain to
 // another; infinity for no limit.
-type LinkRate func(from, to string) float64
+type InterconnectRate func(from, to string) float64
 
 // Chain is groups in layer order, and how many positions a second they carry
 // together by the plan.
@@ -42,16 +42,16 @@
 	Chains []Chain
 	// Rate is the sum of the chains' rates, positions a second.
 	Rate float64
-	// Bound is proven: no plan carries more.
-	Bound float64
+	// UpperBound is proven: no plan carries more.
+	UpperBound float64
 }
 
 // Precisions for Solve. The work grows with the inverse of its square.
 const (
-	// Fine is for bounds that figures are measured against.
-	Fine = 0.03
-	// Coarse is for plans that are made again every second.
-	Coarse = 0.12
+	// FinePrecision is for bounds that figures are measured against.
+	FinePrecision = 0.03
+	// CoarsePrecision is for plans that are made again every second.
+	CoarsePrecision = 0.12
 )
 
 // maxSteps bounds the work on odd inputs.
@@ -59,7 +59,7 @@
 
 // Solve plans for a model of so many layers. The plan is within about thrice the
 // precision of the best.
-func Solve(groups []Group, layers int, link LinkRate, precision float64) Plan {
+func Solve(groups []Group, layers int, link InterconnectRate, precision float64) Plan {
 	p := newPacker(groups, layers, link)
 	p.epsilon = precision
 	p.setPrices()
@@ -98,7 +98,7 @@
 	bound   float64
 }
 
-func newPacker(groups []Group, layers int, link LinkRate) *packer {
+func newPacker(groups []Group, layers int, link InterconnectRate) *packer {
 	p := &packer{
 		groups:  groups,
 		layers:  layers,
@@ -302,6 +302,6 @@
 		}
 		return chainKey(a.Groups) < chainKey(b.Groups)
 	})
-	out.Bound = p.bound
+	out.UpperBound = p.bound
 	return out
 }
--- a/internal/coordination/keepalive/keepalive.go
+++ b/internal/coordination/keepalive/keepalive.go
@@ -19,75 +19,75 @@
 	leastMargin = time.Second
 )
 
-// Margin gives the margin beyond an idle time.
-func Margin(idle time.Duration) time.Duration {
+// IdleMargin gives the margin beyond an idle time.
+func IdleMargin(idle time.Duration) time.Duration {
 	return max(leastMargin, time.Duration(marginShare*float64(idle)))
 }
 
 // Phase is what a connection is doing.
 type Phase int
 
-// The phases. Only Resting and Reading have a bound here.
+// The phases. Only Idle and ReadingHeader have a bound here.
 const (
-	Resting Phase = iota // nothing of the next request has been read
-	Reading              // a part of a head has been read
-	Serving              // a request is in progress
+	Idle          Phase = iota // nothing of the next request has been read
+	ReadingHeader              // a part of a head has been read
+	Serving                    // a request is in progress
 )
 
-// Life is the life of one connection. Its zero value rests since the zero time. Its
+// ConnState is the life of one connection. Its zero value rests since the zero time. Its
 // owner keeps calls apart.
-type Life struct {
+type ConnState struct {
 	phase   Phase
 	since   time.Time // when the phase began
 	retired bool
 }
 
-// Rest begins to wait for the next request.
-func (l *Life) Rest(now time.Time) {
-	l.phase = Resting
+// StartIdle begins to wait for the next request.
+func (l *ConnState) StartIdle(now time.Time) {
+	l.phase = Idle
 	l.since = now
 }
 
-// Heard takes in that bytes were read. The first ones of a head begin its time; later
+// BytesRead takes in that bytes were read. The first ones of a head begin its time; later
 // ones don't prolong it, or a caller could hold the connection by single bytes.
-func (l *Life) Heard(now time.Time) {
-	if l.phase == Resting {
-		l.phase = Reading
+func (l *ConnState) BytesRead(now time.Time) {
+	if l.phase == Idle {
+		l.phase = ReadingHeader
 		l.since = now
 	}
 }
 
-// Take begins a request.
-func (l *Life) Take() { l.phase = Serving }
+// StartRequest begins a request.
+func (l *ConnState) StartRequest() { l.phase = Serving }
 
-// Retire ends the connection as soon as it rests: its router stops.
-func (l *Life) Retire() { l.retired = true }
+// CloseWhenIdle ends the connection as soon as it rests: its router stops.
+func (l *ConnState) CloseWhenIdle() { l.retired = true }
 
 // Phase gives the present phase.
-func (l *Life) Phase() Phase { return l.phase }
+func (l *ConnState) Phase() Phase { return l.phase }
 
 // longAgo is a bound that has passed.
 var longAgo = time.Unix(1, 0)
 
-// Until is when the phase must be over, by the limits that are in force now: a
+// Deadline is when the phase must be over, by the limits that are in force now: a
 // connection that came to rest under a shorter time is used by its caller for as
 // long as the newest configuration says. Zero is no bound.
-func (l *Life) Until(limits model.CallerLimits) time.Time {
+func (l *ConnState) Deadline(limits model.CallerLimits) time.Time {
 	switch {
 	case l.phase == Serving:
 		return time.Time{}
-	case l.phase == Reading:
+	case l.phase == ReadingHeader:
 		return l.since.Add(limits.HeaderTime)
 	case l.retired:
 		return longAgo
 	}
-	return l.since.Add(limits.IdleTime + Margin(limits.IdleTime))
+	return l.since.Add(limits.IdleTime + IdleMargin(limits.IdleTime))
 }
 
-// Over decides at now whether the phase's time is over. Where bytes of the caller have
+// Expired decides at now whether the phase's time is over. Where bytes of the caller have
 // arrived and are not read yet it is not: a router that is short of processor time is
 // late to read them, which is not the caller's fault.
-func (l *Life) Over(now time.Time, limits model.CallerLimits, arrived bool) bool {
-	until := l.Until(limits)
+func (l *ConnState) Expired(now time.Time, limits model.CallerLimits, arrived bool) bool {
+	until := l.Deadline(limits)
 	return !until.IsZero() && !arrived && !now.Before(until)
 }
--- a/internal/coordination/routing/flow.go
+++ b/internal/coordination/routing/flow.go
@@ -20,7 +20,7 @@
 )
 
 // InterconnectRate gives how many positions a second go between two failure domains.
-type InterconnectRate = flow.LinkRate
+type InterconnectRate = flow.InterconnectRate
 
 // planner keeps a max-flow plan for each service.
 type planner struct {
@@ -104,7 +104,7 @@
 
 func (p *planner) solve(everybody []candidate, layers int) *plan {
 	groups := groupsOf(everybody)
-	return &plan{Plan: flow.Solve(groups, layers, p.link, flow.Coarse), groups: groups}
+	return &plan{Plan: flow.Solve(groups, layers, p.link, flow.CoarsePrecision), groups: groups}
 }
 
 // byFlow draws a few chains along the plan and gives the one with the least
