--- a/internal/coordination/chains/missing.go
+++ b/internal/coordination/chains/missing.go
@@ -9,58 +9,58 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// mostReasons bounds what a refusal says of the holders that did not count.
-const mostReasons = 6
+// maxReasons is the maximum number of engines listed in an explanation.
+const maxReasons = 6
 
-// ExplainNoChain explains why Choose found no chain: the layers that no engine offers, and
-// why those that hold them do not count; where every layer is offered somewhere,
-// the same for each failure domain, as the pipes between them are used up. It is
-// asked once a refusal, for the log.
-func (c *Chooser) ExplainNoChain(svc *model.Service, d Requirements) string {
+// ExplainNoChain describes why Choose returned NoChain. It names the layers that no usable
+// engine holds, and why the engines that hold them are unusable. If usable engines hold all
+// layers, the interconnect is at its limit, and the description covers each failure domain
+// separately. The result is meant for error messages.
+func (c *Chooser) ExplainNoChain(svc *model.Service, req Requirements) string {
 	everywhere := make([]bool, svc.Engine.Layers)
 	byDomain := map[string][]bool{}
-	for _, cand := range c.candidates(svc, d) {
+	for _, cand := range c.candidates(svc, req) {
 		domain := cand.server.FailureDomain
 		if byDomain[domain] == nil {
 			byDomain[domain] = make([]bool, svc.Engine.Layers)
 		}
-		mark(byDomain[domain], cand.server.Holds)
-		mark(everywhere, cand.server.Holds)
+		markLayers(byDomain[domain], cand.server.Holds)
+		markLayers(everywhere, cand.server.Holds)
 	}
-	if gaps := gapsOf(everywhere); len(gaps) > 0 {
-		return c.explain(svc, gaps, "", d)
+	if gaps := uncoveredRanges(everywhere); len(gaps) > 0 {
+		return c.describeGaps(svc, gaps, "", req)
 	}
-	out := []string{"pipes used up"}
+	out := []string{"interconnect at its limit"}
 	for _, domain := range slices.Sorted(maps.Keys(byDomain)) {
-		gaps := gapsOf(byDomain[domain])
+		gaps := uncoveredRanges(byDomain[domain])
 		if len(gaps) == 0 {
-			out = append(out, domain+" is whole")
+			out = append(out, domain+" holds all layers")
 			continue
 		}
-		out = append(out, domain+" lacks "+c.explain(svc, gaps, domain, d))
+		out = append(out, domain+" lacks "+c.describeGaps(svc, gaps, domain, req))
 	}
 	return strings.Join(out, "; ")
 }
 
-// explain names layers and why their holders in a failure domain, or in any, do not
-// count.
-func (c *Chooser) explain(svc *model.Service, gaps []model.LayerRange, domain string, d Requirements) string {
+// describeGaps names layers and why the engines that hold them are unusable. An empty
+// domain stands for all domains.
+func (c *Chooser) describeGaps(svc *model.Service, gaps []model.LayerRange, domain string, req Requirements) string {
 	var b strings.Builder
 	for _, g := range gaps {
 		fmt.Fprintf(&b, "%s ", g)
 	}
-	b.WriteString(c.holdersOf(svc, gaps, domain, d))
+	b.WriteString(c.describeHolders(svc, gaps, domain, req))
 	return b.String()
 }
 
-func mark(offered []bool, held model.LayerRange) {
+func markLayers(offered []bool, held model.LayerRange) {
 	for l := held.From; l < min(held.To, len(offered)); l++ {
 		offered[l] = true
 	}
 }
 
-// gapsOf lists the runs of layers that are not offered.
-func gapsOf(offered []bool) []model.LayerRange {
+// uncoveredRanges returns the ranges of layers that are not offered.
+func uncoveredRanges(offered []bool) []model.LayerRange {
 	var out []model.LayerRange
 	for l, ok := range offered {
 		switch {
@@ -74,29 +74,29 @@
 	return out
 }
 
-// holdersOf tells why engines that hold some of the layers do not count.
-func (c *Chooser) holdersOf(svc *model.Service, gaps []model.LayerRange, domain string, d Requirements) string {
+// describeHolders lists the engines that hold some of the layers and why each is unusable.
+func (c *Chooser) describeHolders(svc *model.Service, gaps []model.LayerRange, domain string, req Requirements) string {
 	var out []string
 	for _, b := range c.Catalog.Load().All(svc.Name) {
 		if !overlapsAny(b.Holds, gaps) || domain != "" && b.FailureDomain != domain {
 			continue
 		}
-		why := "not looked at"
+		reason := "not considered"
 		switch {
 		case b.Draining:
-			why = "leaving"
-		case d.Avoid[b.Incarnation()]:
-			why = "avoided"
+			reason = "leaving"
+		case req.Avoid[b.Incarnation()]:
+			reason = "avoided"
 		case c.Health.View(b.Incarnation()).Suspected:
-			why = "suspected"
+			reason = "suspected"
 		}
-		out = append(out, b.ID+" "+why)
+		out = append(out, b.ID+" "+reason)
 	}
 	if len(out) == 0 {
-		return "held by nobody"
+		return "held by no engine"
 	}
-	if more := len(out) - mostReasons; more > 0 {
-		out = append(out[:mostReasons], fmt.Sprintf("%d more", more))
+	if more := len(out) - maxReasons; more > 0 {
+		out = append(out[:maxReasons], fmt.Sprintf("%d more", more))
 	}
 	return strings.Join(out, ", ")
 }
--- a/internal/coordination/chains/subset.go
+++ b/internal/coordination/chains/subset.go
@@ -13,72 +13,72 @@
 )
 
 const (
-	// subsetFrom is the number of engines from which on a router considers a subset.
-	subsetFrom = 300
-	// holdersKept is how many engines with the same layers, in the same failure
-	// domain, a router considers. More than two are for engines that are full or lost.
-	holdersKept = 4
+	// minEnginesForSubset is the number of engines from which a router considers only a
+	// subset.
+	minEnginesForSubset = 300
+	// maxHolders is the maximum number of engines with the same layers and failure domain
+	// that a router considers.
+	maxHolders = 4
 )
 
-// subsets remembers what a router looks at of each service's engines, as long as
-// the engines stay the same.
+// subsets caches the considered engines of each service for one catalog snapshot.
 type subsets struct {
-	mu   sync.Mutex
-	of   *catalog.Snapshot
-	kept map[string][]*model.BackendServer
+	mu        sync.Mutex
+	snapshot  *catalog.Snapshot
+	byService map[string][]*model.BackendServer
 }
 
-// together is how many of the routers, this one included, a failure domain has on
-// average: those that send to the same engines in the same situation.
-func (c *Chooser) together(routers int) float64 {
+// routersPerDomain returns the average number of routers per failure domain, this one
+// included. The routers of a domain tend to select the same engines.
+func (c *Chooser) routersPerDomain(routers int) float64 {
 	return math.Max(float64(routers)/float64(max(c.Catalog.Load().Domains(), 1)), 1)
 }
 
-// engines lists the engines that a search for a chain considers. The cost of a search
-// grows with them. Routers keep different holders of each range, so that together they
-// use all engines.
+// engines returns the engines that a search considers. The cost of a search grows with
+// their number. The subsets of different routers differ, so that together they use all
+// engines.
 func (c *Chooser) engines(service string) []*model.BackendServer {
 	snapshot := c.Catalog.Load()
 	all := snapshot.Service(service)
-	if len(all) < subsetFrom {
+	if len(all) < minEnginesForSubset {
 		return all
 	}
 	c.subsets.mu.Lock()
 	defer c.subsets.mu.Unlock()
-	if c.subsets.of != snapshot {
-		c.subsets.of = snapshot
-		c.subsets.kept = map[string][]*model.BackendServer{}
+	if c.subsets.snapshot != snapshot {
+		c.subsets.snapshot = snapshot
+		c.subsets.byService = map[string][]*model.BackendServer{}
 	}
-	kept, ok := c.subsets.kept[service]
+	subset, ok := c.subsets.byService[service]
 	if !ok {
-		kept = keep(all, c.Self)
-		c.subsets.kept[service] = kept
+		subset = selectHolders(all, c.Self)
+		c.subsets.byService[service] = subset
 	}
-	return kept
+	return subset
 }
 
-// twins is what engines have in common that stand in for each other.
-type twins struct {
+// holderGroup identifies engines that can substitute for each other.
+type holderGroup struct {
 	domain string
 	holds  model.LayerRange
 }
 
-// keep chooses a router's holders of each range.
-func keep(all []*model.BackendServer, self string) []*model.BackendServer {
-	groups := map[twins][]*model.BackendServer{}
+// selectHolders returns this router's subset of the engines.
+func selectHolders(all []*model.BackendServer, self string) []*model.BackendServer {
+	groups := map[holderGroup][]*model.BackendServer{}
 	for _, b := range all {
-		k := twins{domain: b.FailureDomain, holds: b.Holds}
+		k := holderGroup{domain: b.FailureDomain, holds: b.Holds}
 		groups[k] = append(groups[k], b)
 	}
 	var out []*model.BackendServer
 	for _, group := range groups {
-		if len(group) > holdersKept {
+		if len(group) > maxHolders {
 			rank := map[string]uint64{}
 			for _, b := range group {
 				rank[b.ID] = spread.Hash(self, b.ID)
 			}
 			sort.Slice(group, func(i, j int) bool { return rank[group[i].ID] < rank[group[j].ID] })
-			group = group[:holdersKept]
+			group = group[:maxHolders]
 		}
 		out = append(out, group...)
 	}
--- a/internal/coordination/chains/walk.go
+++ b/internal/coordination/chains/walk.go
@@ -7,188 +7,188 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// candidate is an engine that may take part, with its cost per layer.
+// candidate is an engine that may be used in a chain, with its costs.
 type candidate struct {
-	server   *model.BackendServer
-	domain   int
-	perLayer float64 // seconds
-	doubt    float64 // what it costs to begin with it, in seconds
-	full     bool
-	// deferred says that this router leaves it to others for now.
+	server          *model.BackendServer
+	domain          int
+	secondsPerLayer float64
+	firstStageCost  float64 // seconds
+	full            bool
+	// deferred is set while the engine is in slow start and left to other routers.
 	deferred bool
-	// noSlot says that it can take no more chains that begin with it.
+	// noSlot is set if the engine has no free slot for a first stage.
 	noSlot bool
-	// notFirst says that the chain must not begin with it.
-	notFirst bool
+	// excludedFirst is set if the engine must not be the first stage.
+	excludedFirst bool
 }
 
-// way is the best way to have run the layers so far with the last one at a
-// candidate; from is the candidate that ran the layer before.
-type way struct {
-	cost float64
-	from int
+// pathCost is the cost of the cheapest path whose latest layer runs at a candidate.
+// previous is the candidate of the layer before.
+type pathCost struct {
+	cost     float64
+	previous int
 }
 
-const nobody = -1
-
-// tables are reused between searches.
-var tables = sync.Pool{New: func() any { return new([]way) }}
-
-// walk is one search for a chain.
-type walk struct {
-	spec  *model.EngineSpec
-	cands []candidate
-	need  model.LayerRange
-	home  string
-	cross [][]float64
-	// room demands that every engine has token memory left.
-	room bool
-	// deferring leaves out engines that are left to others.
-	deferring bool
+const noCandidate = -1
+
+// tablePool holds tables for reuse between searches.
+var tablePool = sync.Pool{New: func() any { return new([]pathCost) }}
+
+type search struct {
+	spec       *model.EngineSpec
+	cands      []candidate
+	layers     model.LayerRange
+	homeDomain string
+	crossing   [][]float64
+	// requireCapacity skips engines without free capacity.
+	requireCapacity bool
+	// skipDeferred skips engines that are left to other routers.
+	skipDeferred bool
 }
 
-// shortest walks the layers in order. At each layer an engine either goes on
-// from the layer before, or takes over from the best engine of some domain. It
-// costs layers x engines x domains steps.
-func (w *walk) shortest() []Stage {
-	n := len(w.cands)
-	layers := w.need.Len()
+// shortest returns the cheapest chain, or nil. It is a dynamic program over the layers.
+// Each layer runs at the engine of the previous layer or follows the cheapest engine of any
+// domain. It takes time proportional to layers x engines x domains.
+func (s *search) shortest() []Stage {
+	n := len(s.cands)
+	layers := s.layers.Len()
 	if n == 0 || layers == 0 {
 		return nil
 	}
-	scratch := tables.Get().(*[]way)
-	defer tables.Put(scratch)
+	scratch := tablePool.Get().(*[]pathCost)
+	defer tablePool.Put(scratch)
 	if cap(*scratch) < layers*n {
-		*scratch = make([]way, layers*n)
+		*scratch = make([]pathCost, layers*n)
 	}
 	table := (*scratch)[:layers*n]
-	domainBest := make([]int, len(w.cross))
+	domainBest := make([]int, len(s.crossing))
 	for layer := 0; layer < layers; layer++ {
 		row := table[layer*n : (layer+1)*n]
 		if layer == 0 {
-			w.first(row)
+			s.fillFirst(row)
 			continue
 		}
 		before := table[(layer-1)*n : layer*n]
-		if !w.bests(before, domainBest) {
+		if !s.cheapestPerDomain(before, domainBest) {
 			return nil
 		}
-		w.next(row, before, domainBest, layer)
+		s.fillNext(row, before, domainBest, layer)
 	}
-	return trace(w.cands, table, w.need)
+	return traceback(s.cands, table, s.layers)
 }
 
-func (w *walk) usable(c *candidate, layer int) bool {
-	return !(w.room && c.full) && !(w.deferring && c.deferred) && c.holds(w.need.From+layer)
+func (s *search) usable(c *candidate, layer int) bool {
+	return !(s.requireCapacity && c.full) && !(s.skipDeferred && c.deferred) && c.holds(s.layers.From+layer)
 }
 
-func (w *walk) first(row []way) {
-	for e := range w.cands {
-		c := &w.cands[e]
-		row[e] = way{cost: math.Inf(1), from: nobody}
-		begins := !c.notFirst && !(w.room && w.need.From == 0 && c.noSlot)
-		if begins && w.usable(c, 0) {
-			row[e].cost = c.perLayer + w.start(c)
+func (s *search) fillFirst(row []pathCost) {
+	for e := range s.cands {
+		c := &s.cands[e]
+		row[e] = pathCost{cost: math.Inf(1), previous: noCandidate}
+		eligible := !c.excludedFirst && !(s.requireCapacity && s.layers.From == 0 && c.noSlot)
+		if eligible && s.usable(c, 0) {
+			row[e].cost = c.secondsPerLayer + s.startCost(c)
 		}
 	}
 }
 
-func (w *walk) next(row, before []way, domainBest []int, layer int) {
-	for e := range w.cands {
-		c := &w.cands[e]
-		row[e] = way{cost: math.Inf(1), from: nobody}
-		if !w.usable(c, layer) {
+func (s *search) fillNext(row, before []pathCost, domainBest []int, layer int) {
+	for e := range s.cands {
+		c := &s.cands[e]
+		row[e] = pathCost{cost: math.Inf(1), previous: noCandidate}
+		if !s.usable(c, layer) {
 			continue
 		}
 		best := before[e].cost
 		from := e
-		for d, near := range domainBest {
-			if near == nobody || near == e {
+		for d, cheapest := range domainBest {
+			if cheapest == noCandidate || cheapest == e {
 				continue
 			}
-			if cost := before[near].cost + w.cross[d][c.domain]; cost < best {
+			if cost := before[cheapest].cost + s.crossing[d][c.domain]; cost < best {
 				best = cost
-				from = near
+				from = cheapest
 			}
 		}
-		row[e] = way{cost: best + c.perLayer, from: from}
+		row[e] = pathCost{cost: best + c.secondsPerLayer, previous: from}
 	}
 }
 
-// bests finds the cheapest candidate of each domain; false if there is none.
-func (w *walk) bests(row []way, domainBest []int) bool {
+// cheapestPerDomain finds the cheapest candidate of each domain. It returns false if there
+// is none.
+func (s *search) cheapestPerDomain(row []pathCost, domainBest []int) bool {
 	for i := range domainBest {
-		domainBest[i] = nobody
+		domainBest[i] = noCandidate
 	}
-	any := false
-	for e := range w.cands {
+	found := false
+	for e := range s.cands {
 		if math.IsInf(row[e].cost, 1) {
 			continue
 		}
-		any = true
-		d := w.cands[e].domain
-		if domainBest[d] == nobody || row[e].cost < row[domainBest[d]].cost {
+		found = true
+		d := s.cands[e].domain
+		if domainBest[d] == noCandidate || row[e].cost < row[domainBest[d]].cost {
 			domainBest[d] = e
 		}
 	}
-	return any
+	return found
 }
 
 func (c *candidate) holds(layer int) bool {
 	return c.server.Holds.From <= layer && layer < c.server.Holds.To
 }
 
-// start is what it costs to begin with a candidate; a running stream that is moved
-// does not send anything to it.
-func (w *walk) start(c *candidate) float64 {
+// startCost returns the cost of a first stage. A search that does not begin at layer 0
+// serves a running stream, which sends no new request.
+func (s *search) startCost(c *candidate) float64 {
 	cost := 0.0
-	if w.need.From == 0 {
-		cost += c.doubt
+	if s.layers.From == 0 {
+		cost += c.firstStageCost
 	}
-	if c.server.FailureDomain != w.home {
-		cost += awayTime.Seconds()
+	if c.server.FailureDomain != s.homeDomain {
+		cost += remoteStartPenalty.Seconds()
 	}
 	return cost
 }
 
-func trace(cands []candidate, table []way, need model.LayerRange) []Stage {
+func traceback(cands []candidate, table []pathCost, needed model.LayerRange) []Stage {
 	n := len(cands)
-	layers := need.Len()
-	last := nobody
+	layers := needed.Len()
+	last := noCandidate
 	end := table[(layers-1)*n:]
 	for e := range cands {
-		if !math.IsInf(end[e].cost, 1) && (last == nobody || end[e].cost < end[last].cost) {
+		if !math.IsInf(end[e].cost, 1) && (last == noCandidate || end[e].cost < end[last].cost) {
 			last = e
 		}
 	}
-	if last == nobody {
+	if last == noCandidate {
 		return nil
 	}
-	who := make([]int, layers)
+	chosen := make([]int, layers)
 	for layer, e := layers-1, last; layer >= 0; layer-- {
-		who[layer] = e
-		e = table[layer*n+e].from
+		chosen[layer] = e
+		e = table[layer*n+e].previous
 	}
-	return merge(cands, who, need.From)
+	return mergeStages(cands, chosen, needed.From)
 }
 
-// merge makes parts of the engine chosen for each layer. An engine that comes
-// twice takes what lies between as well: it holds a contiguous range, and
-// engines refuse a chain that names one of them twice.
-func merge(cands []candidate, who []int, from int) []Stage {
+// mergeStages combines consecutive layers on the same engine into stages. An engine that
+// occurs twice also takes the layers in between: it holds a contiguous range, and engines
+// refuse a chain that contains one of them twice.
+func mergeStages(cands []candidate, chosen []int, from int) []Stage {
 	lastOf := map[int]int{}
-	for layer, e := range who {
+	for layer, e := range chosen {
 		lastOf[e] = layer
 	}
-	var parts []Stage
-	for layer := 0; layer < len(who); {
-		e := who[layer]
+	var stages []Stage
+	for layer := 0; layer < len(chosen); {
+		e := chosen[layer]
 		end := lastOf[e] + 1
-		parts = append(parts, Stage{Server: cands[e].server, Layers: model.LayerRange{From: from + layer, To: from + end}})
+		stages = append(stages, Stage{Server: cands[e].server, Layers: model.LayerRange{From: from + layer, To: from + end}})
 		layer = end
 	}
-	if len(parts) > maxParts {
+	if len(stages) > maxStages {
 		return nil
 	}
-	return parts
+	return stages
 }
