--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog is what a router believes of the backend servers: their
-// entries in the store, corrected by what is seen of them directly. The store's
-// list lags behind a crash by several heartbeats, so direct evidence goes first.
+// Package catalog keeps a router's list of backend servers and their health. Direct
+// evidence takes precedence over the entries in the store, which change only several
+// heartbeats after a crash.
 package catalog
 
 import (
@@ -11,46 +11,46 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// entry is a backend server and until when it is kept though its entry is gone.
+// entry is a backend server as registered in the store.
 type entry struct {
 	server model.BackendServer
-	// first is when the incarnation was first heard of.
-	first sighting
-	// unreadable says that another writer put something in the entry's place.
-	unreadable bool
-	// missing is set while the entry is gone from the store; keepUntil says how
-	// long it is believed in all the same.
+	// firstSeen is when the incarnation was first observed.
+	firstSeen observation
+	// malformed is set if the store's entry names no server.
+	malformed bool
+	// missing is set if the store has no entry. The server is kept until keepUntil.
 	missing   bool
 	keepUntil time.Time
 }
 
-// Catalog holds the entries and publishes snapshots of them.
+// Catalog holds the entries and publishes snapshots of them. It is safe for concurrent
+// use.
 type Catalog struct {
 	now func() time.Time
 
-	mu        sync.Mutex
-	entries   map[string]*entry // by id, as in the store
-	newest    map[string]string // id of the newest entry by address
-	sightings sightings
-	current   atomic.Pointer[Snapshot]
-	// stale says that entries changed since the snapshot was made. It is made
-	// anew when somebody asks: engines register in bunches, and a snapshot of
-	// thousands for each of them would cost more than the routing.
-	stale atomic.Bool
+	mu           sync.Mutex
+	entries      map[string]*entry // by id
+	newestByAddr map[string]string // id of the newest entry, by address
+	history      incarnationHistory
+	current      atomic.Pointer[Snapshot]
+	// dirty is set if entries changed since the last snapshot. The next Load makes a
+	// new one. A snapshot for each change would be expensive while many engines
+	// register.
+	dirty atomic.Bool
 }
 
-// New makes an empty catalogue.
+// New returns an empty catalog.
 func New(now func() time.Time) *Catalog {
-	c := &Catalog{now: now, entries: map[string]*entry{}, newest: map[string]string{}, sightings: newSightings()}
+	c := &Catalog{now: now, entries: map[string]*entry{}, newestByAddr: map[string]string{}, history: newIncarnationHistory()}
 	c.publish()
 	return c
 }
 
-// Load gives the present snapshot.
+// Load returns a snapshot of the present state.
 func (c *Catalog) Load() *Snapshot {
-	if c.stale.Load() {
+	if c.dirty.Load() {
 		c.mu.Lock()
-		if c.stale.Load() {
+		if c.dirty.Load() {
 			c.publish()
 		}
 		c.mu.Unlock()
@@ -58,14 +58,14 @@
 	return c.current.Load()
 }
 
-// publish swaps the snapshot. The caller holds the lock.
+// publish replaces the snapshot. The caller holds c.mu.
 func (c *Catalog) publish() {
-	c.stale.Store(false)
+	c.dirty.Store(false)
 	c.current.Store(newSnapshot(c.entries))
 }
 
-// Put takes in a new or changed entry and tells what follows from it. An older
-// revision is passed over: pages of a range read and the watch that follows it
+// Put adds or updates an entry and returns the conflicts with other incarnations. An
+// older revision is ignored: the pages of a range and the watch that follows them
 // overlap.
 func (c *Catalog) Put(b model.BackendServer) Conflicts {
 	c.mu.Lock()
@@ -73,73 +73,70 @@
 	return c.put(b, 0)
 }
 
-// put takes in an entry; read numbers the read of the whole list that it came
-// with, 0 for a change. The caller holds the lock.
+// put adds or updates an entry. read is the number of the read of the whole list that
+// returned it, or 0 for a change. The caller holds c.mu.
 func (c *Catalog) put(b model.BackendServer, read int64) Conflicts {
 	old, ok := c.entries[b.ID]
 	if ok && !old.missing && old.server.Revision > b.Revision {
 		return Conflicts{}
 	}
-	if ok && outdated(&old.server, &b) {
-		// Of a later write nothing is taken back; what comes next is newer than both.
+	if ok && overwrittenSince(&old.server, &b) {
+		// The known state is newer than the entry. Later changes have a higher revision
+		// than the entry.
 		old.server.Revision = b.Revision
 		old.missing = false
 		return Conflicts{}
 	}
 	switch c.compare(old, &b) {
-	case passOver:
+	case ignore:
 		return Conflicts{}
-	case ask:
+	case dispute:
 		return Conflicts{Disputed: []model.BackendServer{b}}
-	case nobodys:
-		c.spoil(old, b.Revision)
+	case reject:
+		c.markMalformed(old, b.Revision)
 		return Conflicts{}
 	}
-	c.stale.Store(true)
-	e := &entry{server: b, first: c.sightings.note(&b, read, c.now())}
+	c.dirty.Store(true)
+	e := &entry{server: b, firstSeen: c.history.observe(&b, read, c.now())}
 	c.entries[b.ID] = e
-	news := Conflicts{Exited: c.displaced(e)}
+	conflicts := Conflicts{Exited: c.replacedAtAddress(e)}
 	if ok && old.server.Born != b.Born {
-		news.Exited = append(news.Exited, old.server)
+		conflicts.Exited = append(conflicts.Exited, old.server)
 	}
-	return news
+	return conflicts
 }
 
-// outdated tells whether an entry of a store that came back from an older copy is one that
-// its server has written over since: its revision is of a newer era, and it has fewer
-// heartbeats than are known of the same process. Taken at its word a server that drains
-// would be ready again, and get requests, until it writes once more.
-func outdated(known, b *model.BackendServer) bool {
+// overwrittenSince reports whether b, from a store restored from an older copy, is
+// older than known: its era is newer, but the same process had already sent more
+// heartbeats. With such an entry a draining server would get requests until its next
+// heartbeat.
+func overwrittenSince(known, b *model.BackendServer) bool {
 	return b.Revision.Era() > known.Revision.Era() && b.Born == known.Born && b.Beats < known.Beats
 }
 
-// MarkMalformed takes in that an entry holds something that names no server. What was
-// believed of its server is kept, as work may be running there, but it gets none
-// until its own word stands there again: whoever wrote over it may know that it
-// is gone, and a server that lives writes again within a heartbeat. It tells
-// whether that is news.
+// MarkMalformed records that an entry names no server, and reports whether that is new.
+// The server stays known because requests may be running there, but gets no new ones
+// until its next heartbeat restores the entry.
 func (c *Catalog) MarkMalformed(id string, revision model.Revision) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e, ok := c.entries[id]
-	if !ok || e.unreadable || e.server.Revision > revision {
+	if !ok || e.malformed || e.server.Revision > revision {
 		return false
 	}
-	c.spoil(e, revision)
+	c.markMalformed(e, revision)
 	return true
 }
 
-func (c *Catalog) spoil(e *entry, revision model.Revision) {
-	e.unreadable = true
+func (c *Catalog) markMalformed(e *entry, revision model.Revision) {
+	e.malformed = true
 	e.server.Revision = revision
-	c.stale.Store(true)
+	c.dirty.Store(true)
 }
 
-// Remove takes in that an entry is gone, as of a revision. grace is how long the
-// backend server is believed in all the same: entries also lapse while the store is
-// away, and are back shortly after it returns. A removal that is older than the
-// entry is passed over, as in Put: the entry came back after it, and its server
-// would get no requests until the watch tells of it.
+// Remove records that the store has no entry as of a revision. The server is kept for
+// grace, as entries also expire during an outage of the store and are written again
+// after it. A removal older than the known entry is ignored, as in Put.
 func (c *Catalog) Remove(id string, revision model.Revision, grace time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,7 +144,7 @@
 		return
 	}
 	c.remove(id, grace)
-	c.stale.Store(true)
+	c.dirty.Store(true)
 }
 
 func (c *Catalog) remove(id string, grace time.Duration) {
@@ -155,7 +152,7 @@
 	if !ok || e.missing {
 		return
 	}
-	if grace <= 0 || e.server.Draining || e.unreadable {
+	if grace <= 0 || e.server.Draining || e.malformed {
 		delete(c.entries, id)
 		return
 	}
@@ -163,91 +160,93 @@
 	e.keepUntil = c.now().Add(grace)
 }
 
-// Replace takes in the whole list: what it lacks was removed. malformed are the ids
-// whose entries name no server.
+// Replace replaces the whole list and returns the conflicts between incarnations.
+// Entries that all lacks are removed with grace. malformed holds the revisions of
+// entries that name no server, by id.
 func (c *Catalog) Replace(all []model.BackendServer, malformed map[string]model.Revision, grace time.Duration) Conflicts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var news Conflicts
+	var conflicts Conflicts
 	listed := make(map[string]bool, len(all))
-	c.sightings.reads++
+	c.history.reads++
 	for _, b := range all {
 		listed[b.ID] = true
-		news.add(c.put(b, c.sightings.reads))
+		conflicts.add(c.put(b, c.history.reads))
 	}
 	for id, e := range c.entries {
 		if revision, ok := malformed[id]; ok {
-			c.spoil(e, revision)
+			c.markMalformed(e, revision)
 			continue
 		}
 		if !listed[id] {
 			c.remove(id, grace)
 		}
 	}
-	c.stale.Store(true)
-	return news
+	c.dirty.Store(true)
+	return conflicts
 }
 
-// Empty tells whether no backend server is known.
+// Empty reports whether no backend server is known.
 func (c *Catalog) Empty() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.entries) == 0
 }
 
-// Entries copies every entry, for a router that cannot read them itself.
+// Entries returns a copy of all well-formed entries, for routers that cannot read the
+// store.
 func (c *Catalog) Entries() []model.BackendServer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make([]model.BackendServer, 0, len(c.entries))
 	for _, e := range c.entries {
-		if !e.unreadable {
+		if !e.malformed {
 			out = append(out, e.server)
 		}
 	}
 	return out
 }
 
-// Seed takes in a peer's entries, if there are none yet: a router that starts
-// while the store is away has no other source. The first read of the store
-// replaces them.
+// Seed adds a peer's entries if there are none yet, and reports whether it added any. A
+// router that starts during an outage of the store has no other source. The first read
+// of the store replaces them.
 func (c *Catalog) Seed(all []model.BackendServer) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.entries) > 0 {
 		return false
 	}
-	c.sightings.reads++
+	c.history.reads++
 	for _, b := range all {
-		c.put(b, c.sightings.reads)
+		c.put(b, c.history.reads)
 	}
 	return len(all) > 0
 }
 
-// SetHolds takes in the layers that an engine reported itself.
+// SetHolds sets the layers that an engine itself reported to hold.
 func (c *Catalog) SetHolds(inc model.Incarnation, held model.LayerRange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e, ok := c.entries[inc.ID]
 	if ok && e.server.Incarnation() == inc && e.server.Holds != held {
 		e.server.Holds = held
-		c.stale.Store(true)
+		c.dirty.Store(true)
 	}
 }
 
-// Expire drops missing entries whose time is over and names them.
+// Expire removes missing entries whose grace is over and returns their ids.
 func (c *Catalog) Expire() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var gone []string
+	var expired []string
 	for id, e := range c.entries {
 		if e.missing && !c.now().Before(e.keepUntil) {
 			delete(c.entries, id)
-			gone = append(gone, id)
+			expired = append(expired, id)
 		}
 	}
-	if len(gone) > 0 {
-		c.stale.Store(true)
+	if len(expired) > 0 {
+		c.dirty.Store(true)
 	}
-	return gone
+	return expired
 }
--- a/internal/coordination/catalog/catalog_test.go
+++ b/internal/coordination/catalog/catalog_test.go
@@ -22,23 +22,22 @@
 	return &now, func() time.Time { return now }
 }
 
-// An engine says that it is leaving. It must get no more work, while those who
-// look up its address still find it.
-func TestLeavingServerGetsNoWork(t *testing.T) {
+// A draining engine must get no new requests, but lookups by its address still find it.
+func TestDrainingServerGetsNoRequests(t *testing.T) {
 	_, now := clock()
 	c := New(now)
 	c.Put(server("a", "1:1", 1))
-	leaving := server("a", "1:1", 2)
-	leaving.Draining = true
-	c.Put(leaving)
+	draining := server("a", "1:1", 2)
+	draining.Draining = true
+	c.Put(draining)
 	assert.Equal(t, len(c.Load().Service("s")), 0)
 	assert.Equal(t, len(c.Load().All("s")), 1)
 	assert.Assert(t, c.Load().ByAddress("1:1") != nil)
 }
 
-// The whole range is read after the watch broke. What was removed meanwhile is
-// not in it and must not survive: requests would go to an engine that left.
-func TestReplaceDropsWhatIsMissing(t *testing.T) {
+// Entries removed while the watch was broken are missing from the next read of the
+// whole range. They must not survive it.
+func TestReplaceRemovesMissingEntries(t *testing.T) {
 	_, now := clock()
 	c := New(now)
 	c.Put(server("a", "1:1", 1))
@@ -48,10 +47,10 @@
 	assert.Assert(t, c.Load().ByID("a") == nil)
 }
 
-// Entries lapse while the store is away and are written again after its return.
-// A router that dropped them at once would refuse all requests for two seconds;
-// one that kept them for good would send work to dead engines.
-func TestLapsedEntriesAreKeptForAMoment(t *testing.T) {
+// Entries expire during an outage of the store and are written again after it. Removing
+// them at once would leave requests without servers, and keeping them would send
+// requests to exited ones.
+func TestExpiredEntriesStayForTheGracePeriod(t *testing.T) {
 	at, now := clock()
 	c := New(now)
 	c.Put(server("back", "1:1", 1))
@@ -66,9 +65,8 @@
 	assert.Equal(t, len(c.Expire()), 0)
 }
 
-// A leaving engine's entry is gone: it said that it would go, so there is
-// nothing to wait for, whatever happened to the store.
-func TestLeavingServerGetsNoGrace(t *testing.T) {
+// A draining server's entry is removed without grace, as the server announced its exit.
+func TestDrainingServerGetsNoGrace(t *testing.T) {
 	_, now := clock()
 	c := New(now)
 	b := server("a", "1:1", 1)
@@ -78,8 +76,9 @@
 	assert.Assert(t, c.Load().ByID("a") == nil)
 }
 
-// An address is used again by another backend server; the newer entry has it.
-func TestAddressBelongsToTheNewest(t *testing.T) {
+// An address is reused by another backend server. The newer entry must win, in any
+// order.
+func TestAddressResolvesToNewestEntry(t *testing.T) {
 	_, now := clock()
 	c := New(now)
 	c.Put(server("new", "1:1", 7))
@@ -87,9 +86,8 @@
 	assert.Equal(t, c.Load().ByAddress("1:1").ID, "new")
 }
 
-// Pages and watch overlap, so that an older state of an entry may come after a
-// newer one. The catalogue keeps the newest, in whatever order they come.
-func TestPutKeepsTheNewest(t *testing.T) {
+// Pages and the watch overlap, so an older revision of an entry may arrive late.
+func TestPutKeepsNewestRevision(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		_, now := clock()
 		c := New(now)
@@ -103,25 +101,25 @@
 	})
 }
 
-func TestSuspicionGrowsAndEnds(t *testing.T) {
+func TestSuspicionDoublesUntilCleared(t *testing.T) {
 	at, now := clock()
 	h := NewHealth(now)
-	until, news := h.Suspect(inc("a"))
-	assert.Assert(t, news)
-	assert.Equal(t, until.Sub(*at), firstSuspicion)
-	_, news = h.Suspect(inc("a"))
-	assert.Assert(t, !news, "the same suspicion is not news")
+	until, isNew := h.Suspect(inc("a"))
+	assert.Assert(t, isNew)
+	assert.Equal(t, until.Sub(*at), minSuspicion)
+	_, isNew = h.Suspect(inc("a"))
+	assert.Assert(t, !isNew, "a repeated suspicion is not new")
 	*at = until
 	assert.Assert(t, !h.Suspected(inc("a")))
 	until, _ = h.Suspect(inc("a"))
-	assert.Equal(t, until.Sub(*at), 2*firstSuspicion)
+	assert.Equal(t, until.Sub(*at), 2*minSuspicion)
 	h.ClearSuspicion(inc("a"), *at)
 	assert.Assert(t, !h.Suspected(inc("a")))
 	until, _ = h.Suspect(inc("a"))
-	assert.Equal(t, until.Sub(*at), firstSuspicion, "proof of work clears the failure count")
+	assert.Equal(t, until.Sub(*at), minSuspicion, "a successful request clears the failure count")
 }
 
-func TestHealthCounts(t *testing.T) {
+func TestHealthRecordsRequests(t *testing.T) {
 	_, now := clock()
 	h := NewHealth(now)
 	h.Begin(inc("a"))
@@ -132,48 +130,48 @@
 	v := h.View(inc("a"))
 	assert.Equal(t, v.Active, 0)
 	assert.Equal(t, v.Latency, 40*time.Millisecond)
-	assert.Assert(t, v.FailureRate > 0 && v.FailureRate < failureWeight)
+	assert.Assert(t, v.FailureRate > 0 && v.FailureRate < failureRateWeight)
 }
 
-// An engine drains while the store is away, so that no entry says so. A stream
-// that it had before ends well there: that proves nothing about new ones.
-func TestOldWorkDoesNotClearASuspicion(t *testing.T) {
+// A stream that started before an engine refused requests ends well there. That must
+// not lift the refusal.
+func TestOlderRequestDoesNotClearSuspicion(t *testing.T) {
 	at, now := clock()
 	h := NewHealth(now)
-	given := *at
+	sentAt := *at
 	*at = at.Add(time.Second)
 	h.RecordRefusal(inc("a"), at.Add(4*time.Second), true)
 	*at = at.Add(time.Second)
-	h.ClearSuspicion(inc("a"), given)
+	h.ClearSuspicion(inc("a"), sentAt)
 	assert.Assert(t, h.Suspected(inc("a")))
 	h.ClearSuspicion(inc("a"), *at)
 	assert.Assert(t, !h.Suspected(inc("a")))
 }
 
-// A suspicion runs out while dozens of streams look for a chain. One of them
-// tries the engine; the others go elsewhere until it has shown that it works.
-func TestOneStreamTriesAfterASuspicion(t *testing.T) {
+// A suspicion expires while many streams look for a chain. Only one may try the engine
+// until it succeeds.
+func TestOneStreamRetriesAfterSuspicion(t *testing.T) {
 	at, now := clock()
 	h := NewHealth(now)
 	until, _ := h.Suspect(inc("a"))
 	*at = until
-	tried := 0
+	attempts := 0
 	for range 50 {
 		if !h.View(inc("a")).Suspected {
 			h.RecordAttempt(inc("a"))
-			tried++
+			attempts++
 		}
 	}
-	assert.Equal(t, tried, 1)
+	assert.Equal(t, attempts, 1)
 	h.ClearSuspicion(inc("a"), *at)
 	assert.Assert(t, !h.View(inc("a")).Suspected)
 	h.RecordAttempt(inc("a"))
-	assert.Assert(t, !h.View(inc("a")).Suspected, "an engine without failures is not rationed")
+	assert.Assert(t, !h.View(inc("a")).Suspected, "an engine without failures is not limited to one attempt")
 }
 
-// Another router tells of a refusal every quarter of a second, as the time that
-// is left of it. That is one suspicion here, not many.
-func TestPeersWordIsOneStrike(t *testing.T) {
+// A peer repeats a refusal every 250 ms with the time that is left. It must count as
+// one failure.
+func TestRepeatedPeerSuspicionCountsOnce(t *testing.T) {
 	at, now := clock()
 	h := NewHealth(now)
 	until := at.Add(time.Second)
@@ -182,11 +180,10 @@
 		*at = at.Add(250 * time.Millisecond)
 	}
 	assert.Assert(t, !h.Suspected(inc("a")))
-	assert.Equal(t, h.NextSuspicionPeriod(inc("a")), 2*firstSuspicion)
+	assert.Equal(t, h.NextSuspicionPeriod(inc("a")), 2*minSuspicion)
 }
 
-// Three thousand engines register in a bunch. What is known of them is complete
-// whenever somebody asks; nobody asked in between.
+// Registrations of many engines must not each build a snapshot.
 func BenchmarkRegistrations(b *testing.B) {
 	_, now := clock()
 	for b.Loop() {
--- a/internal/coordination/catalog/health.go
+++ b/internal/coordination/catalog/health.go
@@ -10,99 +10,97 @@
 )
 
 const (
-	// firstSuspicion is how long a backend server gets nothing after direct
-	// evidence against it; it doubles with each further one up to
-	// longestSuspicion. A restarted engine is another incarnation, so only cut
-	// off and slow ones wait it out.
-	firstSuspicion   = time.Second
-	longestSuspicion = 8 * time.Second
-	// trialEvery is how often a backend server whose suspicion ran out is tried,
-	// until one piece of work has shown that it works. Without it each request
-	// of the moment is sent there, and what is refused uses up the budget for
-	// repeated sends. A stream shows it with its first event, after 100 ms.
-	trialEvery = 300 * time.Millisecond
-	// sameWord is how much later another router's suspicion must end to be a
-	// new one: it is told again and again, as the time that is left of it.
-	sameWord = 300 * time.Millisecond
-	// failureWeight is the weight of the newest outcome in the failure share:
-	// some ten requests decide.
-	failureWeight = 0.15
-	// failureMemory is how fast the failure share fades while no outcome comes: a
-	// backend server that is avoided for it would else be avoided for good.
-	failureMemory = 15 * time.Second
-	// latencyWeight is the weight of the newest latency.
-	latencyWeight = 0.1
+	// minSuspicion is how long a backend server gets no requests after direct evidence
+	// of a failure. The time doubles with each further failure, up to maxSuspicion. A
+	// restarted engine is a new incarnation without suspicion.
+	minSuspicion = time.Second
+	maxSuspicion = 8 * time.Second
+	// attemptInterval is the time between attempts at a backend server whose suspicion
+	// expired, until one succeeds. Otherwise all requests would be sent there at once,
+	// and failures would use up the retry budget.
+	attemptInterval = 300 * time.Millisecond
+	// suspicionTolerance is how much later a peer's suspicion must expire to count as a
+	// new one. A peer repeats each with the time that is left.
+	suspicionTolerance = 300 * time.Millisecond
+	// failureRateWeight is the weight of the newest outcome in the failure rate.
+	failureRateWeight = 0.15
+	// failureRateDecay is the time constant with which the failure rate decays without
+	// new outcomes. A backend server avoided because of it would otherwise never get
+	// requests again.
+	failureRateDecay = 15 * time.Second
+	latencyWeight    = 0.1
 )
 
-// Health is the direct evidence about backend servers, by incarnation: a server that
-// starts again is judged anew.
+// Health holds the direct evidence about backend servers, by incarnation. It is safe
+// for concurrent use.
 type Health struct {
 	now     func() time.Time
 	records *shard.Map[model.Incarnation, *record]
 }
 
 type record struct {
-	mu           sync.Mutex
-	until        time.Time // suspected until then
-	since        time.Time // when the suspicion was last raised or confirmed
-	trial        time.Time // not tried again before
-	refuses      time.Time // refuses work until then, as far as known
-	failureCount int       // suspicions in a row, and lasting refusals
-	failures     float64   // smoothed share of failed requests, as of judged
-	judged       time.Time
-	latency      time.Duration
-	active       int // requests of this process that run there
+	mu             sync.Mutex
+	suspectedUntil time.Time
+	evidenceAt     time.Time // when the suspicion was last raised or confirmed
+	nextAttempt    time.Time // no attempt before
+	refusesUntil   time.Time // known to refuse requests until then
+	failureCount   int       // consecutive suspicions and lasting refusals
+	failureRate    float64   // smoothed, as of failureRateAt
+	failureRateAt  time.Time
+	latency        time.Duration
+	active         int // requests of this process in progress
 }
 
-// NewHealth makes an empty record.
+// NewHealth returns a Health without evidence.
 func NewHealth(now func() time.Time) *Health {
 	return &Health{now: now, records: shard.New[model.Incarnation, *record]()}
 }
 
-func (h *Health) with(inc model.Incarnation, f func(*record)) {
+func (h *Health) update(inc model.Incarnation, f func(*record)) {
 	r, _ := h.records.GetOrPut(inc, func() *record { return &record{} })
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r)
 }
 
-// Suspect records evidence that a backend server does not do its work. It tells
-// until when it gets nothing, and whether that is news.
-func (h *Health) Suspect(inc model.Incarnation) (until time.Time, news bool) {
+// Suspect records evidence that a backend server fails. It returns when the suspicion
+// expires, and whether it is new.
+func (h *Health) Suspect(inc model.Incarnation) (until time.Time, isNew bool) {
 	now := h.now()
-	h.with(inc, func(r *record) {
-		if now.Before(r.until) {
-			r.since = now
-			until = r.until
+	h.update(inc, func(r *record) {
+		if now.Before(r.suspectedUntil) {
+			r.evidenceAt = now
+			until = r.suspectedUntil
 			return
 		}
-		news = true
-		d := r.nextSuspicion()
+		isNew = true
+		d := r.nextSuspicionPeriod()
 		r.failureCount++
-		r.since = now
-		r.until = now.Add(d)
-		until = r.until
+		r.evidenceAt = now
+		r.suspectedUntil = now.Add(d)
+		until = r.suspectedUntil
 	})
-	return until, news
+	return until, isNew
 }
 
-// SuspectUntil takes in another router's suspicion.
+// SuspectUntil extends the suspicion of a backend server to a given time. It does not
+// count as a failure.
 func (h *Health) SuspectUntil(inc model.Incarnation, until time.Time) {
-	h.with(inc, func(r *record) {
-		if until.After(r.until) {
-			r.since = h.now()
-			r.until = until
+	h.update(inc, func(r *record) {
+		if until.After(r.suspectedUntil) {
+			r.evidenceAt = h.now()
+			r.suspectedUntil = until
 		}
 	})
 }
 
-// RecordRefusal takes in that a backend server refused work of this router and gets
-// none until then. A lasting refusal counts as a failure.
+// RecordRefusal records that a backend server refused a request of this router and gets
+// none until the given time. A lasting refusal adds to the failures.
 func (h *Health) RecordRefusal(inc model.Incarnation, until time.Time, lasting bool) {
-	h.with(inc, func(r *record) {
-		r.since = h.now()
-		r.until = until
-		r.refuses = until
+	h.update(inc, func(r *record) {
+		r.evidenceAt = h.now()
+		r.suspectedUntil = until
+		r.refusesUntil = until
 		if lasting {
 			r.failureCount++
 		}
@@ -110,37 +108,37 @@
 	})
 }
 
-// NextSuspicionPeriod is how long the next suspicion lasts: it doubles with each
-// failure.
+// NextSuspicionPeriod returns how long the next suspicion would last. It doubles with
+// each failure.
 func (h *Health) NextSuspicionPeriod(inc model.Incarnation) time.Duration {
-	d := firstSuspicion
-	h.with(inc, func(r *record) { d = r.nextSuspicion() })
+	d := minSuspicion
+	h.update(inc, func(r *record) { d = r.nextSuspicionPeriod() })
 	return d
 }
 
-func (r *record) nextSuspicion() time.Duration {
-	return min(firstSuspicion<<min(r.failureCount, 6), longestSuspicion)
+func (r *record) nextSuspicionPeriod() time.Duration {
+	return min(minSuspicion<<min(r.failureCount, 6), maxSuspicion)
 }
 
-// SuspectFromPeer takes in that another router's work was refused, and until
-// when nobody should send more. It counts as a failure here as well.
+// SuspectFromPeer records that a backend server refused a request of another router and
+// gets none until the given time. It counts as a failure here as well.
 func (h *Health) SuspectFromPeer(inc model.Incarnation, until time.Time) {
 	now := h.now()
-	h.with(inc, func(r *record) {
-		if !until.After(r.until.Add(sameWord)) {
+	h.update(inc, func(r *record) {
+		if !until.After(r.suspectedUntil.Add(suspicionTolerance)) {
 			return
 		}
-		if !now.Before(r.until) {
+		if !now.Before(r.suspectedUntil) {
 			r.failureCount++
 		}
-		r.since = now
-		r.until = until
-		r.refuses = until
+		r.evidenceAt = now
+		r.suspectedUntil = until
+		r.refusesUntil = until
 	})
 }
 
-// RecordAttempt takes in that a backend server is given work. One whose suspicion ran out
-// is not tried again for a moment.
+// RecordAttempt records that a request is sent to a backend server. If its suspicion
+// expired, it gets no other for attemptInterval.
 func (h *Health) RecordAttempt(inc model.Incarnation) {
 	r, ok := h.records.Get(inc)
 	if !ok {
@@ -149,42 +147,41 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.failureCount > 0 {
-		r.trial = h.now().Add(trialEvery)
+		r.nextAttempt = h.now().Add(attemptInterval)
 	}
 }
 
-// ClearSuspicion takes in proof that a backend server did work that it was given at some
-// time. Work from before a suspicion proves nothing against it.
-func (h *Health) ClearSuspicion(inc model.Incarnation, given time.Time) {
-	h.with(inc, func(r *record) {
-		if given.Before(r.since) {
+// ClearSuspicion records that a request sent to a backend server at sentAt succeeded. A
+// request sent before the last evidence against the server proves nothing.
+func (h *Health) ClearSuspicion(inc model.Incarnation, sentAt time.Time) {
+	h.update(inc, func(r *record) {
+		if sentAt.Before(r.evidenceAt) {
 			return
 		}
-		r.until = time.Time{}
-		r.refuses = time.Time{}
-		r.trial = time.Time{}
+		r.suspectedUntil = time.Time{}
+		r.refusesUntil = time.Time{}
+		r.nextAttempt = time.Time{}
 		r.failureCount = 0
 	})
 }
 
-// RecordProbeSuccess takes in that a backend server answered what it was asked at some time, and
-// tells whether that counts. Its failure count stays until it has done work: one that answers
-// and does nothing would else be tried again every second. A refusal of work stays its
-// time: an engine that drains answers. An answer that was asked for before the
-// suspicion was last raised or confirmed says nothing against it; requests would go
-// where one has just been lost or refused.
-func (h *Health) RecordProbeSuccess(inc model.Incarnation, asked time.Time) (counts bool) {
-	h.with(inc, func(r *record) {
-		if asked.Before(r.since) {
+// RecordProbeSuccess records that a backend server answered a probe sent at sentAt. It
+// returns false if the probe was sent before the last evidence against the server, and
+// then has no effect. The failure count stays until a request succeeds: a server that
+// only answers probes would otherwise get requests every second. A refusal stays in
+// force too, as a draining engine answers probes.
+func (h *Health) RecordProbeSuccess(inc model.Incarnation, sentAt time.Time) (conclusive bool) {
+	h.update(inc, func(r *record) {
+		if sentAt.Before(r.evidenceAt) {
 			return
 		}
-		r.until = r.refuses
-		counts = true
+		r.suspectedUntil = r.refusesUntil
+		conclusive = true
 	})
-	return counts
+	return conclusive
 }
 
-// Suspected tells whether a backend server should get nothing now.
+// Suspected reports whether a backend server should get no requests now.
 func (h *Health) Suspected(inc model.Incarnation) bool {
 	r, ok := h.records.Get(inc)
 	if !ok {
@@ -196,20 +193,21 @@
 }
 
 func (r *record) suspected(now time.Time) bool {
-	return now.Before(r.until) || r.failureCount > 0 && now.Before(r.trial)
+	return now.Before(r.suspectedUntil) || r.failureCount > 0 && now.Before(r.nextAttempt)
 }
 
-// Begin and End bracket a request of this process at a backend server.
-func (h *Health) Begin(inc model.Incarnation) { h.with(inc, func(r *record) { r.active++ }) }
+// Begin records the start of a request of this process at a backend server.
+func (h *Health) Begin(inc model.Incarnation) { h.update(inc, func(r *record) { r.active++ }) }
 
-// End takes in how a request went. latency is 0 where it says nothing.
+// End records the end of a request and whether it succeeded. A latency of 0 is not
+// recorded.
 func (h *Health) End(inc model.Incarnation, ok bool, latency time.Duration) {
-	h.with(inc, func(r *record) {
+	h.update(inc, func(r *record) {
 		r.active--
 		if ok {
 			r.failureCount = 0
 		}
-		r.judge(h.now(), ok)
+		r.recordOutcome(h.now(), ok)
 		if latency <= 0 {
 			return
 		}
@@ -220,32 +218,33 @@
 	})
 }
 
-// Cancel ends a request that tells nothing of its server: its caller left.
-func (h *Health) Cancel(inc model.Incarnation) { h.with(inc, func(r *record) { r.active-- }) }
+// Cancel records the end of a request that its caller cancelled. It has no effect on
+// the failure rate.
+func (h *Health) Cancel(inc model.Incarnation) { h.update(inc, func(r *record) { r.active-- }) }
 
-// RecordOutcome takes in whether a backend server did work that is not bracketed by
-// Begin and End.
+// RecordOutcome records whether a request succeeded for which Begin and End are not
+// called.
 func (h *Health) RecordOutcome(inc model.Incarnation, ok bool) {
-	h.with(inc, func(r *record) { r.judge(h.now(), ok) })
+	h.update(inc, func(r *record) { r.recordOutcome(h.now(), ok) })
 }
 
-// judge counts an outcome in the failure share.
-func (r *record) judge(now time.Time, ok bool) {
+func (r *record) recordOutcome(now time.Time, ok bool) {
 	failed := 1.0
 	if ok {
 		failed = 0
 	}
-	share := r.failureShare(now)
-	r.failures = share + failureWeight*(failed-share)
-	r.judged = now
+	rate := r.decayedFailureRate(now)
+	r.failureRate = rate + failureRateWeight*(failed-rate)
+	r.failureRateAt = now
 }
 
-// failureShare is the share of failed requests, faded since the last outcome.
-func (r *record) failureShare(now time.Time) float64 {
-	return r.failures * math.Exp(-now.Sub(r.judged).Seconds()/failureMemory.Seconds())
+// decayedFailureRate returns the failure rate as of now.
+func (r *record) decayedFailureRate(now time.Time) float64 {
+	return r.failureRate * math.Exp(-now.Sub(r.failureRateAt).Seconds()/failureRateDecay.Seconds())
 }
 
-// Retain drops what is known of incarnations that are gone.
+// Retain drops the evidence about incarnations without requests that known does not
+// report.
 func (h *Health) Retain(known func(model.Incarnation) bool) {
 	h.records.DeleteIf(func(inc model.Incarnation, r *record) bool {
 		r.mu.Lock()
@@ -254,7 +253,7 @@
 	})
 }
 
-// View is the evidence about one backend server.
+// View is the evidence about one backend server at one time.
 type View struct {
 	Suspected   bool
 	FailureRate float64
@@ -262,12 +261,12 @@
 	Active      int
 }
 
-// View reads the evidence about one backend server.
+// View returns the evidence about one backend server.
 func (h *Health) View(inc model.Incarnation) View {
 	var v View
 	now := h.now()
-	h.with(inc, func(r *record) {
-		v = View{Suspected: r.suspected(now), FailureRate: r.failureShare(now), Latency: r.latency, Active: r.active}
+	h.update(inc, func(r *record) {
+		v = View{Suspected: r.suspected(now), FailureRate: r.decayedFailureRate(now), Latency: r.latency, Active: r.active}
 	})
 	return v
 }
--- a/internal/coordination/catalog/incarnation.go
+++ b/internal/coordination/catalog/incarnation.go
@@ -6,69 +6,69 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// One id, and one address, belongs to one process at a time. Entries of processes
-// that ended come all the same: the last write of one that was cut off is carried
-// out seconds after its successor registered. Which of two incarnations is the
-// older one is told by which was heard of first; the start that they name is the
-// word of clocks that jump.
+// An id and an address belong to one process at a time, but the last write of a process
+// that was cut off may arrive after its successor registered. The order in which
+// incarnations were first observed decides which is newer. Their start times come from
+// clocks that may jump.
 
-// Conflicts is what follows from an entry beside the entry itself.
+// Conflicts are the other incarnations that an entry conflicts with.
 type Conflicts struct {
-	// Exited are incarnations whose process has surely ended, as another one has
-	// their id or address.
+	// Exited are incarnations whose process has exited, as another one has their id or
+	// address.
 	Exited []model.BackendServer
-	// Disputed are incarnations that claim the id of one that is believed in, and
-	// may be older; the server at their address can tell.
+	// Disputed are incarnations that claim the id of a known one and may be older. The
+	// server at their address must be asked.
 	Disputed []model.BackendServer
 }
 
-func (n *Conflicts) add(o Conflicts) {
-	n.Exited = append(n.Exited, o.Exited...)
-	n.Disputed = append(n.Disputed, o.Disputed...)
+func (c *Conflicts) add(other Conflicts) {
+	c.Exited = append(c.Exited, other.Exited...)
+	c.Disputed = append(c.Disputed, other.Disputed...)
 }
 
-// verdict is what is done with an entry under an id that is known.
-type verdict int
+// decision is what to do with an entry whose id is known.
+type decision int
 
 const (
-	accept verdict = iota
-	// passOver is late news of an older incarnation: it changes nothing.
-	passOver
-	// ask means that only the server itself can tell.
-	ask
-	// nobodys is an entry that lacks what its server always tells.
-	nobodys
+	accept decision = iota
+	// ignore is for a late entry of an older incarnation.
+	ignore
+	// dispute is for an entry whose age only the server itself can tell.
+	dispute
+	// reject is for an entry that lacks the start time and so was not written by its
+	// server.
+	reject
 )
 
-// compare decides between the incarnation that is believed in, nil for none, and
-// the one that an entry names.
-func (c *Catalog) compare(old *entry, b *model.BackendServer) verdict {
-	if c.sightings.succeeded(b.Incarnation()) {
-		return passOver
+// compare decides between the known incarnation, nil if there is none, and that of an
+// entry.
+func (c *Catalog) compare(old *entry, b *model.BackendServer) decision {
+	if c.history.superseded(b.Incarnation()) {
+		return ignore
 	}
 	switch {
 	case old == nil || old.server.Born == b.Born:
 		return accept
 	case b.Born == 0:
-		return nobodys
+		return reject
 	case b.Born < old.server.Born:
-		// Never heard of, and by its clock the older one: a late write of a
-		// process that ended before this router started, or a new process whose
-		// clock was set back. Taken at its word the first would put the living
-		// one out of use for good, as that was heard of before.
-		return ask
+		// Not observed before, and older by its clock. It is either a late write of a
+		// process that exited before this router started, or a new process whose clock
+		// was set back. Accepting the first would put the running process out of use
+		// for good.
+		return dispute
 	}
 	return accept
 }
 
-// ResolveIncarnation takes in which incarnation answers at a server's address, as it said
-// itself. holds are the layers that it has. A word that was asked for while
-// another incarnation was believed in is too old to tell.
-func (c *Catalog) ResolveIncarnation(asked model.Incarnation, born int64, holds model.LayerRange) Conflicts {
+// ResolveIncarnation records which incarnation answered at a server's address, with the
+// layers that it holds, and returns the one that exited. The answer is ignored if the
+// known incarnation changed since it was requested.
+func (c *Catalog) ResolveIncarnation(expected model.Incarnation, born int64, holds model.LayerRange) Conflicts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e, ok := c.entries[asked.ID]
-	if !ok || born == 0 || e.server.Born != asked.Born || e.server.Born == born {
+	e, ok := c.entries[expected.ID]
+	if !ok || born == 0 || e.server.Born != expected.Born || e.server.Born == born {
 		return Conflicts{}
 	}
 	b := e.server
@@ -76,49 +76,48 @@
 	b.Holds = holds
 	next := *e
 	next.server = b
-	next.first = c.sightings.renew(b.Incarnation(), c.now())
+	next.firstSeen = c.history.setNewest(b.Incarnation(), c.now())
 	c.entries[b.ID] = &next
-	c.stale.Store(true)
+	c.dirty.Store(true)
 	return Conflicts{Exited: []model.BackendServer{e.server}}
 }
 
-// displaced tells which older incarnation had a new entry's address.
-func (c *Catalog) displaced(e *entry) []model.BackendServer {
+// replacedAtAddress returns the older incarnation at a new entry's address, if any.
+func (c *Catalog) replacedAtAddress(e *entry) []model.BackendServer {
 	id, addr := e.server.ID, e.server.Address
-	before := c.newest[addr]
+	before := c.newestByAddr[addr]
 	other, ok := c.entries[before]
 	if !ok || before == id || other.server.Address != addr {
-		c.newest[addr] = id
+		c.newestByAddr[addr] = id
 		return nil
 	}
-	if !e.after(other) {
+	if !e.startedAfter(other) {
 		return nil
 	}
-	c.newest[addr] = id
+	c.newestByAddr[addr] = id
 	return []model.BackendServer{other.server}
 }
 
-// holders finds who has each address.
-func holders(entries map[string]*entry) map[string]*entry {
+// newestAtAddresses returns the newest entry of each address.
+func newestAtAddresses(entries map[string]*entry) map[string]*entry {
 	out := make(map[string]*entry, len(entries))
 	for _, e := range entries {
-		if other := out[e.server.Address]; other == nil || e.after(other) {
+		if other := out[e.server.Address]; other == nil || e.startedAfter(other) {
 			out[e.server.Address] = e
 		}
 	}
 	return out
 }
 
-// after tells whether an incarnation began after another one at its address.
-// Those that came with one read of the whole list are told apart by their starts,
-// and by their heartbeats where they name no start: who has written fewer lives
-// for a shorter time.
-func (e *entry) after(o *entry) bool {
-	a, b := &e.server, &o.server
-	together := e.first.read != 0 && e.first.read == o.first.read
+// startedAfter reports whether an incarnation started after another one at the same
+// address. Entries from the same read of the whole list are compared by start time.
+// Without start times, the one with fewer heartbeats started later.
+func (e *entry) startedAfter(other *entry) bool {
+	a, b := &e.server, &other.server
+	sameRead := e.firstSeen.read != 0 && e.firstSeen.read == other.firstSeen.read
 	switch {
-	case !together && e.first.revision != o.first.revision:
-		return e.first.revision > o.first.revision
+	case !sameRead && e.firstSeen.revision != other.firstSeen.revision:
+		return e.firstSeen.revision > other.firstSeen.revision
 	case a.Born != b.Born:
 		return a.Born > b.Born
 	case a.Beats != b.Beats:
@@ -129,89 +128,89 @@
 	return a.ID < b.ID
 }
 
-// sighting is when an incarnation was first heard of.
-type sighting struct {
-	// revision is the store's of the first entry that named it.
+// observation is when an incarnation was first observed.
+type observation struct {
+	// revision is that of the first entry which named the incarnation.
 	revision model.Revision
-	// read numbers the read of the whole list that brought it; 0 where it was a
-	// change. What one read brings may be older or newer than its revision says.
+	// read is the number of the read of the whole list that returned the entry, 0 if it
+	// was a change. The revisions of entries from one read do not tell which process
+	// started first.
 	read int64
 }
 
-// sightings remembers incarnations beyond their end, so that late news of them is
-// known for what it is.
-type sightings struct {
-	first map[model.Incarnation]sighting
-	last  map[model.Incarnation]time.Time
-	reads int64
-	// newest is the incarnation of each id that was heard of last.
+// incarnationHistory remembers incarnations after their exit, so that their late
+// entries are recognized.
+type incarnationHistory struct {
+	firstSeen map[model.Incarnation]observation
+	lastSeen  map[model.Incarnation]time.Time
+	reads     int64
+	// newest is the newest incarnation of each id.
 	newest map[string]model.Incarnation
-	// latest is the highest revision that was seen.
-	latest model.Revision
+	// maxRevision is the highest revision observed.
+	maxRevision model.Revision
 }
 
-func newSightings() sightings {
-	return sightings{
-		first:  map[model.Incarnation]sighting{},
-		last:   map[model.Incarnation]time.Time{},
-		newest: map[string]model.Incarnation{},
+func newIncarnationHistory() incarnationHistory {
+	return incarnationHistory{
+		firstSeen: map[model.Incarnation]observation{},
+		lastSeen:  map[model.Incarnation]time.Time{},
+		newest:    map[string]model.Incarnation{},
 	}
 }
 
-// succeeded tells whether another incarnation came under the id after this one.
-func (s *sightings) succeeded(inc model.Incarnation) bool {
-	mine, known := s.first[inc]
-	newest := s.newest[inc.ID]
-	return known && newest != inc && mine.revision < s.first[newest].revision
+// superseded reports whether a newer incarnation with the same id was observed.
+func (h *incarnationHistory) superseded(inc model.Incarnation) bool {
+	own, known := h.firstSeen[inc]
+	newest := h.newest[inc.ID]
+	return known && newest != inc && own.revision < h.firstSeen[newest].revision
 }
 
-// rememberFor is how long an incarnation is remembered after it was last heard
-// of. Late writes come within some twelve seconds; a minute costs 100 bytes an
-// engine that went.
-const rememberFor = time.Minute
+// historyRetention is how long an incarnation is remembered after its last entry. Late
+// writes arrive within some twelve seconds.
+const historyRetention = time.Minute
 
-// note takes in an entry that names an incarnation; read is as in sighting. It
-// gives when the incarnation was first heard of.
-func (s *sightings) note(b *model.BackendServer, read int64, now time.Time) sighting {
+// observe records an entry and returns when its incarnation was first observed.
+func (h *incarnationHistory) observe(b *model.BackendServer, read int64, now time.Time) observation {
 	inc := b.Incarnation()
-	seen, ok := s.first[inc]
+	seen, ok := h.firstSeen[inc]
 	if !ok {
-		seen = sighting{revision: b.Revision, read: read}
-		s.first[inc] = seen
-		s.newest[inc.ID] = inc
+		seen = observation{revision: b.Revision, read: read}
+		h.firstSeen[inc] = seen
+		h.newest[inc.ID] = inc
 	}
-	s.last[inc] = now
-	s.latest = max(s.latest, b.Revision)
+	h.lastSeen[inc] = now
+	h.maxRevision = max(h.maxRevision, b.Revision)
 	return seen
 }
 
-// renew takes in that an incarnation is the newest after all.
-func (s *sightings) renew(inc model.Incarnation, now time.Time) sighting {
-	seen := sighting{revision: s.latest + 1}
-	s.first[inc] = seen
-	s.last[inc] = now
-	s.newest[inc.ID] = inc
+// setNewest records that an incarnation is the newest of its id.
+func (h *incarnationHistory) setNewest(inc model.Incarnation, now time.Time) observation {
+	seen := observation{revision: h.maxRevision + 1}
+	h.firstSeen[inc] = seen
+	h.lastSeen[inc] = now
+	h.newest[inc.ID] = inc
 	return seen
 }
 
-// PruneExited drops what is remembered of incarnations that ended long ago.
+// PruneExited forgets exited incarnations whose last entry is older than
+// historyRetention.
 func (c *Catalog) PruneExited() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	for addr, id := range c.newest {
+	for addr, id := range c.newestByAddr {
 		if c.entries[id] == nil {
-			delete(c.newest, addr)
+			delete(c.newestByAddr, addr)
 		}
 	}
-	for inc, at := range c.sightings.last {
+	for inc, at := range c.history.lastSeen {
 		e := c.entries[inc.ID]
 		present := e != nil && e.server.Born == inc.Born
-		if !present && now.Sub(at) > rememberFor {
-			delete(c.sightings.first, inc)
-			delete(c.sightings.last, inc)
-			if c.sightings.newest[inc.ID] == inc {
-				delete(c.sightings.newest, inc.ID)
+		if !present && now.Sub(at) > historyRetention {
+			delete(c.history.firstSeen, inc)
+			delete(c.history.lastSeen, inc)
+			if c.history.newest[inc.ID] == inc {
+				delete(c.history.newest, inc.ID)
 			}
 		}
 	}
--- a/internal/coordination/catalog/snapshot.go
+++ b/internal/coordination/catalog/snapshot.go
@@ -6,7 +6,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// Snapshot is the catalogue at one moment. It is never changed in place.
+// Snapshot is the state of the catalog at one time. It is immutable.
 type Snapshot struct {
 	services map[string][]*model.BackendServer
 	byID     map[string]*model.BackendServer
@@ -14,11 +14,12 @@
 	domains  map[string]bool
 }
 
-// Service lists the backend servers of a service that may get new work, ordered
-// by id.
+// Service returns the backend servers of a service that may get new requests, sorted by
+// id.
 func (s *Snapshot) Service(name string) []*model.BackendServer { return s.services[name] }
 
-// All lists every known backend server of a service, leaving ones included.
+// All returns all known backend servers of a service, including draining ones, sorted
+// by id.
 func (s *Snapshot) All(name string) []*model.BackendServer {
 	var out []*model.BackendServer
 	for _, b := range s.byID {
@@ -30,17 +31,17 @@
 	return out
 }
 
-// Domains counts the failure domains that have backend servers.
+// Domains returns the number of failure domains that have backend servers.
 func (s *Snapshot) Domains() int { return len(s.domains) }
 
-// ByID finds the present incarnation of a backend server; nil if there is none.
+// ByID returns the known incarnation of a backend server, or nil.
 func (s *Snapshot) ByID(id string) *model.BackendServer { return s.byID[id] }
 
-// ByAddress finds who has an address; nil if nobody is known to.
+// ByAddress returns the backend server at an address, or nil.
 func (s *Snapshot) ByAddress(addr string) *model.BackendServer { return s.byAddr[addr] }
 
-// Find finds one incarnation of a backend server; nil where it is not known, or
-// another one has taken its place.
+// Find returns the given incarnation of a backend server, or nil if it is not the known
+// one.
 func (s *Snapshot) Find(inc model.Incarnation) *model.BackendServer {
 	if b := s.byID[inc.ID]; b != nil && b.Born == inc.Born {
 		return b
@@ -55,7 +56,7 @@
 		byAddr:   make(map[string]*model.BackendServer, len(entries)),
 		domains:  map[string]bool{},
 	}
-	holder := holders(entries)
+	holder := newestAtAddresses(entries)
 	for id, e := range entries {
 		if holder[e.server.Address] != e {
 			continue
@@ -64,7 +65,7 @@
 		s.byID[id] = &b
 		s.byAddr[b.Address] = &b
 		s.domains[b.FailureDomain] = true
-		if !b.Draining && !e.unreadable {
+		if !b.Draining && !e.malformed {
 			s.services[b.Service] = append(s.services[b.Service], &b)
 		}
 	}
