--- a/internal/coordination/limits/limits.go
+++ b/internal/coordination/limits/limits.go
@@ -1,5 +1,5 @@
-// Package limits keeps customers within their rates and retries within their
-// budget, with no counter shared between entries.
+// Package limits enforces customers' request rates, retry budgets and the concurrency
+// of engines, without counters shared between entries.
 package limits
 
 import (
@@ -12,41 +12,42 @@
 	"github.com/skylarkwood/skylarkwood/internal/state/shard"
 )
 
-// RateLimiter holds a customer's share of its rate at this entry. The balancer
-// spreads callers evenly, so each of n entries grants an nth of the rate; a
-// central counter would cost a call for every request.
+// RateLimiter limits customers to this entry's share of their rate. The balancer
+// spreads callers evenly, so each of n entries allows an nth of the rate. A central
+// counter would cost a call for every request.
 type RateLimiter struct {
 	entries  func() int
-	limiters *shard.Map[string, *share]
+	limiters *shard.Map[string, *customerLimit]
 }
 
-type share struct {
+type customerLimit struct {
 	mu      sync.Mutex
 	rate    float64
 	entries int
 	limiter *rate.Limiter
 }
 
-// NewRateLimiter makes the shares of one entry; entries tells how many share.
+// NewRateLimiter returns the limiter of one entry; entries returns how many share the
+// rate.
 func NewRateLimiter(entries func() int) *RateLimiter {
-	return &RateLimiter{entries: entries, limiters: shard.New[string, *share]()}
+	return &RateLimiter{entries: entries, limiters: shard.New[string, *customerLimit]()}
 }
 
-// Allow takes one request of a customer's rate (requests a second over all
-// entries, 0 for none) and burst. Where it is refused, the time after which
-// the share has room again is given.
+// Allow takes one request from a customer's rate at a service. perSecond is the rate
+// over all entries, 0 for no limit. If the request is refused, Allow returns the time
+// until the next one would be allowed.
 func (r *RateLimiter) Allow(customer, service string, perSecond float64, burst int, now time.Time) (bool, time.Duration) {
 	if perSecond <= 0 {
 		return true, 0
 	}
-	s, _ := r.limiters.GetOrPut(customer+"\x00"+service, func() *share { return &share{} })
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	c, _ := r.limiters.GetOrPut(customer+"\x00"+service, func() *customerLimit { return &customerLimit{} })
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n := max(r.entries(), 1)
-	if s.limiter == nil || s.rate != perSecond || s.entries != n {
-		s.set(perSecond, burst, n, now)
+	if c.limiter == nil || c.rate != perSecond || c.entries != n {
+		c.configure(perSecond, burst, n, now)
 	}
-	res := s.limiter.ReserveN(now, 1)
+	res := c.limiter.ReserveN(now, 1)
 	wait := res.DelayFrom(now)
 	if wait == 0 {
 		return true, 0
@@ -55,47 +56,48 @@
 	return false, wait
 }
 
-func (s *share) set(perSecond float64, burst, n int, now time.Time) {
-	s.rate = perSecond
-	s.entries = n
+func (c *customerLimit) configure(perSecond float64, burst, n int, now time.Time) {
+	c.rate = perSecond
+	c.entries = n
 	limit := rate.Limit(perSecond / float64(n))
 	size := max(1, (burst+n-1)/n)
-	if s.limiter == nil {
-		s.limiter = rate.NewLimiter(limit, size)
+	if c.limiter == nil {
+		c.limiter = rate.NewLimiter(limit, size)
 		return
 	}
-	s.limiter.SetLimitAt(now, limit)
-	s.limiter.SetBurstAt(now, size)
+	c.limiter.SetLimitAt(now, limit)
+	c.limiter.SetBurstAt(now, size)
 }
 
 const (
-	// retryShare is how many retries each request adds to the budget: at most a
-	// tenth more load, however much fails.
-	retryShare = 0.1
-	// retryReserve lets a process that has served little retry at all.
-	retryReserve = 10
+	// tokensPerRequest is how many retry tokens each request adds. It bounds the load
+	// of retries to a tenth of that of requests.
+	tokensPerRequest = 0.1
+	// maxTokens is the budget's initial and maximum content. It lets a process retry
+	// that has served few requests.
+	maxTokens = 10
 )
 
-// RetryBudget bounds retries by the requests served. Without it the loss of a
-// failure domain sends each of its requests again at once to the rest.
+// RetryBudget bounds retries by the number of requests. Otherwise the loss of a failure
+// domain would repeat all of its requests at the others at once.
 type RetryBudget struct {
 	mu     sync.Mutex
 	tokens float64
 }
 
-// NewRetryBudget makes a budget with its reserve.
+// NewRetryBudget returns a full budget.
 func NewRetryBudget() *RetryBudget {
-	return &RetryBudget{tokens: retryReserve}
+	return &RetryBudget{tokens: maxTokens}
 }
 
-// RecordRequest adds a request's share.
+// RecordRequest adds the tokens of one request.
 func (b *RetryBudget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+retryShare, retryReserve)
+	b.tokens = min(b.tokens+tokensPerRequest, maxTokens)
 }
 
-// Take takes one retry from the budget, if there is one.
+// Take takes one retry token and reports whether there was one.
 func (b *RetryBudget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -106,8 +108,8 @@
 	return true
 }
 
-// Jitter spreads a come-back time over [d, 1.5d), so that a burst refused
-// together does not come back together.
+// Jitter returns a random duration in [d, 1.5d], so that callers refused together do
+// not retry together.
 func Jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return d
--- a/internal/coordination/limits/loans.go
+++ b/internal/coordination/limits/loans.go
@@ -9,84 +9,82 @@
 )
 
 const (
-	// loanSize is how many repeated sends are asked for at once. An engine that
-	// dies interrupts some ten to fifty streams of a router within moments.
-	loanSize = 8
-	// loanLasts is how long after the question borrowed sends may be used. The
-	// lender counted them when it lent them, which may be long before its answer
-	// is here; used much later they would fall into a window in which it has them
-	// to spend again, and more are sent than the budget allows. The question is
-	// never later than the loan, so counting from it is enough.
-	loanLasts = 500 * time.Millisecond
-	// loanTries is how many peers are asked before none is taken to have spares.
-	loanTries = 2
-	// loanWait bounds one peer's answer; it takes 2 ms, or 20 at a busy peer.
-	loanWait = 100 * time.Millisecond
-	// loanPause is how long nobody is asked after no peer had spares: as long
-	// as peers take to tell of new ones.
-	loanPause = 250 * time.Millisecond
+	// borrowBatch is how many retry tokens are requested at once.
+	borrowBatch = 8
+	// borrowedLifetime is how long borrowed tokens may be used. The peer counts them as
+	// spent when it lends them, and after a window may spend them again. The time
+	// counts from the request, which is never later than the loan.
+	borrowedLifetime = 500 * time.Millisecond
+	// maxBorrowAttempts is how many peers are asked before the router gives up.
+	maxBorrowAttempts = 2
+	borrowTimeout     = 100 * time.Millisecond
+	// borrowRetryDelay is how long no peer is asked after all refused. It is the time
+	// in which peers advertise new spare tokens.
+	borrowRetryDelay = 250 * time.Millisecond
 )
 
-// RetryBorrower lets a router whose part of the shared budget is used up borrow from
-// peers that have spares. An engine's loss hits the routers of one failure
-// domain; their own parts are used up at once while the others' lie idle, and
-// streams that could go on are broken off. What is lent counts as spent at the
-// lender, so the sum over all routers holds whoever is cut off from whom.
+// RetryBorrower takes retry tokens from a router's own part of the shared budget, or
+// borrows spare ones from peers if that is used up. The loss of an engine affects the
+// routers of one failure domain, while the other routers have tokens left. A peer
+// counts what it lends as spent, so the sum over all routers stays within the budget
+// even if routers are cut off from each other.
 type RetryBorrower struct {
 	Budget *SharedRetryBudget
-	// Borrow asks a peer to lend; it gives how many it lent.
+	// Borrow asks a peer to lend up to want tokens and returns how many it lent.
 	Borrow func(ctx context.Context, peer, service string, want int) (int, error)
 	Now    func() time.Time
 
 	mu       sync.Mutex
-	services map[string]*account
+	services map[string]*borrowState
 }
 
-// account is what a router borrowed for one service, and from whom it may.
-type account struct {
-	left    int
-	until   time.Time     // what is left may be used so long
-	asking  chan struct{} // closed when the query under way ends; nil if none is
-	pause   time.Time     // nobody is asked before
-	lenders map[string]lender
+// borrowState holds what a router borrowed for one service, and what its peers can
+// lend.
+type borrowState struct {
+	borrowed   int
+	expires    time.Time     // of the borrowed tokens
+	inProgress chan struct{} // closed when the request in progress ends; nil if there is none
+	retryAt    time.Time     // no peer is asked before
+	peers      map[string]peerTokens
 }
 
-type lender struct {
-	spare int
-	until time.Time // believed so long
+type peerTokens struct {
+	spare   int
+	expires time.Time
 }
 
-// SetPeerTokens takes in what a peer could lend, and how long that is believed.
-func (l *RetryBorrower) SetPeerTokens(peer string, spares map[string]int, good time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	until := l.Now().Add(good)
-	for service, n := range spares {
-		l.account(service).lenders[peer] = lender{spare: n, until: until}
+// SetPeerTokens stores the spare tokens that a peer advertised, by service. They are
+// valid for lifetime.
+func (b *RetryBorrower) SetPeerTokens(peer string, spare map[string]int, lifetime time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	expires := b.Now().Add(lifetime)
+	for service, n := range spare {
+		b.state(service).peers[peer] = peerTokens{spare: n, expires: expires}
 	}
 }
 
-func (l *RetryBorrower) account(service string) *account {
-	if l.services == nil {
-		l.services = map[string]*account{}
+func (b *RetryBorrower) state(service string) *borrowState {
+	if b.services == nil {
+		b.services = map[string]*borrowState{}
 	}
-	a, ok := l.services[service]
+	st, ok := b.services[service]
 	if !ok {
-		a = &account{lenders: map[string]lender{}}
-		l.services[service] = a
+		st = &borrowState{peers: map[string]peerTokens{}}
+		b.services[service] = st
 	}
-	return a
+	return st
 }
 
-// Take takes one repeated send from the router's own part, or borrows it. Nothing is
-// taken after the end of ctx: the budget would be spent on a caller that left, and
-// miss where streams are interrupted.
-func (l *RetryBorrower) Take(ctx context.Context, service string) bool {
+// Take takes one retry token for a service and reports whether it got one. It may wait
+// while tokens are borrowed. It takes none once ctx is done, as a cancelled request
+// needs no retry.
+func (b *RetryBorrower) Take(ctx context.Context, service string) bool {
 	for ctx.Err() == nil {
-		if l.Budget.Take(service) {
+		if b.Budget.Take(service) {
 			return true
 		}
-		wait, ok := l.borrowed(service)
+		wait, ok := b.takeBorrowed(service)
 		if ok {
 			return true
 		}
@@ -101,75 +99,76 @@
 	return false
 }
 
-// borrowed takes one of the borrowed sends. Where none is left it gives what to
-// wait for before another try, nil if there is nothing to wait for.
-func (l *RetryBorrower) borrowed(service string) (wait <-chan struct{}, ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	now := l.Now()
-	a := l.account(service)
-	if a.left > 0 && now.Before(a.until) {
-		a.left--
+// takeBorrowed takes one borrowed token. If none is left, it returns a channel that is
+// closed when the request for more ends, or nil if there is none.
+func (b *RetryBorrower) takeBorrowed(service string) (wait <-chan struct{}, ok bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.Now()
+	st := b.state(service)
+	if st.borrowed > 0 && now.Before(st.expires) {
+		st.borrowed--
 		return nil, true
 	}
-	if a.asking != nil {
-		return a.asking, false
+	if st.inProgress != nil {
+		return st.inProgress, false
 	}
-	if now.Before(a.pause) {
+	if now.Before(st.retryAt) {
 		return nil, false
 	}
-	a.asking = make(chan struct{})
-	go l.borrow(service, a)
-	return a.asking, false
+	st.inProgress = make(chan struct{})
+	go b.borrow(service, st)
+	return st.inProgress, false
 }
 
-// borrow asks the peers that told of most spares.
-func (l *RetryBorrower) borrow(service string, a *account) {
-	got := 0
-	var asked time.Time
-	for try := 0; try < loanTries && got == 0; try++ {
-		peer := l.richest(a)
+// borrow asks the peers with the most spare tokens until one lends some.
+func (b *RetryBorrower) borrow(service string, st *borrowState) {
+	lent := 0
+	var requestedAt time.Time
+	for attempt := 0; attempt < maxBorrowAttempts && lent == 0; attempt++ {
+		peer := b.reserveFromPeer(st)
 		if peer == "" {
 			break
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), loanWait)
-		asked = l.Now()
-		n, err := l.Borrow(ctx, peer, service, loanSize)
+		ctx, cancel := context.WithTimeout(context.Background(), borrowTimeout)
+		requestedAt = b.Now()
+		n, err := b.Borrow(ctx, peer, service, borrowBatch)
 		cancel()
-		klog.InfoS("repeated sends borrowed", "service", service, "peer", peer, "lent", n, "err", err)
-		got = n
+		klog.InfoS("requested retry tokens from peer", "service", service, "peer", peer, "lent", n, "err", err)
+		lent = n
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	now := l.Now()
-	a.left = got
-	a.until = asked.Add(loanLasts)
-	if got == 0 {
-		a.pause = now.Add(loanPause)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.Now()
+	st.borrowed = lent
+	st.expires = requestedAt.Add(borrowedLifetime)
+	if lent == 0 {
+		st.retryAt = now.Add(borrowRetryDelay)
 	}
-	close(a.asking)
-	a.asking = nil
+	close(st.inProgress)
+	st.inProgress = nil
 }
 
-// richest chooses the peer to ask and counts the loan off what it told.
-func (l *RetryBorrower) richest(a *account) string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	now := l.Now()
+// reserveFromPeer returns the peer with the most spare tokens and deducts those to
+// borrow. It returns an empty string if no peer has any.
+func (b *RetryBorrower) reserveFromPeer(st *borrowState) string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.Now()
 	best := ""
-	for peer, of := range a.lenders {
-		if !now.Before(of.until) {
-			delete(a.lenders, peer)
+	for peer, tokens := range st.peers {
+		if !now.Before(tokens.expires) {
+			delete(st.peers, peer)
 			continue
 		}
-		if of.spare > 0 && (best == "" || of.spare > a.lenders[best].spare) {
+		if tokens.spare > 0 && (best == "" || tokens.spare > st.peers[best].spare) {
 			best = peer
 		}
 	}
 	if best != "" {
-		of := a.lenders[best]
-		of.spare = max(of.spare-loanSize, 0)
-		a.lenders[best] = of
+		tokens := st.peers[best]
+		tokens.spare = max(tokens.spare-borrowBatch, 0)
+		st.peers[best] = tokens
 	}
 	return best
 }
--- a/internal/coordination/limits/loans_test.go
+++ b/internal/coordination/limits/loans_test.go
@@ -11,24 +11,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// borrowers is a fleet of routers that share a budget and lend to each other.
-type borrowers struct {
-	budgets map[string]*SharedRetryBudget
-	loans   map[string]*RetryBorrower
-	cut     map[string]bool // peers that do not answer
+// borrowerFleet is a set of routers that share a budget and lend to each other.
+type borrowerFleet struct {
+	budgets      map[string]*SharedRetryBudget
+	borrowers    map[string]*RetryBorrower
+	unresponsive map[string]bool // peers that do not answer
 }
 
-func newBorrowers(ratio, slack float64, names ...string) *borrowers {
-	f := &borrowers{budgets: map[string]*SharedRetryBudget{}, loans: map[string]*RetryBorrower{}, cut: map[string]bool{}}
+func newBorrowerFleet(ratio, slack float64, names ...string) *borrowerFleet {
+	f := &borrowerFleet{budgets: map[string]*SharedRetryBudget{}, borrowers: map[string]*RetryBorrower{}, unresponsive: map[string]bool{}}
 	for _, name := range names {
 		f.budgets[name] = NewSharedRetryBudget(ratio, slack, 10*time.Second, func() int { return len(names) }, time.Now)
-		f.loans[name] = &RetryBorrower{Budget: f.budgets[name], Borrow: f.ask, Now: time.Now}
+		f.borrowers[name] = &RetryBorrower{Budget: f.budgets[name], Borrow: f.lend, Now: time.Now}
 	}
 	return f
 }
 
-func (f *borrowers) ask(ctx context.Context, peer, service string, want int) (int, error) {
-	if f.cut[peer] {
+func (f *borrowerFleet) lend(ctx context.Context, peer, service string, want int) (int, error) {
+	if f.unresponsive[peer] {
 		<-ctx.Done()
 		return 0, errors.New("no answer")
 	}
@@ -36,57 +36,55 @@
 	return f.budgets[peer].Lend(service, want), nil
 }
 
-// tell spreads what each router could lend.
-func (f *borrowers) tell() {
+// advertise passes each router's spare tokens to all others.
+func (f *borrowerFleet) advertise() {
 	for from, b := range f.budgets {
-		for to, l := range f.loans {
+		for to, borrower := range f.borrowers {
 			if to != from {
-				l.SetPeerTokens(from, b.SpareTokens(), 2*time.Second)
+				borrower.SetPeerTokens(from, b.SpareTokens(), 2*time.Second)
 			}
 		}
 	}
 }
 
-// An engine dies in one failure domain and interrupts 60 streams of one router
-// within moments. Its own part of the budget is 10; the other routers have lost
-// nothing. The streams go on with what those lend, and the sum over all routers
-// stays within the budget.
+// An engine's loss interrupts 60 streams of one router, whose own part of the budget is
+// 10. It must borrow from the others, and the sum must stay within the budget.
 func TestInterruptedStreamsBorrowFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const routers, perRouter, ratio, slack = 6, 60, 0.2, 0
 		names := []string{"a", "b", "c", "d", "e", "f"}
-		f := newBorrowers(ratio, slack, names...)
+		f := newBorrowerFleet(ratio, slack, names...)
 		time.Sleep(10 * time.Second)
 		for _, b := range f.budgets {
 			for range perRouter {
 				b.RecordRequest("s")
 			}
 		}
-		f.tell()
+		f.advertise()
 		var mu sync.Mutex
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		taken := 0
 		for range 60 {
-			all.Go(func() {
-				if f.loans["a"].Take(context.Background(), "s") {
+			wg.Go(func() {
+				if f.borrowers["a"].Take(context.Background(), "s") {
 					mu.Lock()
 					defer mu.Unlock()
 					taken++
 				}
 			})
 		}
-		all.Wait()
+		wg.Wait()
 		alone := 10 // nine tenths of a fifth of its requests
-		assert.Assert(t, taken > 3*alone, "%d of 60 went on; alone %d", taken, alone)
+		assert.Assert(t, taken > 3*alone, "%d of 60 streams continued, %d without borrowing", taken, alone)
 		assert.Assert(t, float64(taken) <= ratio*perRouter*routers)
 	})
 }
 
-// The peer with the most spares is cut off. Streams wait for its answer a tenth
-// of a second, then borrow from the next; nobody waits longer when all are cut.
-func TestBorrowingDoesNotHangOnAPeer(t *testing.T) {
+// The peer with the most spare tokens does not answer. Streams must borrow from the
+// next after borrowTimeout, and must not wait longer if none answers.
+func TestBorrowingTimesOutOnUnresponsivePeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newBorrowers(0.2, 300, "a", "b", "c")
+		f := newBorrowerFleet(0.2, 300, "a", "b", "c")
 		time.Sleep(10 * time.Second)
 		for range 50 {
 			f.budgets["b"].RecordRequest("s")
@@ -96,43 +94,41 @@
 		}
 		for f.budgets["a"].Take("s") {
 		}
-		f.tell()
-		f.cut["b"] = true
-		began := time.Now()
-		assert.Assert(t, f.loans["a"].Take(context.Background(), "s"))
-		assert.Assert(t, time.Since(began) <= loanWait+5*time.Millisecond)
-		f.cut["c"] = true
-		began = time.Now()
-		for range loanSize + 1 {
-			f.loans["a"].Take(context.Background(), "s")
+		f.advertise()
+		f.unresponsive["b"] = true
+		start := time.Now()
+		assert.Assert(t, f.borrowers["a"].Take(context.Background(), "s"))
+		assert.Assert(t, time.Since(start) <= borrowTimeout+5*time.Millisecond)
+		f.unresponsive["c"] = true
+		start = time.Now()
+		for range borrowBatch + 1 {
+			f.borrowers["a"].Take(context.Background(), "s")
 		}
-		assert.Assert(t, time.Since(began) <= loanTries*loanWait)
-		began = time.Now()
-		assert.Assert(t, !f.loans["a"].Take(context.Background(), "s"))
-		assert.Equal(t, time.Since(began), time.Duration(0), "nobody is asked again at once")
+		assert.Assert(t, time.Since(start) <= maxBorrowAttempts*borrowTimeout)
+		start = time.Now()
+		assert.Assert(t, !f.borrowers["a"].Take(context.Background(), "s"))
+		assert.Equal(t, time.Since(start), time.Duration(0), "no peer is asked again at once")
 	})
 }
 
-// What was borrowed and not used is not kept: its lender counted it when it lent
-// it, and has it to spend again a window later.
-func TestLoansLapse(t *testing.T) {
+// Borrowed tokens must expire, as their lender may spend them again in the next window.
+func TestBorrowedTokensExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newBorrowers(0.2, 300, "a", "b")
+		f := newBorrowerFleet(0.2, 300, "a", "b")
 		time.Sleep(10 * time.Second)
 		for f.budgets["a"].Take("s") {
 		}
 		f.budgets["b"].RecordRequest("s")
-		f.tell()
-		assert.Assert(t, f.loans["a"].Take(context.Background(), "s"))
-		time.Sleep(loanLasts)
-		f.cut["b"] = true
-		assert.Assert(t, !f.loans["a"].Take(context.Background(), "s"))
+		f.advertise()
+		assert.Assert(t, f.borrowers["a"].Take(context.Background(), "s"))
+		time.Sleep(borrowedLifetime)
+		f.unresponsive["b"] = true
+		assert.Assert(t, !f.borrowers["a"].Take(context.Background(), "s"))
 	})
 }
 
-// All routers are killed at once and start again. What they spent before is
-// forgotten; the slack is not spent a second time in the same window.
-func TestSlackIsNotSpentTwiceAfterAStart(t *testing.T) {
+// A router that restarts must not spend the slack again in the same window.
+func TestSlackIsNotSpentTwiceAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slack = 200
 		spent := 0
@@ -141,46 +137,42 @@
 				spent++
 			}
 		}
-		old := NewSharedRetryBudget(0.2, slack, 10*time.Second, func() int { return 1 }, time.Now)
+		first := NewSharedRetryBudget(0.2, slack, 10*time.Second, func() int { return 1 }, time.Now)
 		time.Sleep(10 * time.Second)
-		drain(old)
+		drain(first)
 		restarted := NewSharedRetryBudget(0.2, slack, 10*time.Second, func() int { return 1 }, time.Now)
 		drain(restarted)
 		assert.Assert(t, spent <= slack, "%d of %d", spent, slack)
 	})
 }
 
-// The caller has left when its request would be sent again. The send would be for
-// nobody, and what it takes of the shared budget is missing where an engine's loss
-// interrupts others.
-func TestNothingIsTakenForWhoLeft(t *testing.T) {
+// A cancelled request must take no token, as other streams would lack it.
+func TestNoTokenIsTakenForCancelledRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newBorrowers(0, 20, "a", "b")
+		f := newBorrowerFleet(0, 20, "a", "b")
 		time.Sleep(10 * time.Second)
 		f.budgets["a"].RecordRequest("s")
 		before := f.budgets["a"].SpareTokens()
 		assert.Assert(t, before["s"] > 0)
-		ctx, leave := context.WithCancel(context.Background())
-		leave()
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
 		for range 5 {
-			assert.Assert(t, !f.loans["a"].Take(ctx, "s"))
+			assert.Assert(t, !f.borrowers["a"].Take(ctx, "s"))
 		}
 		assert.DeepEqual(t, f.budgets["a"].SpareTokens(), before)
-		assert.Assert(t, f.loans["a"].Take(context.Background(), "s"))
+		assert.Assert(t, f.borrowers["a"].Take(context.Background(), "s"))
 	})
 }
 
-// More repeated sends reach a service in one window than its budget allows. A busy
-// lender counts what it lends when it is asked, and its answer is on the way for a
-// while; a loan that lasts from the answer on is used when the lender may spend the
-// same sends again.
-func TestLoanLastsFromTheQuestion(t *testing.T) {
-	const answerTime = loanWait - 10*time.Millisecond
-	for used, granted := range map[time.Duration]bool{loanLasts - time.Millisecond: true, loanLasts: false} {
+// The lifetime of borrowed tokens must start with the request. If it started with a
+// slow answer, they could be used when the lender may already spend them again.
+func TestBorrowedTokensExpireFromTheRequest(t *testing.T) {
+	const answerTime = borrowTimeout - 10*time.Millisecond
+	for used, granted := range map[time.Duration]bool{borrowedLifetime - time.Millisecond: true, borrowedLifetime: false} {
 		synctest.Test(t, func(t *testing.T) {
-			f := newBorrowers(0.2, 300, "a", "b")
-			a := f.loans["a"]
-			a.Borrow = func(_ context.Context, peer, service string, want int) (int, error) {
+			f := newBorrowerFleet(0.2, 300, "a", "b")
+			borrower := f.borrowers["a"]
+			borrower.Borrow = func(_ context.Context, peer, service string, want int) (int, error) {
 				lent := f.budgets[peer].Lend(service, want)
 				time.Sleep(answerTime)
 				return lent, nil
@@ -189,13 +181,13 @@
 			for f.budgets["a"].Take("s") {
 			}
 			f.budgets["b"].RecordRequest("s")
-			f.tell()
-			asked := time.Now()
-			assert.Assert(t, a.Take(context.Background(), "s"))
-			assert.Equal(t, time.Since(asked), answerTime)
+			f.advertise()
+			start := time.Now()
+			assert.Assert(t, borrower.Take(context.Background(), "s"))
+			assert.Equal(t, time.Since(start), answerTime)
 			time.Sleep(used - answerTime)
-			a.Borrow = func(context.Context, string, string, int) (int, error) { return 0, nil }
-			assert.Equal(t, a.Take(context.Background(), "s"), granted, "%v after the question", used)
+			borrower.Borrow = func(context.Context, string, string, int) (int, error) { return 0, nil }
+			assert.Equal(t, borrower.Take(context.Background(), "s"), granted, "%v after the request", used)
 		})
 	}
 }
--- a/internal/coordination/limits/pace.go
+++ b/internal/coordination/limits/pace.go
@@ -6,71 +6,69 @@
 )
 
 const (
-	// maxStretch is how much slower than unloaded a step may grow before fewer
-	// sessions are let in. An engine is full once a batch always waits while one
-	// runs, which doubles a step's time; arrivals at random leave gaps, which
-	// two more batches fill. Measured: 2.5 gave 0.87 of the bound at overload, 3
-	// gave 0.92, 4 gave 0.95; between tokens p95 went from 190 to 220 ms.
-	maxStretch = 4.0
-	// paceWeight is the weight of the newest step in the smoothed time.
-	paceWeight = 0.02
-	// adjustEvery is how often the limit moves.
-	adjustEvery = 250 * time.Millisecond
-	// shrink is what the limit is multiplied by when steps are too slow.
-	shrink = 0.93
+	// maxStepRatio is how much slower than without load a step may be before the limit
+	// is reduced. A full engine always has a batch waiting, which doubles a step's
+	// duration. Two more batches cover random gaps between arrivals.
+	maxStepRatio = 4.0
+	// stepWeight is the weight of the newest step in the smoothed duration.
+	stepWeight = 0.02
+	// adjustInterval is the time between two changes of the limit.
+	adjustInterval = 250 * time.Millisecond
+	// decreaseFactor is what the limit is multiplied by when steps are too slow.
+	decreaseFactor = 0.93
 )
 
-// ConcurrencyLimiter finds how many sessions an engine serves well, from how long its steps
-// take. The engine's load reports lag; its steps do not.
+// ConcurrencyLimiter finds how many sessions an engine can serve, from the duration of
+// its steps. Unlike the engine's load reports, its steps show the load without delay.
 type ConcurrencyLimiter struct {
-	now   func() time.Time
-	floor time.Duration // a step's time unloaded; 0 until known
-	least float64
-	most  float64
+	now          func() time.Time
+	unloadedStep time.Duration // duration of a step without load; 0 until known
+	minLimit     float64
+	maxLimit     float64
 
-	mu       sync.Mutex
-	smoothed time.Duration
-	limit    float64
-	moved    time.Time
+	mu           sync.Mutex
+	smoothedStep time.Duration
+	limit        float64
+	adjustedAt   time.Time
 }
 
-// NewConcurrencyLimiter starts at least sessions, enough to fill the engine's batches, and
-// never goes beyond most. floor is a step's time unloaded.
-func NewConcurrencyLimiter(least, most int, floor time.Duration, now func() time.Time) *ConcurrencyLimiter {
-	least = min(least, most)
+// NewConcurrencyLimiter returns a limiter between minLimit sessions, which fill the
+// engine's batches, and maxLimit. unloadedStep is the duration of a step without load.
+func NewConcurrencyLimiter(minLimit, maxLimit int, unloadedStep time.Duration, now func() time.Time) *ConcurrencyLimiter {
+	minLimit = min(minLimit, maxLimit)
 	return &ConcurrencyLimiter{
-		now:   now,
-		floor: floor,
-		least: float64(least),
-		most:  float64(most),
-		limit: float64(min(2*least, most)),
-		moved: now(),
+		now:          now,
+		unloadedStep: unloadedStep,
+		minLimit:     float64(minLimit),
+		maxLimit:     float64(maxLimit),
+		limit:        float64(min(2*minLimit, maxLimit)),
+		adjustedAt:   now(),
 	}
 }
 
-// RecordStep takes in one step's time, with how many sessions are active.
-func (p *ConcurrencyLimiter) RecordStep(d time.Duration, active int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.smoothed == 0 {
-		p.smoothed = d
+// RecordStep records the duration of one step and the number of active sessions.
+func (l *ConcurrencyLimiter) RecordStep(d time.Duration, active int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.smoothedStep == 0 {
+		l.smoothedStep = d
 	}
-	p.smoothed += time.Duration(paceWeight * float64(d-p.smoothed))
-	if p.now().Sub(p.moved) < adjustEvery {
+	l.smoothedStep += time.Duration(stepWeight * float64(d-l.smoothedStep))
+	if l.now().Sub(l.adjustedAt) < adjustInterval {
 		return
 	}
-	p.moved = p.now()
+	l.adjustedAt = l.now()
 	switch {
-	case float64(p.smoothed) > maxStretch*float64(p.floor):
-		p.limit = max(p.least, p.limit*shrink)
-	case float64(active) >= 0.9*p.limit:
-		p.limit = min(p.most, p.limit+max(1, p.least/8))
+	case float64(l.smoothedStep) > maxStepRatio*float64(l.unloadedStep):
+		l.limit = max(l.minLimit, l.limit*decreaseFactor)
+	case float64(active) >= 0.9*l.limit:
+		l.limit = min(l.maxLimit, l.limit+max(1, l.minLimit/8))
 	}
 }
 
-// Limit is how many sessions may be active now.
-func (p *ConcurrencyLimiter) Limit() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return int(p.limit)
+// Limit returns how many sessions may be active now.
+func (l *ConcurrencyLimiter) Limit() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return int(l.limit)
 }
--- a/internal/coordination/limits/retries.go
+++ b/internal/coordination/limits/retries.go
@@ -6,38 +6,39 @@
 )
 
 const (
-	// retryBuckets divide a window; the oldest bucket counts whole, so that the
-	// count errs on the strict side.
-	retryBuckets = 20
-	// retrySafety is the share of the budget that routers give out. The rest
-	// covers routers that just came and have not been counted by the others, and
-	// loans that are used up to half a second after their lender counted them.
-	retrySafety = 0.9
+	// windowBuckets is the number of buckets of a window. The oldest counts in full, so
+	// that the budget is never exceeded.
+	windowBuckets = 20
+	// usableFraction is the part of the budget that routers use. The rest covers new
+	// routers that the others do not count yet, and borrowed tokens, which are used
+	// later than their lender counted them.
+	usableFraction = 0.9
 )
 
-// SharedRetryBudget is one router's part of a budget for repeated sends that all
-// routers share: in any window at most ratio x requests + slack, for a service.
-// Each router spends the ratio of its own requests and its share of the slack,
-// so that the sum holds though routers are cut off from each other.
+// SharedRetryBudget is one router's part of a retry budget that all routers share: in
+// any window, at most ratio * requests + slack retries for each service. Each router
+// spends the ratio of its own requests and its share of the slack. So the budget holds
+// even if routers are cut off from each other.
 type SharedRetryBudget struct {
 	ratio   float64
 	slack   float64
 	window  time.Duration
 	routers func() int
 	now     func() time.Time
-	began   time.Time
+	started time.Time
 
 	mu       sync.Mutex
 	services map[string]*retryWindow
 }
 
 type retryWindow struct {
-	at       int64 // number of the newest bucket
-	requests [retryBuckets]int
-	repeats  [retryBuckets]int
+	newest   int64 // number of the newest bucket
+	requests [windowBuckets]int
+	retries  [windowBuckets]int
 }
 
-// NewSharedRetryBudget makes a budget; routers tells how many share it.
+// NewSharedRetryBudget returns a router's part of a budget; routers returns how many
+// share it.
 func NewSharedRetryBudget(ratio, slack float64, window time.Duration, routers func() int, now func() time.Time) *SharedRetryBudget {
 	return &SharedRetryBudget{
 		ratio:    ratio,
@@ -45,88 +46,89 @@
 		window:   window,
 		routers:  routers,
 		now:      now,
-		began:    now(),
+		started:  now(),
 		services: map[string]*retryWindow{},
 	}
 }
 
-// RecordRequest counts a caller's request for a service.
+// RecordRequest adds a caller's request for a service to the budget.
 func (b *SharedRetryBudget) RecordRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.turn(service)
-	w.requests[w.at%retryBuckets]++
+	w := b.advance(service)
+	w.requests[w.newest%windowBuckets]++
 }
 
-// Take takes one repeated send from the budget, if there is one.
+// Take takes one retry token and reports whether there was one.
 func (b *SharedRetryBudget) Take(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.turn(service)
-	if b.left(w) < 1 {
+	w := b.advance(service)
+	if b.remaining(w) < 1 {
 		return false
 	}
-	w.repeats[w.at%retryBuckets]++
+	w.retries[w.newest%windowBuckets]++
 	return true
 }
 
-// lendShare is the part of what a router has left that it lends at once; the
+// lendFraction is the part of the remaining tokens that a router lends at once. The
 // rest is for its own requests.
-const lendShare = 0.5
+const lendFraction = 0.5
 
-// Lend gives up to want repeated sends to another router and counts them as
-// spent here.
+// Lend lends up to want tokens to another router, counts them as spent and returns how
+// many it lent.
 func (b *SharedRetryBudget) Lend(service string, want int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.turn(service)
-	n := max(min(want, int(lendShare*b.left(w))), 0)
-	w.repeats[w.at%retryBuckets] += n
+	w := b.advance(service)
+	n := max(min(want, int(lendFraction*b.remaining(w))), 0)
+	w.retries[w.newest%windowBuckets] += n
 	return n
 }
 
-// SpareTokens tells what could be lent, by service.
+// SpareTokens returns how many tokens could be lent, by service.
 func (b *SharedRetryBudget) SpareTokens() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]int{}
 	for service := range b.services {
-		if n := int(lendShare * b.left(b.turn(service))); n > 0 {
+		if n := int(lendFraction * b.remaining(b.advance(service))); n > 0 {
 			out[service] = n
 		}
 	}
 	return out
 }
 
-// left is what may still be spent in this window. The caller holds the lock.
-func (b *SharedRetryBudget) left(w *retryWindow) float64 {
+// remaining returns how many tokens are left in this window. The caller holds b.mu.
+func (b *SharedRetryBudget) remaining(w *retryWindow) float64 {
 	requests := 0
-	repeats := 0
+	retries := 0
 	for i := range w.requests {
 		requests += w.requests[i]
-		repeats += w.repeats[i]
+		retries += w.retries[i]
 	}
-	// A router that starts does not know what it spent before: its share of the
-	// slack is whole only when that has left the window. Where all routers are
-	// killed at once they would else spend the slack twice.
-	age := min(b.now().Sub(b.began).Seconds()/b.window.Seconds(), 1)
-	allowed := retrySafety * (b.ratio*float64(requests) + age*b.slack/float64(max(b.routers(), 1)))
-	return allowed - float64(repeats)
+	// A router that restarts does not know what it spent before. Its share of the slack
+	// grows over one window, or routers that restart together would spend the slack
+	// twice.
+	age := min(b.now().Sub(b.started).Seconds()/b.window.Seconds(), 1)
+	allowed := usableFraction * (b.ratio*float64(requests) + age*b.slack/float64(max(b.routers(), 1)))
+	return allowed - float64(retries)
 }
 
-// turn moves a service's window on to now. The caller holds the lock.
-func (b *SharedRetryBudget) turn(service string) *retryWindow {
+// advance moves a service's window to the present time and returns it. The caller holds
+// b.mu.
+func (b *SharedRetryBudget) advance(service string) *retryWindow {
 	w, ok := b.services[service]
 	if !ok {
 		w = &retryWindow{}
 		b.services[service] = w
 	}
-	bucket := int64(b.window) / (retryBuckets - 1)
+	bucket := int64(b.window) / (windowBuckets - 1)
 	now := b.now().UnixNano() / bucket
-	for n := max(w.at+1, now-retryBuckets+1); n <= now; n++ {
-		w.requests[n%retryBuckets] = 0
-		w.repeats[n%retryBuckets] = 0
+	for n := max(w.newest+1, now-windowBuckets+1); n <= now; n++ {
+		w.requests[n%windowBuckets] = 0
+		w.retries[n%windowBuckets] = 0
 	}
-	w.at = max(w.at, now)
+	w.newest = max(w.newest, now)
 	return w
 }
--- a/internal/coordination/limits/retries_test.go
+++ b/internal/coordination/limits/retries_test.go
@@ -8,10 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// A third of the engines is gone and every request fails at once, at several
-// routers that do not hear of each other. In no window may the repeats of all
-// of them exceed ratio x requests + slack.
-func TestSharedRetriesHoldInEachWindow(t *testing.T) {
+// All requests fail at several routers that do not communicate. In no window may the
+// retries of all exceed ratio * requests + slack.
+func TestSharedRetryBudgetHoldsInEachWindow(t *testing.T) {
 	const ratio, slack, window = 0.2, 196, 10 * time.Second
 	rapid.Check(t, func(rt *rapid.T) {
 		routers := rapid.IntRange(1, 8).Draw(rt, "routers")
@@ -20,20 +19,20 @@
 		for range routers {
 			all = append(all, NewSharedRetryBudget(ratio, slack, window, func() int { return routers }, func() time.Time { return now }))
 		}
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for range rapid.IntRange(10, 400).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 200).Draw(rt, "ms")) * time.Millisecond)
 			b := all[rapid.IntRange(0, routers-1).Draw(rt, "router")]
 			b.RecordRequest("s")
 			requests = append(requests, now)
 			for b.Take("s") {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
-		for _, end := range repeats {
+		for _, end := range retries {
 			sent := within(requests, end, window)
-			again := within(repeats, end, window)
-			assert.Assert(rt, float64(again) <= ratio*float64(sent)+slack, "%d repeats for %d requests", again, sent)
+			retried := within(retries, end, window)
+			assert.Assert(rt, float64(retried) <= ratio*float64(sent)+slack, "%d retries for %d requests", retried, sent)
 		}
 	})
 }
@@ -48,7 +47,7 @@
 	return n
 }
 
-func TestSharedRetriesComeBack(t *testing.T) {
+func TestSharedRetryBudgetRefills(t *testing.T) {
 	now := time.Unix(5000, 0)
 	b := NewSharedRetryBudget(0.2, 20, 10*time.Second, func() int { return 1 }, func() time.Time { return now })
 	assert.Assert(t, !b.Take("s"), "a router that starts does not know what it spent before")
