--- a/internal/coordination/config/config_test.go
+++ b/internal/coordination/config/config_test.go
@@ -18,35 +18,33 @@
 	"github.com/skylarkwood/skylarkwood/internal/standin"
 )
 
-// inBubble hides the test's deadline, which may not be asked for in a bubble of
-// virtual time.
-type inBubble struct{ rapid.TB }
+// noDeadline hides the test's deadline, which is not available in a synctest bubble.
+type noDeadline struct{ rapid.TB }
 
-type counter struct {
+type idGenerator struct {
 	mu sync.Mutex
 	n  int
 }
 
-func (c *counter) id() string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.n++
-	return fmt.Sprint("id-", c.n)
+func (g *idGenerator) next() string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.n++
+	return fmt.Sprint("id-", g.n)
 }
 
-// Operators change the same few templates through several entries, each on the
-// revision it read, while the store is slow, out and loses answers. No accepted
-// change is lost: each accepted revision of a template is accepted once, and the
-// template ends at least at the highest. No entry ever goes back.
-func TestRacingOperators(t *testing.T) {
+// Operators change the same templates through several entries while the store is slow,
+// unavailable and loses answers. No accepted change may be lost, no revision may be
+// accepted twice, and no entry may go back to an older revision.
+func TestConcurrentChangesAreNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(inBubble{t}, func(rt *rapid.T) {
+		rapid.Check(noDeadline{t}, func(rt *rapid.T) {
 			kv := standin.NewKV()
-			ids := &counter{}
+			ids := &idGenerator{}
 			stores := []*Store{}
 			for i := 0; i < 3; i++ {
 				last := int64(0)
-				stores = append(stores, NewStore(kv, time.Now, ids.id, func(r int64) {
+				stores = append(stores, NewStore(kv, time.Now, ids.next, func(r int64) {
 					assert.Check(rt, r > last, "revision went from %d to %d", last, r)
 					last = r
 				}))
@@ -97,11 +95,10 @@
 	})
 }
 
-// Heads come late and out of order from several peers. A process applies only a
-// higher one.
-func TestApplyNeverGoesBack(t *testing.T) {
+// Heads arrive late and out of order. Only a newer one may be applied.
+func TestApplyIgnoresOlderRevisions(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := NewStore(standin.NewKV(), time.Now, (&counter{}).id, func(int64) {})
+		s := NewStore(standin.NewKV(), time.Now, (&idGenerator{}).next, func(int64) {})
 		high := int64(0)
 		for n := rapid.IntRange(1, 20).Draw(rt, "heads"); n > 0; n-- {
 			rev := int64(rapid.IntRange(0, 10).Draw(rt, "revision"))
@@ -115,22 +112,22 @@
 	})
 }
 
-// A head that names a bucket the process lacks is not applied by half.
-func TestApplyNeedsEveryBucket(t *testing.T) {
-	s := NewStore(standin.NewKV(), time.Now, (&counter{}).id, func(int64) {})
+// A head with an unknown bucket must not be applied in part.
+func TestApplyRejectsMissingBucket(t *testing.T) {
+	s := NewStore(standin.NewKV(), time.Now, (&idGenerator{}).next, func(int64) {})
 	_, err := s.Apply(Head{Revision: 1, Keys: map[int]string{3: "unknown"}}, nil)
 	assert.ErrorContains(t, err, "missing")
 	assert.Equal(t, s.Revision(), int64(0))
 }
 
-// headLoser loses the answer to the next swap of the head, which takes effect.
-type headLoser struct {
+// lossyHeadKV loses the answer to the next successful swap of the head.
+type lossyHeadKV struct {
 	platform.KV
 	lose bool
 	then func()
 }
 
-func (k *headLoser) Swap(ctx context.Context, key string, data []byte, expected int64) (int64, error) {
+func (k *lossyHeadKV) Swap(ctx context.Context, key string, data []byte, expected int64) (int64, error) {
 	version, err := k.KV.Swap(ctx, key, data, expected)
 	if key == headKey && k.lose && err == nil {
 		k.lose = false
@@ -140,15 +137,14 @@
 	return version, err
 }
 
-// The answer to the swap of the head is lost, and another operator changes the
-// template before the first one reads back. The first is told that its change
-// was accepted, since it was; it does not write again, and the other's change
-// stands.
-func TestLostAnswerIsReadBack(t *testing.T) {
-	kv := &headLoser{KV: standin.NewKV(), lose: true}
-	ids := &counter{}
-	a := NewStore(kv, time.Now, ids.id, func(int64) {})
-	b := NewStore(kv, time.Now, ids.id, func(int64) {})
+// The answer to a swap of the head is lost, and another operator changes the template
+// in between. The first change must be reported as accepted and must not be written
+// again.
+func TestSetRecognizesItsOwnUnconfirmedChange(t *testing.T) {
+	kv := &lossyHeadKV{KV: standin.NewKV(), lose: true}
+	ids := &idGenerator{}
+	a := NewStore(kv, time.Now, ids.next, func(int64) {})
+	b := NewStore(kv, time.Now, ids.next, func(int64) {})
 	kv.then = func() {
 		_, err := b.Set(context.Background(), Template{Customer: "luka"}, 1, "second")
 		assert.NilError(t, err)
@@ -162,8 +158,8 @@
 	assert.Assert(t, fault.Is(err, fault.RevisionConflict))
 }
 
-// BenchmarkTemplate is what one template costs a process in memory, and the
-// store in bytes, at the target's 17,000 customers.
+// BenchmarkTemplate measures the memory and the stored bytes of one template, with
+// 17,000 customers.
 func BenchmarkTemplate(b *testing.B) {
 	const customers = 17_000
 	for b.Loop() {
--- a/internal/coordination/config/store.go
+++ b/internal/coordination/config/store.go
@@ -16,53 +16,52 @@
 )
 
 const (
-	headKey      = "config/head"
-	maxSwapTries = 16
-	swapPause    = 20 * time.Millisecond
-	maxPause     = 500 * time.Millisecond
+	headKey         = "config/head"
+	maxSwapAttempts = 16
+	minSwapDelay    = 20 * time.Millisecond
+	maxSwapDelay    = 500 * time.Millisecond
 )
 
-// Store reads and changes the configuration, and holds the newest one that this
-// process has applied.
+// Store reads and changes the configuration, and holds the newest one applied by this
+// process. It is safe for concurrent use.
 type Store struct {
 	kv    platform.KV
 	now   func() time.Time
 	newID func() string
 
-	mu        sync.Mutex // serialises applying
+	mu        sync.Mutex // serializes Apply
 	current   atomic.Pointer[Snapshot]
 	onApplied func(revision int64)
 }
 
-// NewStore makes a store that holds an empty configuration of revision 0.
-// onApplied is told of each newer revision.
+// NewStore returns a store with an empty configuration of revision 0. onApplied is
+// called with each newer revision.
 func NewStore(kv platform.KV, now func() time.Time, newID func() string, onApplied func(int64)) *Store {
 	s := &Store{kv: kv, now: now, newID: newID, onApplied: onApplied}
 	s.current.Store(&Snapshot{Head: Head{Keys: map[int]string{}}, Buckets: map[int]Bucket{}})
 	return s
 }
 
-// Current gives the configuration in force here.
+// Current returns the newest configuration applied by this process.
 func (s *Store) Current() *Snapshot { return s.current.Load() }
 
-// Revision gives its revision.
+// Revision returns the revision of the current configuration.
 func (s *Store) Revision() int64 { return s.Current().Head.Revision }
 
-// Apply takes in a newer head with the buckets that changed. An older or equal
-// one is left out: a late message would otherwise bring back what an operator
-// has replaced.
+// Apply applies a head with the buckets that changed and reports whether it was newer
+// than the current one. A late, older head would undo a newer change.
 func (s *Store) Apply(head Head, changed map[int]Bucket) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old := s.Current()
-	if head.Revision <= old.Head.Revision {
+	current := s.Current()
+	if head.Revision <= current.Head.Revision {
 		return false, nil
 	}
 	next := &Snapshot{Head: head, Buckets: make(map[int]Bucket, len(head.Keys))}
 	for i, key := range head.Keys {
 		b, ok := changed[i]
-		if !ok && old.Head.Keys[i] == key {
-			b, ok = old.Buckets[i]
+		if !ok && current.Head.Keys[i] == key {
+			b, ok = current.Buckets[i]
 		}
 		if !ok {
 			return false, fault.New(fault.Internal, "bucket %d of revision %d is missing", i, head.Revision)
@@ -74,17 +73,18 @@
 	return true, nil
 }
 
-// Refresh reads the head and what changed from the key-value service.
+// Refresh reads the head and the changed buckets from the key-value service and applies
+// them.
 func (s *Store) Refresh(ctx context.Context) error {
 	head, _, err := s.readHead(ctx)
 	if err != nil {
 		return err
 	}
-	return s.load(ctx, head)
+	return s.loadBuckets(ctx, head)
 }
 
-// Watch waits for a head newer than version and applies it; it returns the
-// version to wait for next.
+// Watch waits for a head newer than version and applies it. It returns the version to
+// wait for next.
 func (s *Store) Watch(ctx context.Context, version int64, wait time.Duration) (int64, error) {
 	v, err := s.kv.Watch(ctx, headKey, version, wait)
 	if err != nil {
@@ -97,17 +97,17 @@
 	if err != nil {
 		return version, err
 	}
-	return v.Version, s.load(ctx, head)
+	return v.Version, s.loadBuckets(ctx, head)
 }
 
-func (s *Store) load(ctx context.Context, head Head) error {
-	old := s.Current()
-	if head.Revision <= old.Head.Revision {
+func (s *Store) loadBuckets(ctx context.Context, head Head) error {
+	current := s.Current()
+	if head.Revision <= current.Head.Revision {
 		return nil
 	}
 	changed := map[int]Bucket{}
 	for i, key := range head.Keys {
-		if old.Head.Keys[i] == key {
+		if current.Head.Keys[i] == key {
 			continue
 		}
 		b, err := s.readBucket(ctx, key)
@@ -120,34 +120,35 @@
 	return err
 }
 
-// Set replaces one template if its revision is still the expected one. The
-// error is of kind RevisionConflict where another operator was first; of kind
-// StoreUnavailable where it is not known whether the change was accepted.
+// Set replaces a template if its revision is the expected one, and returns the accepted
+// change. The error is of kind RevisionConflict if another operator changed the
+// template first, and of kind StoreUnavailable if it is not known whether the change
+// was accepted.
 func (s *Store) Set(ctx context.Context, t Template, expected int64, author string) (Change, error) {
 	id := s.newID()
-	pause := swapPause
-	maybe := false
-	for try := 0; try < maxSwapTries; try++ {
-		c, err := s.trySet(ctx, t, expected, author, id)
+	delay := minSwapDelay
+	unconfirmed := false
+	for attempt := 0; attempt < maxSwapAttempts; attempt++ {
+		c, err := s.attemptSet(ctx, t, expected, author, id)
 		if err == nil || fault.Is(err, fault.RevisionConflict) {
 			return c, err
 		}
-		maybe = maybe || errors.Is(err, platform.ErrUnknown)
-		if !wait.For(ctx, pause) {
+		unconfirmed = unconfirmed || errors.Is(err, platform.ErrUnknown)
+		if !wait.For(ctx, delay) {
 			break
 		}
-		pause = min(2*pause, maxPause)
+		delay = min(2*delay, maxSwapDelay)
 	}
-	if maybe {
-		return Change{}, fault.New(fault.StoreUnavailable, "key-value service gives no answer; whether the change was accepted is not known: read the template back")
+	if unconfirmed {
+		return Change{}, fault.New(fault.StoreUnavailable, "key-value service did not confirm the change; read the template back to see whether it was accepted")
 	}
-	return Change{}, fault.New(fault.Overloaded, "too many changes at once; nothing was changed")
+	return Change{}, fault.New(fault.Overloaded, "too many concurrent changes; nothing was changed")
 }
 
-// trySet makes one attempt. It first looks for its own write id: an earlier
-// attempt may have taken effect though its answer was lost, and writing again
-// would overwrite what another operator based on it.
-func (s *Store) trySet(ctx context.Context, t Template, expected int64, author, id string) (Change, error) {
+// attemptSet makes one attempt. It first looks for the write id: an earlier attempt may
+// have succeeded without an answer, and a second write would overwrite changes based on
+// it.
+func (s *Store) attemptSet(ctx context.Context, t Template, expected int64, author, id string) (Change, error) {
 	head, version, err := s.readHead(ctx)
 	if err != nil {
 		return Change{}, err
@@ -160,8 +161,8 @@
 		}
 	}
 	rec := bucket[t.Customer]
-	if c, ok := rec.wrote(id); ok {
-		return c, s.load(ctx, head)
+	if c, ok := rec.findWrite(id); ok {
+		return c, s.loadBuckets(ctx, head)
 	}
 	if rec.Current.Revision != expected {
 		return rec.Current, fault.New(fault.RevisionConflict,
@@ -209,8 +210,8 @@
 	}
 	_, err = s.Apply(newHead, map[int]Bucket{i: next})
 	if err != nil {
-		// A head between ours and the applied one is missing here; the accepted
-		// change is in the service and is loaded from there.
+		// A bucket of a head between the current one and this one is missing. Refresh
+		// loads it.
 		return s.Refresh(ctx)
 	}
 	return nil
@@ -224,7 +225,7 @@
 	rec := next[c.Template.Customer]
 	if rec.Current.Revision > 0 {
 		earlier := append([]Change{rec.Current}, rec.Earlier...)
-		rec.Earlier = earlier[:min(len(earlier), historyLimit)]
+		rec.Earlier = earlier[:min(len(earlier), maxEarlierChanges)]
 	}
 	rec.Current = c
 	next[c.Template.Customer] = rec
@@ -255,7 +256,7 @@
 func decodeHead(v platform.Value) (Head, error) {
 	h := Head{Keys: map[int]string{}}
 	err := json.Unmarshal(v.Data, &h)
-	return h, errors.Wrap(err, "configuration head")
+	return h, errors.Wrap(err, "decode configuration head")
 }
 
 func (s *Store) readBucket(ctx context.Context, key string) (Bucket, error) {
@@ -265,5 +266,5 @@
 	}
 	var b Bucket
 	err = json.Unmarshal(v.Data, &b)
-	return b, errors.Wrapf(err, "bucket %s", key)
+	return b, errors.Wrapf(err, "decode bucket %s", key)
 }
