--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -53,7 +53,7 @@
 	limits func() model.CallerLimits
 
 	mu      sync.Mutex
-	life    keepalive.Life
+	life    keepalive.ConnState
 	why     End // the first reason to end it; empty while there is none
 	cause   error
 	request *model.Call // in progress; nil while there is none
@@ -94,7 +94,7 @@
 	if c.life.Phase() == keepalive.Serving {
 		return nil
 	}
-	return c.SetReadDeadline(c.life.Until(c.limits()))
+	return c.SetReadDeadline(c.life.Deadline(c.limits()))
 }
 
 // over decides what a read that reached its deadline stands for. Where it is not
@@ -109,9 +109,9 @@
 	}
 	limits := c.limits()
 	arrived := tcp.Arrived(c.Conn)
-	ends := c.life.Over(time.Now(), limits, arrived)
+	ends := c.life.Expired(time.Now(), limits, arrived)
 	if !ends {
-		next := c.life.Until(limits)
+		next := c.life.Deadline(limits)
 		if arrived {
 			next = time.Time{}
 		}
@@ -119,7 +119,7 @@
 	}
 	c.mu.Unlock()
 	switch {
-	case ends && phase == keepalive.Reading:
+	case ends && phase == keepalive.ReadingHeader:
 		c.headTooSlow()
 	case ends:
 		c.endsBy(EndRested, nil)
@@ -138,21 +138,21 @@
 func (c *timedConn) heard() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.Heard(time.Now())
+	c.life.BytesRead(time.Now())
 }
 
 // rest begins to wait for a request.
 func (c *timedConn) rest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.Rest(time.Now())
+	c.life.StartIdle(time.Now())
 }
 
 // take begins a request: a read that watches for the caller's leaving has no bound.
 func (c *timedConn) take() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.Take()
+	c.life.StartRequest()
 	_ = c.SetReadDeadline(time.Time{}) // fails on a closed connection, which the next read tells
 }
 
@@ -161,9 +161,9 @@
 func (c *timedConn) retire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.Retire()
-	if c.life.Phase() == keepalive.Resting {
-		_ = c.SetReadDeadline(c.life.Until(c.limits())) // as above
+	c.life.CloseWhenIdle()
+	if c.life.Phase() == keepalive.Idle {
+		_ = c.SetReadDeadline(c.life.Deadline(c.limits())) // as above
 	}
 }
 
