--- a/internal/coordination/follow/follow.go
+++ b/internal/coordination/follow/follow.go
@@ -80,6 +80,7 @@
 	// Reset replaces the whole contents. Entries that page lacks are removed, but
 	// remain valid for grace.
 	Reset(page platform.Page, grace time.Duration)
+	// Change applies one change. A removed entry remains valid for grace.
 	Change(item platform.Item, grace time.Duration)
 	// Synced reports that the contents were complete at a time of Follower.Clock.
 	Synced(at time.Duration)
--- a/internal/coordination/follow/lag.go
+++ b/internal/coordination/follow/lag.go
@@ -66,9 +66,9 @@
 	return now-f.laggingSince > allowed
 }
 
-// beginQuery records the query that cancel ends. It returns true if the query is urgent
-// because a peer is ahead or another call failed. Urgent queries are short and are not
-// cancelled.
+// beginQuery records that a query begins, with the function that cancels it. It returns
+// true if the query is urgent because a peer is ahead or another call failed. Urgent
+// queries are short and are not cancelled.
 func (f *Follower) beginQuery(cancel context.CancelFunc) (urgent bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/coordination/follow/outage.go
+++ b/internal/coordination/follow/outage.go
@@ -6,8 +6,8 @@
 	"k8s.io/klog/v2"
 )
 
-// recordStoreContact records that the store answered. If that ends an outage, removals
-// get removalGrace.
+// recordStoreContact records that the store answered. If that ends an outage of more than
+// minOutage, removals get removalGrace.
 func (f *Follower) recordStoreContact(at time.Duration) {
 	f.storeFailures = 0
 	silent := f.SinceLastContact()
