--- a/internal/coordination/catalog/incarnation_test.go
+++ b/internal/coordination/catalog/incarnation_test.go
@@ -167,7 +167,7 @@
 	c.Put(server("b", "2:1", 2))
 	assert.Assert(t, c.MarkMalformed("a", 3))
 	assert.Assert(t, !c.MarkMalformed("a", 4), "only the first is new")
-	assert.Assert(t, !c.MarkMalformed("unknown", 4))
+	assert.Assert(t, !c.MarkMalformed("nobody", 4))
 	assert.Equal(t, len(c.Load().Service("s")), 1)
 	assert.Assert(t, c.Load().ByID("a") != nil, "running requests continue")
 	c.Put(start(100, 5, 9))
