--- a/internal/coordination/follow/fleet_test.go
+++ b/internal/coordination/follow/fleet_test.go
@@ -377,7 +377,7 @@
 	})
 }
 
-// During an outage for all, only watchers call the store, as calls are priced.
+// During an outage for all, only watchers call the store.
 func TestOnlyWatchersRetryDuringAnOutage(t *testing.T) {
 	inFleet(t, 5, 20, func(t *testing.T, f *fleet) {
 		f.store.SetFaults(standin.StoreFaults{Refuse: true})
--- a/internal/coordination/follow/follow.go
+++ b/internal/coordination/follow/follow.go
@@ -1,7 +1,7 @@
 // Package follow keeps a process's copy of the store up to date. A Follower reads the
 // whole key range once and then either watches the store or long-polls a router that
-// does. Every change costs one priced call per watcher, so only a few routers of each
-// failure domain watch the store.
+// does. Each call counts against the store's call quota, and every change ends a call of
+// each watcher. So only a few routers of each failure domain watch the store.
 package follow
 
 import (
@@ -22,8 +22,8 @@
 
 const (
 	// minWatchTimeout and maxWatchTimeout bound how long a watch waits for a change.
-	// Each watch is one priced call, and its end detects a connection that no longer
-	// delivers changes. The timeouts of all watchers are spread so that some watch ends
+	// Each watch is one call, and its end detects a connection that no longer delivers
+	// changes. The timeouts of all watchers are spread so that some watch ends
 	// about every watchTimeoutPerWatcher. Its revision, advertised to the peers, shows
 	// them what they missed.
 	minWatchTimeout        = 1500 * time.Millisecond
@@ -41,8 +41,7 @@
 	// requests after it began to drain.
 	peerPollTimeout = time.Second
 	peerPollMargin  = 500 * time.Millisecond
-	// valueRetryInterval is the time between two attempts to read a large value, which
-	// are priced calls.
+	// valueRetryInterval is the time between two attempts to read a large value.
 	valueRetryInterval = time.Second
 	// batchDelayPerWatcher and maxBatchDelay bound the delay after changes, in which
 	// further changes collect. Engines register and load in groups, and every change
@@ -54,7 +53,7 @@
 	// seconds then.
 	idleBatchDelay = 1200 * time.Millisecond
 	// minRetryDelay and maxRetryDelay bound the delay between attempts while the store
-	// is unavailable. Each attempt is a priced call.
+	// is unavailable. Failed calls count against the quota too.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
 	// minOutage is how long the store must have been unavailable before removed entries
--- a/internal/coordination/follow/follow_test.go
+++ b/internal/coordination/follow/follow_test.go
@@ -193,7 +193,7 @@
 }
 
 // A peer advertises a revision that the store does not have. One urgent query finds
-// that, and the router returns to long watches, as each is priced.
+// that, and the router must return to long watches.
 func TestPeerRevisionBeyondTheStoresIsCorrected(t *testing.T) {
 	runFollower(t, func(store *standin.Store, _ *recordingSink, fl *Follower) {
 		time.Sleep(2 * time.Second)
@@ -271,7 +271,7 @@
 	assert.Assert(t, longest-shortest > time.Second)
 }
 
-// Guards against calls beyond one per watch timeout, as each is priced.
+// Guards against calls beyond one per watch timeout.
 func TestIdleStoreCostsOneCallPerWatchTimeout(t *testing.T) {
 	runFollower(t, func(store *standin.Store, _ *recordingSink, _ *Follower) {
 		before := store.Calls().Watches
--- a/internal/coordination/follow/news.go
+++ b/internal/coordination/follow/news.go
@@ -117,7 +117,7 @@
 }
 
 // readPendingValues reads the values that peers omitted. Peek reads an older copy for a
-// tenth of a call's price. Its revision shows whether it is new enough.
+// tenth of the cost of a call. Its revision shows whether it is new enough.
 func (f *Follower) readPendingValues(ctx context.Context) {
 	if len(f.pendingValues) == 0 || f.Clock() < f.nextValueRead {
 		return
--- a/internal/coordination/follow/picker.go
+++ b/internal/coordination/follow/picker.go
@@ -16,8 +16,8 @@
 	// remote watchers.
 	watchersPerDomain = 2
 	// maxRemoteWatchers is how many routers of other failure domains are polled before
-	// the store if no watcher of the own domain answers. Traffic between domains is
-	// priced, but less than calls to the store.
+	// the store if no watcher of the own domain answers. Traffic between domains has
+	// a cost too, but less than calls to the store.
 	maxRemoteWatchers = 2
 	// failedSourceDelay is how long a failed source is not used, plus up to half of it
 	// at random, so that routers do not return to it at once. A killed process restarts
