--- a/internal/coordination/detector/detector.go
+++ b/internal/coordination/detector/detector.go
@@ -15,94 +15,94 @@
 	// deviation, as TCP does for round-trip times (RFC 6298).
 	meanWeight      = 0.125
 	deviationWeight = 0.25
-	// deviations is how many mean deviations beyond its mean interval an event may be
+	// maxDeviations is how many mean maxDeviations beyond its mean interval an event may be
 	// late before its stream is overdue.
-	deviations = 4
-	// leastFactor is the least multiple of the mean interval that makes a stream overdue.
-	leastFactor = 2
-	// leastOverdue is the shortest interval after which a stream is overdue.
-	leastOverdue = 40 * time.Millisecond
-	// aloneShare is the share of the pause that a route allows after which a stream is
+	maxDeviations = 4
+	// minIntervalFactor is the least multiple of the mean interval that makes a stream overdue.
+	minIntervalFactor = 2
+	// minOverdueDelay is the shortest interval after which a stream is overdue.
+	minOverdueDelay = 40 * time.Millisecond
+	// loneCheckShare is the share of the pause that a route allows after which a stream is
 	// checked though no other stream is overdue with it.
-	aloneShare = 0.4
-	// defaultPause is the pause that a route allows which names none.
-	defaultPause = 200 * time.Millisecond
-	// scheduleSlack is how late a check may run; beyond it this process was paused.
-	scheduleSlack = 10 * time.Millisecond
-	// settleTime is how long after a pause of this process no stream is judged: events
+	loneCheckShare = 0.4
+	// defaultMaxPause is the pause that a route allows which names none.
+	defaultMaxPause = 200 * time.Millisecond
+	// maxScheduleDelay is how late a check may run; beyond it this process was paused.
+	maxScheduleDelay = 10 * time.Millisecond
+	// settleDelay is how long after a pause of this process no stream is judged: events
 	// may be waiting to be read.
-	settleTime = 30 * time.Millisecond
-	// quorum is how many streams that are overdue together are checked early.
-	quorum = 2
-	// checkTurn is after how long a stream is assessed again while another one's path is
+	settleDelay = 30 * time.Millisecond
+	// minOverdueStreams is how many streams that are overdue together are checked early.
+	minOverdueStreams = 2
+	// recheckDelay is after how long a stream is assessed again while another one's path is
 	// checked.
-	checkTurn = 10 * time.Millisecond
-	// cautionStep and mostCaution are by how much, and how far at most, each check of a
+	recheckDelay = 10 * time.Millisecond
+	// backoffFactor and mostCaution are by how much, and how far at most, each check of a
 	// path that held raises the thresholds; cautionTime is how long that takes to fade.
-	cautionStep = 1.5
-	mostCaution = 3
-	cautionTime = 5 * time.Second
+	backoffFactor    = 1.5
+	maxBackoff       = 3
+	backoffDecayTime = 5 * time.Second
 )
 
 // Detector relates the progress of this process's streams to the engines they run through.
 type Detector struct {
 	now func() time.Time
 
-	mu      sync.Mutex
-	streams map[*Stream]struct{}
-	engines map[model.Incarnation]*engine
-	resumed time.Time // when this process was last seen to go on after a pause
+	mu        sync.Mutex
+	streams   map[*Stream]struct{}
+	engines   map[model.Incarnation]*engine
+	resumedAt time.Time // when this process was last seen to go on after a pause
 	// checking is the stream whose path is checked; one at a time, as its result speaks
 	// for the others.
 	checking *Stream
-	// caution multiplies the thresholds, as of cautioned.
-	caution   float64
-	cautioned time.Time
+	// backoff multiplies the thresholds, as of cautioned.
+	backoff      float64
+	backoffSetAt time.Time
 }
 
 // engine is what streams say of one engine.
 type engine struct {
-	progress time.Time // newest event of a stream through it
-	streams  int
+	lastEvent time.Time // newest event of a stream through it
+	streams   int
 }
 
 // New makes a detector that knows no streams.
 func New(now func() time.Time) *Detector {
-	return &Detector{now: now, streams: map[*Stream]struct{}{}, engines: map[model.Incarnation]*engine{}, caution: 1}
+	return &Detector{now: now, streams: map[*Stream]struct{}{}, engines: map[model.Incarnation]*engine{}, backoff: 1}
 }
 
 // Stream is the progress of one stream.
 type Stream struct {
-	d       *Detector
-	allowed time.Duration
+	d        *Detector
+	maxPause time.Duration
 
 	path []model.Incarnation
-	// asked is when the check of its path began.
-	asked time.Time
-	// running says that an event came through the present path.
-	running bool
-	last    time.Time
-	due     time.Time // when the next check is scheduled
+	// checkStarted is when the check of its path began.
+	checkStarted time.Time
+	// hasEvent says that an event came through the present path.
+	hasEvent       bool
+	lastEvent      time.Time
+	nextAssessment time.Time // when the next check is scheduled
 	// mean and deviation describe the interval between events, in seconds.
 	mean, deviation float64
 }
 
 // Track adds a stream through some engines. expected is the interval between its events
 // as planned, allowed the longest pause that is still on time; 0 for the default.
-func (d *Detector) Track(path []model.Incarnation, expected, allowed time.Duration) *Stream {
-	if allowed <= 0 {
-		allowed = defaultPause
+func (d *Detector) Track(path []model.Incarnation, expected, maxPause time.Duration) *Stream {
+	if maxPause <= 0 {
+		maxPause = defaultMaxPause
 	}
-	s := &Stream{d: d, allowed: allowed, mean: expected.Seconds(), deviation: expected.Seconds() / 2}
+	s := &Stream{d: d, maxPause: maxPause, mean: expected.Seconds(), deviation: expected.Seconds() / 2}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.streams[s] = struct{}{}
-	s.enter(path)
+	s.addToEngines(path)
 	return s
 }
 
-// enter and leave count the stream at its engines. The caller holds the lock.
-func (s *Stream) enter(path []model.Incarnation) {
+// addToEngines and leave count the stream at its engines. The caller holds the lock.
+func (s *Stream) addToEngines(path []model.Incarnation) {
 	s.path = path
 	for _, inc := range path {
 		e, ok := s.d.engines[inc]
@@ -114,7 +114,7 @@
 	}
 }
 
-func (s *Stream) leave() {
+func (s *Stream) removeFromEngines() {
 	for _, inc := range s.path {
 		e := s.d.engines[inc]
 		if e.streams--; e.streams == 0 {
@@ -129,45 +129,45 @@
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	now := s.d.now()
-	if s.running {
-		s.observe(now.Sub(s.last).Seconds())
+	if s.hasEvent {
+		s.updateInterval(now.Sub(s.lastEvent).Seconds())
 	}
-	s.running = true
-	s.last = now
+	s.hasEvent = true
+	s.lastEvent = now
 	for _, inc := range s.path {
-		s.d.engines[inc].progress = now
+		s.d.engines[inc].lastEvent = now
 	}
-	return s.schedule(now, s.overdueAfter())
+	return s.schedule(now, s.overdueDelay())
 }
 
-func (s *Stream) observe(interval float64) {
+func (s *Stream) updateInterval(interval float64) {
 	off := interval - s.mean
 	s.mean += meanWeight * off
 	s.deviation += deviationWeight * (max(off, -off) - s.deviation)
 }
 
 func (s *Stream) schedule(now time.Time, after time.Duration) time.Duration {
-	s.due = now.Add(after)
+	s.nextAssessment = now.Add(after)
 	return after
 }
 
-// overdueAfter is the pause after which the stream is overdue. The caller holds the lock.
-func (s *Stream) overdueAfter() time.Duration {
-	late := max(s.mean+deviations*s.deviation, leastFactor*s.mean)
-	return time.Duration(s.d.care() * float64(max(time.Duration(late*float64(time.Second)), leastOverdue)))
+// overdueDelay is the pause after which the stream is overdue. The caller holds the lock.
+func (s *Stream) overdueDelay() time.Duration {
+	late := max(s.mean+maxDeviations*s.deviation, minIntervalFactor*s.mean)
+	return time.Duration(s.d.currentBackoff() * float64(max(time.Duration(late*float64(time.Second)), minOverdueDelay)))
 }
 
-// care is the factor that checks of paths which held leave on the thresholds for a while.
+// currentBackoff is the factor that checks of paths which held leave on the thresholds for a while.
 // The caller holds the lock.
-func (d *Detector) care() float64 {
-	left := 1 - d.now().Sub(d.cautioned).Seconds()/cautionTime.Seconds()
-	return 1 + (d.caution-1)*max(left, 0)
+func (d *Detector) currentBackoff() float64 {
+	remaining := 1 - d.now().Sub(d.backoffSetAt).Seconds()/backoffDecayTime.Seconds()
+	return 1 + (d.backoff-1)*max(remaining, 0)
 }
 
-// aloneAfter is the pause after which the stream is checked without others. The caller
+// loneCheckDelay is the pause after which the stream is checked without others. The caller
 // holds the lock.
-func (s *Stream) aloneAfter() time.Duration {
-	return max(time.Duration(s.d.care()*aloneShare*float64(s.allowed)), s.overdueAfter())
+func (s *Stream) loneCheckDelay() time.Duration {
+	return max(time.Duration(s.d.currentBackoff()*loneCheckShare*float64(s.maxPause)), s.overdueDelay())
 }
 
 // Reroute takes in that the stream runs through other engines now. It is not judged
@@ -178,9 +178,9 @@
 	if _, ok := s.d.streams[s]; !ok {
 		return
 	}
-	s.leave()
-	s.enter(path)
-	s.running = false
+	s.removeFromEngines()
+	s.addToEngines(path)
+	s.hasEvent = false
 }
 
 // Close removes the stream; further calls do nothing.
@@ -189,7 +189,7 @@
 	defer s.d.mu.Unlock()
 	if _, ok := s.d.streams[s]; ok {
 		delete(s.d.streams, s)
-		s.leave()
+		s.removeFromEngines()
 	}
 	if s.d.checking == s {
 		s.d.checking = nil
@@ -219,34 +219,34 @@
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	now := s.d.now()
-	if !s.running {
+	if !s.hasEvent {
 		return Assessment{}
 	}
-	a := Assessment{Pause: now.Sub(s.last)}
-	if now.Sub(s.due) > scheduleSlack {
-		s.d.resumed = now
+	a := Assessment{Pause: now.Sub(s.lastEvent)}
+	if now.Sub(s.nextAssessment) > maxScheduleDelay {
+		s.d.resumedAt = now
 	}
-	if rest := settleTime - now.Sub(s.d.resumed); rest > 0 {
+	if rest := settleDelay - now.Sub(s.d.resumedAt); rest > 0 {
 		a.ReassessAfter = s.schedule(now, rest)
 		return a
 	}
-	s.weigh(now, &a)
-	switch rest := s.aloneAfter() - a.Pause; {
+	s.findCandidates(now, &a)
+	switch rest := s.loneCheckDelay() - a.Pause; {
 	case len(a.Candidates) == 0:
-	case rest > 0 && a.OverdueStreams < quorum:
+	case rest > 0 && a.OverdueStreams < minOverdueStreams:
 		a.ReassessAfter = s.schedule(now, rest)
 	case s.d.checking != nil:
-		a.ReassessAfter = s.schedule(now, checkTurn)
+		a.ReassessAfter = s.schedule(now, recheckDelay)
 	default:
 		s.d.checking = s
-		s.asked = now
+		s.checkStarted = now
 	}
 	return a
 }
 
-// weigh finds the candidates and the streams that are overdue with this one. The caller
+// findCandidates finds the candidates and the streams that are overdue with this one. The caller
 // holds the lock.
-func (s *Stream) weigh(now time.Time, a *Assessment) {
+func (s *Stream) findCandidates(now time.Time, a *Assessment) {
 	quiet := map[model.Incarnation]bool{}
 	for _, inc := range s.path {
 		e := s.d.engines[inc]
@@ -254,32 +254,32 @@
 			continue
 		}
 		a.Candidates = append(a.Candidates, inc)
-		if now.Sub(e.progress) >= s.overdueAfter() {
+		if now.Sub(e.lastEvent) >= s.overdueDelay() {
 			quiet[inc] = true
 		}
 	}
 	if len(quiet) > 0 {
-		a.OverdueStreams = s.d.overdue(now, quiet)
+		a.OverdueStreams = s.d.countOverdue(now, quiet)
 	}
 }
 
 // CheckFinished ends the check of the stream's path. If the path held, its engines worked when
 // it was asked about.
-func (s *Stream) CheckFinished(held bool) {
+func (s *Stream) CheckFinished(healthy bool) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	if s.d.checking == s {
 		s.d.checking = nil
 	}
-	if !held {
-		s.d.caution = 1
+	if !healthy {
+		s.d.backoff = 1
 		return
 	}
-	s.d.caution = min(s.d.care()*cautionStep, mostCaution)
-	s.d.cautioned = s.d.now()
+	s.d.backoff = min(s.d.currentBackoff()*backoffFactor, maxBackoff)
+	s.d.backoffSetAt = s.d.now()
 	for _, inc := range s.path {
-		if e := s.d.engines[inc]; e.progress.Before(s.asked) {
-			e.progress = s.asked
+		if e := s.d.engines[inc]; e.lastEvent.Before(s.checkStarted) {
+			e.lastEvent = s.checkStarted
 		}
 	}
 }
@@ -287,22 +287,22 @@
 // cleared tells whether an engine made progress for another stream after it was due for
 // this one. The caller holds the lock.
 func (s *Stream) cleared(e *engine) bool {
-	return e.progress.Sub(s.last) >= s.overdueAfter()/leastFactor
+	return e.lastEvent.Sub(s.lastEvent) >= s.overdueDelay()/minIntervalFactor
 }
 
-// overdue counts the streams that are overdue and run through one of some engines. The
+// countOverdue counts the streams that are countOverdue and run through one of some engines. The
 // caller holds the lock.
-func (d *Detector) overdue(now time.Time, engines map[model.Incarnation]bool) int {
+func (d *Detector) countOverdue(now time.Time, engines map[model.Incarnation]bool) int {
 	n := 0
 	for t := range d.streams {
-		if t.running && now.Sub(t.last) >= t.overdueAfter() && t.through(engines) {
+		if t.hasEvent && now.Sub(t.lastEvent) >= t.overdueDelay() && t.usesAny(engines) {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *Stream) through(engines map[model.Incarnation]bool) bool {
+func (s *Stream) usesAny(engines map[model.Incarnation]bool) bool {
 	for _, inc := range s.path {
 		if engines[inc] {
 			return true
--- a/internal/coordination/detector/detector_test.go
+++ b/internal/coordination/detector/detector_test.go
@@ -56,7 +56,7 @@
 			all = append(all, d.Track(path(fmt.Sprint("first", i%7), "a", "b"), interval, allowed))
 		}
 		c.play(40, interval, all...)
-		pause := all[0].overdueAfter()
+		pause := all[0].overdueDelay()
 		c.advance(pause)
 		a := all[0].Assess()
 		for a.ReassessAfter > 0 {
@@ -79,7 +79,7 @@
 	other := d.Track(path("a", "b", "c"), interval, allowed)
 	c.play(20, interval, silent, other)
 	c.play(4, interval, other)
-	silent.due = c.at
+	silent.nextAssessment = c.at
 	a := silent.Assess()
 	assert.DeepEqual(t, a.Candidates, path("lost"))
 	assert.Equal(t, a.OverdueStreams, 1)
@@ -95,7 +95,7 @@
 	others := []*Stream{d.Track(path("a", "x"), interval, allowed), d.Track(path("y", "b"), interval, allowed)}
 	c.play(20, interval, append(others, late)...)
 	c.play(6, interval, others...)
-	late.due = c.at
+	late.nextAssessment = c.at
 	a := late.Assess()
 	assert.Equal(t, len(a.Candidates), 0)
 	assert.Assert(t, !a.NeedsCheck())
@@ -111,7 +111,7 @@
 	c.advance(200 * time.Millisecond)
 	a := streams[0].Assess()
 	assert.Assert(t, !a.NeedsCheck())
-	assert.Equal(t, a.ReassessAfter, settleTime)
+	assert.Equal(t, a.ReassessAfter, settleDelay)
 	for _, s := range streams {
 		s.RecordEvent()
 	}
@@ -127,11 +127,11 @@
 	c.play(20, interval, s)
 	s.Reroute(path("a", "c"))
 	c.advance(500 * time.Millisecond)
-	s.due = c.at
+	s.nextAssessment = c.at
 	assert.Assert(t, !s.Assess().NeedsCheck())
 	s.RecordEvent()
-	c.advance(s.aloneAfter())
-	s.due = c.at
+	c.advance(s.loneCheckDelay())
+	s.nextAssessment = c.at
 	assert.DeepEqual(t, s.Assess().Candidates, path("a", "c"))
 }
 
@@ -148,7 +148,7 @@
 		c := newClock()
 		s := New(c.now).Track(path("a"), 2*route.interval, route.allowed)
 		c.play(60, route.interval, s)
-		assert.Equal(t, s.aloneAfter().Round(time.Millisecond), route.after, "%+v", route)
+		assert.Equal(t, s.loneCheckDelay().Round(time.Millisecond), route.after, "%+v", route)
 	}
 }
 
@@ -159,23 +159,23 @@
 	d := New(c.now)
 	streams := []*Stream{d.Track(path("a", "b"), interval, allowed), d.Track(path("c", "d"), interval, allowed)}
 	c.play(40, interval, streams...)
-	first := streams[0].overdueAfter()
+	first := streams[0].overdueDelay()
 	for range 10 {
 		c.advance(first)
-		c.advance(streams[0].aloneAfter() - first)
+		c.advance(streams[0].loneCheckDelay() - first)
 		for _, s := range streams {
-			s.due = c.at
+			s.nextAssessment = c.at
 		}
 		assert.Assert(t, streams[0].Assess().NeedsCheck())
-		assert.Equal(t, streams[1].Assess().ReassessAfter, checkTurn)
+		assert.Equal(t, streams[1].Assess().ReassessAfter, recheckDelay)
 		streams[0].CheckFinished(true)
 		for _, s := range streams {
 			s.RecordEvent()
 		}
 	}
-	assert.Assert(t, streams[0].overdueAfter() > 2*first)
+	assert.Assert(t, streams[0].overdueDelay() > 2*first)
 	c.play(200, interval, streams...)
-	assert.Assert(t, streams[0].overdueAfter() <= first)
+	assert.Assert(t, streams[0].overdueDelay() <= first)
 }
 
 // A path that held clears its engines: what is asked of one stream is not asked of the
@@ -185,8 +185,8 @@
 	d := New(c.now)
 	one, two := d.Track(path("a", "b"), interval, allowed), d.Track(path("a", "c"), interval, allowed)
 	c.play(20, interval, one, two)
-	c.advance(one.aloneAfter())
-	one.due, two.due = c.at, c.at
+	c.advance(one.loneCheckDelay())
+	one.nextAssessment, two.nextAssessment = c.at, c.at
 	assert.Assert(t, one.Assess().NeedsCheck())
 	one.CheckFinished(true)
 	assert.DeepEqual(t, two.Assess().Candidates, path("c"))
@@ -231,7 +231,7 @@
 		for range 4 {
 			c.advance(interval)
 			for _, s := range streams {
-				if !s.through(lost) {
+				if !s.usesAny(lost) {
 					s.RecordEvent()
 					for _, e := range s.path {
 						working[e] = true
@@ -240,10 +240,10 @@
 			}
 		}
 		for _, s := range streams {
-			if !s.through(lost) {
+			if !s.usesAny(lost) {
 				continue
 			}
-			s.due = c.at
+			s.nextAssessment = c.at
 			a := s.Assess()
 			if !a.NeedsCheck() {
 				t.Fatalf("a silent stream is not checked: %+v", a)
