--- a/internal/coordination/fair/fair.go
+++ b/internal/coordination/fair/fair.go
@@ -28,9 +28,9 @@
 func (q *Queue[T]) Acquire(customer string) { q.held[customer]++ }
 
 // Release notes that a customer gave one back.
-func (q *Queue[T]) Release(customer string) { drop(q.held, customer) }
+func (q *Queue[T]) Release(customer string) { decrement(q.held, customer) }
 
-func drop(m map[string]int, key string) {
+func decrement(m map[string]int, key string) {
 	if m[key]--; m[key] <= 0 {
 		delete(m, key)
 	}
@@ -62,7 +62,7 @@
 func (q *Queue[T]) removeAt(i int) entry[T] {
 	e := q.waiting[i]
 	q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
-	drop(q.queued, e.customer)
+	decrement(q.queued, e.customer)
 	return e
 }
 
@@ -75,7 +75,7 @@
 
 // PopWithCustomer is Pop that also tells whose it is.
 func (q *Queue[T]) PopWithCustomer() (item T, customer string, ok bool) {
-	best := q.front()
+	best := q.nextIndex()
 	if best < 0 {
 		return item, "", false
 	}
@@ -85,7 +85,7 @@
 
 // Peek tells what goes next and leaves it in the queue.
 func (q *Queue[T]) Peek() (item T, ok bool) {
-	best := q.front()
+	best := q.nextIndex()
 	if best < 0 {
 		return item, false
 	}
@@ -94,25 +94,25 @@
 
 // NextCustomer tells whose turn it is and leaves the queue as it is.
 func (q *Queue[T]) NextCustomer() (customer string, ok bool) {
-	best := q.front()
+	best := q.nextIndex()
 	if best < 0 {
 		return "", false
 	}
 	return q.waiting[best].customer, true
 }
 
-// front is the index of what goes next, -1 if nothing waits.
-func (q *Queue[T]) front() int {
+// nextIndex is the index of what goes next, -1 if nothing waits.
+func (q *Queue[T]) nextIndex() int {
 	best := -1
 	for i, e := range q.waiting {
-		if best < 0 || q.before(e, q.waiting[best]) {
+		if best < 0 || q.precedes(e, q.waiting[best]) {
 			best = i
 		}
 	}
 	return best
 }
 
-func (q *Queue[T]) before(a, b entry[T]) bool {
+func (q *Queue[T]) precedes(a, b entry[T]) bool {
 	if a.priority != b.priority {
 		return a.priority > b.priority
 	}
