--- a/internal/coordination/routes/routes.go
+++ b/internal/coordination/routes/routes.go
@@ -76,8 +76,8 @@
 }
 
 // Idempotent tells whether the request may run more than once.
-func (k Admission) Idempotent() bool {
-	return k.Route.Kind == model.RouteIdempotent || k.Route.Kind == model.RouteStreaming && k.Route.ResumeStreams
+func (a Admission) Idempotent() bool {
+	return a.Route.Kind == model.RouteIdempotent || a.Route.Kind == model.RouteStreaming && a.Route.ResumeStreams
 }
 
 // Admit decides what a call may do. The error is the final answer.
@@ -86,43 +86,43 @@
 	if r == nil {
 		return Admission{Version: t.Config.Version}, fault.New(fault.NotFound, "no route for host %q and this path", c.Host)
 	}
-	k := Admission{Version: t.Config.Version, Route: r, Priority: r.Priority}
+	a := Admission{Version: t.Config.Version, Route: r, Priority: r.Priority}
 	if len(t.Config.Customers) > 0 {
-		if err := t.identify(c, &k); err != nil {
-			return k, err
+		if err := t.identify(c, &a); err != nil {
+			return a, err
 		}
 	}
-	name := pick(r.Split, c.Attempt)
-	k.Service = t.services[name]
-	if k.Service == nil {
-		return k, fault.New(fault.NoCapacity, "service %q of route %s is not configured", name, r.Name)
+	name := selectService(r.Split, c.Attempt)
+	a.Service = t.services[name]
+	if a.Service == nil {
+		return a, fault.New(fault.NoCapacity, "service %q of route %s is not configured", name, r.Name)
 	}
-	k.Deadline = c.Deadline
+	a.Deadline = c.Deadline
 	if r.Timeout > 0 {
-		if end := now.Add(r.Timeout); k.Deadline.IsZero() || end.Before(k.Deadline) {
-			k.Deadline = end
+		if deadline := now.Add(r.Timeout); a.Deadline.IsZero() || deadline.Before(a.Deadline) {
+			a.Deadline = deadline
 		}
 	}
-	return k, nil
+	return a, nil
 }
 
-func (t *Table) identify(c *model.Call, k *Admission) *fault.Error {
-	if who := t.customers[c.APIKey]; who != nil && c.APIKey != "" {
-		k.Customer = who.Name
-		if who.Priority != nil {
-			k.Priority = *who.Priority
+func (t *Table) identify(c *model.Call, a *Admission) *fault.Error {
+	if customer := t.customers[c.APIKey]; customer != nil && c.APIKey != "" {
+		a.Customer = customer.Name
+		if customer.Priority != nil {
+			a.Priority = *customer.Priority
 		}
 		return nil
 	}
-	if k.Route.AllowAnonymous {
+	if a.Route.AllowAnonymous {
 		return nil
 	}
 	return fault.New(fault.UnknownCustomer, "the credential is not known")
 }
 
-// pick chooses a service of a split by the attempt's id, so that one attempt
+// selectService chooses a service of a split by the attempt's id, so that one attempt
 // always goes to the same one.
-func pick(split []model.ServiceShare, attempt string) string {
+func selectService(split []model.ServiceShare, attempt string) string {
 	total := 0
 	for _, s := range split {
 		total += max(s.Weight, 0)
@@ -148,13 +148,13 @@
 	mu    sync.Mutex // orders Apply
 	table atomic.Pointer[Table]
 	raw   atomic.Pointer[RawConfig]
-	// heard is when somebody confirmed that the version is the newest, in the
+	// lastConfirmed is when somebody confirmed that the version is the newest, in the
 	// time of the clock given to Confirm.
-	heard atomic.Int64
-	// first is closed when the first configuration is in force.
-	first     chan struct{}
-	firstOnce sync.Once
-	makeFirst sync.Once
+	lastConfirmed atomic.Int64
+	// ready is closed when the ready configuration is in force.
+	ready      chan struct{}
+	closeReady sync.Once
+	makeReady  sync.Once
 }
 
 // RawConfig is a configuration as the operator wrote it, for passing it on.
@@ -188,33 +188,33 @@
 	}
 	c.table.Store(Compile(cfg))
 	c.raw.Store(&RawConfig{Version: cfg.Version, Raw: raw})
-	first := c.Ready()
-	c.firstOnce.Do(func() { close(first) })
+	ready := c.Ready()
+	c.closeReady.Do(func() { close(ready) })
 	return true
 }
 
 // Ready is closed once a configuration is in force.
 func (c *ActiveConfig) Ready() chan struct{} {
-	c.makeFirst.Do(func() { c.first = make(chan struct{}) })
-	return c.first
+	c.makeReady.Do(func() { c.ready = make(chan struct{}) })
+	return c.ready
 }
 
 // Confirm takes in that at a moment the version in force was the newest. Words of the
 // store and of peers overtake each other; an older one takes nothing back.
 func (c *ActiveConfig) Confirm(at time.Duration) {
 	for {
-		heard := c.heard.Load()
-		if int64(at) <= heard || c.heard.CompareAndSwap(heard, int64(at)) {
+		confirmed := c.lastConfirmed.Load()
+		if int64(at) <= confirmed || c.lastConfirmed.CompareAndSwap(confirmed, int64(at)) {
 			return
 		}
 	}
 }
 
 // LastConfirmed is when the version in force was last known to be the newest.
-func (c *ActiveConfig) LastConfirmed() time.Duration { return time.Duration(c.heard.Load()) }
+func (c *ActiveConfig) LastConfirmed() time.Duration { return time.Duration(c.lastConfirmed.Load()) }
 
 // Age is how long ago the configuration was last confirmed. A refusal that
 // rests on it is only true while it is young.
 func (c *ActiveConfig) Age(now time.Duration) time.Duration {
-	return now - time.Duration(c.heard.Load())
+	return now - time.Duration(c.lastConfirmed.Load())
 }
--- a/internal/coordination/routes/routes_test.go
+++ b/internal/coordination/routes/routes_test.go
@@ -82,15 +82,15 @@
 	second := 0
 	for i := range attempts {
 		id := string(rune('a'+i%26)) + time.Duration(i).String()
-		name := pick(split, id)
-		assert.Equal(t, name, pick(split, id))
+		name := selectService(split, id)
+		assert.Equal(t, name, selectService(split, id))
 		if name == "s2" {
 			second++
 		}
 	}
 	assert.Assert(t, second > attempts/20 && second < attempts*3/20, "%d of %d", second, attempts)
-	assert.Equal(t, pick(nil, "a"), "")
-	assert.Equal(t, pick([]model.ServiceShare{{Service: "z"}}, "a"), "z")
+	assert.Equal(t, selectService(nil, "a"), "")
+	assert.Equal(t, selectService([]model.ServiceShare{{Service: "z"}}, "a"), "z")
 }
 
 // Versions reach a router from the store and from peers, in any order and more
