--- a/internal/coordination/routing/budget.go
+++ b/internal/coordination/routing/budget.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// linkHeadroom is how much of a link's rate is given out. A link driven to
+	// maxLinkUtilization is how much of a link's rate is given out. A link driven to
 	// its full rate by arrivals at random builds a queue without end.
-	linkHeadroom = 0.95
-	// linkBurst is how many seconds' worth may be given out at once.
-	linkBurst = 2.0
+	maxLinkUtilization = 0.95
+	// linkBurstSeconds is how many seconds' worth may be given out at once.
+	linkBurstSeconds = 2.0
 )
 
 // linkBudget gives out positions on the links that have a limit. A gate knows
@@ -23,13 +23,13 @@
 // over slow links look free while their positions queue up. Each entry has its
 // share; none asks another.
 type linkBudget struct {
-	links Links
-	mu    sync.Mutex
-	buys  map[[2]string]*rate.Limiter
+	links    Links
+	mu       sync.Mutex
+	limiters map[[2]string]*rate.Limiter
 }
 
 func newLinkBudget(l Links) *linkBudget {
-	return &linkBudget{links: l, buys: map[[2]string]*rate.Limiter{}}
+	return &linkBudget{links: l, limiters: map[[2]string]*rate.Limiter{}}
 }
 
 // limiter gives the share of a link, nil if it has no limit.
@@ -40,13 +40,13 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	share := limit * linkHeadroom / float64(max(b.links.RouterCount(), 1))
+	share := limit * maxLinkUtilization / float64(max(b.links.RouterCount(), 1))
 	key := [2]string{from, to}
-	l, ok := b.buys[key]
-	burst := int(math.Ceil(share*linkBurst)) + 1
+	l, ok := b.limiters[key]
+	burst := int(math.Ceil(share*linkBurstSeconds)) + 1
 	if !ok {
 		l = rate.NewLimiter(rate.Limit(share), burst)
-		b.buys[key] = l
+		b.limiters[key] = l
 	}
 	if l.Limit() != rate.Limit(share) {
 		l.SetLimitAt(now, rate.Limit(share))
@@ -67,8 +67,8 @@
 	return true
 }
 
-// take uses up the links of a chosen chain.
-func (b *linkBudget) take(chain []Stage, positions int, now time.Time) {
+// reserve uses up the links of a chosen chain.
+func (b *linkBudget) reserve(chain []Stage, positions int, now time.Time) {
 	for i := 0; i+1 < len(chain); i++ {
 		l := b.limiter(chain[i].Member.Instance.FailureDomain, chain[i+1].Member.Instance.FailureDomain, now)
 		if l != nil {
--- a/internal/coordination/routing/flow.go
+++ b/internal/coordination/routing/flow.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// planEvery is how old a plan may grow. Engines that come, go or fill up
+	// planInterval is how old a plan may grow. Engines that come, go or fill up
 	// change it; in between live load corrects it.
-	planEvery = time.Second
-	// flowTries is how many chains are drawn by the plan and compared.
-	flowTries = 2
+	planInterval = time.Second
+	// chainDraws is how many chains are drawn by the plan and compared.
+	chainDraws = 2
 )
 
 // InterconnectRate gives how many positions a second go between two failure domains.
@@ -24,11 +24,11 @@
 
 // planner keeps a max-flow plan for each service.
 type planner struct {
-	link InterconnectRate
-	mu   sync.Mutex
-	at   map[string]time.Time
-	plan map[string]*plan
-	busy map[string]bool // a plan is being solved
+	link     InterconnectRate
+	mu       sync.Mutex
+	solvedAt map[string]time.Time
+	plans    map[string]*plan
+	solving  map[string]bool // a plan is being solved
 }
 
 // plan is the flow with the groups it goes by.
@@ -40,15 +40,15 @@
 // groupKey is what makes engines alike for the plan.
 type groupKey struct {
 	domain string
-	rng    model.LayerRange
+	layers model.LayerRange
 }
 
 func keyOf(c candidate) groupKey {
 	return groupKey{c.Instance.FailureDomain, c.Backend.Range}
 }
 
-// groupsOf puts candidates into groups, in a fixed order.
-func groupsOf(all []candidate) []flow.Group {
+// groupCandidates puts candidates into groups, in a fixed order.
+func groupCandidates(all []candidate) []flow.Group {
 	rates := map[groupKey]float64{}
 	for _, c := range all {
 		rates[keyOf(c)] += c.Backend.Rate
@@ -56,7 +56,7 @@
 	groups := make([]flow.Group, 0, len(rates))
 	for k, rate := range rates {
 		if rate > 0 {
-			groups = append(groups, flow.Group{Domain: k.domain, Range: k.rng, Rate: rate})
+			groups = append(groups, flow.Group{Domain: k.domain, Range: k.layers, Rate: rate})
 		}
 	}
 	sort.Slice(groups, func(i, j int) bool {
@@ -76,78 +76,78 @@
 // beside the requests, which go by it meanwhile. The plan is solved over
 // everybody who is up, full or not: a group that is full for a moment keeps its
 // part.
-func (p *planner) planFor(service string, everybody func() []candidate, layers int, now time.Time) *plan {
+func (p *planner) planFor(service string, upMembers func() []candidate, layers int, now time.Time) *plan {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	have, ok := p.plan[service]
+	current, ok := p.plans[service]
 	if !ok {
-		have = p.solve(everybody(), layers)
-		p.plan[service] = have
-		p.at[service] = now
-		return have
+		current = p.solve(upMembers(), layers)
+		p.plans[service] = current
+		p.solvedAt[service] = now
+		return current
 	}
-	if now.Sub(p.at[service]) >= planEvery && !p.busy[service] {
-		p.busy[service] = true
-		go p.renew(service, everybody(), layers, now)
+	if now.Sub(p.solvedAt[service]) >= planInterval && !p.solving[service] {
+		p.solving[service] = true
+		go p.renew(service, upMembers(), layers, now)
 	}
-	return have
+	return current
 }
 
-func (p *planner) renew(service string, everybody []candidate, layers int, now time.Time) {
-	next := p.solve(everybody, layers)
+func (p *planner) renew(service string, members []candidate, layers int, now time.Time) {
+	next := p.solve(members, layers)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.plan[service] = next
-	p.at[service] = now
-	p.busy[service] = false
+	p.plans[service] = next
+	p.solvedAt[service] = now
+	p.solving[service] = false
 }
 
-func (p *planner) solve(everybody []candidate, layers int) *plan {
-	groups := groupsOf(everybody)
+func (p *planner) solve(members []candidate, layers int) *plan {
+	groups := groupCandidates(members)
 	return &plan{Plan: flow.Solve(groups, layers, p.link, flow.CoarsePrecision), groups: groups}
 }
 
-// byFlow draws a few chains along the plan and gives the one with the least
+// chainFromPlan draws a few chains along the plan and gives the one with the least
 // load; none if the plan has none with room. It tells whether there is a plan.
-func (r *Router) byFlow(ask ChainRequest, all []candidate) (chain []Stage, planned bool) {
-	everybody := func() []candidate { return r.everybody(ask.Service) }
-	pl := r.planner.planFor(ask.Service, everybody, ask.Layers.To, r.now())
+func (r *Router) chainFromPlan(req ChainRequest, all []candidate) (chain []Stage, planned bool) {
+	upMembers := func() []candidate { return r.upMembers(req.Service) }
+	pl := r.planner.planFor(req.Service, upMembers, req.Layers.To, r.now())
 	if pl.Rate <= 0 {
 		return nil, false
 	}
-	room := roomOf(all)
+	available := groupAvailable(all)
 	bestCost := math.Inf(1)
-	for try := 0; try < flowTries; try++ {
-		next := r.draw(pl, room, ask.Positions)
-		if cost := loadOf(next); next != nil && cost < bestCost {
+	for try := 0; try < chainDraws; try++ {
+		next := r.draw(pl, available, req.Positions)
+		if cost := maxStageLoad(next); next != nil && cost < bestCost {
 			chain, bestCost = next, cost
 		}
 	}
 	if chain != nil {
-		r.budget.take(chain, ask.Positions, r.now())
+		r.budget.reserve(chain, req.Positions, r.now())
 	}
 	return chain, true
 }
 
-// roomOf puts those with room into groups, without those that seem down.
-func roomOf(all []candidate) map[groupKey][]candidate {
-	room := map[groupKey][]candidate{}
+// groupAvailable puts those with room into groups, without those that seem down.
+func groupAvailable(all []candidate) map[groupKey][]candidate {
+	available := map[groupKey][]candidate{}
 	for _, c := range all {
 		if c.penalty == 0 {
 			k := keyOf(c)
-			room[k] = append(room[k], c)
+			available[k] = append(available[k], c)
 		}
 	}
-	return room
+	return available
 }
 
 // draw takes a chain at random, each with the weight of its rate, among those
 // that have room at every group and link.
-func (r *Router) draw(pl *plan, room map[groupKey][]candidate, positions int) []Stage {
+func (r *Router) draw(pl *plan, available map[groupKey][]candidate, positions int) []Stage {
 	weights := make([]float64, len(pl.Chains))
 	total := 0.0
 	for i, c := range pl.Chains {
-		if pl.hasRoom(c, room) && r.budget.allows(pl, c, positions, r.now()) {
+		if pl.isAvailable(c, available) && r.budget.allows(pl, c, positions, r.now()) {
 			weights[i] = c.Rate
 			total += c.Rate
 		}
@@ -155,11 +155,11 @@
 	if total <= 0 {
 		return nil
 	}
-	const grain = 1 << 30
-	at := float64(r.rnd(grain)) / grain * total
+	const resolution = 1 << 30
+	at := float64(r.rnd(resolution)) / resolution * total
 	for i, w := range weights {
 		if at -= w; at < 0 && w > 0 {
-			return r.membersOf(pl, pl.Chains[i], room)
+			return r.selectMembers(pl, pl.Chains[i], available)
 		}
 	}
 	return nil
@@ -170,22 +170,22 @@
 	return groupKey{g.Domain, g.Range}
 }
 
-func (pl *plan) hasRoom(c flow.Chain, room map[groupKey][]candidate) bool {
+func (pl *plan) isAvailable(c flow.Chain, available map[groupKey][]candidate) bool {
 	for _, g := range c.Groups {
-		if len(room[pl.key(g)]) == 0 {
+		if len(available[pl.key(g)]) == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// membersOf takes a member of each group of a chain.
-func (r *Router) membersOf(pl *plan, c flow.Chain, room map[groupKey][]candidate) []Stage {
+// selectMembers takes a member of each group of a chain.
+func (r *Router) selectMembers(pl *plan, c flow.Chain, available map[groupKey][]candidate) []Stage {
 	var chain []Stage
 	done := 0
 	for _, g := range c.Groups {
 		to := pl.groups[g].Range.To
-		m := r.twoChoices(room[pl.key(g)])
+		m := r.twoChoices(available[pl.key(g)])
 		chain = append(chain, Stage{Member: m.Member, Range: model.LayerRange{From: done, To: to}})
 		done = to
 	}
@@ -195,28 +195,28 @@
 // twoChoices takes the less loaded of two members for their rates.
 func (r *Router) twoChoices(group []candidate) candidate {
 	a, b := group[r.rnd(len(group))], group[r.rnd(len(group))]
-	if perRate(b) < perRate(a) {
+	if relativeLoad(b) < relativeLoad(a) {
 		return b
 	}
 	return a
 }
 
-// perRate is the load of a member for what it can carry.
-func perRate(c candidate) float64 {
+// relativeLoad is the load of a member for what it can carry.
+func relativeLoad(c candidate) float64 {
 	return float64(c.Backend.Active+1) / math.Max(c.Backend.Rate, 1)
 }
 
-// loadOf is the load at the most loaded stage of a chain.
-func loadOf(chain []Stage) float64 {
+// maxStageLoad is the load at the most loaded stage of a chain.
+func maxStageLoad(chain []Stage) float64 {
 	worst := 0.0
 	for _, s := range chain {
-		worst = math.Max(worst, perRate(candidate{Member: s.Member}))
+		worst = math.Max(worst, relativeLoad(candidate{Member: s.Member}))
 	}
 	return worst
 }
 
-// everybody is all who are up, whether they have room or not.
-func (r *Router) everybody(service string) []candidate {
+// upMembers is all who are up, whether they have room or not.
+func (r *Router) upMembers(service string) []candidate {
 	up, _ := r.table.Candidates(service)
 	out := make([]candidate, 0, len(up))
 	for _, m := range up {
--- a/internal/coordination/routing/routing.go
+++ b/internal/coordination/routing/routing.go
@@ -28,8 +28,8 @@
 	// reports lag; were all entries to take the least loaded of all, they would
 	// take the same one. A few sampled at random spread them (Mitzenmacher, 2001).
 	sampleSize = 3
-	// doubtPenalty makes a member that seems down the last choice.
-	doubtPenalty = time.Minute
+	// suspectPenalty makes a member that seems down the last choice.
+	suspectPenalty = time.Minute
 	// loadWeight is how much slower a full backend server is than an idle one.
 	loadWeight = 1.0
 )
@@ -82,10 +82,10 @@
 		rnd:    rnd,
 		budget: newLinkBudget(links),
 		planner: &planner{
-			link: links.Rate,
-			at:   map[string]time.Time{},
-			plan: map[string]*plan{},
-			busy: map[string]bool{},
+			link:     links.Rate,
+			solvedAt: map[string]time.Time{},
+			plans:    map[string]*plan{},
+			solving:  map[string]bool{},
 		},
 	}
 }
@@ -100,36 +100,36 @@
 // Chain chooses stages that cover the wanted layers. A whole model goes by the
 // plan; what the plan has no room for is refused, as any other chain would only
 // queue up on the links. A repair takes the nearest stages.
-func (r *Router) Chain(ask ChainRequest) ([]Stage, error) {
-	all, err := r.candidates(ask.Service, ask.Avoid)
+func (r *Router) Chain(req ChainRequest) ([]Stage, error) {
+	all, err := r.candidates(req.Service, req.Avoid)
 	if err != nil {
 		return nil, err
 	}
-	if ask.Positions == 0 || ask.Layers.From != 0 {
-		return r.nearest(ask.Service, all, ask.Layers)
+	if req.Positions == 0 || req.Layers.From != 0 {
+		return r.nearest(req.Service, all, req.Layers)
 	}
-	chain, planned := r.byFlow(ask, all)
+	chain, planned := r.chainFromPlan(req, all)
 	if !planned {
-		return r.nearest(ask.Service, all, ask.Layers)
+		return r.nearest(req.Service, all, req.Layers)
 	}
 	if chain == nil {
-		return nil, fault.New(fault.Overloaded, "no chain of %s has room at its engines and links", ask.Service)
+		return nil, fault.New(fault.Overloaded, "no chain of %s has room at its engines and links", req.Service)
 	}
 	return chain, nil
 }
 
 // nearest chooses the chain of least time per token among a sample. It serves
 // repairs, where the plan says nothing.
-func (r *Router) nearest(service string, all []candidate, need model.LayerRange) ([]Stage, error) {
-	for _, some := range [][]candidate{r.sample(withoutDoubt(all)), r.sample(all)} {
-		if chain := cheapest(some, need, r.link); chain != nil {
+func (r *Router) nearest(service string, all []candidate, layers model.LayerRange) ([]Stage, error) {
+	for _, sampled := range [][]candidate{r.sample(withoutSuspects(all)), r.sample(all)} {
+		if chain := cheapest(sampled, layers, r.link); chain != nil {
 			return chain, nil
 		}
 	}
-	if chain := cheapest(all, need, r.link); chain != nil {
+	if chain := cheapest(all, layers, r.link); chain != nil {
 		return chain, nil
 	}
-	return nil, fault.New(fault.NoCapacity, "no free backend servers cover layers %s of %s", need, service)
+	return nil, fault.New(fault.NoCapacity, "no free backend servers cover layers %s of %s", layers, service)
 }
 
 // PlainServer chooses a backend server of a plain service.
@@ -142,13 +142,13 @@
 		return membership.Member{}, fault.New(fault.NoCapacity, "no backend server of %s takes work", service)
 	}
 	best := all[r.rnd(len(all))]
-	if other := all[r.rnd(len(all))]; pressure(other) < pressure(best) {
+	if other := all[r.rnd(len(all))]; loadScore(other) < loadScore(best) {
 		best = other
 	}
 	return best.Member, nil
 }
 
-func pressure(c candidate) float64 {
+func loadScore(c candidate) float64 {
 	b := c.Backend
 	p := float64(b.Active+b.Queued) / float64(max(b.Capacity, 1))
 	if c.penalty > 0 {
@@ -168,8 +168,8 @@
 }
 
 func (r *Router) candidates(service string, avoid map[string]bool) ([]candidate, error) {
-	up, doubtful := r.table.Candidates(service)
-	if len(up)+len(doubtful) == 0 {
+	up, suspects := r.table.Candidates(service)
+	if len(up)+len(suspects) == 0 {
 		return nil, fault.New(fault.NoCapacity, "no backend server of %s is known to be up", service)
 	}
 	now := r.now()
@@ -184,8 +184,8 @@
 	for _, m := range up {
 		add(m, 0)
 	}
-	for _, m := range doubtful {
-		add(m, doubtPenalty)
+	for _, m := range suspects {
+		add(m, suspectPenalty)
 	}
 	return out, nil
 }
@@ -196,7 +196,7 @@
 	return time.Duration(float64(b.StepTime) * (1 + loadWeight*load))
 }
 
-func withoutDoubt(all []candidate) []candidate {
+func withoutSuspects(all []candidate) []candidate {
 	return slices.DeleteFunc(slices.Clone(all), func(c candidate) bool { return c.penalty > 0 })
 }
 
@@ -222,23 +222,23 @@
 	return out
 }
 
-// way is the cheapest way found to have run the layers up to a boundary with
+// partialChain is the cheapest partialChain found to have run the layers up to a boundary with
 // the last of them at one candidate.
-type way struct {
-	cost time.Duration
-	prev int // boundary before
-	via  int // candidate at that boundary, -1 at the start
-	ok   bool
+type partialChain struct {
+	cost      time.Duration
+	prev      int // boundary before
+	candidate int // candidate at that boundary, -1 at the start
+	ok        bool
 }
 
 // cheapest finds the chain of least time per token. It walks the layer
 // boundaries in order; a member may run any part of its range, so overlapping
 // ranges never run a layer twice.
-func cheapest(cs []candidate, need model.LayerRange, link LinkTime) []Stage {
-	bounds := boundaries(cs, need)
-	ways := make([][]way, len(bounds))
+func cheapest(cs []candidate, layers model.LayerRange, link LinkTime) []Stage {
+	bounds := boundaries(cs, layers)
+	ways := make([][]partialChain, len(bounds))
 	for i := range ways {
-		ways[i] = make([]way, len(cs))
+		ways[i] = make([]partialChain, len(cs))
 	}
 	for to := 1; to < len(bounds); to++ {
 		for c := range cs {
@@ -248,11 +248,11 @@
 	return trace(cs, bounds, ways)
 }
 
-func boundaries(cs []candidate, need model.LayerRange) []int {
-	set := map[int]bool{need.From: true, need.To: true}
+func boundaries(cs []candidate, layers model.LayerRange) []int {
+	set := map[int]bool{layers.From: true, layers.To: true}
 	for _, c := range cs {
 		for _, b := range []int{c.Backend.Range.From, c.Backend.Range.To} {
-			if need.From < b && b < need.To {
+			if layers.From < b && b < layers.To {
 				set[b] = true
 			}
 		}
@@ -265,8 +265,8 @@
 	return out
 }
 
-func bestInto(cs []candidate, bounds []int, ways [][]way, c, to int, link LinkTime) way {
-	var best way
+func bestInto(cs []candidate, bounds []int, ways [][]partialChain, c, to int, link LinkTime) partialChain {
+	var best partialChain
 	for from := to - 1; from >= 0; from-- {
 		part := model.LayerRange{From: bounds[from], To: bounds[to]}
 		if !cs[c].Backend.Range.Contains(part) {
@@ -274,7 +274,7 @@
 		}
 		run := time.Duration(part.Len())*cs[c].perLayer + cs[c].penalty
 		if from == 0 {
-			best = better(best, way{cost: run, prev: 0, via: -1, ok: true})
+			best = better(best, partialChain{cost: run, prev: 0, candidate: -1, ok: true})
 			continue
 		}
 		for p := range cs {
@@ -282,20 +282,20 @@
 				continue
 			}
 			cost := ways[from][p].cost + link(cs[p].Instance, cs[c].Instance) + run
-			best = better(best, way{cost: cost, prev: from, via: p, ok: true})
+			best = better(best, partialChain{cost: cost, prev: from, candidate: p, ok: true})
 		}
 	}
 	return best
 }
 
-func better(a, b way) way {
+func better(a, b partialChain) partialChain {
 	if !a.ok || b.cost < a.cost {
 		return b
 	}
 	return a
 }
 
-func trace(cs []candidate, bounds []int, ways [][]way) []Stage {
+func trace(cs []candidate, bounds []int, ways [][]partialChain) []Stage {
 	end := len(bounds) - 1
 	last := -1
 	for c := range cs {
@@ -313,7 +313,7 @@
 			Member: cs[c].Member,
 			Range:  model.LayerRange{From: bounds[w.prev], To: bounds[b]},
 		})
-		b, c = w.prev, w.via
+		b, c = w.prev, w.candidate
 	}
 	slices.Reverse(chain)
 	return chain
