--- a/internal/coordination/detector/detector.go
+++ b/internal/coordination/detector/detector.go
@@ -1,6 +1,5 @@
-// Package detector infers from the progress of running streams which engines of their
-// chains may have failed. It is passive: it sends nothing, and its answers are
-// candidates that the caller confirms.
+// Package detector infers from the progress of running streams which engines may have
+// failed. It is passive: it sends nothing and returns candidates for the caller to confirm.
 package detector
 
 import (
@@ -15,58 +14,59 @@
 	// deviation, as TCP does for round-trip times (RFC 6298).
 	meanWeight      = 0.125
 	deviationWeight = 0.25
-	// maxDeviations is how many mean maxDeviations beyond its mean interval an event may be
-	// late before its stream is overdue.
+	// maxDeviations is the number of mean deviations beyond the mean interval after which a
+	// stream is overdue.
 	maxDeviations = 4
-	// minIntervalFactor is the least multiple of the mean interval that makes a stream overdue.
+	// minIntervalFactor is the minimum multiple of the mean interval after which a stream
+	// is overdue.
 	minIntervalFactor = 2
-	// minOverdueDelay is the shortest interval after which a stream is overdue.
+	// minOverdueDelay is the minimum pause after which a stream is overdue.
 	minOverdueDelay = 40 * time.Millisecond
-	// loneCheckShare is the share of the pause that a route allows after which a stream is
-	// checked though no other stream is overdue with it.
+	// loneCheckShare is the share of the maximum pause after which a stream is checked even
+	// if no other stream is overdue.
 	loneCheckShare = 0.4
-	// defaultMaxPause is the pause that a route allows which names none.
+	// defaultMaxPause is the maximum pause of routes that set none.
 	defaultMaxPause = 200 * time.Millisecond
-	// maxScheduleDelay is how late a check may run; beyond it this process was paused.
+	// maxScheduleDelay is the maximum delay of an assessment. A longer delay means that
+	// this process was paused.
 	maxScheduleDelay = 10 * time.Millisecond
-	// settleDelay is how long after a pause of this process no stream is judged: events
-	// may be waiting to be read.
+	// settleDelay is how long streams are not assessed after a pause of this process,
+	// because events may be waiting to be read.
 	settleDelay = 30 * time.Millisecond
-	// minOverdueStreams is how many streams that are overdue together are checked early.
+	// minOverdueStreams is the number of overdue streams from which a check starts early.
 	minOverdueStreams = 2
-	// recheckDelay is after how long a stream is assessed again while another one's path is
-	// checked.
+	// recheckDelay is the delay before the next assessment of a stream while another
+	// stream's path is checked.
 	recheckDelay = 10 * time.Millisecond
-	// backoffFactor and mostCaution are by how much, and how far at most, each check of a
-	// path that held raises the thresholds; cautionTime is how long that takes to fade.
+	// Each check of a healthy path multiplies the thresholds by backoffFactor, up to
+	// maxBackoff. The increase decays within backoffDecayTime.
 	backoffFactor    = 1.5
 	maxBackoff       = 3
 	backoffDecayTime = 5 * time.Second
 )
 
-// Detector relates the progress of this process's streams to the engines they run through.
+// Detector tracks the progress of this process's streams and the engines that they use.
 type Detector struct {
 	now func() time.Time
 
 	mu        sync.Mutex
 	streams   map[*Stream]struct{}
 	engines   map[model.Incarnation]*engine
-	resumedAt time.Time // when this process was last seen to go on after a pause
-	// checking is the stream whose path is checked; one at a time, as its result speaks
-	// for the others.
+	resumedAt time.Time // end of the last detected pause of this process
+	// checking is the stream whose path is being checked. Only one path is checked at a
+	// time, because the result also applies to other streams.
 	checking *Stream
-	// backoff multiplies the thresholds, as of cautioned.
+	// backoff is the factor on the thresholds at the time backoffSetAt.
 	backoff      float64
 	backoffSetAt time.Time
 }
 
-// engine is what streams say of one engine.
 type engine struct {
-	lastEvent time.Time // newest event of a stream through it
+	lastEvent time.Time // latest event of any stream on the engine
 	streams   int
 }
 
-// New makes a detector that knows no streams.
+// New returns a detector without streams.
 func New(now func() time.Time) *Detector {
 	return &Detector{now: now, streams: map[*Stream]struct{}{}, engines: map[model.Incarnation]*engine{}, backoff: 1}
 }
@@ -77,18 +77,19 @@
 	maxPause time.Duration
 
 	path []model.Incarnation
-	// checkStarted is when the check of its path began.
+	// checkStarted is when the check of the path began.
 	checkStarted time.Time
-	// hasEvent says that an event came through the present path.
+	// hasEvent is set once an event arrived over the current path.
 	hasEvent       bool
 	lastEvent      time.Time
-	nextAssessment time.Time // when the next check is scheduled
-	// mean and deviation describe the interval between events, in seconds.
+	nextAssessment time.Time
+	// mean and deviation describe the interval between events in seconds.
 	mean, deviation float64
 }
 
-// Track adds a stream through some engines. expected is the interval between its events
-// as planned, allowed the longest pause that is still on time; 0 for the default.
+// Track adds a stream on the engines of a path. expected is the planned interval between
+// its events. maxPause is the maximum pause between events; 0 selects the default. The
+// caller must call Close.
 func (d *Detector) Track(path []model.Incarnation, expected, maxPause time.Duration) *Stream {
 	if maxPause <= 0 {
 		maxPause = defaultMaxPause
@@ -101,7 +102,8 @@
 	return s
 }
 
-// addToEngines and leave count the stream at its engines. The caller holds the lock.
+// addToEngines and removeFromEngines update the stream counts of the engines. The caller
+// holds the lock.
 func (s *Stream) addToEngines(path []model.Incarnation) {
 	s.path = path
 	for _, inc := range path {
@@ -124,7 +126,7 @@
 	s.path = nil
 }
 
-// RecordEvent takes in an event and gives the time until the stream's next check.
+// RecordEvent records an event and returns the time until the next assessment.
 func (s *Stream) RecordEvent() time.Duration {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
@@ -141,37 +143,37 @@
 }
 
 func (s *Stream) updateInterval(interval float64) {
-	off := interval - s.mean
-	s.mean += meanWeight * off
-	s.deviation += deviationWeight * (max(off, -off) - s.deviation)
+	diff := interval - s.mean
+	s.mean += meanWeight * diff
+	s.deviation += deviationWeight * (max(diff, -diff) - s.deviation)
 }
 
-func (s *Stream) schedule(now time.Time, after time.Duration) time.Duration {
-	s.nextAssessment = now.Add(after)
-	return after
+func (s *Stream) schedule(now time.Time, delay time.Duration) time.Duration {
+	s.nextAssessment = now.Add(delay)
+	return delay
 }
 
-// overdueDelay is the pause after which the stream is overdue. The caller holds the lock.
+// overdueDelay returns the pause after which the stream is overdue. The caller holds the
+// lock.
 func (s *Stream) overdueDelay() time.Duration {
-	late := max(s.mean+maxDeviations*s.deviation, minIntervalFactor*s.mean)
-	return time.Duration(s.d.currentBackoff() * float64(max(time.Duration(late*float64(time.Second)), minOverdueDelay)))
+	delay := max(s.mean+maxDeviations*s.deviation, minIntervalFactor*s.mean)
+	return time.Duration(s.d.currentBackoff() * float64(max(time.Duration(delay*float64(time.Second)), minOverdueDelay)))
 }
 
-// currentBackoff is the factor that checks of paths which held leave on the thresholds for a while.
-// The caller holds the lock.
+// currentBackoff returns the current factor on the thresholds. The caller holds the lock.
 func (d *Detector) currentBackoff() float64 {
 	remaining := 1 - d.now().Sub(d.backoffSetAt).Seconds()/backoffDecayTime.Seconds()
 	return 1 + (d.backoff-1)*max(remaining, 0)
 }
 
-// loneCheckDelay is the pause after which the stream is checked without others. The caller
-// holds the lock.
+// loneCheckDelay returns the pause after which the stream is checked even if no other
+// stream is overdue. The caller holds the lock.
 func (s *Stream) loneCheckDelay() time.Duration {
 	return max(time.Duration(s.d.currentBackoff()*loneCheckShare*float64(s.maxPause)), s.overdueDelay())
 }
 
-// Reroute takes in that the stream runs through other engines now. It is not judged
-// before its next event: its new engines read all tokens so far.
+// Reroute sets a new path of the stream. The stream is not assessed before its next event,
+// because the new engines run the prefill of all tokens first.
 func (s *Stream) Reroute(path []model.Incarnation) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
@@ -183,7 +185,7 @@
 	s.hasEvent = false
 }
 
-// Close removes the stream; further calls do nothing.
+// Close removes the stream. Further calls have no effect.
 func (s *Stream) Close() {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
@@ -196,25 +198,27 @@
 	}
 }
 
-// Assessment is what progress says of a stream that was due.
+// Assessment is the result of Assess.
 type Assessment struct {
 	// Pause is the time since the stream's last event.
 	Pause time.Duration
-	// Candidates are its engines of which no newer progress was seen.
+	// Candidates are the engines of the stream without progress since the stream's last
+	// event.
 	Candidates []model.Incarnation
-	// OverdueStreams counts the streams that are overdue, this one included, and run through a
-	// candidate that no stream has had an event from for as long.
+	// OverdueStreams is the number of overdue streams, including this one, that use a
+	// candidate without any event within this stream's overdue delay.
 	OverdueStreams int
-	// ReassessAfter is when to assess the stream once more if its path need not be checked now;
-	// 0 where it is to be checked, or where progress clears all of its engines.
+	// ReassessAfter is the delay before the next assessment. It is 0 if the path must be
+	// checked now, if progress of other streams clears all engines, or if no event arrived
+	// over the current path yet.
 	ReassessAfter time.Duration
 }
 
-// NeedsCheck tells whether the stream's path is to be checked now.
+// NeedsCheck reports whether the stream's path must be checked now.
 func (a Assessment) NeedsCheck() bool { return len(a.Candidates) > 0 && a.ReassessAfter == 0 }
 
-// Assess judges a stream when it is due. Where its path is to be checked the caller
-// does so and calls Checked.
+// Assess assesses a stream whose next assessment is due. If the result needs a check, the
+// caller must check the path and call CheckFinished.
 func (s *Stream) Assess() Assessment {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
@@ -226,15 +230,15 @@
 	if now.Sub(s.nextAssessment) > maxScheduleDelay {
 		s.d.resumedAt = now
 	}
-	if rest := settleDelay - now.Sub(s.d.resumedAt); rest > 0 {
-		a.ReassessAfter = s.schedule(now, rest)
+	if remaining := settleDelay - now.Sub(s.d.resumedAt); remaining > 0 {
+		a.ReassessAfter = s.schedule(now, remaining)
 		return a
 	}
 	s.findCandidates(now, &a)
-	switch rest := s.loneCheckDelay() - a.Pause; {
+	switch remaining := s.loneCheckDelay() - a.Pause; {
 	case len(a.Candidates) == 0:
-	case rest > 0 && a.OverdueStreams < minOverdueStreams:
-		a.ReassessAfter = s.schedule(now, rest)
+	case remaining > 0 && a.OverdueStreams < minOverdueStreams:
+		a.ReassessAfter = s.schedule(now, remaining)
 	case s.d.checking != nil:
 		a.ReassessAfter = s.schedule(now, recheckDelay)
 	default:
@@ -244,10 +248,10 @@
 	return a
 }
 
-// findCandidates finds the candidates and the streams that are overdue with this one. The caller
-// holds the lock.
+// findCandidates sets the candidates and the number of overdue streams. The caller holds
+// the lock.
 func (s *Stream) findCandidates(now time.Time, a *Assessment) {
-	quiet := map[model.Incarnation]bool{}
+	stalled := map[model.Incarnation]bool{}
 	for _, inc := range s.path {
 		e := s.d.engines[inc]
 		if s.cleared(e) {
@@ -255,16 +259,16 @@
 		}
 		a.Candidates = append(a.Candidates, inc)
 		if now.Sub(e.lastEvent) >= s.overdueDelay() {
-			quiet[inc] = true
+			stalled[inc] = true
 		}
 	}
-	if len(quiet) > 0 {
-		a.OverdueStreams = s.d.countOverdue(now, quiet)
+	if len(stalled) > 0 {
+		a.OverdueStreams = s.d.countOverdue(now, stalled)
 	}
 }
 
-// CheckFinished ends the check of the stream's path. If the path held, its engines worked when
-// it was asked about.
+// CheckFinished ends the check of the stream's path. A healthy path proves that its engines
+// were working when the check began.
 func (s *Stream) CheckFinished(healthy bool) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
@@ -284,13 +288,13 @@
 	}
 }
 
-// cleared tells whether an engine made progress for another stream after it was due for
-// this one. The caller holds the lock.
+// cleared reports whether an engine made progress for another stream after this stream's
+// event was due. The caller holds the lock.
 func (s *Stream) cleared(e *engine) bool {
 	return e.lastEvent.Sub(s.lastEvent) >= s.overdueDelay()/minIntervalFactor
 }
 
-// countOverdue counts the streams that are countOverdue and run through one of some engines. The
+// countOverdue returns the number of overdue streams that use one of the engines. The
 // caller holds the lock.
 func (d *Detector) countOverdue(now time.Time, engines map[model.Incarnation]bool) int {
 	n := 0
--- a/internal/coordination/detector/detector_test.go
+++ b/internal/coordination/detector/detector_test.go
@@ -14,7 +14,7 @@
 
 const (
 	interval = 30 * time.Millisecond
-	allowed  = 300 * time.Millisecond
+	maxPause = 300 * time.Millisecond
 )
 
 func inc(id string) model.Incarnation { return model.Incarnation{ID: id} }
@@ -27,7 +27,7 @@
 	return out
 }
 
-// clock is moved by hand.
+// clock is a manually advanced clock.
 type clock struct{ at time.Time }
 
 func (c *clock) now() time.Time          { return c.at }
@@ -35,8 +35,8 @@
 
 func newClock() *clock { return &clock{at: time.Unix(1000, 0)} }
 
-// play gives each stream an event every interval, n times.
-func (c *clock) play(n int, interval time.Duration, streams ...*Stream) {
+// recordEvents records n events at each stream, one per interval.
+func (c *clock) recordEvents(n int, interval time.Duration, streams ...*Stream) {
 	for range n {
 		c.advance(interval)
 		for _, s := range streams {
@@ -45,17 +45,17 @@
 	}
 }
 
-// Streams that fall silent together: two are checked as soon as they are overdue, a
-// lone one waits for its share of the pause that its route allows.
+// Two streams that stall together must be checked as soon as they are overdue. A single one
+// must wait for its share of the maximum pause.
 func TestStreamsOverdueTogetherAreCheckedEarly(t *testing.T) {
-	for streams, within := range map[int]time.Duration{1: 120 * time.Millisecond, 2: 75 * time.Millisecond, 90: 75 * time.Millisecond} {
+	for streams, maxDelay := range map[int]time.Duration{1: 120 * time.Millisecond, 2: 75 * time.Millisecond, 90: 75 * time.Millisecond} {
 		c := newClock()
 		d := New(c.now)
 		var all []*Stream
 		for i := range streams {
-			all = append(all, d.Track(path(fmt.Sprint("first", i%7), "a", "b"), interval, allowed))
+			all = append(all, d.Track(path(fmt.Sprint("first", i%7), "a", "b"), interval, maxPause))
 		}
-		c.play(40, interval, all...)
+		c.recordEvents(40, interval, all...)
 		pause := all[0].overdueDelay()
 		c.advance(pause)
 		a := all[0].Assess()
@@ -65,20 +65,19 @@
 			a = all[0].Assess()
 		}
 		assert.Assert(t, a.NeedsCheck(), "%d streams", streams)
-		assert.Assert(t, pause <= within, "%d streams: checked after %v", streams, pause)
+		assert.Assert(t, pause <= maxDelay, "%d streams: checked after %v", streams, pause)
 		assert.Equal(t, len(a.Candidates), 3)
 	}
 }
 
-// One engine of a chain falls silent. The other engines go on with other streams,
-// which clears them.
+// Engines that make progress for other streams must not be candidates.
 func TestProgressClearsSharedEngines(t *testing.T) {
 	c := newClock()
 	d := New(c.now)
-	silent := d.Track(path("a", "lost", "c"), interval, allowed)
-	other := d.Track(path("a", "b", "c"), interval, allowed)
-	c.play(20, interval, silent, other)
-	c.play(4, interval, other)
+	silent := d.Track(path("a", "lost", "c"), interval, maxPause)
+	other := d.Track(path("a", "b", "c"), interval, maxPause)
+	c.recordEvents(20, interval, silent, other)
+	c.recordEvents(4, interval, other)
 	silent.nextAssessment = c.at
 	a := silent.Assess()
 	assert.DeepEqual(t, a.Candidates, path("lost"))
@@ -86,28 +85,28 @@
 	assert.Assert(t, a.NeedsCheck())
 }
 
-// A packet is lost on the way of one stream. All of its engines go on with other
-// streams, so none is a candidate.
-func TestLatePacketAccusesNoEngine(t *testing.T) {
+// A single late packet must not make engines candidates that make progress for other
+// streams.
+func TestLatePacketYieldsNoCandidates(t *testing.T) {
 	c := newClock()
 	d := New(c.now)
-	late := d.Track(path("a", "b"), interval, allowed)
-	others := []*Stream{d.Track(path("a", "x"), interval, allowed), d.Track(path("y", "b"), interval, allowed)}
-	c.play(20, interval, append(others, late)...)
-	c.play(6, interval, others...)
+	late := d.Track(path("a", "b"), interval, maxPause)
+	others := []*Stream{d.Track(path("a", "x"), interval, maxPause), d.Track(path("y", "b"), interval, maxPause)}
+	c.recordEvents(20, interval, append(others, late)...)
+	c.recordEvents(6, interval, others...)
 	late.nextAssessment = c.at
 	a := late.Assess()
 	assert.Equal(t, len(a.Candidates), 0)
 	assert.Assert(t, !a.NeedsCheck())
 }
 
-// The router's process pauses 200 ms. Its streams look silent, as their events wait to
-// be read.
+// After a pause of the router's own process, streams must not be assessed before waiting
+// events are read.
 func TestPausedProcessChecksNothing(t *testing.T) {
 	c := newClock()
 	d := New(c.now)
-	streams := []*Stream{d.Track(path("a", "b"), interval, allowed), d.Track(path("a", "c"), interval, allowed)}
-	c.play(20, interval, streams...)
+	streams := []*Stream{d.Track(path("a", "b"), interval, maxPause), d.Track(path("a", "c"), interval, maxPause)}
+	c.recordEvents(20, interval, streams...)
 	c.advance(200 * time.Millisecond)
 	a := streams[0].Assess()
 	assert.Assert(t, !a.NeedsCheck())
@@ -119,12 +118,12 @@
 	assert.Assert(t, !streams[0].Assess().NeedsCheck())
 }
 
-// A moved stream is silent while its new engines read all tokens so far.
-func TestMovedStreamIsNotJudgedBeforeItsNextEvent(t *testing.T) {
+// A moved stream is silent during prefill at its new engines and must not be checked.
+func TestMovedStreamIsNotAssessedBeforeNextEvent(t *testing.T) {
 	c := newClock()
 	d := New(c.now)
-	s := d.Track(path("a", "b"), interval, allowed)
-	c.play(20, interval, s)
+	s := d.Track(path("a", "b"), interval, maxPause)
+	c.recordEvents(20, interval, s)
 	s.Reroute(path("a", "c"))
 	c.advance(500 * time.Millisecond)
 	s.nextAssessment = c.at
@@ -135,10 +134,10 @@
 	assert.DeepEqual(t, s.Assess().Candidates, path("a", "c"))
 }
 
-// Routes differ in cadence and in the pause that they allow; neither needs another
-// constant.
-func TestCheckFollowsCadenceAndRoute(t *testing.T) {
-	for _, route := range []struct{ interval, allowed, after time.Duration }{
+// The check delay must follow the event interval of the stream and the maximum pause of the
+// route.
+func TestCheckDelayFollowsIntervalAndRoute(t *testing.T) {
+	for _, route := range []struct{ interval, maxPause, after time.Duration }{
 		{30 * time.Millisecond, 300 * time.Millisecond, 120 * time.Millisecond},
 		{30 * time.Millisecond, 200 * time.Millisecond, 80 * time.Millisecond},
 		{40 * time.Millisecond, 300 * time.Millisecond, 120 * time.Millisecond},
@@ -146,19 +145,19 @@
 		{30 * time.Millisecond, 0, 80 * time.Millisecond},
 	} {
 		c := newClock()
-		s := New(c.now).Track(path("a"), 2*route.interval, route.allowed)
-		c.play(60, route.interval, s)
+		s := New(c.now).Track(path("a"), 2*route.interval, route.maxPause)
+		c.recordEvents(60, route.interval, s)
 		assert.Equal(t, s.loneCheckDelay().Round(time.Millisecond), route.after, "%+v", route)
 	}
 }
 
-// Many streams of a router are late though their paths hold: its link is slow, or its
-// processor. Paths are checked one at a time and ever later, until that is over.
-func TestChecksOfPathsThatHoldBecomeRarer(t *testing.T) {
+// When many streams are late on healthy paths, checks must run one at a time and at growing
+// delays, until the streams recover.
+func TestChecksOfHealthyPathsBackOff(t *testing.T) {
 	c := newClock()
 	d := New(c.now)
-	streams := []*Stream{d.Track(path("a", "b"), interval, allowed), d.Track(path("c", "d"), interval, allowed)}
-	c.play(40, interval, streams...)
+	streams := []*Stream{d.Track(path("a", "b"), interval, maxPause), d.Track(path("c", "d"), interval, maxPause)}
+	c.recordEvents(40, interval, streams...)
 	first := streams[0].overdueDelay()
 	for range 10 {
 		c.advance(first)
@@ -174,17 +173,16 @@
 		}
 	}
 	assert.Assert(t, streams[0].overdueDelay() > 2*first)
-	c.play(200, interval, streams...)
+	c.recordEvents(200, interval, streams...)
 	assert.Assert(t, streams[0].overdueDelay() <= first)
 }
 
-// A path that held clears its engines: what is asked of one stream is not asked of the
-// others.
-func TestPathThatHoldsClearsItsEngines(t *testing.T) {
+// A healthy path must clear its engines for other streams.
+func TestHealthyPathClearsItsEngines(t *testing.T) {
 	c := newClock()
 	d := New(c.now)
-	one, two := d.Track(path("a", "b"), interval, allowed), d.Track(path("a", "c"), interval, allowed)
-	c.play(20, interval, one, two)
+	one, two := d.Track(path("a", "b"), interval, maxPause), d.Track(path("a", "c"), interval, maxPause)
+	c.recordEvents(20, interval, one, two)
 	c.advance(one.loneCheckDelay())
 	one.nextAssessment, two.nextAssessment = c.at, c.at
 	assert.Assert(t, one.Assess().NeedsCheck())
@@ -192,11 +190,10 @@
 	assert.DeepEqual(t, two.Assess().Candidates, path("c"))
 }
 
-// Closed streams leave nothing behind.
-func TestClosedStreamsAreForgotten(t *testing.T) {
+func TestClosedStreamsAreRemoved(t *testing.T) {
 	c := newClock()
 	d := New(c.now)
-	s := d.Track(path("a", "b"), interval, allowed)
+	s := d.Track(path("a", "b"), interval, maxPause)
 	s.RecordEvent()
 	s.Close()
 	s.Close()
@@ -205,27 +202,26 @@
 	assert.Equal(t, len(d.engines), 0)
 }
 
-// Random chains lose random engines at one moment. Every stream through a lost engine
-// has it among its candidates, and no engine that gave an event later than any stream
-// through lost engines could have is a candidate.
+// Random engines of random chains fail. Each stalled stream must have all its failed
+// engines among its candidates, and no engine that still made progress.
 func TestCandidatesExplainOverdueStreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newClock()
 		d := New(c.now)
-		width := rapid.IntRange(1, 4).Draw(t, "holders of each part")
-		parts := rapid.IntRange(2, 12).Draw(t, "parts")
+		holders := rapid.IntRange(1, 4).Draw(t, "holders of each stage")
+		stages := rapid.IntRange(2, 12).Draw(t, "stages")
 		streams := make([]*Stream, rapid.IntRange(1, 40).Draw(t, "streams"))
 		for i := range streams {
 			var ids []string
-			for part := range parts {
-				ids = append(ids, fmt.Sprintf("%d.%d", part, rapid.IntRange(0, width-1).Draw(t, "holder")))
+			for stage := range stages {
+				ids = append(ids, fmt.Sprintf("%d.%d", stage, rapid.IntRange(0, holders-1).Draw(t, "holder")))
 			}
-			streams[i] = d.Track(path(ids...), interval, allowed)
+			streams[i] = d.Track(path(ids...), interval, maxPause)
 		}
-		c.play(30, interval, streams...)
+		c.recordEvents(30, interval, streams...)
 		lost := map[model.Incarnation]bool{}
 		for range rapid.IntRange(1, 3).Draw(t, "lost engines") {
-			lost[inc(fmt.Sprintf("%d.%d", rapid.IntRange(0, parts-1).Draw(t, "part"), rapid.IntRange(0, width-1).Draw(t, "holder")))] = true
+			lost[inc(fmt.Sprintf("%d.%d", rapid.IntRange(0, stages-1).Draw(t, "stage"), rapid.IntRange(0, holders-1).Draw(t, "holder")))] = true
 		}
 		working := map[model.Incarnation]bool{}
 		for range 4 {
