--- a/internal/coordination/fair/fair.go
+++ b/internal/coordination/fair/fair.go
@@ -1,13 +1,13 @@
-// Package fair orders what waits for a place: by priority, and within one
-// priority so that no customer can crowd out another.
+// Package fair orders requests that wait for a slot: by priority, and within a priority so
+// that no customer starves the others.
 package fair
 
-// Queue holds what waits, with the places that each customer holds already. It
-// is not safe for use by several goroutines; its owner has a lock.
+// Queue holds waiting items and counts the slots that each customer holds. It is not safe
+// for concurrent use.
 type Queue[T comparable] struct {
 	waiting []entry[T]
-	held    map[string]int // places by customer
-	queued  map[string]int // waiting by customer
+	held    map[string]int // slots by customer
+	queued  map[string]int // waiting items by customer
 }
 
 type entry[T comparable] struct {
@@ -16,18 +16,18 @@
 	priority int
 }
 
-// New makes an empty queue.
+// New returns an empty queue.
 func New[T comparable]() *Queue[T] {
 	return &Queue[T]{held: map[string]int{}, queued: map[string]int{}}
 }
 
-// Len counts what waits.
+// Len returns the number of waiting items.
 func (q *Queue[T]) Len() int { return len(q.waiting) }
 
-// Acquire notes that a customer got a place.
+// Acquire records that a customer acquired a slot.
 func (q *Queue[T]) Acquire(customer string) { q.held[customer]++ }
 
-// Release notes that a customer gave one back.
+// Release records that a customer released a slot.
 func (q *Queue[T]) Release(customer string) { decrement(q.held, customer) }
 
 func decrement(m map[string]int, key string) {
@@ -36,19 +36,19 @@
 	}
 }
 
-// Held counts the places of a customer.
+// Held returns the number of slots that a customer holds.
 func (q *Queue[T]) Held(customer string) int { return q.held[customer] }
 
-// Customers counts those that hold a place.
+// Customers returns the number of customers that hold a slot.
 func (q *Queue[T]) Customers() int { return len(q.held) }
 
-// Push adds to the queue.
+// Push adds an item to the queue.
 func (q *Queue[T]) Push(item T, customer string, priority int) {
 	q.waiting = append(q.waiting, entry[T]{item, customer, priority})
 	q.queued[customer]++
 }
 
-// Remove takes something out; it tells whether it was there.
+// Remove removes an item and reports whether it was queued.
 func (q *Queue[T]) Remove(item T) bool {
 	for i, e := range q.waiting {
 		if e.item == item {
@@ -66,14 +66,14 @@
 	return e
 }
 
-// Pop takes out what goes next: the highest priority, within it the customer
-// with the fewest places, within it the longest wait.
+// Pop removes and returns the next item: the one with the highest priority, then of the
+// customer with the fewest slots, then the oldest.
 func (q *Queue[T]) Pop() (item T, ok bool) {
 	item, _, ok = q.PopWithCustomer()
 	return item, ok
 }
 
-// PopWithCustomer is Pop that also tells whose it is.
+// PopWithCustomer is like Pop and also returns the item's customer.
 func (q *Queue[T]) PopWithCustomer() (item T, customer string, ok bool) {
 	best := q.nextIndex()
 	if best < 0 {
@@ -83,7 +83,7 @@
 	return e.item, e.customer, true
 }
 
-// Peek tells what goes next and leaves it in the queue.
+// Peek returns the next item without removing it.
 func (q *Queue[T]) Peek() (item T, ok bool) {
 	best := q.nextIndex()
 	if best < 0 {
@@ -92,7 +92,7 @@
 	return q.waiting[best].item, true
 }
 
-// NextCustomer tells whose turn it is and leaves the queue as it is.
+// NextCustomer returns the customer of the next item without removing it.
 func (q *Queue[T]) NextCustomer() (customer string, ok bool) {
 	best := q.nextIndex()
 	if best < 0 {
@@ -101,7 +101,7 @@
 	return q.waiting[best].customer, true
 }
 
-// nextIndex is the index of what goes next, -1 if nothing waits.
+// nextIndex returns the index of the next item, or -1 if the queue is empty.
 func (q *Queue[T]) nextIndex() int {
 	best := -1
 	for i, e := range q.waiting {
@@ -119,9 +119,9 @@
 	return q.held[a.customer] < q.held[b.customer]
 }
 
-// Shed takes out what is given up first for a newcomer: the lowest priority,
-// within it the customer that has the most places and waits the most, within it
-// the latest. Where the newcomer itself is that, nothing is taken out.
+// Shed removes and returns the item to drop in favor of a new one: the one with the lowest
+// priority, then of the customer with the most slots and waiting items. ok is false if the
+// new item itself is the one to drop.
 func (q *Queue[T]) Shed(customer string, priority int) (item T, ok bool) {
 	worst := entry[T]{customer: customer, priority: priority}
 	at := -1
