--- a/internal/coordination/spread/spread.go
+++ b/internal/coordination/spread/spread.go
@@ -1,22 +1,22 @@
-// Package spread hashes names, so that processes that know of the same names
-// divide work among themselves alike without asking each other.
+// Package spread hashes names, so that processes that know the same names distribute work
+// consistently without coordination.
 package spread
 
 import "hash/fnv"
 
-// mixFactor is an odd number with many bits set, 2^64 over the golden ratio.
+// mixFactor is 2^64 divided by the golden ratio, as in Fibonacci hashing.
 const mixFactor = 0x9e3779b97f4a7c15
 
-// Hash gives a number for names in order.
+// Hash returns a hash of the names in order.
 func Hash(names ...string) uint64 {
 	h := fnv.New64a()
 	for _, name := range names {
-		// Writing to a hash does not fail.
+		// Write of a hash never returns an error.
 		_, _ = h.Write([]byte(name))
 		_, _ = h.Write([]byte{0})
 	}
-	// The last bytes of a name change only the low bits of the sum; numbers of
-	// names that differ there would stand side by side.
+	// FNV barely mixes the last bytes into the high bits. The finalizer spreads names that
+	// differ only at the end.
 	sum := h.Sum64()
 	sum ^= sum >> 32
 	sum *= mixFactor
