--- a/internal/coordination/routes/routes.go
+++ b/internal/coordination/routes/routes.go
@@ -1,6 +1,6 @@
-// Package routes decides by the operator's configuration what may become of a
-// request: which service runs it, for which customer, at which priority. A
-// configuration is compiled into an immutable table that is swapped as a whole.
+// Package routes applies the operator's configuration to requests. It selects the service,
+// customer and priority of a request. A configuration is compiled into an immutable table
+// that is replaced as a whole.
 package routes
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// Table is one configuration, compiled for look-ups.
+// Table is a configuration compiled for lookups.
 type Table struct {
 	Config    *model.RouteConfig
 	hosts     map[string][]*model.Route // longest prefix first
@@ -24,7 +24,7 @@
 	services  map[string]*model.Service
 }
 
-// Compile makes a table of a configuration.
+// Compile returns the table of a configuration.
 func Compile(cfg *model.RouteConfig) *Table {
 	t := &Table{
 		Config:    cfg,
@@ -50,10 +50,10 @@
 	return t
 }
 
-// Service finds a service; nil if the configuration has none of that name.
+// Service returns the service with a name, or nil.
 func (t *Table) Service(name string) *model.Service { return t.services[name] }
 
-// Route finds the route of the longest prefix; nil if there is none.
+// Route returns the route with the longest matching prefix, or nil.
 func (t *Table) Route(host, path string) *model.Route {
 	for _, r := range t.hosts[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -63,28 +63,29 @@
 	return nil
 }
 
-// Admission is what a request was granted by one configuration.
+// Admission is the result of admitting a request under one version of the configuration.
 type Admission struct {
 	Version  int64
 	Route    *model.Route
 	Service  *model.Service
 	Customer string
-	// Priority is the customer's where it has one, else the route's.
+	// Priority is the customer's priority if it has one, otherwise the route's.
 	Priority int
-	// Deadline is when the request must have been answered; zero for no bound.
+	// Deadline is when the request must be complete; zero means no deadline.
 	Deadline time.Time
 }
 
-// Idempotent tells whether the request may run more than once.
+// Idempotent reports whether the request may run more than once.
 func (a Admission) Idempotent() bool {
 	return a.Route.Kind == model.RouteIdempotent || a.Route.Kind == model.RouteStreaming && a.Route.ResumeStreams
 }
 
-// Admit decides what a call may do. The error is the final answer.
+// Admit returns the route, service, customer, priority and deadline of a call. An error is
+// final and is returned to the caller.
 func (t *Table) Admit(c *model.Call, now time.Time) (Admission, *fault.Error) {
 	r := t.Route(c.Host, c.Path)
 	if r == nil {
-		return Admission{Version: t.Config.Version}, fault.New(fault.NotFound, "no route for host %q and this path", c.Host)
+		return Admission{Version: t.Config.Version}, fault.New(fault.NotFound, "no route for host %q and the requested path", c.Host)
 	}
 	a := Admission{Version: t.Config.Version, Route: r, Priority: r.Priority}
 	if len(t.Config.Customers) > 0 {
@@ -117,11 +118,11 @@
 	if a.Route.AllowAnonymous {
 		return nil
 	}
-	return fault.New(fault.UnknownCustomer, "the credential is not known")
+	return fault.New(fault.UnknownCustomer, "unknown credential")
 }
 
-// selectService chooses a service of a split by the attempt's id, so that one attempt
-// always goes to the same one.
+// selectService selects a service of a split by a hash of the attempt id, so that one
+// attempt always gets the same service.
 func selectService(split []model.ServiceShare, attempt string) string {
 	total := 0
 	for _, s := range split {
@@ -143,34 +144,36 @@
 	return split[len(split)-1].Service
 }
 
-// ActiveConfig holds the configuration in force at this process. Versions only grow.
+// ActiveConfig holds the configuration in force in this process. Its version never
+// decreases.
 type ActiveConfig struct {
-	mu    sync.Mutex // orders Apply
+	mu    sync.Mutex // serializes Apply
 	table atomic.Pointer[Table]
 	raw   atomic.Pointer[RawConfig]
-	// lastConfirmed is when somebody confirmed that the version is the newest, in the
-	// time of the clock given to Confirm.
+	// lastConfirmed is when the version was last confirmed to be the newest, by the clock
+	// of Confirm's caller.
 	lastConfirmed atomic.Int64
-	// ready is closed when the ready configuration is in force.
+	// ready is closed when the first configuration is in force.
 	ready      chan struct{}
 	closeReady sync.Once
 	makeReady  sync.Once
 }
 
-// RawConfig is a configuration as the operator wrote it, for passing it on.
+// RawConfig is a configuration in its original encoding.
 type RawConfig struct {
 	Version int64
 	Raw     []byte
 }
 
-// Load gives the table in force; nil before the first one.
+// Load returns the table in force, or nil before the first configuration.
 func (c *ActiveConfig) Load() *Table { return c.table.Load() }
 
-// Raw gives the configuration in force as it was written; nil before the
-// first one.
+// Raw returns the configuration in force in its original encoding, or nil before the first
+// configuration.
 func (c *ActiveConfig) Raw() *RawConfig { return c.raw.Load() }
 
-// Version of the configuration in force; 0 before the first one.
+// Version returns the version of the configuration in force, or 0 before the first
+// configuration.
 func (c *ActiveConfig) Version() int64 {
 	if t := c.table.Load(); t != nil {
 		return t.Config.Version
@@ -178,8 +181,8 @@
 	return 0
 }
 
-// Apply puts a newer configuration in force; an older one is passed over. It
-// tells whether it did.
+// Apply puts a newer configuration in force and returns true. It ignores versions that are
+// not newer and returns false.
 func (c *ActiveConfig) Apply(cfg *model.RouteConfig, raw []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,14 +196,14 @@
 	return true
 }
 
-// Ready is closed once a configuration is in force.
+// Ready returns a channel that is closed once a configuration is in force.
 func (c *ActiveConfig) Ready() chan struct{} {
 	c.makeReady.Do(func() { c.ready = make(chan struct{}) })
 	return c.ready
 }
 
-// Confirm takes in that at a moment the version in force was the newest. Words of the
-// store and of peers overtake each other; an older one takes nothing back.
+// Confirm records that the version in force was the newest at the given time. Confirmations
+// from the store and from peers may arrive out of order; earlier times are ignored.
 func (c *ActiveConfig) Confirm(at time.Duration) {
 	for {
 		confirmed := c.lastConfirmed.Load()
@@ -210,11 +213,11 @@
 	}
 }
 
-// LastConfirmed is when the version in force was last known to be the newest.
+// LastConfirmed returns when the version in force was last known to be the newest.
 func (c *ActiveConfig) LastConfirmed() time.Duration { return time.Duration(c.lastConfirmed.Load()) }
 
-// Age is how long ago the configuration was last confirmed. A refusal that
-// rests on it is only true while it is young.
+// Age returns the time since the last confirmation. A refusal that depends on the
+// configuration is only valid while the age is small.
 func (c *ActiveConfig) Age(now time.Duration) time.Duration {
 	return now - time.Duration(c.lastConfirmed.Load())
 }
--- a/internal/coordination/routes/routes_test.go
+++ b/internal/coordination/routes/routes_test.go
@@ -32,17 +32,17 @@
 func TestAdmit(t *testing.T) {
 	now := time.Unix(100, 0)
 	table := Compile(config(1))
-	k, err := table.Admit(call("/a/x", "k2"), now)
+	a, err := table.Admit(call("/a/x", "k2"), now)
 	assert.Assert(t, err == nil)
-	assert.Equal(t, k.Route.Name, "short")
-	assert.Equal(t, k.Customer, "c1")
-	assert.Equal(t, k.Priority, 2)
-	assert.Equal(t, k.Deadline, now.Add(time.Second))
-	k, err = table.Admit(call("/a/b/x", "k3"), now)
+	assert.Equal(t, a.Route.Name, "short")
+	assert.Equal(t, a.Customer, "c1")
+	assert.Equal(t, a.Priority, 2)
+	assert.Equal(t, a.Deadline, now.Add(time.Second))
+	a, err = table.Admit(call("/a/b/x", "k3"), now)
 	assert.Assert(t, err == nil)
-	assert.Equal(t, k.Route.Name, "long", "the longest prefix wins")
-	assert.Equal(t, k.Priority, 0, "the customer's priority goes before the route's")
-	assert.Assert(t, k.Deadline.IsZero())
+	assert.Equal(t, a.Route.Name, "long", "the longest prefix wins")
+	assert.Equal(t, a.Priority, 0, "the customer's priority takes precedence")
+	assert.Assert(t, a.Deadline.IsZero())
 }
 
 func TestAdmitRefuses(t *testing.T) {
@@ -63,19 +63,20 @@
 	}
 }
 
-// The shorter of the caller's deadline and the route's timeout bounds a request.
-func TestAdmitBoundsTime(t *testing.T) {
+// The earlier of the caller's deadline and the route's timeout must apply.
+func TestAdmitAppliesEarlierDeadline(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := call("/a/x", "k1")
 	c.Deadline = now.Add(300 * time.Millisecond)
-	k, _ := Compile(config(1)).Admit(c, now)
-	assert.Equal(t, k.Deadline, c.Deadline)
+	a, _ := Compile(config(1)).Admit(c, now)
+	assert.Equal(t, a.Deadline, c.Deadline)
 	c.Deadline = now.Add(time.Minute)
-	k, _ = Compile(config(1)).Admit(c, now)
-	assert.Equal(t, k.Deadline, now.Add(time.Second))
+	a, _ = Compile(config(1)).Admit(c, now)
+	assert.Equal(t, a.Deadline, now.Add(time.Second))
 }
 
-// A split sends each service its share, and one attempt always the same way.
+// Each service of a split must receive its share, and the same attempt must always get the
+// same service.
 func TestSplitFollowsWeights(t *testing.T) {
 	split := config(1).Routes[1].Split
 	const attempts = 10000
@@ -93,9 +94,9 @@
 	assert.Equal(t, selectService([]model.ServiceShare{{Service: "z"}}, "a"), "z")
 }
 
-// Versions reach a router from the store and from peers, in any order and more
-// than once. What is in force is always the newest seen, and never goes back.
-func TestCurrentNeverGoesBack(t *testing.T) {
+// Versions arrive in any order and repeatedly. The version in force must be the newest seen
+// and must never decrease.
+func TestActiveConfigVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var c ActiveConfig
 		newest := int64(0)
@@ -108,17 +109,17 @@
 	})
 }
 
-func TestAgeRunsFromTheLastConfirmation(t *testing.T) {
+func TestAgeIsTimeSinceLastConfirmation(t *testing.T) {
 	var c ActiveConfig
 	c.Confirm(5 * time.Second)
 	assert.Equal(t, c.Age(7*time.Second), 2*time.Second)
 }
 
-func TestFirstIsClosedOnce(t *testing.T) {
+func TestReadyIsClosedByFirstConfig(t *testing.T) {
 	var c ActiveConfig
 	select {
 	case <-c.Ready():
-		t.Fatal("nothing is in force yet")
+		t.Fatal("no configuration is in force yet")
 	default:
 	}
 	c.Apply(config(1), nil)
