--- a/internal/coordination/routing/budget.go
+++ b/internal/coordination/routing/budget.go
@@ -11,17 +11,16 @@
 )
 
 const (
-	// maxLinkUtilization is how much of a link's rate is given out. A link driven to
-	// its full rate by arrivals at random builds a queue without end.
+	// maxLinkUtilization is the share of a link's rate that may be used. With random
+	// arrivals the queue of a fully used link grows without bound.
 	maxLinkUtilization = 0.95
-	// linkBurstSeconds is how many seconds' worth may be given out at once.
+	// linkBurstSeconds is the burst size in seconds of the link's rate.
 	linkBurstSeconds = 2.0
 )
 
-// linkBudget gives out positions on the links that have a limit. A gate knows
-// how full its engine is, but nobody stands at a link: without a budget, chains
-// over slow links look free while their positions queue up. Each entry has its
-// share; none asks another.
+// linkBudget limits the positions that new requests send over rate-limited links. Engines
+// report their load, but links do not: without a budget, chains over slow links look idle
+// while positions queue there. Each entry uses an equal share of a link's rate.
 type linkBudget struct {
 	links    Links
 	mu       sync.Mutex
@@ -32,7 +31,8 @@
 	return &linkBudget{links: l, limiters: map[[2]string]*rate.Limiter{}}
 }
 
-// limiter gives the share of a link, nil if it has no limit.
+// limiter returns the limiter for this process's share of a link, or nil if the link has no
+// limit.
 func (b *linkBudget) limiter(from, to string, now time.Time) *rate.Limiter {
 	limit := b.links.Rate(from, to)
 	if math.IsInf(limit, 1) {
@@ -55,8 +55,8 @@
 	return l
 }
 
-// allows tells whether the links of a planned chain have room. A share smaller
-// than one request lets it through when the share is whole.
+// allows reports whether the links of a planned chain have capacity. A request larger than
+// the burst is allowed when the burst is fully available.
 func (b *linkBudget) allows(pl *plan, c flow.Chain, positions int, now time.Time) bool {
 	for i := 0; i+1 < len(c.Groups); i++ {
 		l := b.limiter(pl.groups[c.Groups[i]].Domain, pl.groups[c.Groups[i+1]].Domain, now)
@@ -67,7 +67,7 @@
 	return true
 }
 
-// reserve uses up the links of a chosen chain.
+// reserve consumes the budget of the links of a chosen chain.
 func (b *linkBudget) reserve(chain []Stage, positions int, now time.Time) {
 	for i := 0; i+1 < len(chain); i++ {
 		l := b.limiter(chain[i].Member.Instance.FailureDomain, chain[i+1].Member.Instance.FailureDomain, now)
--- a/internal/coordination/routing/flow.go
+++ b/internal/coordination/routing/flow.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// planInterval is how old a plan may grow. Engines that come, go or fill up
-	// change it; in between live load corrects it.
+	// planInterval is the maximum age of a plan. Between plans, live load corrects for
+	// engines that start, exit or fill up.
 	planInterval = time.Second
-	// chainDraws is how many chains are drawn by the plan and compared.
+	// chainDraws is the number of chains that are drawn from the plan and compared.
 	chainDraws = 2
 )
 
-// InterconnectRate gives how many positions a second go between two failure domains.
+// InterconnectRate returns the number of positions per second that fit between two failure
+// domains.
 type InterconnectRate = flow.InterconnectRate
 
 // planner keeps a max-flow plan for each service.
@@ -28,16 +29,16 @@
 	mu       sync.Mutex
 	solvedAt map[string]time.Time
 	plans    map[string]*plan
-	solving  map[string]bool // a plan is being solved
+	solving  map[string]bool // services for which a plan is being solved
 }
 
-// plan is the flow with the groups it goes by.
+// plan is a flow with its groups.
 type plan struct {
 	flow.Plan
 	groups []flow.Group
 }
 
-// groupKey is what makes engines alike for the plan.
+// groupKey identifies engines that are equivalent for the plan.
 type groupKey struct {
 	domain string
 	layers model.LayerRange
@@ -47,7 +48,7 @@
 	return groupKey{c.Instance.FailureDomain, c.Backend.Range}
 }
 
-// groupCandidates puts candidates into groups, in a fixed order.
+// groupCandidates returns the groups of the candidates in a deterministic order.
 func groupCandidates(all []candidate) []flow.Group {
 	rates := map[groupKey]float64{}
 	for _, c := range all {
@@ -72,10 +73,9 @@
 	return groups
 }
 
-// planFor gives the plan for a service. One that has grown old is solved anew
-// beside the requests, which go by it meanwhile. The plan is solved over
-// everybody who is up, full or not: a group that is full for a moment keeps its
-// part.
+// planFor returns the plan of a service. An expired plan remains in use while its
+// replacement is solved in the background. The plan includes engines that are full at the
+// moment, so that a group keeps its share.
 func (p *planner) planFor(service string, upMembers func() []candidate, layers int, now time.Time) *plan {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,8 +107,8 @@
 	return &plan{Plan: flow.Solve(groups, layers, p.link, flow.CoarsePrecision), groups: groups}
 }
 
-// chainFromPlan draws a few chains along the plan and gives the one with the least
-// load; none if the plan has none with room. It tells whether there is a plan.
+// chainFromPlan draws chains from the plan and returns the one with the lowest load, or nil
+// if no chain has capacity. planned is false if there is no plan.
 func (r *Router) chainFromPlan(req ChainRequest, all []candidate) (chain []Stage, planned bool) {
 	upMembers := func() []candidate { return r.upMembers(req.Service) }
 	pl := r.planner.planFor(req.Service, upMembers, req.Layers.To, r.now())
@@ -129,7 +129,7 @@
 	return chain, true
 }
 
-// groupAvailable puts those with room into groups, without those that seem down.
+// groupAvailable groups the candidates that are not suspected.
 func groupAvailable(all []candidate) map[groupKey][]candidate {
 	available := map[groupKey][]candidate{}
 	for _, c := range all {
@@ -141,8 +141,8 @@
 	return available
 }
 
-// draw takes a chain at random, each with the weight of its rate, among those
-// that have room at every group and link.
+// draw returns a random chain, weighted by rate, among those with capacity at every group
+// and link.
 func (r *Router) draw(pl *plan, available map[groupKey][]candidate, positions int) []Stage {
 	weights := make([]float64, len(pl.Chains))
 	total := 0.0
@@ -179,20 +179,20 @@
 	return true
 }
 
-// selectMembers takes a member of each group of a chain.
+// selectMembers selects a member of each group of a chain.
 func (r *Router) selectMembers(pl *plan, c flow.Chain, available map[groupKey][]candidate) []Stage {
 	var chain []Stage
-	done := 0
+	covered := 0
 	for _, g := range c.Groups {
 		to := pl.groups[g].Range.To
 		m := r.twoChoices(available[pl.key(g)])
-		chain = append(chain, Stage{Member: m.Member, Range: model.LayerRange{From: done, To: to}})
-		done = to
+		chain = append(chain, Stage{Member: m.Member, Range: model.LayerRange{From: covered, To: to}})
+		covered = to
 	}
 	return chain
 }
 
-// twoChoices takes the less loaded of two members for their rates.
+// twoChoices returns the less loaded of two random members.
 func (r *Router) twoChoices(group []candidate) candidate {
 	a, b := group[r.rnd(len(group))], group[r.rnd(len(group))]
 	if relativeLoad(b) < relativeLoad(a) {
@@ -201,12 +201,12 @@
 	return a
 }
 
-// relativeLoad is the load of a member for what it can carry.
+// relativeLoad returns the load of a member relative to its rate.
 func relativeLoad(c candidate) float64 {
 	return float64(c.Backend.Active+1) / math.Max(c.Backend.Rate, 1)
 }
 
-// maxStageLoad is the load at the most loaded stage of a chain.
+// maxStageLoad returns the load of the most loaded stage of a chain.
 func maxStageLoad(chain []Stage) float64 {
 	worst := 0.0
 	for _, s := range chain {
@@ -215,7 +215,7 @@
 	return worst
 }
 
-// upMembers is all who are up, whether they have room or not.
+// upMembers returns all members that are up, including full ones.
 func (r *Router) upMembers(service string) []candidate {
 	up, _ := r.table.Candidates(service)
 	out := make([]candidate, 0, len(up))
@@ -225,7 +225,7 @@
 	return out
 }
 
-// Candidates exposes the usable members to baselines in experiments.
+// Candidates returns the usable members, for baselines in experiments.
 func (r *Router) Candidates(service string) []membership.Member {
 	all, err := r.candidates(service, nil)
 	if err != nil {
--- a/internal/coordination/routing/routing.go
+++ b/internal/coordination/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing chooses where work goes: the chain of backend servers that
-// covers a model's layers, or the one backend server of a plain service.
+// Package routing selects the chain of backend servers that runs a model's layers, or the
+// backend server of a plain service.
 package routing
 
 import (
@@ -14,27 +14,27 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// Stage is one stage of a chosen chain.
+// Stage is one stage of a chain.
 type Stage struct {
 	Member membership.Member
 	Range  model.LayerRange
 }
 
-// LinkTime estimates the one-way time between two instances.
+// LinkTime returns the estimated one-way latency between two instances.
 type LinkTime func(a, b model.Instance) time.Duration
 
 const (
-	// sampleSize is how many members of each layer range are compared. Load
-	// reports lag; were all entries to take the least loaded of all, they would
-	// take the same one. A few sampled at random spread them (Mitzenmacher, 2001).
+	// sampleSize is the number of members of each layer range that are compared. Load
+	// reports lag, so entries that all chose the least loaded member would choose the same
+	// one. Random samples avoid this (Mitzenmacher, 2001).
 	sampleSize = 3
-	// suspectPenalty makes a member that seems down the last choice.
+	// suspectPenalty makes suspected members the last choice.
 	suspectPenalty = time.Minute
-	// loadWeight is how much slower a full backend server is than an idle one.
+	// loadWeight is the relative slowdown of a full backend server.
 	loadWeight = 1.0
 )
 
-// Router chooses by what a membership table knows.
+// Router selects members of a membership table.
 type Router struct {
 	table   *membership.Table
 	link    LinkTime
@@ -44,27 +44,27 @@
 	budget  *linkBudget
 }
 
-// Links is what a router knows of the links.
+// Links describes the links between instances.
 type Links struct {
 	Time LinkTime
-	// Rate may be nil for no limits.
+	// Rate returns the rate limits; nil means no limits.
 	Rate InterconnectRate
-	// RouterCount tells how many entries share the links; nil for one.
+	// RouterCount returns the number of entries that share the links; nil means one.
 	RouterCount func() int
 }
 
-// ChainRequest is what a chain is wanted for.
+// ChainRequest describes the chain to select.
 type ChainRequest struct {
 	Service string
-	// Layers is the layers to cover.
+	// Layers is the range of layers to cover.
 	Layers model.LayerRange
-	// Avoid names members by address that must not take part.
+	// Avoid contains the addresses of members that must not be used.
 	Avoid map[string]bool
-	// Positions is how many the request will run; 0 for a repair.
+	// Positions is the number of positions of the request; 0 for a repair.
 	Positions int
 }
 
-// New makes a router. rnd gives a number below n; nil takes the usual source.
+// New returns a router. rnd returns a random number in [0, n); nil selects math/rand.
 func New(table *membership.Table, links Links, now func() time.Time, rnd func(int) int) *Router {
 	if rnd == nil {
 		rnd = rand.IntN
@@ -97,9 +97,9 @@
 	penalty  time.Duration
 }
 
-// Chain chooses stages that cover the wanted layers. A whole model goes by the
-// plan; what the plan has no room for is refused, as any other chain would only
-// queue up on the links. A repair takes the nearest stages.
+// Chain returns stages that cover the requested layers. A chain over a whole model follows
+// the plan. If the plan has no capacity, the request is refused, because any other chain
+// would queue at the links. A repair uses the nearest stages.
 func (r *Router) Chain(req ChainRequest) ([]Stage, error) {
 	all, err := r.candidates(req.Service, req.Avoid)
 	if err != nil {
@@ -113,13 +113,13 @@
 		return r.nearest(req.Service, all, req.Layers)
 	}
 	if chain == nil {
-		return nil, fault.New(fault.Overloaded, "no chain of %s has room at its engines and links", req.Service)
+		return nil, fault.New(fault.Overloaded, "no chain of %s has free capacity on its engines and links", req.Service)
 	}
 	return chain, nil
 }
 
-// nearest chooses the chain of least time per token among a sample. It serves
-// repairs, where the plan says nothing.
+// nearest returns the chain with the lowest time per token among a sample. It is used for
+// repairs and for services without a plan.
 func (r *Router) nearest(service string, all []candidate, layers model.LayerRange) ([]Stage, error) {
 	for _, sampled := range [][]candidate{r.sample(withoutSuspects(all)), r.sample(all)} {
 		if chain := cheapest(sampled, layers, r.link); chain != nil {
@@ -132,14 +132,15 @@
 	return nil, fault.New(fault.NoCapacity, "no free backend servers cover layers %s of %s", layers, service)
 }
 
-// PlainServer chooses a backend server of a plain service.
+// PlainServer returns a backend server of a plain service. It selects the less loaded of
+// two random members.
 func (r *Router) PlainServer(service string, avoid map[string]bool) (membership.Member, error) {
 	all, err := r.candidates(service, avoid)
 	if err != nil {
 		return membership.Member{}, err
 	}
 	if len(all) == 0 {
-		return membership.Member{}, fault.New(fault.NoCapacity, "no backend server of %s takes work", service)
+		return membership.Member{}, fault.New(fault.NoCapacity, "no backend server of %s accepts requests", service)
 	}
 	best := all[r.rnd(len(all))]
 	if other := all[r.rnd(len(all))]; loadScore(other) < loadScore(best) {
@@ -157,7 +158,8 @@
 	return p
 }
 
-// Describe tells a service's kind and the layers of its model.
+// Describe returns a service's kind and the number of its model's layers. It returns false
+// if no member provides them.
 func (r *Router) Describe(service string) (model.ServiceKind, int, bool) {
 	for _, m := range r.table.All() {
 		if m.Backend.Service == service && m.Backend.Kind != "" {
@@ -200,7 +202,7 @@
 	return slices.DeleteFunc(slices.Clone(all), func(c candidate) bool { return c.penalty > 0 })
 }
 
-// sample takes a few members of each layer range at random.
+// sample returns a few random members of each layer range.
 func (r *Router) sample(all []candidate) []candidate {
 	groups := map[model.LayerRange][]candidate{}
 	var ranges []model.LayerRange
@@ -211,8 +213,8 @@
 		groups[c.Backend.Range] = append(groups[c.Backend.Range], c)
 	}
 	var out []candidate
-	for _, rg := range ranges {
-		g := groups[rg]
+	for _, layers := range ranges {
+		g := groups[layers]
 		for n := 0; n < sampleSize && len(g) > 0; n++ {
 			i := r.rnd(len(g))
 			out = append(out, g[i])
@@ -222,35 +224,35 @@
 	return out
 }
 
-// partialChain is the cheapest partialChain found to have run the layers up to a boundary with
-// the last of them at one candidate.
+// partialChain is the cheapest chain up to a layer boundary whose latest stage runs at a
+// given candidate.
 type partialChain struct {
 	cost      time.Duration
-	prev      int // boundary before
+	prev      int // previous boundary
 	candidate int // candidate at that boundary, -1 at the start
 	ok        bool
 }
 
-// cheapest finds the chain of least time per token. It walks the layer
-// boundaries in order; a member may run any part of its range, so overlapping
-// ranges never run a layer twice.
-func cheapest(cs []candidate, layers model.LayerRange, link LinkTime) []Stage {
-	bounds := boundaries(cs, layers)
-	ways := make([][]partialChain, len(bounds))
-	for i := range ways {
-		ways[i] = make([]partialChain, len(cs))
+// cheapest returns the chain with the lowest time per token. It is a dynamic program over
+// the layer boundaries. A member may run any part of its range, so no layer runs twice
+// where ranges overlap.
+func cheapest(cands []candidate, layers model.LayerRange, link LinkTime) []Stage {
+	bounds := boundaries(cands, layers)
+	partial := make([][]partialChain, len(bounds))
+	for i := range partial {
+		partial[i] = make([]partialChain, len(cands))
 	}
 	for to := 1; to < len(bounds); to++ {
-		for c := range cs {
-			ways[to][c] = bestInto(cs, bounds, ways, c, to, link)
+		for c := range cands {
+			partial[to][c] = cheapestEndingAt(cands, bounds, partial, c, to, link)
 		}
 	}
-	return trace(cs, bounds, ways)
+	return trace(cands, bounds, partial)
 }
 
-func boundaries(cs []candidate, layers model.LayerRange) []int {
+func boundaries(cands []candidate, layers model.LayerRange) []int {
 	set := map[int]bool{layers.From: true, layers.To: true}
-	for _, c := range cs {
+	for _, c := range cands {
 		for _, b := range []int{c.Backend.Range.From, c.Backend.Range.To} {
 			if layers.From < b && b < layers.To {
 				set[b] = true
@@ -265,23 +267,23 @@
 	return out
 }
 
-func bestInto(cs []candidate, bounds []int, ways [][]partialChain, c, to int, link LinkTime) partialChain {
+func cheapestEndingAt(cands []candidate, bounds []int, partial [][]partialChain, c, to int, link LinkTime) partialChain {
 	var best partialChain
 	for from := to - 1; from >= 0; from-- {
-		part := model.LayerRange{From: bounds[from], To: bounds[to]}
-		if !cs[c].Backend.Range.Contains(part) {
+		layers := model.LayerRange{From: bounds[from], To: bounds[to]}
+		if !cands[c].Backend.Range.Contains(layers) {
 			break
 		}
-		run := time.Duration(part.Len())*cs[c].perLayer + cs[c].penalty
+		runTime := time.Duration(layers.Len())*cands[c].perLayer + cands[c].penalty
 		if from == 0 {
-			best = better(best, partialChain{cost: run, prev: 0, candidate: -1, ok: true})
+			best = better(best, partialChain{cost: runTime, prev: 0, candidate: -1, ok: true})
 			continue
 		}
-		for p := range cs {
-			if p == c || !ways[from][p].ok {
+		for p := range cands {
+			if p == c || !partial[from][p].ok {
 				continue
 			}
-			cost := ways[from][p].cost + link(cs[p].Instance, cs[c].Instance) + run
+			cost := partial[from][p].cost + link(cands[p].Instance, cands[c].Instance) + runTime
 			best = better(best, partialChain{cost: cost, prev: from, candidate: p, ok: true})
 		}
 	}
@@ -295,11 +297,11 @@
 	return a
 }
 
-func trace(cs []candidate, bounds []int, ways [][]partialChain) []Stage {
+func trace(cands []candidate, bounds []int, partial [][]partialChain) []Stage {
 	end := len(bounds) - 1
 	last := -1
-	for c := range cs {
-		if ways[end][c].ok && (last < 0 || ways[end][c].cost < ways[end][last].cost) {
+	for c := range cands {
+		if partial[end][c].ok && (last < 0 || partial[end][c].cost < partial[end][last].cost) {
 			last = c
 		}
 	}
@@ -308,12 +310,12 @@
 	}
 	var chain []Stage
 	for b, c := end, last; c >= 0; {
-		w := ways[b][c]
+		step := partial[b][c]
 		chain = append(chain, Stage{
-			Member: cs[c].Member,
-			Range:  model.LayerRange{From: bounds[w.prev], To: bounds[b]},
+			Member: cands[c].Member,
+			Range:  model.LayerRange{From: bounds[step.prev], To: bounds[b]},
 		})
-		b, c = w.prev, w.candidate
+		b, c = step.prev, step.candidate
 	}
 	slices.Reverse(chain)
 	return chain
--- a/internal/coordination/routing/routing_test.go
+++ b/internal/coordination/routing/routing_test.go
@@ -28,9 +28,8 @@
 	}, time.Millisecond)
 }
 
-// Engines hold any ranges, overlapping or not; some are full, leave or are to
-// be avoided. A chain, if there is one, runs each layer exactly once, in order,
-// each at an engine that holds it and takes work.
+// A chain must run each layer once and in order, on engines that hold it, have capacity,
+// are not leaving and are not to be avoided. It must be found whenever one exists.
 func TestChainCoversEachLayerOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		tb := membership.New("self", time.Now)
@@ -68,9 +67,9 @@
 	})
 }
 
-// More than half of a service seems down at once, which is likelier a fault of
-// the network here. The members are still tried, after those that answer.
-func TestEjectingIsBounded(t *testing.T) {
+// If more than half of a service seems down, the fault is more likely in the local network.
+// The members must still be used, after those that respond.
+func TestSuspectsAreUsedWhenMostSeemDown(t *testing.T) {
 	tb := membership.New("self", time.Now)
 	for i := 0; i < 4; i++ {
 		name := fmt.Sprint("e", i)
@@ -88,7 +87,7 @@
 	assert.NilError(t, err)
 }
 
-func TestNothingUpIsNoCapacity(t *testing.T) {
+func TestNoMembersYieldNoCapacity(t *testing.T) {
 	r := New(membership.New("self", time.Now), Links{Time: near}, time.Now, nil)
 	_, err := r.Chain(ChainRequest{Service: "s", Layers: model.LayerRange{To: 12}})
 	assert.Assert(t, fault.Is(err, fault.NoCapacity))
