--- a/internal/coordination/chains/chains_test.go
+++ b/internal/coordination/chains/chains_test.go
@@ -22,7 +22,7 @@
 	}}
 }
 
-type world struct {
+type fixture struct {
 	now     time.Time
 	svc     *model.Service
 	catalog *catalog.Catalog
@@ -32,53 +32,53 @@
 	releases []release // of active streams, in order of time
 }
 
-func newWorld() *world {
-	w := &world{now: time.Unix(1000, 0), svc: service()}
-	now := func() time.Time { return w.now }
-	w.catalog = catalog.New(now)
-	w.health = catalog.NewHealth(now)
-	w.chooser = &Chooser{Catalog: w.catalog, Health: w.health, Usage: NewUsageTracker(now), Interconnect: NewInterconnect(now), RouterCount: func() int { return 4 }}
-	return w
+func newFixture() *fixture {
+	f := &fixture{now: time.Unix(1000, 0), svc: service()}
+	now := func() time.Time { return f.now }
+	f.catalog = catalog.New(now)
+	f.health = catalog.NewHealth(now)
+	f.chooser = &Chooser{Catalog: f.catalog, Health: f.health, Usage: NewUsageTracker(now), Interconnect: NewInterconnect(now), RouterCount: func() int { return 4 }}
+	return f
 }
 
 func inc(id string) model.Incarnation { return model.Incarnation{ID: id} }
 
-func (w *world) add(id, domain, card string, from, to int) {
-	w.catalog.Put(model.BackendServer{ID: id, Service: "s", Address: id + ":1", FailureDomain: domain, Card: card, Holds: model.LayerRange{From: from, To: to}})
+func (f *fixture) add(id, domain, card string, from, to int) {
+	f.catalog.Put(model.BackendServer{ID: id, Service: "s", Address: id + ":1", FailureDomain: domain, Card: card, Holds: model.LayerRange{From: from, To: to}})
 }
 
-// twoDomains returns a world with one chain of fast accelerators in each of two failure
+// twoDomains returns a fixture with one chain of fast accelerators in each of two failure
 // domains.
-func twoDomains() *world {
-	w := newWorld()
+func twoDomains() *fixture {
+	f := newFixture()
 	for _, d := range []string{"a", "b"} {
-		w.add(d+"1", d, "a100", 0, 40)
-		w.add(d+"2", d, "l40s", 40, 60)
-		w.add(d+"3", d, "l40s", 60, 80)
+		f.add(d+"1", d, "a100", 0, 40)
+		f.add(d+"2", d, "l40s", 40, 60)
+		f.add(d+"3", d, "l40s", 60, 80)
 	}
-	return w
+	return f
 }
 
 func covers(t assert.TestingT, stages []Stage, need model.LayerRange) {
 	at := need.From
 	seen := map[string]bool{}
-	for _, p := range stages {
-		assert.Equal(t, p.Layers.From, at)
-		assert.Assert(t, p.Layers.Len() > 0 && p.Server.Holds.Contains(p.Layers), "%s runs %s of %s", p.Server.ID, p.Layers, p.Server.Holds)
-		assert.Assert(t, !seen[p.Server.ID], "%s occurs twice", p.Server.ID)
-		seen[p.Server.ID] = true
-		at = p.Layers.To
+	for _, s := range stages {
+		assert.Equal(t, s.Layers.From, at)
+		assert.Assert(t, s.Layers.Len() > 0 && s.Server.Holds.Contains(s.Layers), "%s runs %s of %s", s.Server.ID, s.Layers, s.Server.Holds)
+		assert.Assert(t, !seen[s.Server.ID], "%s occurs twice", s.Server.ID)
+		seen[s.Server.ID] = true
+		at = s.Layers.To
 	}
 	assert.Equal(t, at, need.To)
 }
 
 func TestChooseStaysInRequestingDomain(t *testing.T) {
-	w := twoDomains()
+	f := twoDomains()
 	for _, d := range []string{"a", "b"} {
-		stages, v := w.chooser.Choose(w.svc, Requirements{Domain: d, Tokens: 1000})
+		stages, v := f.chooser.Choose(f.svc, Requirements{Domain: d, Tokens: 1000})
 		assert.Equal(t, v, Found)
-		for _, p := range stages {
-			assert.Equal(t, p.Server.FailureDomain, d)
+		for _, s := range stages {
+			assert.Equal(t, s.Server.FailureDomain, d)
 		}
 	}
 }
@@ -86,25 +86,25 @@
 // A chain must run each layer once and in order, and must not contain an engine twice.
 func TestChainCoversEachLayerOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld()
+		f := newFixture()
 		n := rapid.IntRange(1, 30).Draw(rt, "engines")
 		for i := range n {
 			from := rapid.IntRange(0, 79).Draw(rt, "from")
 			to := rapid.IntRange(from, min(from+24, 80)).Draw(rt, "to")
 			card := rapid.SampledFrom([]string{"a100", "l40s", "l4", "unknown"}).Draw(rt, "card")
-			w.add(fmt.Sprintf("e%d", i), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "domain"), card, from, to)
+			f.add(fmt.Sprintf("e%d", i), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "domain"), card, from, to)
 			if rapid.IntRange(0, 9).Draw(rt, "suspected") == 0 {
-				w.health.Suspect(inc(fmt.Sprintf("e%d", i)))
+				f.health.Suspect(inc(fmt.Sprintf("e%d", i)))
 			}
 		}
-		stages, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
+		stages, v := f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 1000})
 		if v != Found {
 			assert.Equal(rt, len(stages), 0)
 			return
 		}
 		covers(rt, stages, model.LayerRange{To: 80})
-		for _, p := range stages {
-			assert.Assert(rt, !w.health.Suspected(p.Server.Incarnation()))
+		for _, s := range stages {
+			assert.Assert(rt, !f.health.Suspected(s.Server.Incarnation()))
 		}
 	})
 }
@@ -112,9 +112,9 @@
 // An engine without a substitute in its domain is lost. Chains must move to the other
 // domain as a whole rather than cross the interconnect twice.
 func TestLostEngineMovesChainsToOtherDomain(t *testing.T) {
-	w := twoDomains()
-	w.catalog.Remove("a2", 1, 0)
-	stages, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
+	f := twoDomains()
+	f.catalog.Remove("a2", 1, 0)
+	stages, v := f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 1000})
 	assert.Equal(t, v, Found)
 	crossings := 0
 	for i := 1; i < len(stages); i++ {
@@ -128,16 +128,16 @@
 // The interconnect is at its limit through traffic of other routers. Chains must not use
 // it.
 func TestChooseAvoidsSaturatedInterconnect(t *testing.T) {
-	w := newWorld()
-	w.add("a1", "a", "a100", 0, 40)
-	w.add("b1", "b", "a100", 40, 80)
-	_, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
+	f := newFixture()
+	f.add("a1", "a", "a100", 0, 40)
+	f.add("b1", "b", "a100", 40, 80)
+	_, v := f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 1000})
 	assert.Equal(t, v, Found, "an idle interconnect is used")
-	w.chooser.Interconnect.SetPeerRates("peer", map[DomainPair]float64{{A: "a", B: "b"}: 20000}, 2*time.Second)
-	_, v = w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
+	f.chooser.Interconnect.SetPeerRates("peer", map[DomainPair]float64{{A: "a", B: "b"}: 20000}, 2*time.Second)
+	_, v = f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 1000})
 	assert.Equal(t, v, NoChain)
-	w.now = w.now.Add(2 * time.Second)
-	_, v = w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
+	f.now = f.now.Add(2 * time.Second)
+	_, v = f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 1000})
 	assert.Equal(t, v, Found, "the rates of the peer have expired")
 }
 
@@ -148,10 +148,10 @@
 	now := time.Unix(1000, 0)
 	crossed := 0
 	for range routers {
-		p := NewInterconnect(func() time.Time { return now })
+		ic := NewInterconnect(func() time.Time { return now })
 		limit := maxUtilization(46*time.Millisecond, 0, 4)
-		for p.Allows("a", "b", prompt, rate*limit, routers) {
-			p.AddTraffic("a", "b", prompt)
+		for ic.Allows("a", "b", prompt, rate*limit, routers) {
+			ic.AddTraffic("a", "b", prompt)
 			crossed++
 		}
 	}
@@ -161,48 +161,48 @@
 // When one domain is full, streams must start in the other. When both are full they must be
 // refused, because engines that run out of memory preempt streams.
 func TestFullDomainOverflowsThenRefuses(t *testing.T) {
-	w := twoDomains()
+	f := twoDomains()
 	used := map[string]int{}
 	for range 1000 {
-		stages, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
+		stages, v := f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 1000})
 		if v == CapacityExhausted {
 			break
 		}
 		covers(t, stages, model.LayerRange{To: 80})
-		w.chooser.Usage.Reserve(stages, 1000)
+		f.chooser.Usage.Reserve(stages, 1000)
 		used[stages[0].Server.FailureDomain]++
 	}
 	assert.Assert(t, used["a"] > 0 && used["b"] > used["a"]/2, "%v", used)
 	assert.Assert(t, used["a"]+used["b"] < 1000, "nothing was refused: %v", used)
-	for _, b := range w.catalog.Load().Service("s") {
-		card, _ := w.svc.Engine.Card(b.Card)
-		highest := Capacity(w.svc.Engine, card, b.Holds) * maxReservedShare
-		assert.Assert(t, w.chooser.Usage.Used(b.Incarnation()).TokenLayers <= highest, "%s exceeds its memory", b.ID)
+	for _, b := range f.catalog.Load().Service("s") {
+		card, _ := f.svc.Engine.Card(b.Card)
+		limit := Capacity(f.svc.Engine, card, b.Holds) * maxReservedShare
+		assert.Assert(t, f.chooser.Usage.Used(b.Incarnation()).TokenLayers <= limit, "%s exceeds its memory", b.ID)
 	}
 }
 
 // The number of streams that start at an engine must not exceed its slots. Further chains
 // must start at a slower engine.
 func TestFirstStagesStayWithinSlots(t *testing.T) {
-	w := twoDomains()
-	w.catalog.Remove("b1", 1, 0)
-	w.add("front", "a", "l4", 0, 4)
+	f := twoDomains()
+	f.catalog.Remove("b1", 1, 0)
+	f.add("front", "a", "l4", 0, 4)
 	for id, slots := range map[string]int{"a1": 20, "front": 20} {
-		b := *w.catalog.Load().ByID(id)
+		b := *f.catalog.Load().ByID(id)
 		b.Slots = slots
-		w.catalog.Put(b)
+		f.catalog.Put(b)
 	}
 	firsts := map[string]int{}
 	for {
-		stages, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 10})
+		stages, v := f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 10})
 		if v != Found {
 			assert.Equal(t, v, CapacityExhausted)
 			break
 		}
 		covers(t, stages, model.LayerRange{To: 80})
-		w.chooser.Usage.Reserve(stages, 10)
+		f.chooser.Usage.Reserve(stages, 10)
 		firsts[stages[0].Server.ID]++
-		w.now = w.now.Add(5 * time.Second) // peers have reported their usage by now
+		f.now = f.now.Add(5 * time.Second) // peers have reported their usage by now
 	}
 	assert.DeepEqual(t, firsts, map[string]int{"a1": 18, "front": 18})
 }
@@ -213,17 +213,17 @@
 	const routers, each, slots = 8, 30, 100
 	firsts := map[string]int{}
 	for range routers {
-		w := newWorld()
-		w.chooser.RouterCount = func() int { return routers }
+		f := newFixture()
+		f.chooser.RouterCount = func() int { return routers }
 		for id, card := range map[string]string{"fast": "a100", "second": "l40s", "third": "l40s"} {
-			w.catalog.Put(model.BackendServer{ID: id, Service: "s", Address: id + ":1", FailureDomain: "a", Card: card, Slots: slots, Holds: model.LayerRange{To: 10}})
+			f.catalog.Put(model.BackendServer{ID: id, Service: "s", Address: id + ":1", FailureDomain: "a", Card: card, Slots: slots, Holds: model.LayerRange{To: 10}})
 		}
-		w.add("rest", "a", "a100", 10, 40)
-		w.add("end", "a", "a100", 40, 80)
+		f.add("rest", "a", "a100", 10, 40)
+		f.add("end", "a", "a100", 40, 80)
 		for range each {
-			stages, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 10})
+			stages, v := f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 10})
 			assert.Equal(t, v, Found)
-			w.chooser.Usage.Reserve(stages, 10)
+			f.chooser.Usage.Reserve(stages, 10)
 			firsts[stages[0].Server.ID]++
 		}
 	}
@@ -234,51 +234,51 @@
 
 // A stream without attempts left may start only at the given engines.
 func TestChooseRespectsAllowedFirstStages(t *testing.T) {
-	w := twoDomains()
-	stages, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 10, FirstStageIn: map[model.Incarnation]bool{inc("b1"): true}})
+	f := twoDomains()
+	stages, v := f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 10, FirstStageIn: map[model.Incarnation]bool{inc("b1"): true}})
 	assert.Equal(t, v, Found)
 	assert.Equal(t, stages[0].Server.ID, "b1")
-	_, v = w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 10, FirstStageIn: map[model.Incarnation]bool{inc("gone"): true}})
+	_, v = f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 10, FirstStageIn: map[model.Incarnation]bool{inc("unknown"): true}})
 	assert.Equal(t, v, NoChain)
 }
 
 // Replace must change only the lost stage. The other stages keep their memory and need no
 // new prefill.
 func TestReplaceKeepsRemainingStages(t *testing.T) {
-	w := twoDomains()
-	w.add("spare", "a", "l4", 38, 62)
-	stages, _ := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
+	f := twoDomains()
+	f.add("spare", "a", "l4", 38, 62)
+	stages, _ := f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 1000})
 	covers(t, stages, model.LayerRange{To: 80})
-	next := w.chooser.Replace(w.svc, stages, setOf("a2"), 1000, 0)
+	next := f.chooser.Replace(f.svc, stages, setOf("a2"), 1000, 0)
 	covers(t, next, model.LayerRange{To: 80})
 	assert.Equal(t, next[0], stages[0])
 	assert.Equal(t, next[len(next)-1], stages[len(stages)-1])
-	for _, p := range next {
-		assert.Assert(t, p.Server.ID != "a2")
+	for _, s := range next {
+		assert.Assert(t, s.Server.ID != "a2")
 	}
-	assert.Assert(t, w.chooser.Replace(w.svc, stages, setOf("a1"), 1000, 0) == nil, "the first stage cannot be replaced")
+	assert.Assert(t, f.chooser.Replace(f.svc, stages, setOf("a1"), 1000, 0) == nil, "the first stage cannot be replaced")
 }
 
 // A lost stage has no single substitute, but a different chain after the first stage
 // exists. The stream must be moved to it.
 func TestReplaceReroutesAfterFirstStage(t *testing.T) {
-	w := newWorld()
-	w.add("first", "a", "a100", 0, 20)
-	w.add("lost", "a", "l40s", 20, 40)
-	w.add("left", "a", "l40s", 20, 30)
-	w.add("right", "a", "l40s", 30, 50)
-	w.add("last", "a", "a100", 40, 80)
+	f := newFixture()
+	f.add("first", "a", "a100", 0, 20)
+	f.add("lost", "a", "l40s", 20, 40)
+	f.add("left", "a", "l40s", 20, 30)
+	f.add("right", "a", "l40s", 30, 50)
+	f.add("last", "a", "a100", 40, 80)
 	stages := []Stage{
-		{Server: w.catalog.Load().ByID("first"), Layers: model.LayerRange{To: 20}},
-		{Server: w.catalog.Load().ByID("lost"), Layers: model.LayerRange{From: 20, To: 40}},
-		{Server: w.catalog.Load().ByID("right"), Layers: model.LayerRange{From: 40, To: 50}},
-		{Server: w.catalog.Load().ByID("last"), Layers: model.LayerRange{From: 50, To: 80}},
+		{Server: f.catalog.Load().ByID("first"), Layers: model.LayerRange{To: 20}},
+		{Server: f.catalog.Load().ByID("lost"), Layers: model.LayerRange{From: 20, To: 40}},
+		{Server: f.catalog.Load().ByID("right"), Layers: model.LayerRange{From: 40, To: 50}},
+		{Server: f.catalog.Load().ByID("last"), Layers: model.LayerRange{From: 50, To: 80}},
 	}
-	next := w.chooser.Replace(w.svc, stages, setOf("lost"), 1000, 0)
+	next := f.chooser.Replace(f.svc, stages, setOf("lost"), 1000, 0)
 	covers(t, next, model.LayerRange{To: 80})
 	assert.Equal(t, next[0], stages[0])
-	for _, p := range next {
-		assert.Assert(t, p.Server.ID != "lost")
+	for _, s := range next {
+		assert.Assert(t, s.Server.ID != "lost")
 	}
 }
 
@@ -288,132 +288,132 @@
 	const routers, each = 24, 10
 	moved := map[string]int{}
 	for range routers {
-		w := newWorld()
-		w.chooser.RouterCount = func() int { return routers }
-		w.add("first", "a", "a100", 0, 36)
-		w.add("lost", "a", "l40s", 36, 47)
-		w.add("last", "a", "a100", 47, 80)
-		for _, spare := range []string{"x", "y", "z"} {
-			w.add(spare, "a", "l40s", 36, 47)
+		f := newFixture()
+		f.chooser.RouterCount = func() int { return routers }
+		f.add("first", "a", "a100", 0, 36)
+		f.add("lost", "a", "l40s", 36, 47)
+		f.add("last", "a", "a100", 47, 80)
+		for _, substitute := range []string{"x", "y", "z"} {
+			f.add(substitute, "a", "l40s", 36, 47)
 		}
 		for range each {
 			stages := []Stage{
-				{Server: w.catalog.Load().ByID("first"), Layers: model.LayerRange{To: 36}},
-				{Server: w.catalog.Load().ByID("lost"), Layers: model.LayerRange{From: 36, To: 47}},
-				{Server: w.catalog.Load().ByID("last"), Layers: model.LayerRange{From: 47, To: 80}},
+				{Server: f.catalog.Load().ByID("first"), Layers: model.LayerRange{To: 36}},
+				{Server: f.catalog.Load().ByID("lost"), Layers: model.LayerRange{From: 36, To: 47}},
+				{Server: f.catalog.Load().ByID("last"), Layers: model.LayerRange{From: 47, To: 80}},
 			}
-			next := w.chooser.Replace(w.svc, stages, setOf("lost"), 1000, 0)
+			next := f.chooser.Replace(f.svc, stages, setOf("lost"), 1000, 0)
 			assert.Equal(t, len(next), 3)
 			moved[next[1].Server.ID]++
 		}
 	}
-	for _, spare := range []string{"x", "y", "z"} {
-		assert.Assert(t, moved[spare] >= routers*each/5, "%v", moved)
+	for _, substitute := range []string{"x", "y", "z"} {
+		assert.Assert(t, moved[substitute] >= routers*each/5, "%v", moved)
 	}
 }
 
 // A substitute in the same domain pauses the stream for less time than a faster one that
 // needs a transfer of all tokens between domains.
 func TestReplaceMinimizesPause(t *testing.T) {
-	w := newWorld()
-	w.svc.Engine.PipeMbps = 6400
-	w.add("first", "a", "a100", 0, 36)
-	w.add("lost", "a", "l40s", 36, 47)
-	w.add("last", "a", "a100", 47, 80)
-	w.add("slow", "a", "l4", 36, 47)
-	w.add("away", "b", "a100", 36, 47)
+	f := newFixture()
+	f.svc.Engine.PipeMbps = 6400
+	f.add("first", "a", "a100", 0, 36)
+	f.add("lost", "a", "l40s", 36, 47)
+	f.add("last", "a", "a100", 47, 80)
+	f.add("slow", "a", "l4", 36, 47)
+	f.add("away", "b", "a100", 36, 47)
 	stages := []Stage{
-		{Server: w.catalog.Load().ByID("first"), Layers: model.LayerRange{To: 36}},
-		{Server: w.catalog.Load().ByID("lost"), Layers: model.LayerRange{From: 36, To: 47}},
-		{Server: w.catalog.Load().ByID("last"), Layers: model.LayerRange{From: 47, To: 80}},
+		{Server: f.catalog.Load().ByID("first"), Layers: model.LayerRange{To: 36}},
+		{Server: f.catalog.Load().ByID("lost"), Layers: model.LayerRange{From: 36, To: 47}},
+		{Server: f.catalog.Load().ByID("last"), Layers: model.LayerRange{From: 47, To: 80}},
 	}
-	next := w.chooser.Replace(w.svc, stages, setOf("lost"), 1000, 0)
+	next := f.chooser.Replace(f.svc, stages, setOf("lost"), 1000, 0)
 	covers(t, next, model.LayerRange{To: 80})
 	assert.Equal(t, next[1].Server.ID, "slow")
 }
 
 func TestSlowEngineIsAvoided(t *testing.T) {
-	w := twoDomains()
-	w.add("a4", "a", "l40s", 40, 60)
-	w.chooser.Usage.SetSlowdown(inc("a2"), 3)
-	stages, _ := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
-	for _, p := range stages {
-		assert.Assert(t, p.Server.ID != "a2")
+	f := twoDomains()
+	f.add("a4", "a", "l40s", 40, 60)
+	f.chooser.Usage.SetSlowdown(inc("a2"), 3)
+	stages, _ := f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 1000})
+	for _, s := range stages {
+		assert.Assert(t, s.Server.ID != "a2")
 	}
 }
 
 func TestReservationIsReleasedOnce(t *testing.T) {
-	w := twoDomains()
-	stages, _ := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
-	other, _ := w.chooser.Choose(w.svc, Requirements{Domain: "b", Tokens: 1000})
-	h := w.chooser.Usage.Reserve(stages, 1000)
-	assert.Equal(t, w.chooser.Usage.Used(inc("a1")).TokenLayers, 40000.0)
+	f := twoDomains()
+	stages, _ := f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 1000})
+	other, _ := f.chooser.Choose(f.svc, Requirements{Domain: "b", Tokens: 1000})
+	h := f.chooser.Usage.Reserve(stages, 1000)
+	assert.Equal(t, f.chooser.Usage.Used(inc("a1")).TokenLayers, 40000.0)
 	h.Move(other)
-	assert.Equal(t, w.chooser.Usage.Used(inc("a1")).TokenLayers, 0.0)
-	assert.Equal(t, w.chooser.Usage.Used(inc("b1")).TokenLayers, 40000.0)
+	assert.Equal(t, f.chooser.Usage.Used(inc("a1")).TokenLayers, 0.0)
+	assert.Equal(t, f.chooser.Usage.Used(inc("b1")).TokenLayers, 40000.0)
 	h.Release()
 	h.Release()
 	h.Move(stages)
-	assert.Equal(t, w.chooser.Usage.Used(inc("a1")), Usage{})
-	assert.Equal(t, w.chooser.Usage.Used(inc("b1")), Usage{})
+	assert.Equal(t, f.chooser.Usage.Used(inc("a1")), Usage{})
+	assert.Equal(t, f.chooser.Usage.Used(inc("b1")), Usage{})
 }
 
 // A peer's usage must expire when the peer stops reporting.
 func TestPeerUsageExpires(t *testing.T) {
-	w := twoDomains()
-	w.chooser.Usage.SetPeerUsage("p", map[model.Incarnation]Usage{inc("a1"): {TokenLayers: 500, Streams: 2}}, 2*time.Second)
-	assert.Equal(t, w.chooser.Usage.Used(inc("a1")).Streams, 2.0)
-	w.now = w.now.Add(2 * time.Second)
-	assert.Equal(t, w.chooser.Usage.Used(inc("a1")).Streams, 0.0)
+	f := twoDomains()
+	f.chooser.Usage.SetPeerUsage("p", map[model.Incarnation]Usage{inc("a1"): {TokenLayers: 500, Streams: 2}}, 2*time.Second)
+	assert.Equal(t, f.chooser.Usage.Used(inc("a1")).Streams, 2.0)
+	f.now = f.now.Add(2 * time.Second)
+	assert.Equal(t, f.chooser.Usage.Used(inc("a1")).Streams, 0.0)
 }
 
 // A new report of a peer must replace its previous one, and an expired peer must not affect
 // the others.
 func TestPeerUsageAddsUp(t *testing.T) {
-	w := twoDomains()
-	m := w.chooser.Usage
+	f := twoDomains()
+	m := f.chooser.Usage
 	m.SetPeerUsage("p", map[model.Incarnation]Usage{inc("a1"): {Streams: 2}, inc("a2"): {Streams: 9}}, 2*time.Second)
 	m.SetPeerUsage("q", map[model.Incarnation]Usage{inc("a1"): {Streams: 3}}, 4*time.Second)
 	assert.Equal(t, m.Used(inc("a1")).Streams, 5.0)
 	m.SetPeerUsage("p", map[model.Incarnation]Usage{inc("a1"): {Streams: 1}}, 2*time.Second)
 	assert.Equal(t, m.Used(inc("a1")).Streams, 4.0)
 	assert.Equal(t, m.Used(inc("a2")).Streams, 0.0)
-	w.now = w.now.Add(3 * time.Second)
+	f.now = f.now.Add(3 * time.Second)
 	assert.Equal(t, m.Used(inc("a1")).Streams, 3.0)
 	m.ExpirePeers()
 	assert.Equal(t, m.Used(inc("a1")).Streams, 3.0)
 }
 
 func BenchmarkUsedWithPeers(b *testing.B) {
-	w := twoDomains()
+	f := twoDomains()
 	for i := range 300 {
-		w.chooser.Usage.SetPeerUsage(fmt.Sprint(i), map[model.Incarnation]Usage{inc("a1"): {Streams: 1}}, time.Hour)
+		f.chooser.Usage.SetPeerUsage(fmt.Sprint(i), map[model.Incarnation]Usage{inc("a1"): {Streams: 1}}, time.Hour)
 	}
 	for b.Loop() {
-		w.chooser.Usage.Used(inc("a1"))
+		f.chooser.Usage.Used(inc("a1"))
 	}
 }
 
 func TestPrefillLoadDecays(t *testing.T) {
-	w := twoDomains()
-	w.chooser.Usage.AddPrefill(inc("a1"), 0.5)
-	assert.Assert(t, w.chooser.Usage.Used(inc("a1")).PrefillLoad > 0.4)
-	w.now = w.now.Add(5 * time.Second)
-	assert.Assert(t, w.chooser.Usage.Used(inc("a1")).PrefillLoad < 0.01)
+	f := twoDomains()
+	f.chooser.Usage.AddPrefill(inc("a1"), 0.5)
+	assert.Assert(t, f.chooser.Usage.Used(inc("a1")).PrefillLoad > 0.4)
+	f.now = f.now.Add(5 * time.Second)
+	assert.Assert(t, f.chooser.Usage.Used(inc("a1")).PrefillLoad < 0.01)
 }
 
 // A slowdown that the engine reported to this router takes precedence over one that a peer
 // forwarded. Both expire.
 func TestSlowdownExpires(t *testing.T) {
-	w := twoDomains()
-	m := w.chooser.Usage
+	f := twoDomains()
+	m := f.chooser.Usage
 	m.SetPeerSlowdown(inc("a1"), 4)
 	assert.Equal(t, m.Slowdown(inc("a1")), 4.0)
 	assert.Assert(t, m.SetSlowdown(inc("a1"), 2))
 	m.SetPeerSlowdown(inc("a1"), 4)
 	assert.Equal(t, m.Slowdown(inc("a1")), 2.0)
 	assert.DeepEqual(t, m.OwnSlowdowns(), map[model.Incarnation]float64{inc("a1"): 2})
-	w.now = w.now.Add(slowdownTTL)
+	f.now = f.now.Add(slowdownTTL)
 	assert.Equal(t, m.Slowdown(inc("a1")), 1.0)
 	assert.Assert(t, m.SetSlowdown(inc("a1"), 1), "a recovery is a change")
 }
@@ -422,22 +422,22 @@
 // subsets must differ and together cover nearly all engines.
 func TestRoutersConsiderDifferentEngines(t *testing.T) {
 	const routers, holders = 100, 100
-	w := newWorld()
+	f := newFixture()
 	for _, d := range []string{"a", "b"} {
 		for from := 0; from < 80; from += 20 {
 			for i := range holders {
-				w.add(fmt.Sprintf("%s%d-%d", d, from, i), d, "l40s", from, from+20)
+				f.add(fmt.Sprintf("%s%d-%d", d, from, i), d, "l40s", from, from+20)
 			}
 		}
 	}
 	routersByEngine := map[string]int{}
 	for i := range routers {
-		w.chooser.Self = fmt.Sprintf("10.1.0.%d:1", i)
-		w.chooser.subsets.snapshot = nil
-		stages, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
+		f.chooser.Self = fmt.Sprintf("10.1.0.%d:1", i)
+		f.chooser.subsets.snapshot = nil
+		stages, v := f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 1000})
 		assert.Equal(t, v, Found)
 		covers(t, stages, model.LayerRange{To: 80})
-		seen := w.chooser.engines("s")
+		seen := f.chooser.engines("s")
 		assert.Equal(t, len(seen), 2*4*maxHolders)
 		for _, b := range seen {
 			routersByEngine[b.ID]++
@@ -452,26 +452,26 @@
 }
 
 func BenchmarkChooseAmongThousands(b *testing.B) {
-	w := newWorld()
+	f := newFixture()
 	for i := range 3000 {
 		from := i % 9 * 9
-		w.add(fmt.Sprintf("e%d", i), string(rune('a'+i%3)), "l4", from, min(from+9, 80))
+		f.add(fmt.Sprintf("e%d", i), string(rune('a'+i%3)), "l4", from, min(from+9, 80))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
+		f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 1000})
 	}
 }
 
 func BenchmarkChoose(b *testing.B) {
-	w := newWorld()
+	f := newFixture()
 	for i := range 52 {
 		from := (i * 7) % 70
-		w.add(fmt.Sprintf("e%d", i), string(rune('a'+i%4)), "l4", from, from+10)
+		f.add(fmt.Sprintf("e%d", i), string(rune('a'+i%4)), "l4", from, from+10)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
+		f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 1000})
 	}
 }
 
@@ -479,29 +479,29 @@
 // must no longer be chosen as the first stage, but still as a later one. After a while it
 // must be tried again.
 func TestFailingEngineIsNotFirstStage(t *testing.T) {
-	w := newWorld()
-	w.add("grey", "a", "a100", 0, 1)
-	w.add("a1", "a", "a100", 1, 40)
-	w.add("other", "a", "l40s", 0, 20)
-	w.add("a2", "a", "a100", 40, 80)
+	f := newFixture()
+	f.add("failing", "a", "a100", 0, 1)
+	f.add("a1", "a", "a100", 1, 40)
+	f.add("other", "a", "l40s", 0, 20)
+	f.add("a2", "a", "a100", 40, 80)
 	first := func() string {
-		stages, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
+		stages, v := f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 1000})
 		assert.Equal(t, v, Found)
 		return stages[0].Server.ID
 	}
-	assert.Equal(t, first(), "grey", "it has the lowest cost")
+	assert.Equal(t, first(), "failing", "it has the lowest cost")
 	failures := 0
-	for ; first() == "grey" && failures < 50; failures++ {
-		w.health.RecordOutcome(inc("grey"), false)
-		w.health.RecordOutcome(inc("grey"), true)
+	for ; first() == "failing" && failures < 50; failures++ {
+		f.health.RecordOutcome(inc("failing"), false)
+		f.health.RecordOutcome(inc("failing"), true)
 	}
 	assert.Assert(t, failures <= 12, "%d failures", failures)
-	w.now = w.now.Add(time.Minute)
-	assert.Equal(t, first(), "grey")
-	w.health.RecordOutcome(inc("a2"), false)
-	w.health.RecordOutcome(inc("a2"), false)
-	w.health.RecordOutcome(inc("a2"), false)
-	stages, _ := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 1000})
+	f.now = f.now.Add(time.Minute)
+	assert.Equal(t, first(), "failing")
+	f.health.RecordOutcome(inc("a2"), false)
+	f.health.RecordOutcome(inc("a2"), false)
+	f.health.RecordOutcome(inc("a2"), false)
+	stages, _ := f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 1000})
 	assert.Equal(t, stages[len(stages)-1].Server.ID, "a2", "failures do not exclude it as a later stage")
 }
 
--- a/internal/coordination/chains/missing_test.go
+++ b/internal/coordination/chains/missing_test.go
@@ -13,32 +13,32 @@
 // A refusal for missing layers must name the layers and the state of each engine that holds
 // them.
 func TestExplanationNamesMissingLayers(t *testing.T) {
-	w := newWorld()
-	w.add("first", "a", "a100", 0, 40)
-	w.add("lost", "a", "l40s", 40, 60)
-	w.add("last", "a", "l40s", 60, 80)
-	w.health.Suspect(inc("lost"))
+	f := newFixture()
+	f.add("first", "a", "a100", 0, 40)
+	f.add("lost", "a", "l40s", 40, 60)
+	f.add("last", "a", "l40s", 60, 80)
+	f.health.Suspect(inc("lost"))
 	d := Requirements{Domain: "a", Tokens: 10}
-	_, v := w.chooser.Choose(w.svc, d)
+	_, v := f.chooser.Choose(f.svc, d)
 	assert.Equal(t, v, NoChain)
-	assert.Equal(t, w.chooser.ExplainNoChain(w.svc, d), "[40,60) lost suspected")
-	w.catalog.Remove("lost", 1, 0)
-	assert.Equal(t, w.chooser.ExplainNoChain(w.svc, d), "[40,60) held by no engine")
+	assert.Equal(t, f.chooser.ExplainNoChain(f.svc, d), "[40,60) lost suspected")
+	f.catalog.Remove("lost", 1, 0)
+	assert.Equal(t, f.chooser.ExplainNoChain(f.svc, d), "[40,60) held by no engine")
 	d.Avoid = map[model.Incarnation]bool{inc("last"): true}
-	assert.Equal(t, w.chooser.ExplainNoChain(w.svc, d), "[40,80) last avoided")
+	assert.Equal(t, f.chooser.ExplainNoChain(f.svc, d), "[40,80) last avoided")
 }
 
 // All layers are held, but different ones in each domain, and the interconnect is at its
 // limit. The explanation must name the missing layers of each domain.
 func TestExplanationNamesMissingLayersOfEachDomain(t *testing.T) {
-	w := newWorld()
-	w.add("a1", "a", "a100", 0, 40)
-	w.add("b2", "b", "a100", 40, 80)
-	w.chooser.Interconnect.SetPeerRates("peer", map[DomainPair]float64{{A: "a", B: "b"}: 20000}, 2*time.Second)
+	f := newFixture()
+	f.add("a1", "a", "a100", 0, 40)
+	f.add("b2", "b", "a100", 40, 80)
+	f.chooser.Interconnect.SetPeerRates("peer", map[DomainPair]float64{{A: "a", B: "b"}: 20000}, 2*time.Second)
 	d := Requirements{Domain: "a", Tokens: 1000, MaxEventGap: 200 * time.Millisecond}
-	_, v := w.chooser.Choose(w.svc, d)
+	_, v := f.chooser.Choose(f.svc, d)
 	assert.Equal(t, v, NoChain)
-	explanation := w.chooser.ExplainNoChain(w.svc, d)
+	explanation := f.chooser.ExplainNoChain(f.svc, d)
 	for _, text := range []string{"interconnect at its limit", "a lacks [40,80) held by no engine", "b lacks [0,40) held by no engine"} {
 		assert.Assert(t, strings.Contains(explanation, text), explanation)
 	}
@@ -46,12 +46,12 @@
 
 // The explanation must stay short when hundreds of engines are suspected.
 func TestExplanationIsBounded(t *testing.T) {
-	w := newWorld()
+	f := newFixture()
 	for i := range 200 {
 		id := "e" + strings.Repeat("x", i)
-		w.add(id, "a", "l4", 0, 10)
-		w.health.Suspect(inc(id))
+		f.add(id, "a", "l4", 0, 10)
+		f.health.Suspect(inc(id))
 	}
-	explanation := w.chooser.ExplainNoChain(w.svc, Requirements{Domain: "a"})
+	explanation := f.chooser.ExplainNoChain(f.svc, Requirements{Domain: "a"})
 	assert.Assert(t, strings.Contains(explanation, "194 more"), explanation)
 }
--- a/internal/coordination/chains/move_test.go
+++ b/internal/coordination/chains/move_test.go
@@ -12,26 +12,26 @@
 func TestReplaceHandlesSeveralLostStages(t *testing.T) {
 	ranges := []model.LayerRange{{To: 20}, {From: 20, To: 40}, {From: 40, To: 60}, {From: 60, To: 80}}
 	for _, lost := range [][]int{{1, 2}, {1, 3}, {1, 2, 3}, {2, 3}} {
-		w := newWorld()
+		f := newFixture()
 		var stages []Stage
 		for i, r := range ranges {
 			id := string(rune('a' + i))
-			w.add(id, "a", "a100", r.From, r.To)
-			w.add("spare-"+id, "a", "l40s", r.From, r.To)
-			stages = append(stages, Stage{Server: w.catalog.Load().ByID(id), Layers: r})
+			f.add(id, "a", "a100", r.From, r.To)
+			f.add("spare-"+id, "a", "l40s", r.From, r.To)
+			stages = append(stages, Stage{Server: f.catalog.Load().ByID(id), Layers: r})
 		}
 		lostSet := map[model.Incarnation]bool{}
 		for _, i := range lost {
 			lostSet[stages[i].Server.Incarnation()] = true
 		}
-		next := w.chooser.Replace(w.svc, stages, lostSet, 1000, 0)
+		next := f.chooser.Replace(f.svc, stages, lostSet, 1000, 0)
 		covers(t, next, model.LayerRange{To: 80})
-		for i, p := range next {
+		for i, s := range next {
 			want := stages[i].Server.ID
 			if lostSet[stages[i].Server.Incarnation()] {
 				want = "spare-" + want
 			}
-			assert.Equal(t, p.Server.ID, want, "lost %v", lost)
+			assert.Equal(t, s.Server.ID, want, "lost %v", lost)
 		}
 	}
 }
--- a/internal/coordination/chains/slowstart_test.go
+++ b/internal/coordination/chains/slowstart_test.go
@@ -24,53 +24,53 @@
 	)
 	now := time.Unix(1000, 0)
 	startedAt := now
-	var all []*world
-	put := func(w *world, id, domain, card string, held model.LayerRange) {
-		w.catalog.Put(model.BackendServer{ID: id, Service: "s", Address: id + ":1", FailureDomain: domain, Card: card, Slots: 192, Holds: held, Revision: 1})
+	var all []*fixture
+	put := func(f *fixture, id, domain, card string, held model.LayerRange) {
+		f.catalog.Put(model.BackendServer{ID: id, Service: "s", Address: id + ":1", FailureDomain: domain, Card: card, Slots: 192, Holds: held, Revision: 1})
 	}
 	for r := range domains * each {
-		w := newWorld()
-		w.chooser.Self = fmt.Sprint(r)
-		w.svc.Engine.KVTokenBytes, w.svc.Engine.ReadRate = 459000, 210000
+		f := newFixture()
+		f.chooser.Self = fmt.Sprint(r)
+		f.svc.Engine.KVTokenBytes, f.svc.Engine.ReadRate = 459000, 210000
 		clock := func() time.Time { return now }
-		w.chooser.Usage = NewUsageTracker(clock)
-		w.chooser.Interconnect = NewInterconnect(clock)
-		w.chooser.RouterCount = func() int { return domains * each }
+		f.chooser.Usage = NewUsageTracker(clock)
+		f.chooser.Interconnect = NewInterconnect(clock)
+		f.chooser.RouterCount = func() int { return domains * each }
 		for d := range domains {
 			domain := fmt.Sprint("d", d)
 			for i := range 8 {
 				from := i / 2 * 20
-				put(w, fmt.Sprintf("%s-%d", domain, i), domain, "l40s", model.LayerRange{From: from, To: from + 20})
+				put(f, fmt.Sprintf("%s-%d", domain, i), domain, "l40s", model.LayerRange{From: from, To: from + 20})
 			}
 		}
-		all = append(all, w)
+		all = append(all, f)
 	}
 	var backlog, highest time.Duration
 	startStream := func(r int) {
-		w := all[r]
-		stages, v := w.chooser.Choose(w.svc, Requirements{Domain: fmt.Sprint("d", r%domains), Tokens: 900})
+		f := all[r]
+		stages, v := f.chooser.Choose(f.svc, Requirements{Domain: fmt.Sprint("d", r%domains), Tokens: 900})
 		assert.Equal(t, v, Found)
 		first := stages[0].Server
-		w.chooser.RecordStart(w.svc.Engine, stages, 774)
-		reservation := w.chooser.Usage.Reserve(stages, 900)
-		w.releases = append(w.releases, release{at: now.Add(streamDuration), reservation: reservation})
+		f.chooser.RecordStart(f.svc.Engine, stages, 774)
+		reservation := f.chooser.Usage.Reserve(stages, 900)
+		f.releases = append(f.releases, release{at: now.Add(streamDuration), reservation: reservation})
 		if first.ID == "new" {
-			backlog += time.Duration(prefillSeconds(w.svc.Engine, first, 774, stages[0].Layers.Len()) * float64(time.Second))
+			backlog += time.Duration(prefillSeconds(f.svc.Engine, first, 774, stages[0].Layers.Len()) * float64(time.Second))
 		}
 	}
 	for ; now.Sub(startedAt) < 6*time.Second; now = now.Add(tick) {
 		if now.Sub(startedAt) == 4*time.Second {
-			for _, w := range all {
-				put(w, "new", "d0", "a100", model.LayerRange{To: 28})
+			for _, f := range all {
+				put(f, "new", "d0", "a100", model.LayerRange{To: 28})
 			}
 		}
-		for r, w := range all {
-			w.release(now)
+		for r, f := range all {
+			f.release(now)
 			phase := time.Duration(r*37%21) * tick
 			if (now.Sub(startedAt)+phase)%startInterval == 0 {
 				startStream(r)
 			}
-			w.reportUsage(all, r, domains, now.Sub(startedAt)+phase, nearInterval, farInterval)
+			f.reportUsage(all, r, domains, now.Sub(startedAt)+phase, nearInterval, farInterval)
 		}
 		backlog = max(backlog-tick, 0)
 		highest = max(highest, backlog)
@@ -80,16 +80,16 @@
 
 // An engine in slow start must be used if no other engine holds its layers.
 func TestEngineInSlowStartServesWithoutAlternative(t *testing.T) {
-	w := twoDomains()
-	w.chooser.RouterCount = func() int { return 100 }
-	w.now = w.now.Add(time.Minute)
-	w.catalog.Remove("b2", 1, 0)
-	w.catalog.Remove("a2", 1, 0)
-	w.add("loaded", "a", "a100", 40, 60)
+	f := twoDomains()
+	f.chooser.RouterCount = func() int { return 100 }
+	f.now = f.now.Add(time.Minute)
+	f.catalog.Remove("b2", 1, 0)
+	f.catalog.Remove("a2", 1, 0)
+	f.add("loaded", "a", "a100", 40, 60)
 	for range 20 {
-		stages, v := w.chooser.Choose(w.svc, Requirements{Domain: "a", Tokens: 10})
+		stages, v := f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 10})
 		assert.Equal(t, v, Found)
-		w.chooser.RecordStart(w.svc.Engine, stages, 10)
+		f.chooser.RecordStart(f.svc.Engine, stages, 10)
 		assert.Equal(t, stages[1].Server.ID, "loaded")
 	}
 }
@@ -137,21 +137,21 @@
 	reservation *Reservation
 }
 
-func (w *world) release(now time.Time) {
-	for len(w.releases) > 0 && !now.Before(w.releases[0].at) {
-		w.releases[0].reservation.Release()
-		w.releases = w.releases[1:]
+func (f *fixture) release(now time.Time) {
+	for len(f.releases) > 0 && !now.Before(f.releases[0].at) {
+		f.releases[0].reservation.Release()
+		f.releases = f.releases[1:]
 	}
 }
 
 // reportUsage sends the usage of one router to peers in its domain at the near interval and
 // to all others at the far interval.
-func (w *world) reportUsage(all []*world, self, domains int, elapsed, nearInterval, farInterval time.Duration) {
+func (f *fixture) reportUsage(all []*fixture, self, domains int, elapsed, nearInterval, farInterval time.Duration) {
 	nearDue, farDue := elapsed%nearInterval == 0, elapsed%farInterval == 0
 	if !nearDue && !farDue {
 		return
 	}
-	own := w.chooser.Usage.OwnUsage()
+	own := f.chooser.Usage.OwnUsage()
 	for r, other := range all {
 		sameDomain := r%domains == self%domains
 		if r != self && (sameDomain && nearDue || !sameDomain && farDue) {
--- a/internal/coordination/routing/routing_test.go
+++ b/internal/coordination/routing/routing_test.go
@@ -13,7 +13,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-func near(_, _ model.Instance) time.Duration { return time.Millisecond }
+func constantLinkTime(_, _ model.Instance) time.Duration { return time.Millisecond }
 
 func addEngine(tb *membership.Table, name string, r model.LayerRange, active, capacity int, leaving bool) {
 	tb.Seen(model.Instance{ID: name, Role: model.RoleSidecar, Address: name}, "inc", membership.Backend{
@@ -50,7 +50,7 @@
 			}
 		}
 		need := model.LayerRange{To: 12}
-		chain, err := New(tb, Links{Time: near}, time.Now, nil).Chain(ChainRequest{Service: "s", Layers: need, Avoid: avoid})
+		chain, err := New(tb, Links{Time: constantLinkTime}, time.Now, nil).Chain(ChainRequest{Service: "s", Layers: need, Avoid: avoid})
 		possible := true
 		for _, c := range covered {
 			possible = possible && c
@@ -79,7 +79,7 @@
 			tb.Missed(name)
 		}
 	}
-	r := New(tb, Links{Time: near}, time.Now, func(int) int { return 0 })
+	r := New(tb, Links{Time: constantLinkTime}, time.Now, func(int) int { return 0 })
 	chain, err := r.Chain(ChainRequest{Service: "s", Layers: model.LayerRange{To: 12}})
 	assert.NilError(t, err)
 	assert.Equal(t, chain[0].Member.Instance.Address, "e0")
@@ -88,7 +88,7 @@
 }
 
 func TestNoMembersYieldNoCapacity(t *testing.T) {
-	r := New(membership.New("self", time.Now), Links{Time: near}, time.Now, nil)
+	r := New(membership.New("self", time.Now), Links{Time: constantLinkTime}, time.Now, nil)
 	_, err := r.Chain(ChainRequest{Service: "s", Layers: model.LayerRange{To: 12}})
 	assert.Assert(t, fault.Is(err, fault.NoCapacity))
 	_, err = r.PlainServer("s", nil)
