--- a/internal/coordination/chains/chains_test.go
+++ b/internal/coordination/chains/chains_test.go
@@ -238,7 +238,7 @@
 	stages, v := f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 10, FirstStageIn: map[model.Incarnation]bool{inc("b1"): true}})
 	assert.Equal(t, v, Found)
 	assert.Equal(t, stages[0].Server.ID, "b1")
-	_, v = f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 10, FirstStageIn: map[model.Incarnation]bool{inc("unknown"): true}})
+	_, v = f.chooser.Choose(f.svc, Requirements{Domain: "a", Tokens: 10, FirstStageIn: map[model.Incarnation]bool{inc("gone"): true}})
 	assert.Equal(t, v, NoChain)
 }
 
@@ -480,7 +480,7 @@
 // must be tried again.
 func TestFailingEngineIsNotFirstStage(t *testing.T) {
 	f := newFixture()
-	f.add("failing", "a", "a100", 0, 1)
+	f.add("grey", "a", "a100", 0, 1)
 	f.add("a1", "a", "a100", 1, 40)
 	f.add("other", "a", "l40s", 0, 20)
 	f.add("a2", "a", "a100", 40, 80)
@@ -489,15 +489,15 @@
 		assert.Equal(t, v, Found)
 		return stages[0].Server.ID
 	}
-	assert.Equal(t, first(), "failing", "it has the lowest cost")
+	assert.Equal(t, first(), "grey", "it has the lowest cost")
 	failures := 0
-	for ; first() == "failing" && failures < 50; failures++ {
-		f.health.RecordOutcome(inc("failing"), false)
-		f.health.RecordOutcome(inc("failing"), true)
+	for ; first() == "grey" && failures < 50; failures++ {
+		f.health.RecordOutcome(inc("grey"), false)
+		f.health.RecordOutcome(inc("grey"), true)
 	}
 	assert.Assert(t, failures <= 12, "%d failures", failures)
 	f.now = f.now.Add(time.Minute)
-	assert.Equal(t, first(), "failing")
+	assert.Equal(t, first(), "grey")
 	f.health.RecordOutcome(inc("a2"), false)
 	f.health.RecordOutcome(inc("a2"), false)
 	f.health.RecordOutcome(inc("a2"), false)
--- a/internal/coordination/chains/missing_test.go
+++ b/internal/coordination/chains/missing_test.go
@@ -15,14 +15,14 @@
 func TestExplanationNamesMissingLayers(t *testing.T) {
 	f := newFixture()
 	f.add("first", "a", "a100", 0, 40)
-	f.add("lost", "a", "l40s", 40, 60)
+	f.add("dead", "a", "l40s", 40, 60)
 	f.add("last", "a", "l40s", 60, 80)
-	f.health.Suspect(inc("lost"))
+	f.health.Suspect(inc("dead"))
 	d := Requirements{Domain: "a", Tokens: 10}
 	_, v := f.chooser.Choose(f.svc, d)
 	assert.Equal(t, v, NoChain)
-	assert.Equal(t, f.chooser.ExplainNoChain(f.svc, d), "[40,60) lost suspected")
-	f.catalog.Remove("lost", 1, 0)
+	assert.Equal(t, f.chooser.ExplainNoChain(f.svc, d), "[40,60) dead suspected")
+	f.catalog.Remove("dead", 1, 0)
 	assert.Equal(t, f.chooser.ExplainNoChain(f.svc, d), "[40,60) held by no engine")
 	d.Avoid = map[model.Incarnation]bool{inc("last"): true}
 	assert.Equal(t, f.chooser.ExplainNoChain(f.svc, d), "[40,80) last avoided")
--- a/internal/coordination/detector/detector_test.go
+++ b/internal/coordination/detector/detector_test.go
@@ -209,7 +209,7 @@
 		c := newClock()
 		d := New(c.now)
 		holders := rapid.IntRange(1, 4).Draw(t, "holders of each stage")
-		stages := rapid.IntRange(2, 12).Draw(t, "stages")
+		stages := rapid.IntRange(2, 12).Draw(t, "parts")
 		streams := make([]*Stream, rapid.IntRange(1, 40).Draw(t, "streams"))
 		for i := range streams {
 			var ids []string
--- a/internal/coordination/routes/routes_test.go
+++ b/internal/coordination/routes/routes_test.go
@@ -18,7 +18,7 @@
 		Routes: []model.Route{
 			{Name: "short", Host: "h", Prefix: "/a/", Kind: model.RouteIdempotent, Priority: 2, Timeout: time.Second, MaxAttempts: 2, Split: []model.ServiceShare{{Service: "s1", Weight: 1}}},
 			{Name: "long", Host: "h", Prefix: "/a/b/", Kind: model.RouteNotRepeatable, Priority: 2, Split: []model.ServiceShare{{Service: "s1", Weight: 90}, {Service: "s2", Weight: 10}}},
-			{Name: "open", Host: "h", Prefix: "/open/", AllowAnonymous: true, Split: []model.ServiceShare{{Service: "missing", Weight: 1}}},
+			{Name: "open", Host: "h", Prefix: "/open/", AllowAnonymous: true, Split: []model.ServiceShare{{Service: "gone", Weight: 1}}},
 		},
 		Services:  []model.Service{{Name: "s1"}, {Name: "s2"}},
 		Customers: []model.RouteCustomer{{Name: "c1", APIKeys: []string{"k1", "k2"}}, {Name: "c2", APIKeys: []string{"k3"}, Priority: &urgent}},
