--- a/internal/coordination/detector/detector_test.go
+++ b/internal/coordination/detector/detector_test.go
@@ -221,7 +221,7 @@
 		c.recordEvents(30, interval, streams...)
 		lost := map[model.Incarnation]bool{}
 		for range rapid.IntRange(1, 3).Draw(t, "lost engines") {
-			lost[inc(fmt.Sprintf("%d.%d", rapid.IntRange(0, stages-1).Draw(t, "stage"), rapid.IntRange(0, holders-1).Draw(t, "holder")))] = true
+			lost[inc(fmt.Sprintf("%d.%d", rapid.IntRange(0, stages-1).Draw(t, "part"), rapid.IntRange(0, holders-1).Draw(t, "holder")))] = true
 		}
 		working := map[model.Incarnation]bool{}
 		for range 4 {
