--- a/internal/coordination/placement/backoff.go
+++ b/internal/coordination/placement/backoff.go
@@ -9,55 +9,55 @@
 )
 
 const (
-	// freeEnds is how many processes may end at an address while they load a range before
+	// backoffThreshold is how many processes may end at an address while they load a range before
 	// the next one there waits for its order.
-	freeEnds = 3
-	// firstBackoff and longestBackoff bound that wait, which doubles with each end.
-	firstBackoff   = 10 * time.Second
-	longestBackoff = 5 * time.Minute
+	backoffThreshold = 3
+	// initialBackoff and longestBackoff bound that wait, which doubles with each end.
+	initialBackoff = 10 * time.Second
+	maxBackoff     = 5 * time.Minute
 )
 
-// loadEnds counts the processes at one address that ended while they loaded a range.
-type loadEnds struct {
-	layers model.LayerRange
-	count  int
-	until  time.Time // no order before
+// loadExits counts the processes at one address that ended while they loaded a range.
+type loadExits struct {
+	layers  model.LayerRange
+	count   int
+	retryAt time.Time // no order before
 }
 
-// endedLoading takes in that an engine's process ended with an order of its own not
+// recordLoadExit takes in that an engine's process ended with an order of its own not
 // carried out. An order that ends the engine which it is given to would else be given to
 // each process that comes after it at the address: the layers would never be held, each
 // load would slow the others down, and streams that are moved there would be lost with it.
 // The caller holds the lock.
-func (c *Controller) endedLoading(o order) {
-	if !o.given {
+func (c *Controller) recordLoadExit(o order) {
+	if !o.sent {
 		return
 	}
-	e := c.loadEnds[o.address]
+	e := c.loadExits[o.address]
 	if e == nil || e.layers != o.want {
-		e = &loadEnds{layers: o.want}
-		c.loadEnds[o.address] = e
+		e = &loadExits{layers: o.want}
+		c.loadExits[o.address] = e
 	}
 	e.count++
-	if e.count < freeEnds {
+	if e.count < backoffThreshold {
 		return
 	}
-	backoff := min(firstBackoff<<min(e.count-freeEnds, 10), longestBackoff)
-	e.until = c.Now().Add(backoff)
+	backoff := min(initialBackoff<<min(e.count-backoffThreshold, 10), maxBackoff)
+	e.retryAt = c.Now().Add(backoff)
 	klog.InfoS("orders withheld: engines end under them", "address", o.address, "layers", o.want.String(), "ends", e.count, "for", backoff)
 }
 
 // mayLoad tells whether an engine at an address may be ordered to hold a range. The caller
 // holds the lock.
 func (c *Controller) mayLoad(address string, want model.LayerRange) bool {
-	e := c.loadEnds[address]
-	return e == nil || e.layers != want || !c.Now().Before(e.until)
+	e := c.loadExits[address]
+	return e == nil || e.layers != want || !c.Now().Before(e.retryAt)
 }
 
-// carriedOut takes in that an engine holds what it was ordered to. The caller holds the
+// clearLoadExits takes in that an engine holds what it was ordered to. The caller holds the
 // lock.
-func (c *Controller) carriedOut(b *model.BackendServer) {
+func (c *Controller) clearLoadExits(b *model.BackendServer) {
 	if b.Holds.Len() > 0 {
-		delete(c.loadEnds, b.Address)
+		delete(c.loadExits, b.Address)
 	}
 }
--- a/internal/coordination/placement/backoff_test.go
+++ b/internal/coordination/placement/backoff_test.go
@@ -16,19 +16,19 @@
 // that each of the twelve processes was given the order.
 func TestOrderThatEndsItsEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, all := loadedShop(t)
+		s, all := newLoadedCluster(t)
 		e := all[3]
 		want := s.held(e.Address)
 		given := 0
 		for range 12 {
-			s.again(e)
+			s.restart(e)
 			s.run(800 * time.Millisecond)
 			given += int(s.orders[e.Address])
 		}
-		assert.Equal(t, given, freeEnds)
-		s.run(firstBackoff)
+		assert.Equal(t, given, backoffThreshold)
+		s.run(initialBackoff)
 		assert.Equal(t, s.held(e.Address), want, "tried again")
-		s.again(e)
+		s.restart(e)
 		s.run(2 * time.Second)
 		assert.Equal(t, s.held(e.Address), want, "nothing is held against it any more")
 	})
@@ -38,12 +38,12 @@
 func TestOtherOrderIsNotWithheld(t *testing.T) {
 	c := &Controller{Now: time.Now}
 	c.init()
-	bad := order{address: "a:1", want: model.LayerRange{To: 4}, given: true}
-	for range freeEnds + 20 {
-		c.endedLoading(bad)
+	bad := order{address: "a:1", want: model.LayerRange{To: 4}, sent: true}
+	for range backoffThreshold + 20 {
+		c.recordLoadExit(bad)
 	}
 	assert.Assert(t, !c.mayLoad(bad.address, bad.want))
 	assert.Assert(t, c.mayLoad(bad.address, model.LayerRange{From: 4, To: 8}))
 	assert.Assert(t, c.mayLoad("b:1", bad.want))
-	assert.Assert(t, time.Until(c.loadEnds["a:1"].until) <= longestBackoff)
+	assert.Assert(t, time.Until(c.loadExits["a:1"].retryAt) <= maxBackoff)
 }
--- a/internal/coordination/placement/balance.go
+++ b/internal/coordination/placement/balance.go
@@ -8,48 +8,48 @@
 )
 
 const (
-	// bareStreams is the room, in usual requests, below which a layer counts as
+	// shortageOffsetRequests is the room, in usual requests, below which a layer counts as
 	// all but bare: the fewer it has the more one place there is worth, and
 	// infinitely much would be a layer's last token.
-	bareStreams = 20
-	// keepShare is how much of the best range's use a vacant one must have to be
+	shortageOffsetRequests = 20
+	// minVacancyBenefit is how much of the best range's use a vacant one must have to be
 	// taken up: its neighbours begin and end where it does, so that chains through
 	// it have fewer parts.
-	keepShare = 0.7
-	// mostMoves is how many engines one look moves within a failure domain: two small
+	minVacancyBenefit = 0.7
+	// maxMoves is how many engines one look moves within a failure domain: two small
 	// ones fill the place of a larger one, and a third what is left of it.
-	mostMoves = 3
-	// spareShare is the share of its domain's mean room that each of an engine's
+	maxMoves = 3
+	// minRemainingShare is the share of its domain's mean room that each of an engine's
 	// layers must have without it for the engine to be spared.
-	spareShare = 0.5
+	minRemainingShare = 0.5
 )
 
-// room is how many tokens have room at each layer; each stream needs all layers.
-type room []float64
+// layerCapacity is how many tokens have layerCapacity at each layer; each stream needs all layers.
+type layerCapacity []float64
 
-func roomOf(spec *model.EngineSpec, plan Plan, engines []Engine) room {
-	r := make(room, spec.Layers)
+func layerCapacityOf(spec *model.EngineSpec, plan Plan, engines []Engine) layerCapacity {
+	r := make(layerCapacity, spec.Layers)
 	for _, e := range engines {
-		r.add(plan[e.Address], tokensIn(spec, e, plan[e.Address]), 1)
+		r.add(plan[e.Address], rangeCapacity(spec, e, plan[e.Address]), 1)
 	}
 	return r
 }
 
-// tokensIn is the room that an engine gives each layer of a range.
-func tokensIn(spec *model.EngineSpec, e Engine, held model.LayerRange) float64 {
+// rangeCapacity is the room that an engine gives each layer of a range.
+func rangeCapacity(spec *model.EngineSpec, e Engine, held model.LayerRange) float64 {
 	if held.Len() <= 0 {
 		return 0
 	}
-	return math.Max(tokens(spec, e.Card, held.Len()), 0)
+	return math.Max(tokenCapacity(spec, e.Card, held.Len()), 0)
 }
 
-func (r room) add(held model.LayerRange, tokens, sign float64) {
+func (r layerCapacity) add(held model.LayerRange, tokens, sign float64) {
 	for l := held.From; l < min(held.To, len(r)); l++ {
 		r[l] += sign * tokens
 	}
 }
 
-func (r room) mean() float64 {
+func (r layerCapacity) mean() float64 {
 	sum := 0.0
 	for _, t := range r {
 		sum += t
@@ -64,15 +64,15 @@
 	return 1 / (t * t)
 }
 
-// need is what an engine of one failure domain could relieve.
-type need struct {
-	spec *model.EngineSpec
-	own  room // of its domain
-	all  room // of all domains
+// placementBenefit is what an engine of one failure domain could relieve.
+type placementBenefit struct {
+	spec  *model.EngineSpec
+	own   layerCapacity // of its domain
+	total layerCapacity // of all domains
 }
 
-func needOf(spec *model.EngineSpec, plan Plan, engines []Engine, domain string) need {
-	return need{spec: spec, own: roomOf(spec, plan, inDomain(engines, domain)), all: roomOf(spec, plan, engines)}
+func newPlacementBenefit(spec *model.EngineSpec, plan Plan, engines []Engine, domain string) placementBenefit {
+	return placementBenefit{spec: spec, own: layerCapacityOf(spec, plan, inDomain(engines, domain)), total: layerCapacityOf(spec, plan, engines)}
 }
 
 func inDomain(engines []Engine, domain string) []Engine {
@@ -85,51 +85,53 @@
 	return own
 }
 
-// at is what an engine with so many tokens a layer relieves at one layer: for its
+// layerBenefit is what an engine with so many tokens a layer relieves layerBenefit one layer: for its
 // domain, and for all, who come to it over the pipes.
-func (n need) at(layer int, tokens float64) float64 {
-	return n.relief(n.own[layer], tokens) + n.relief(n.all[layer], tokens)
+func (n placementBenefit) layerBenefit(layer int, tokens float64) float64 {
+	return n.shortageReduction(n.own[layer], tokens) + n.shortageReduction(n.total[layer], tokens)
 }
 
-// relief is by how much a layer's shortage falls when it gets more room.
-func (n need) relief(has, more float64) float64 {
-	return shortage(n.bare(), has) - shortage(n.bare(), has+more)
+// shortageReduction is by how much a layer's shortage falls when it gets more room.
+func (n placementBenefit) shortageReduction(has, more float64) float64 {
+	return shortage(n.shortageOffset(), has) - shortage(n.shortageOffset(), has+more)
 }
 
-func (n need) bare() float64 { return bareStreams * n.usual() }
+func (n placementBenefit) shortageOffset() float64 { return shortageOffsetRequests * n.typicalTokens() }
 
-// usual is what a usual request holds, in tokens.
-func (n need) usual() float64 { return float64(max(n.spec.UsualPrompt+n.spec.UsualAnswer, 1)) }
+// typicalTokens is what a typicalTokens request holds, in tokens.
+func (n placementBenefit) typicalTokens() float64 {
+	return float64(max(n.spec.UsualPrompt+n.spec.UsualAnswer, 1))
+}
 
-// of is what an engine relieves with a range.
-func (n need) of(e Engine, held model.LayerRange) float64 {
-	t := tokensIn(n.spec, e, held)
+// rangeBenefit is what an engine relieves with a range.
+func (n placementBenefit) rangeBenefit(e Engine, held model.LayerRange) float64 {
+	t := rangeCapacity(n.spec, e, held)
 	sum := 0.0
 	for l := held.From; l < min(held.To, len(n.own)); l++ {
-		sum += n.at(l, t)
+		sum += n.layerBenefit(l, t)
 	}
 	return sum
 }
 
-// take counts an engine's range in, or out with sign -1.
-func (n need) take(e Engine, held model.LayerRange, sign float64) {
-	t := tokensIn(n.spec, e, held)
+// apply counts an engine's range in, or out with sign -1.
+func (n placementBenefit) apply(e Engine, held model.LayerRange, sign float64) {
+	t := rangeCapacity(n.spec, e, held)
 	n.own.add(held, t, sign)
-	n.all.add(held, t, sign)
+	n.total.add(held, t, sign)
 }
 
-// best finds the range with which an engine relieves most. A long one serves more
+// bestRange finds the range with which an engine relieves most. A long one serves more
 // layers, a short one leaves more room in each.
-func (n need) best(e Engine) model.LayerRange {
+func (n placementBenefit) bestRange(e Engine) model.LayerRange {
 	var best model.LayerRange
 	most := 0.0
 	for size := 1; size <= MaxLayers(n.spec, e.Card); size++ {
-		t := math.Max(tokens(n.spec, e.Card, size), 0)
+		t := math.Max(tokenCapacity(n.spec, e.Card, size), 0)
 		sum := 0.0
 		for end := range n.spec.Layers {
-			sum += n.at(end, t)
+			sum += n.layerBenefit(end, t)
 			if end >= size {
-				sum -= n.at(end-size, t)
+				sum -= n.layerBenefit(end-size, t)
 			}
 			if end+1 >= size && sum > most {
 				most = sum
@@ -154,36 +156,36 @@
 // is away others may be gone and still be listed, and what they seem to hold is no
 // ground for taking an engine away that does hold it.
 func RepairDomains(spec *model.EngineSpec, plan Plan, engines []Engine, sure func(address string) bool) (next Plan, changed bool) {
-	next = copyOf(plan)
-	for _, group := range byDomain(engines) {
-		if len(UncoveredLayers(spec, next, group)) == 0 || planned(next, group) < spec.Layers {
+	next = clonePlan(plan)
+	for _, group := range groupByDomain(engines) {
+		if len(UncoveredLayers(spec, next, group)) == 0 || countPlanned(next, group) < spec.Layers {
 			continue
 		}
 		known := slices.DeleteFunc(slices.Clone(group), func(e Engine) bool { return !sure(e.Address) })
-		for range mostMoves {
-			e, ok := spared(spec, next, known)
+		for range maxMoves {
+			e, ok := findSpare(spec, next, known)
 			if !ok || len(UncoveredLayers(spec, next, group)) == 0 {
 				break
 			}
-			n := needOf(spec, next, engines, e.Domain)
-			n.take(e, next[e.Address], -1)
-			next[e.Address] = n.best(e)
+			n := newPlacementBenefit(spec, next, engines, e.Domain)
+			n.apply(e, next[e.Address], -1)
+			next[e.Address] = n.bestRange(e)
 			changed = true
 		}
 	}
 	return next, changed
 }
 
-// spared finds the slowest engine of some of one domain whose layers others of them
+// findSpare finds the slowest engine of some of one domain whose layers others of them
 // hold with room to spare.
-func spared(spec *model.EngineSpec, plan Plan, group []Engine) (who Engine, ok bool) {
-	own := roomOf(spec, plan, group)
-	least := spareShare * own.mean()
+func findSpare(spec *model.EngineSpec, plan Plan, group []Engine) (who Engine, ok bool) {
+	own := layerCapacityOf(spec, plan, group)
+	least := minRemainingShare * own.mean()
 	for _, e := range group {
 		held := plan[e.Address]
 		enough := held.Len() > 0
 		for l := held.From; l < min(held.To, len(own)); l++ {
-			enough = enough && own[l]-tokensIn(spec, e, held) >= least
+			enough = enough && own[l]-rangeCapacity(spec, e, held) >= least
 		}
 		if enough && (!ok || e.Card.Pace > who.Card.Pace) {
 			who, ok = e, true
@@ -192,8 +194,8 @@
 	return who, ok
 }
 
-// planned adds up the layers that engines hold, those held twice counted twice.
-func planned(plan Plan, engines []Engine) int {
+// countPlanned adds up the layers that engines hold, those held twice counted twice.
+func countPlanned(plan Plan, engines []Engine) int {
 	sum := 0
 	for _, e := range engines {
 		sum += plan[e.Address].Len()
--- a/internal/coordination/placement/bound.go
+++ b/internal/coordination/placement/bound.go
@@ -6,9 +6,9 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// flowSteps halve the interval in which a flow is sought; 40 leave it exact to a
+// bisectionSteps halve the interval in which a flow is sought; 40 leave it exact to a
 // millionth of a millionth.
-const flowSteps = 40
+const bisectionSteps = 40
 
 // Capacity is what an engine has to give to the layers that it holds, in units x
 // layers.
@@ -18,7 +18,7 @@
 // tokens x layers.
 func MemoryCapacity(spec *model.EngineSpec) Capacity {
 	return func(e Engine, held model.LayerRange) float64 {
-		return tokensIn(spec, e, held) * float64(held.Len())
+		return rangeCapacity(spec, e, held) * float64(held.Len())
 	}
 }
 
@@ -45,9 +45,9 @@
 		high += supply(e, plan[e.Address])
 	}
 	high /= float64(max(spec.Layers, 1))
-	for range flowSteps {
+	for range bisectionSteps {
 		amount := (low + high) / 2
-		if passes(spec, plan, engines, supply, amount) {
+		if feasible(spec, plan, engines, supply, amount) {
 			low = amount
 		} else {
 			high = amount
@@ -56,8 +56,8 @@
 	return low
 }
 
-// passes tells whether an amount passes through all layers.
-func passes(spec *model.EngineSpec, plan Plan, engines []Engine, supply Capacity, amount float64) bool {
+// feasible tells whether an amount feasible through all layers.
+func feasible(spec *model.EngineSpec, plan Plan, engines []Engine, supply Capacity, amount float64) bool {
 	left := make([]float64, len(engines))
 	for i, e := range engines {
 		left[i] = supply(e, plan[e.Address])
@@ -65,7 +65,7 @@
 	for layer := range spec.Layers {
 		wanted := amount
 		for wanted > 0 {
-			i := endsFirst(plan, engines, left, layer)
+			i := earliestEnding(plan, engines, left, layer)
 			if i < 0 {
 				return false
 			}
@@ -77,9 +77,9 @@
 	return true
 }
 
-// endsFirst finds the engine that holds a layer, has something left, and whose
+// earliestEnding finds the engine that holds a layer, has something left, and whose
 // range ends first; -1 if there is none.
-func endsFirst(plan Plan, engines []Engine, left []float64, layer int) int {
+func earliestEnding(plan Plan, engines []Engine, left []float64, layer int) int {
 	first := -1
 	for i, e := range engines {
 		held := plan[e.Address]
--- a/internal/coordination/placement/bound_test.go
+++ b/internal/coordination/placement/bound_test.go
@@ -10,9 +10,9 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// maxFlow is the same by augmenting paths over a graph of layers and engines,
+// augmentingMaxFlow is the same by augmenting paths over a graph of layers and engines,
 // slow and written without regard to intervals; capacities are whole numbers.
-func maxFlow(layers int, plan Plan, engines []Engine, supply []int, amount int) int {
+func augmentingMaxFlow(layers int, plan Plan, engines []Engine, supply []int, amount int) int {
 	left := append([]int(nil), supply...)
 	sent := make([][]int, layers) // from a layer to an engine
 	for l := range sent {
@@ -75,8 +75,8 @@
 		}
 		flow := MaxFlow(s, plan, all, func(e Engine, _ model.LayerRange) float64 { return byAddress[e.Address] })
 		whole := int(math.Floor(flow + 1e-6))
-		assert.Equal(rt, maxFlow(s.Layers, plan, all, supply, whole), whole*s.Layers, "flow %.3f", flow)
-		assert.Assert(rt, maxFlow(s.Layers, plan, all, supply, whole+1) < (whole+1)*s.Layers, "flow %.3f", flow)
+		assert.Equal(rt, augmentingMaxFlow(s.Layers, plan, all, supply, whole), whole*s.Layers, "flow %.3f", flow)
+		assert.Assert(rt, augmentingMaxFlow(s.Layers, plan, all, supply, whole+1) < (whole+1)*s.Layers, "flow %.3f", flow)
 	})
 }
 
@@ -85,16 +85,16 @@
 // engines. What it keeps is what each domain needs, in its own engines: twice what
 // callers used of it on calm days. More would be room that nobody uses.
 func TestPlanAgainstItsBounds(t *testing.T) {
-	s := spec()
+	s := testSpec()
 	s.ReadRate = 245000
-	all := site()
+	all := mixedEngines()
 	plan := BuildPlan(s, all)
 	memory := MaxFlow(s, plan, all, MemoryCapacity(s))
 	reading := MaxFlow(s, plan, all, PrefillCapacity(s))
 	assert.Assert(t, memory <= MemoryBound(s, all))
 	assert.Assert(t, reading <= PrefillBound(s, all)*1.0001)
-	for _, group := range byDomain(all) {
-		own, need := MaxFlow(s, plan, group, MemoryCapacity(s)), needed(s, group)
+	for _, group := range groupByDomain(all) {
+		own, need := MaxFlow(s, plan, group, MemoryCapacity(s)), requiredTokens(s, group)
 		assert.Assert(t, own >= need, "%s: %.0f of %.0f", group[0].Domain, own, need)
 	}
 	assert.Assert(t, reading >= 0.8*PrefillBound(s, all), "%.0f of %.0f", reading, PrefillBound(s, all))
--- a/internal/coordination/placement/controller.go
+++ b/internal/coordination/placement/controller.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// settleTime is how long no engine must have appeared before the first
+	// settleDelay is how long no engine must have appeared before the first
 	// plan: engines register over the first seconds, and a plan made too early
 	// lacks whole chains.
-	settleTime = 1500 * time.Millisecond
-	// settleMost bounds the wait for engines that keep appearing.
-	settleMost = 6 * time.Second
-	// newcomerTime is how long an engine that appears later is left empty: a
+	settleDelay = 1500 * time.Millisecond
+	// maxSettleDelay bounds the wait for engines that keep appearing.
+	maxSettleDelay = 6 * time.Second
+	// newEngineDelay is how long an engine that appears later is left empty: a
 	// replacement registers shortly before its predecessor leaves.
-	newcomerTime = 1200 * time.Millisecond
-	// gapTime is how long layers may be held by nobody before other engines are
+	newEngineDelay = 1200 * time.Millisecond
+	// gapDelay is how long layers may be held by nobody before other engines are
 	// moved there: an engine that restarts is back within some three seconds
 	// and takes its own range again, at the price of one load instead of two.
-	gapTime = 2 * time.Second
+	gapDelay = 2 * time.Second
 	// orderTimeout bounds an order's answer, which only says that it began.
 	orderTimeout = time.Second
 )
@@ -55,28 +55,28 @@
 	StreamCount func(engine model.Incarnation) float64
 	Now         func() time.Time
 
-	mu       sync.Mutex
-	plans    map[string]stored // by service
-	pending  map[model.Incarnation]order
-	appeared map[model.Incarnation]time.Time
-	began    time.Time
-	newest   time.Time            // when the last engine appeared
-	loadEnds map[string]*loadEnds // by address
+	mu             sync.Mutex
+	plans          map[string]storedPlan // by service
+	pending        map[model.Incarnation]order
+	appearedAt     map[model.Incarnation]time.Time
+	startedAt      time.Time
+	lastAppearance time.Time             // when the last engine appeared
+	loadExits      map[string]*loadExits // by address
 	// gapSince is since when some layer of a service is held by nobody.
 	gapSince map[string]time.Time
-	// holeSince is since when some failure domain lacks layers that its own engines
+	// domainGapSince is since when some failure domain lacks layers that its own engines
 	// could hold.
-	holeSince map[string]time.Time
-	// holeLook is when they were last looked for.
-	holeLook map[string]time.Time
+	domainGapSince map[string]time.Time
+	// domainGapCheckedAt is when they were last looked for.
+	domainGapCheckedAt map[string]time.Time
 }
 
-// stored is a plan and the store's revision of it.
-type stored struct {
+// storedPlan is a plan and the store's revision of it.
+type storedPlan struct {
 	plan     Plan
 	revision model.Revision
-	// unsaved says that the store does not hold it, as it came back from an older copy.
-	unsaved bool
+	// needsWrite says that the store does not hold it, as it came back from an older copy.
+	needsWrite bool
 }
 
 // ObservePlan takes in a plan from the store.
@@ -86,20 +86,20 @@
 		klog.InfoS("stored plan cannot be read", "service", service, "revision", revision, "err", err)
 		return
 	}
-	c.takeIn(service, stored{plan: plan, revision: revision})
+	c.acceptPlan(service, storedPlan{plan: plan, revision: revision})
 }
 
 func (c *Controller) init() {
 	if c.plans == nil {
-		c.plans = map[string]stored{}
+		c.plans = map[string]storedPlan{}
 		c.pending = map[model.Incarnation]order{}
-		c.loadEnds = map[string]*loadEnds{}
-		c.appeared = map[model.Incarnation]time.Time{}
+		c.loadExits = map[string]*loadExits{}
+		c.appearedAt = map[model.Incarnation]time.Time{}
 		c.gapSince = map[string]time.Time{}
-		c.holeSince = map[string]time.Time{}
-		c.holeLook = map[string]time.Time{}
-		c.began = c.Now()
-		c.newest = c.began
+		c.domainGapSince = map[string]time.Time{}
+		c.domainGapCheckedAt = map[string]time.Time{}
+		c.startedAt = c.Now()
+		c.lastAppearance = c.startedAt
 	}
 }
 
@@ -118,24 +118,24 @@
 }
 
 func (c *Controller) tickService(ctx context.Context, svc *model.Service) {
-	servers := c.engines(svc)
+	servers := c.placeableEngines(svc)
 	token := c.FencingToken()
 	if token == 0 {
-		c.forgetHole(svc.Name)
+		c.resetDomainGap(svc.Name)
 		return
 	}
-	plan := c.plan(svc, servers)
+	plan := c.currentPlan(svc, servers)
 	if plan == nil {
 		return
 	}
 	if !c.persist(ctx, svc.Name, plan, token) {
 		return
 	}
-	c.giveOrders(ctx, svc, servers, plan, token)
+	c.sendOrders(ctx, svc, servers, plan, token)
 }
 
-// engines lists the engines that can be placed and notes when each appeared.
-func (c *Controller) engines(svc *model.Service) []*model.BackendServer {
+// placeableEngines lists the placeableEngines that can be placed and notes when each appeared.
+func (c *Controller) placeableEngines(svc *model.Service) []*model.BackendServer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.init()
@@ -145,60 +145,60 @@
 	for _, b := range c.Catalog.Load().Service(svc.Name) {
 		present[b.Incarnation()] = true
 		if _, ok := svc.Engine.Card(b.Card); !ok {
-			c.noteOnce(b, now, "card is not listed")
+			c.recordAppearance(b, now, "card is not listed")
 			continue
 		}
 		if b.Holds.To > svc.Engine.Layers {
-			c.noteOnce(b, now, "holds layers outside of the model")
+			c.recordAppearance(b, now, "holds layers outside of the model")
 		}
-		c.noteOnce(b, now, "")
+		c.recordAppearance(b, now, "")
 		out = append(out, b)
 	}
-	for inc := range c.appeared {
+	for inc := range c.appearedAt {
 		if !present[inc] {
-			delete(c.appeared, inc)
-			c.endedLoading(c.pending[inc])
+			delete(c.appearedAt, inc)
+			c.recordLoadExit(c.pending[inc])
 			delete(c.pending, inc)
 		}
 	}
 	return out
 }
 
-func (c *Controller) noteOnce(b *model.BackendServer, now time.Time, why string) {
-	if _, ok := c.appeared[b.Incarnation()]; ok {
+func (c *Controller) recordAppearance(b *model.BackendServer, now time.Time, why string) {
+	if _, ok := c.appearedAt[b.Incarnation()]; ok {
 		return
 	}
-	c.appeared[b.Incarnation()] = now
-	c.newest = now
+	c.appearedAt[b.Incarnation()] = now
+	c.lastAppearance = now
 	if why != "" {
 		klog.InfoS("engine entry is malformed", "server", b.Incarnation(), "why", why, "card", b.Card, "holds", b.Holds.String())
 	}
 }
 
-// plan gives the plan to carry out; nil while it is too early for one.
-func (c *Controller) plan(svc *model.Service, servers []*model.BackendServer) Plan {
+// currentPlan gives the currentPlan to carry out; nil while it is too early for one.
+func (c *Controller) currentPlan(svc *model.Service, servers []*model.BackendServer) Plan {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Now()
 	old := c.plans[svc.Name]
 	fresh := !c.HasTraffic()
-	if old.plan == nil || fresh && unplanned(old.plan, c.engineList(svc, servers, now, 0)) {
-		quiet := now.Sub(c.newest)
-		if len(servers) == 0 || quiet < settleTime && now.Sub(c.began) < settleMost {
+	if old.plan == nil || fresh && hasUnplanned(old.plan, c.plannerEngines(svc, servers, now, 0)) {
+		quiet := now.Sub(c.lastAppearance)
+		if len(servers) == 0 || quiet < settleDelay && now.Sub(c.startedAt) < maxSettleDelay {
 			return old.plan
 		}
 		if old.plan == nil && !fresh {
-			return PlanFromHeldLayers(svc.Engine, c.engineList(svc, servers, now, 0), servers)
+			return PlanFromHeldLayers(svc.Engine, c.plannerEngines(svc, servers, now, 0), servers)
 		}
-		return BuildPlan(svc.Engine, c.engineList(svc, servers, now, 0))
+		return BuildPlan(svc.Engine, c.plannerEngines(svc, servers, now, 0))
 	}
-	settled := c.engineList(svc, c.withoutLost(servers), now, newcomerTime)
+	settled := c.plannerEngines(svc, c.withoutUnreachable(servers), now, newEngineDelay)
 	next := old.plan
-	if unplanned(next, settled) {
+	if hasUnplanned(next, settled) {
 		next, _ = Extend(svc.Engine, next, settled)
 	}
-	if !c.gapLasts(svc, next, settled, now) {
-		return c.mend(svc, next, settled, now)
+	if !c.gapPersists(svc, next, settled, now) {
+		return c.repairDomains(svc, next, settled, now)
 	}
 	repaired, changed := Repair(svc.Engine, next, settled)
 	if changed {
@@ -208,8 +208,8 @@
 	return repaired
 }
 
-// unplanned tells whether some engine has no range.
-func unplanned(plan Plan, engines []Engine) bool {
+// hasUnplanned tells whether some engine has no range.
+func hasUnplanned(plan Plan, engines []Engine) bool {
 	for _, e := range engines {
 		if _, ok := plan[e.Address]; !ok {
 			return true
@@ -218,11 +218,11 @@
 	return false
 }
 
-// engineList gives the planner's view of engines that have been there a while.
-func (c *Controller) engineList(svc *model.Service, servers []*model.BackendServer, now time.Time, age time.Duration) []Engine {
+// plannerEngines gives the planner's view of engines that have been there a while.
+func (c *Controller) plannerEngines(svc *model.Service, servers []*model.BackendServer, now time.Time, age time.Duration) []Engine {
 	var out []Engine
 	for _, b := range servers {
-		if now.Sub(c.appeared[b.Incarnation()]) < age {
+		if now.Sub(c.appearedAt[b.Incarnation()]) < age {
 			continue
 		}
 		card, _ := svc.Engine.Card(b.Card)
@@ -237,7 +237,7 @@
 	c.mu.Lock()
 	old := c.plans[service]
 	c.mu.Unlock()
-	if old.plan != nil && same(old.plan, plan) && !old.unsaved {
+	if old.plan != nil && equalPlans(old.plan, plan) && !old.needsWrite {
 		return true
 	}
 	value, err := json.Marshal(plan)
@@ -256,20 +256,20 @@
 		return false
 	}
 	klog.InfoS("plan stored", "service", service, "token", token, "revision", revision, "engines", len(plan), "before", len(old.plan))
-	return c.takeIn(service, stored{plan: plan, revision: revision})
+	return c.acceptPlan(service, storedPlan{plan: plan, revision: revision})
 }
 
-// takeIn keeps a plan unless a newer one is known, and tells whether it is the one
+// acceptPlan keeps a plan unless a newer one is known, and tells whether it is the one
 // that is known now. The store's answer may come after the watch has shown what the
 // next leader stored; taken for newer by the order of arrival, the older plan would
 // be extended and stored again when this process leads once more.
-func (c *Controller) takeIn(service string, p stored) bool {
+func (c *Controller) acceptPlan(service string, p storedPlan) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.init()
 	old := c.plans[service]
 	switch {
-	case old.unsaved && old.revision.Era() < p.revision.Era() && !same(old.plan, p.plan):
+	case old.needsWrite && old.revision.Era() < p.revision.Era() && !equalPlans(old.plan, p.plan):
 		// The first plan that is read in a new era is a copy's: an older one. Carried out,
 		// it would move engines back.
 		old.revision = p.revision
@@ -286,12 +286,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for service, p := range c.plans {
-		p.unsaved = true
+		p.needsWrite = true
 		c.plans[service] = p
 	}
 }
 
-func same(a, b Plan) bool {
+func equalPlans(a, b Plan) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/coordination/placement/controller_test.go
+++ b/internal/coordination/placement/controller_test.go
@@ -20,8 +20,8 @@
 	"github.com/skylarkwood/skylarkwood/platform/standin"
 )
 
-// shop is engines that carry out orders, with a controller before them.
-type shop struct {
+// testCluster is engines that carry out orders, with a controller before them.
+type testCluster struct {
 	t       *testing.T
 	c       *Controller
 	spec    *model.EngineSpec
@@ -30,21 +30,21 @@
 	token   atomic.Int64
 	traffic atomic.Bool
 
-	mu       sync.Mutex
-	revision model.Revision
-	holds    map[string]model.LayerRange
-	orders   map[string]int64
-	born     map[string]int64 // by id; 0 where it was not told
-	loading  int
-	most     int // loads at once
-	fenced   int64
-	result   OrderResult
-	late     time.Duration // orders are carried out so much later, unanswered
+	mu         sync.Mutex
+	revision   model.Revision
+	holds      map[string]model.LayerRange
+	orders     map[string]int64
+	born       map[string]int64 // by id; 0 where it was not told
+	loading    int
+	maxLoading int // loads at once
+	fenced     int64
+	result     OrderResult
+	orderDelay time.Duration // orders are carried out so much later, unanswered
 }
 
-func newShop(t *testing.T) *shop {
-	s := &shop{t: t, store: standin.NewStore(), catalog: catalog.New(time.Now), holds: map[string]model.LayerRange{}, orders: map[string]int64{}, born: map[string]int64{}, result: OrderAccepted}
-	sp := spec()
+func newTestCluster(t *testing.T) *testCluster {
+	s := &testCluster{t: t, store: standin.NewStore(), catalog: catalog.New(time.Now), holds: map[string]model.LayerRange{}, orders: map[string]int64{}, born: map[string]int64{}, result: OrderAccepted}
+	sp := testSpec()
 	sp.LoadTime = 14 * time.Second
 	sp.LoadsAtOnce = 5
 	s.token.Store(int64(s.store.Put(leader.Key, []byte(`{}`))))
@@ -54,24 +54,24 @@
 		OnFenced:     func(model.Revision) { s.token.Store(0) },
 		HasTraffic:   s.traffic.Load,
 	}
-	s.config(sp)
+	s.publishConfig(sp)
 	return s
 }
 
-// config publishes a configuration with these engines.
-func (s *shop) config(sp *model.EngineSpec) {
+// publishConfig publishes a configuration with these engines.
+func (s *testCluster) publishConfig(sp *model.EngineSpec) {
 	s.spec = sp
 	version := s.c.Config.Version() + 1
 	s.c.Config.Apply(&model.RouteConfig{Version: version, Services: []model.Service{{Name: "s", Engine: sp}, {Name: "plain"}}}, nil)
 }
 
-func (s *shop) add(engines []Engine) {
+func (s *testCluster) add(engines []Engine) {
 	for _, e := range engines {
 		s.register(e.Address, e.Address, e.Domain, e.Card.Name, model.LayerRange{})
 	}
 }
 
-func (s *shop) register(id, addr, domain, card string, holds model.LayerRange) {
+func (s *testCluster) register(id, addr, domain, card string, holds model.LayerRange) {
 	s.mu.Lock()
 	s.revision++
 	rev := s.revision
@@ -81,7 +81,7 @@
 	s.catalog.Put(model.BackendServer{ID: id, Born: born, Service: "s", Address: addr, FailureDomain: domain, Card: card, Holds: holds, Revision: rev})
 }
 
-func (s *shop) remove(id string) {
+func (s *testCluster) remove(id string) {
 	s.mu.Lock()
 	s.revision++
 	rev := s.revision
@@ -89,13 +89,13 @@
 	s.catalog.Remove(id, rev, 0)
 }
 
-func (s *shop) Report(_ context.Context, b *model.BackendServer) (model.EngineReport, error) {
+func (s *testCluster) Report(_ context.Context, b *model.BackendServer) (model.EngineReport, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return model.EngineReport{Born: s.born[b.ID], Holds: s.holds[b.ID], Orders: s.orders[b.ID]}, nil
 }
 
-func (s *shop) Place(_ context.Context, b *model.BackendServer, held model.LayerRange, fence, expected int64) (OrderResult, error) {
+func (s *testCluster) Place(_ context.Context, b *model.BackendServer, held model.LayerRange, fence, expected int64) (OrderResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	card, _ := s.spec.Card(b.Card)
@@ -112,12 +112,12 @@
 		}
 		s.orders[b.ID]++
 		s.loading++
-		s.most = max(s.most, s.loading)
+		s.maxLoading = max(s.maxLoading, s.loading)
 		born := s.born[b.ID]
 		time.AfterFunc(time.Second, func() { s.loaded(b, held, born) })
 	}
-	if s.late > 0 {
-		time.AfterFunc(s.late, func() {
+	if s.orderDelay > 0 {
+		time.AfterFunc(s.orderDelay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			begin()
@@ -128,7 +128,7 @@
 	return OrderAccepted, nil
 }
 
-func (s *shop) loaded(b *model.BackendServer, held model.LayerRange, born int64) {
+func (s *testCluster) loaded(b *model.BackendServer, held model.LayerRange, born int64) {
 	s.mu.Lock()
 	s.loading--
 	ended := s.born[b.ID] != born
@@ -140,20 +140,20 @@
 }
 
 // run ticks for a while of virtual time.
-func (s *shop) run(d time.Duration) {
+func (s *testCluster) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		s.c.Tick(context.Background())
 	}
 	synctest.Wait()
 }
 
-func (s *shop) held(id string) model.LayerRange {
+func (s *testCluster) held(id string) model.LayerRange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.holds[id]
 }
 
-func (s *shop) ordersGiven() int64 {
+func (s *testCluster) totalOrders() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sum := int64(0)
@@ -165,20 +165,20 @@
 
 func TestControllerLoadsThePlan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newShop(t)
-		all := site()
+		s := newTestCluster(t)
+		all := mixedEngines()
 		s.add(all)
 		s.run(12 * time.Second)
-		want := BuildPlan(spec(), all)
+		want := BuildPlan(testSpec(), all)
 		for _, e := range all {
 			assert.Equal(t, s.held(e.Address), want[e.Address], e.Address)
 		}
-		assert.Equal(t, s.ordersGiven(), int64(len(all)), "each engine is ordered once")
+		assert.Equal(t, s.totalOrders(), int64(len(all)), "each engine is ordered once")
 		var stored Plan
 		it, err := s.store.Get(context.Background(), leader.PlanPrefix+"s")
 		assert.NilError(t, err)
 		assert.NilError(t, json.Unmarshal(it.Value, &stored))
-		assert.Assert(t, same(stored, want))
+		assert.Assert(t, equalPlans(stored, want))
 	})
 }
 
@@ -186,15 +186,15 @@
 // lack whole chains, so it waits until no more come.
 func TestControllerWaitsForEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newShop(t)
-		all := site()
+		s := newTestCluster(t)
+		all := mixedEngines()
 		for i := 0; i < len(all); i += 3 {
 			s.add(all[i : i+3])
 			s.run(time.Second / 10)
 		}
-		assert.Equal(t, s.ordersGiven(), int64(0))
+		assert.Equal(t, s.totalOrders(), int64(0))
 		s.run(12 * time.Second)
-		assert.Equal(t, s.ordersGiven(), int64(len(all)))
+		assert.Equal(t, s.totalOrders(), int64(len(all)))
 	})
 }
 
@@ -202,12 +202,12 @@
 // the first to be loaded make up a whole chain.
 func TestControllerLoadsChainsFirstUnderTraffic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newShop(t)
+		s := newTestCluster(t)
 		s.traffic.Store(true)
-		all := append(site(), engines("luka", "l4", 2)...)
+		all := append(mixedEngines(), makeEngines("luka", "l4", 2)...)
 		s.add(all)
 		s.run(4 * time.Second)
-		assert.Assert(t, s.most <= 5, "%d loads at once", s.most)
+		assert.Assert(t, s.maxLoading <= 5, "%d loads at once", s.maxLoading)
 		counts := make([]int, 80)
 		for _, e := range all {
 			held := s.held(e.Address)
@@ -215,7 +215,7 @@
 				counts[l]++
 			}
 		}
-		assert.Assert(t, least(counts) >= 1, "no whole chain yet: %v", counts)
+		assert.Assert(t, minCount(counts) >= 1, "no whole chain yet: %v", counts)
 	})
 }
 
@@ -223,19 +223,19 @@
 // range again, and nobody else is ordered.
 func TestControllerLoadsARestartedEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newShop(t)
-		all := site()
+		s := newTestCluster(t)
+		all := mixedEngines()
 		s.add(all)
 		s.run(12 * time.Second)
 		s.traffic.Store(true)
-		before := s.ordersGiven()
+		before := s.totalOrders()
 		e := all[3]
 		want := s.held(e.Address)
 		s.remove(e.Address)
 		s.register("again", e.Address, e.Domain, e.Card.Name, model.LayerRange{})
 		s.run(4 * time.Second)
 		assert.Equal(t, s.held("again"), want)
-		assert.Equal(t, s.ordersGiven(), before+1)
+		assert.Equal(t, s.totalOrders(), before+1)
 	})
 }
 
@@ -243,16 +243,16 @@
 // again; the late ones then no longer fit, so that each engine loads once.
 func TestControllerSurvivesLateOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newShop(t)
-		s.late = 9 * time.Second
-		all := site()
+		s := newTestCluster(t)
+		s.orderDelay = 9 * time.Second
+		all := mixedEngines()
 		s.add(all)
 		s.run(20 * time.Second)
 		s.mu.Lock()
-		s.late = 0
+		s.orderDelay = 0
 		s.mu.Unlock()
 		s.run(40 * time.Second)
-		want := BuildPlan(spec(), all)
+		want := BuildPlan(testSpec(), all)
 		for _, e := range all {
 			assert.Equal(t, s.held(e.Address), want[e.Address], e.Address)
 			assert.Equal(t, s.orders[e.Address], int64(1), e.Address)
@@ -264,23 +264,23 @@
 // can no longer store a plan, and gives no orders without one.
 func TestControllerStopsWhenItNoLongerLeads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newShop(t)
+		s := newTestCluster(t)
 		s.store.Put(leader.Key, []byte(`{"instance":"other"}`))
-		s.add(site())
+		s.add(mixedEngines())
 		s.run(12 * time.Second)
-		assert.Equal(t, s.ordersGiven(), int64(0))
+		assert.Equal(t, s.totalOrders(), int64(0))
 	})
 }
 
 // An engine has seen a higher token. The leader resigns at once.
 func TestControllerResignsWhenFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newShop(t)
+		s := newTestCluster(t)
 		s.fenced = s.token.Load() + 1
-		s.add(site())
+		s.add(mixedEngines())
 		s.run(12 * time.Second)
 		assert.Equal(t, s.token.Load(), int64(0))
-		assert.Equal(t, s.ordersGiven(), int64(0))
+		assert.Equal(t, s.totalOrders(), int64(0))
 	})
 }
 
@@ -288,10 +288,10 @@
 // engines hold instead of loading everything anew.
 func TestControllerAdoptsWhatEnginesHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newShop(t)
+		s := newTestCluster(t)
 		s.traffic.Store(true)
-		all := site()
-		plan := BuildPlan(spec(), all)
+		all := mixedEngines()
+		plan := BuildPlan(testSpec(), all)
 		for i, e := range all {
 			held := plan[e.Address]
 			if i%7 == 0 {
@@ -316,12 +316,12 @@
 // well is moved there, and nothing else is loaded.
 func TestControllerRepairsAGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newShop(t)
-		all := append(engines("a", "a100", 3), engines("a", "l4", 9)...)
+		s := newTestCluster(t)
+		all := append(makeEngines("a", "a100", 3), makeEngines("a", "l4", 9)...)
 		s.add(all)
 		s.run(12 * time.Second)
 		s.traffic.Store(true)
-		before := s.ordersGiven()
+		before := s.totalOrders()
 		lost := model.LayerRange{}
 		for _, e := range all {
 			if s.held(e.Address).Contains(model.LayerRange{From: 10, To: 11}) {
@@ -339,8 +339,8 @@
 				plan[e.Address] = s.held(e.Address)
 			}
 		}
-		assert.Equal(t, len(UncoveredLayers(spec(), plan, live)), 0)
-		assert.Assert(t, s.ordersGiven()-before <= 4, "%d orders", s.ordersGiven()-before)
+		assert.Equal(t, len(UncoveredLayers(testSpec(), plan, live)), 0)
+		assert.Assert(t, s.totalOrders()-before <= 4, "%d orders", s.totalOrders()-before)
 	})
 }
 
@@ -348,13 +348,13 @@
 // on, and disturb nobody else.
 func TestControllerPassesOverOddEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newShop(t)
-		all := site()
+		s := newTestCluster(t)
+		all := mixedEngines()
 		s.add(all)
 		s.register("odd", "odd:1", "luka", "h900", model.LayerRange{From: 0, To: 999})
 		s.run(12 * time.Second)
 		assert.Equal(t, s.orders["odd"], int64(0))
-		assert.Equal(t, s.ordersGiven(), int64(len(all)))
+		assert.Equal(t, s.totalOrders(), int64(len(all)))
 	})
 }
 
--- a/internal/coordination/placement/decode_test.go
+++ b/internal/coordination/placement/decode_test.go
@@ -21,15 +21,15 @@
 		if err != nil {
 			return
 		}
-		all := site()
+		all := mixedEngines()
 		for addr, held := range plan {
 			all = append(all, Engine{Address: addr, Domain: "luka", Card: cards["l4"]})
 			assert.Assert(t, held.From >= 0 && held.Len() >= 0)
 			break
 		}
-		next, _ := Extend(spec(), plan, all)
-		Repair(spec(), next, all)
-		RepairDomains(spec(), next, all, func(string) bool { return true })
+		next, _ := Extend(testSpec(), plan, all)
+		Repair(testSpec(), next, all)
+		RepairDomains(testSpec(), next, all, func(string) bool { return true })
 		again, err := json.Marshal(plan)
 		assert.NilError(t, err)
 		_, err = DecodePlan(again)
--- a/internal/coordination/placement/holes.go
+++ b/internal/coordination/placement/holes.go
@@ -10,58 +10,58 @@
 )
 
 const (
-	// holeTime is how long layers may be missing in one failure domain before engines
+	// domainGapDelay is how long layers may be missing in one failure domain before engines
 	// of it are moved there: other domains serve them meanwhile, so engines that
 	// restart are waited for.
-	holeTime = 4 * time.Second
-	// idleHoleTime is that time where engines that no streams run through can be
+	domainGapDelay = 4 * time.Second
+	// idleDomainGapDelay is that time where engines that no streams run through can be
 	// moved: they load at once, and a load costs less than the callers of a second.
-	idleHoleTime = time.Second
-	// mostLost is the share of a service's engines beyond which this router does not
+	idleDomainGapDelay = time.Second
+	// maxUnreachableShare is the share of a service's engines beyond which this router does not
 	// believe that they are lost: it is itself cut off then.
-	mostLost = 0.15
-	// holeEvery is between two looks for such layers: one takes 5 ms at 3,000
+	maxUnreachableShare = 0.15
+	// domainGapInterval is between two looks for such layers: one takes 5 ms at 3,000
 	// engines.
-	holeEvery = time.Second
+	domainGapInterval = time.Second
 )
 
-// mend makes failure domains whole that have lacked layers for a while.
-func (c *Controller) mend(svc *model.Service, plan Plan, engines []Engine, now time.Time) Plan {
-	if now.Sub(c.holeLook[svc.Name]) < holeEvery {
+// repairDomains makes failure domains whole that have lacked layers for a while.
+func (c *Controller) repairDomains(svc *model.Service, plan Plan, engines []Engine, now time.Time) Plan {
+	if now.Sub(c.domainGapCheckedAt[svc.Name]) < domainGapInterval {
 		return plan
 	}
-	c.holeLook[svc.Name] = now
-	sure, idle := c.sure(svc)
-	wait := idleHoleTime
+	c.domainGapCheckedAt[svc.Name] = now
+	sure, idle := c.trustedAndIdle(svc)
+	wait := idleDomainGapDelay
 	mended, changed := RepairDomains(svc.Engine, plan, engines, idle)
 	if !changed {
-		wait = holeTime
+		wait = domainGapDelay
 		mended, changed = RepairDomains(svc.Engine, plan, engines, sure)
 	}
 	if !changed {
-		delete(c.holeSince, svc.Name)
+		delete(c.domainGapSince, svc.Name)
 		return plan
 	}
-	stands := standsFor(c.holeSince, svc.Name, now)
+	stands := elapsedSince(c.domainGapSince, svc.Name, now)
 	if stands < wait {
 		return plan
 	}
 	klog.InfoS("plan mended: a failure domain lacked layers that others held", "service", svc.Name, "for", stands)
-	delete(c.holeSince, svc.Name)
+	delete(c.domainGapSince, svc.Name)
 	return mended
 }
 
-// forgetHole has holes wait anew: a process that did not lead, or could not hear from
+// resetDomainGap has holes wait anew: a process that did not lead, or could not hear from
 // the store, may know engines that are gone.
-func (c *Controller) forgetHole(service string) {
+func (c *Controller) resetDomainGap(service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.holeSince, service)
+	delete(c.domainGapSince, service)
 }
 
-// sure tells which engines, by address, nobody suspects; idle, which of these no
+// trustedAndIdle tells which engines, by address, nobody suspects; idle, which of these no
 // streams run through.
-func (c *Controller) sure(svc *model.Service) (sure, idle func(address string) bool) {
+func (c *Controller) trustedAndIdle(svc *model.Service) (sure, idle func(address string) bool) {
 	suspected := map[string]bool{}
 	busy := map[string]bool{}
 	for _, b := range c.Catalog.Load().Service(svc.Name) {
@@ -73,31 +73,31 @@
 	return sure, idle
 }
 
-// withoutLost leaves out engines that answer nobody here though their entries stand:
+// withoutUnreachable leaves out engines that answer nobody here though their entries stand:
 // of one that fell silent the entry lapses after several heartbeats, and while the
 // store is away not at all.
-func (c *Controller) withoutLost(servers []*model.BackendServer) []*model.BackendServer {
+func (c *Controller) withoutUnreachable(servers []*model.BackendServer) []*model.BackendServer {
 	if c.Unreachable == nil {
 		return servers
 	}
 	kept := slices.DeleteFunc(slices.Clone(servers), func(b *model.BackendServer) bool { return c.Unreachable(b.Incarnation()) })
-	if lost := len(servers) - len(kept); float64(lost) > max(mostLost*float64(len(servers)), 1) {
+	if lost := len(servers) - len(kept); float64(lost) > max(maxUnreachableShare*float64(len(servers)), 1) {
 		return servers
 	}
 	return kept
 }
 
-// gapLasts tells whether some layer has been held by nobody for a while.
-func (c *Controller) gapLasts(svc *model.Service, plan Plan, engines []Engine, now time.Time) bool {
+// gapPersists tells whether some layer has been held by nobody for a while.
+func (c *Controller) gapPersists(svc *model.Service, plan Plan, engines []Engine, now time.Time) bool {
 	if len(UncoveredLayers(svc.Engine, plan, engines)) == 0 {
 		delete(c.gapSince, svc.Name)
 		return false
 	}
-	return standsFor(c.gapSince, svc.Name, now) >= gapTime
+	return elapsedSince(c.gapSince, svc.Name, now) >= gapDelay
 }
 
-// standsFor is how long a service's trouble has stood; it begins now if it is new.
-func standsFor(since map[string]time.Time, service string, now time.Time) time.Duration {
+// elapsedSince is how long a service's trouble has stood; it begins now if it is new.
+func elapsedSince(since map[string]time.Time, service string, now time.Time) time.Duration {
 	began, ok := since[service]
 	if !ok {
 		since[service] = now
--- a/internal/coordination/placement/incarnation_test.go
+++ b/internal/coordination/placement/incarnation_test.go
@@ -10,8 +10,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// again starts an engine anew under its id: empty, its orders counted anew.
-func (s *shop) again(e Engine) {
+// restart starts an engine anew under its id: empty, its orders counted anew.
+func (s *testCluster) restart(e Engine) {
 	s.mu.Lock()
 	s.born[e.Address]++
 	s.orders[e.Address] = 0
@@ -19,11 +19,11 @@
 	s.register(e.Address, e.Address, e.Domain, e.Card.Name, model.LayerRange{})
 }
 
-// loadedShop has site's engines, which tell their starts, loaded and callers before
+// newLoadedCluster has site's engines, which tell their starts, loaded and callers before
 // them.
-func loadedShop(t *testing.T) (*shop, []Engine) {
-	s := newShop(t)
-	all := site()
+func newLoadedCluster(t *testing.T) (*testCluster, []Engine) {
+	s := newTestCluster(t)
+	all := mixedEngines()
 	for _, e := range all {
 		s.born[e.Address] = 100
 	}
@@ -38,12 +38,12 @@
 // and not when the load of the one before should have ended.
 func TestReturnedEngineIsOrderedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, all := loadedShop(t)
+		s, all := newLoadedCluster(t)
 		e := all[3]
 		want := s.held(e.Address)
-		s.again(e)
+		s.restart(e)
 		s.run(400 * time.Millisecond) // it loads
-		s.again(e)
+		s.restart(e)
 		s.run(1600 * time.Millisecond)
 		assert.Equal(t, s.held(e.Address), want)
 	})
@@ -55,18 +55,18 @@
 // new process was given itself then no longer fits, and it loads once.
 func TestOrderOfBeforeIsCarriedOutByTheNewProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, all := loadedShop(t)
+		s, all := newLoadedCluster(t)
 		e := all[3]
 		want := s.held(e.Address)
 		s.mu.Lock()
-		s.late = 5 * time.Second
+		s.orderDelay = 5 * time.Second
 		s.mu.Unlock()
-		s.again(e)
+		s.restart(e)
 		s.run(time.Second) // ordered, unanswered
-		s.again(e)
+		s.restart(e)
 		s.run(time.Second) // ordered again
 		s.mu.Lock()
-		s.late = 0
+		s.orderDelay = 0
 		s.mu.Unlock()
 		s.run(20 * time.Second)
 		assert.Equal(t, s.held(e.Address), want)
@@ -78,23 +78,23 @@
 // the plan no longer wants there. The engine ends with those of the plan.
 func TestLateOrderOfAnOlderPlan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, all := loadedShop(t)
+		s, all := newLoadedCluster(t)
 		e := all[len(all)-1]
 		s.mu.Lock()
-		s.late = 6 * time.Second
+		s.orderDelay = 6 * time.Second
 		s.mu.Unlock()
-		s.again(e)
+		s.restart(e)
 		s.run(time.Second) // ordered to hold what the plan has, unanswered
 		s.mu.Lock()
-		s.late = 0
+		s.orderDelay = 0
 		s.mu.Unlock()
 		s.c.mu.Lock()
-		next := copyOf(s.c.plans["s"].plan)
+		next := clonePlan(s.c.plans["s"].plan)
 		want := model.LayerRange{From: 0, To: next[e.Address].Len()}
 		next[e.Address] = want
-		s.c.plans["s"] = stored{plan: next, revision: s.c.plans["s"].revision}
+		s.c.plans["s"] = storedPlan{plan: next, revision: s.c.plans["s"].revision}
 		s.c.mu.Unlock()
-		s.again(e)
+		s.restart(e)
 		s.run(30 * time.Second)
 		assert.Equal(t, s.held(e.Address), want)
 	})
--- a/internal/coordination/placement/late_test.go
+++ b/internal/coordination/placement/late_test.go
@@ -17,7 +17,7 @@
 
 // slowReports holds engines' reports back until release is closed.
 type slowReports struct {
-	*shop
+	*testCluster
 	asked   chan struct{}
 	release chan struct{}
 }
@@ -25,24 +25,24 @@
 func (s slowReports) Report(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
 	s.asked <- struct{}{}
 	<-s.release
-	return s.shop.Report(ctx, b)
+	return s.testCluster.Report(ctx, b)
 }
 
-// late sets a shop up with one engine that is about to be ordered to hold some
+// newClusterWithSlowReport sets a shop up with one engine that is about to be ordered to hold some
 // layers: its report before the order is under way.
-func late(t *testing.T) (*shop, chan struct{}) {
-	s := newShop(t)
+func newClusterWithSlowReport(t *testing.T) (*testCluster, chan struct{}) {
+	s := newTestCluster(t)
 	s.traffic.Store(true)
-	slow := slowReports{shop: s, asked: make(chan struct{}, 8), release: make(chan struct{})}
+	slow := slowReports{testCluster: s, asked: make(chan struct{}, 8), release: make(chan struct{})}
 	s.c.Engines = slow
 	s.register("e", "e:1", "hala", "a100", model.LayerRange{})
-	s.c.ObservePlan("s", planOf(t, Plan{"e:1": {From: 0, To: 20}}), 1)
+	s.c.ObservePlan("s", encodePlan(t, Plan{"e:1": {From: 0, To: 20}}), 1)
 	s.c.Tick(context.Background())
 	<-slow.asked
 	return s, slow.release
 }
 
-func planOf(t *testing.T, p Plan) []byte {
+func encodePlan(t *testing.T, p Plan) []byte {
 	raw, err := json.Marshal(p)
 	assert.NilError(t, err)
 	return raw
@@ -53,11 +53,11 @@
 // has not ordered this engine yet, so that the engine would take it.
 func TestNoOrderOnceTheLeadershipIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, release := late(t)
+		s, release := newClusterWithSlowReport(t)
 		s.token.Store(0)
 		close(release)
 		synctest.Wait()
-		assert.Equal(t, s.ordersGiven(), int64(0))
+		assert.Equal(t, s.totalOrders(), int64(0))
 	})
 }
 
@@ -67,16 +67,16 @@
 // for two loads instead of one.
 func TestNoOrderOfAPlanThatWasReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, release := late(t)
+		s, release := newClusterWithSlowReport(t)
 		want := model.LayerRange{From: 20, To: 40}
-		s.c.ObservePlan("s", planOf(t, Plan{"e:1": want}), 2)
+		s.c.ObservePlan("s", encodePlan(t, Plan{"e:1": want}), 2)
 		close(release)
 		synctest.Wait()
-		assert.Equal(t, s.ordersGiven(), int64(0))
-		s.run(refusedPause + time.Second/2)
+		assert.Equal(t, s.totalOrders(), int64(0))
+		s.run(orderRetryDelay + time.Second/2)
 		time.Sleep(time.Second) // for the load
 		assert.Equal(t, s.held("e"), want, "the present plan is carried out")
-		assert.Equal(t, s.ordersGiven(), int64(1))
+		assert.Equal(t, s.totalOrders(), int64(1))
 	})
 }
 
@@ -99,15 +99,15 @@
 // back: leading again, this router would order every engine by it.
 func TestALateAnswerDoesNotBringAnOlderPlanBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newShop(t)
+		s := newTestCluster(t)
 		newer := Plan{"e:1": {From: 20, To: 40}}
 		s.c.Store = slowCommits{Store: s.store, before: func(revision model.Revision) {
-			s.c.ObservePlan("s", planOf(t, newer), revision+1)
+			s.c.ObservePlan("s", encodePlan(t, newer), revision+1)
 		}}
 		s.register("e", "e:1", "hala", "a100", model.LayerRange{})
 		token := model.Revision(s.token.Load())
 		assert.Assert(t, !s.c.persist(context.Background(), "s", Plan{"e:1": {From: 0, To: 20}}, token), "the stored plan is not in force")
-		assert.Assert(t, same(s.c.plans["s"].plan, newer))
+		assert.Assert(t, equalPlans(s.c.plans["s"].plan, newer))
 		_, err := s.store.Get(context.Background(), leader.PlanPrefix+"s")
 		assert.NilError(t, err)
 	})
--- a/internal/coordination/placement/mend_test.go
+++ b/internal/coordination/placement/mend_test.go
@@ -10,22 +10,22 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// weakShop has three weak domains loaded and callers before them, and gives the
+// newWeakCluster has three weak domains loaded and callers before them, and gives the
 // engines of one.
-func weakShop(t *testing.T) (*shop, []Engine) {
-	s := newShop(t)
+func newWeakCluster(t *testing.T) (*testCluster, []Engine) {
+	s := newTestCluster(t)
 	spec := weakSpec()
 	spec.LoadTime = 14 * time.Second
 	spec.LoadsAtOnce = 9
-	s.config(spec)
-	s.add(weakSite())
+	s.publishConfig(spec)
+	s.add(weakEngines())
 	s.run(12 * time.Second)
 	s.traffic.Store(true)
-	return s, inDomain(weakSite(), "b")
+	return s, inDomain(weakEngines(), "b")
 }
 
-// aloneHolder finds an engine whose layers nobody else of the domain holds.
-func aloneHolder(plan Plan, all []Engine) Engine {
+// soleHolder finds an engine whose layers nobody else of the domain holds.
+func soleHolder(plan Plan, all []Engine) Engine {
 	counts := Coverage(weakSpec(), plan, all)
 	for _, e := range all {
 		held := plan[e.Address]
@@ -51,23 +51,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s, all := weakShop(t)
+				s, all := newWeakCluster(t)
 				s.c.StreamCount = func(model.Incarnation) float64 { return c.streams }
 				plan := s.c.plans["s"].plan
-				gone := aloneHolder(plan, all)
+				gone := soleHolder(plan, all)
 				assert.Assert(t, gone.Address != "")
 				s.remove(gone.Address)
 				s.run(c.within)
-				assert.Equal(t, s.whole(all, gone), c.whole)
+				assert.Equal(t, s.coversModel(all, gone), c.whole)
 				s.run(10 * time.Second)
-				assert.Assert(t, s.whole(all, gone))
+				assert.Assert(t, s.coversModel(all, gone))
 			})
 		})
 	}
 }
 
-// whole tells whether engines hold every layer, one of them left out.
-func (s *shop) whole(all []Engine, without Engine) bool {
+// coversModel tells whether engines hold every layer, one of them left out.
+func (s *testCluster) coversModel(all []Engine, without Engine) bool {
 	held := make([]bool, weakSpec().Layers)
 	for _, e := range all {
 		r := s.held(e.Address)
@@ -87,12 +87,12 @@
 // that it answers nobody is enough to fill its place.
 func TestSilentEngineIsReplacedThoughItsEntryStands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, all := weakShop(t)
+		s, all := newWeakCluster(t)
 		s.c.StreamCount = func(model.Incarnation) float64 { return 0 }
-		gone := aloneHolder(s.c.plans["s"].plan, all)
+		gone := soleHolder(s.c.plans["s"].plan, all)
 		s.c.Unreachable = func(inc model.Incarnation) bool { return inc.ID == gone.Address }
 		s.run(3 * time.Second)
-		assert.Assert(t, s.whole(all, gone))
+		assert.Assert(t, s.coversModel(all, gone))
 	})
 }
 
@@ -100,15 +100,15 @@
 // moves nobody.
 func TestLeaderThatIsCutOffMovesNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, all := weakShop(t)
+		s, all := newWeakCluster(t)
 		s.c.StreamCount = func(model.Incarnation) float64 { return 0 }
-		before := s.ordersGiven()
+		before := s.totalOrders()
 		silent := map[string]bool{}
 		for _, e := range all[:len(all)/2] {
 			silent[e.Address] = true
 		}
 		s.c.Unreachable = func(inc model.Incarnation) bool { return silent[inc.ID] }
 		s.run(10 * time.Second)
-		assert.Equal(t, s.ordersGiven(), before)
+		assert.Equal(t, s.totalOrders(), before)
 	})
 }
--- a/internal/coordination/placement/orders.go
+++ b/internal/coordination/placement/orders.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// loadSlack is added to the time a load should take before the order is
+	// loadMargin is added to the time a load should take before the order is
 	// taken for lost and given again.
-	loadSlack = 3 * time.Second
-	// ordersAtOnce bounds the engines that are asked and ordered at one moment: each is
+	loadMargin = 3 * time.Second
+	// maxConcurrentOrders bounds the engines that are asked and ordered at one moment: each is
 	// a connection with its buffers, some 20 KB, and where thousands of engines start
 	// the leader would have one to each. In 10 ms an order they are all given within a
 	// second.
-	ordersAtOnce = 64
-	// refusedPause is how long an engine that refused an order is left alone.
-	refusedPause = time.Second
+	maxConcurrentOrders = 64
+	// orderRetryDelay is how long an engine that refused an order is left alone.
+	orderRetryDelay = time.Second
 )
 
 // OrderResult is what became of an order.
@@ -42,31 +42,31 @@
 }
 
 type order struct {
-	address string
-	want    model.LayerRange
-	until   time.Time // given up then
-	given   bool      // the engine may carry it out
+	address  string
+	want     model.LayerRange
+	deadline time.Time // given up then
+	sent     bool      // the engine may carry it out
 }
 
-// giveOrders orders what differs from the plan: whole chains of fast cards
+// sendOrders orders what differs from the plan: whole chains of fast cards
 // first, so that requests are served before all loads are done, and no more at
 // once than load without slowing each other down, once there is traffic.
-func (c *Controller) giveOrders(ctx context.Context, svc *model.Service, servers []*model.BackendServer, plan Plan, token model.Revision) {
+func (c *Controller) sendOrders(ctx context.Context, svc *model.Service, servers []*model.BackendServer, plan Plan, token model.Revision) {
 	due := make(chan *model.BackendServer, len(servers))
-	for _, b := range c.due(svc, servers, plan) {
+	for _, b := range c.dueOrders(svc, servers, plan) {
 		due <- b
 	}
 	close(due)
-	for range min(len(due), ordersAtOnce) {
+	for range min(len(due), maxConcurrentOrders) {
 		go func() {
 			for b := range due {
-				c.place(ctx, svc, b, plan[b.Address], token)
+				c.sendOrder(ctx, svc, b, plan[b.Address], token)
 			}
 		}()
 	}
 }
 
-func (c *Controller) due(svc *model.Service, servers []*model.BackendServer, plan Plan) []*model.BackendServer {
+func (c *Controller) dueOrders(svc *model.Service, servers []*model.BackendServer, plan Plan) []*model.BackendServer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Now()
@@ -79,14 +79,14 @@
 	for _, b := range servers {
 		want, ok := plan[b.Address]
 		if !ok || want == b.Holds {
-			c.carriedOut(b)
+			c.clearLoadExits(b)
 			delete(c.pending, b.Incarnation())
 			continue
 		}
 		if !c.mayLoad(b.Address, want) {
 			continue
 		}
-		if p, ok := c.pending[b.Incarnation()]; ok && now.Before(p.until) {
+		if p, ok := c.pending[b.Incarnation()]; ok && now.Before(p.deadline) {
 			loading++
 			continue
 		}
@@ -97,24 +97,24 @@
 		}
 		due = append(due, b)
 	}
-	first := firstWave(svc.Engine, plan, c.engineList(svc, servers, now, 0))
-	sort.SliceStable(due, func(i, j int) bool { return before(svc.Engine, plan, first, due[i], due[j]) })
+	first := firstChains(svc.Engine, plan, c.plannerEngines(svc, servers, now, 0))
+	sort.SliceStable(due, func(i, j int) bool { return loadsBefore(svc.Engine, plan, first, due[i], due[j]) })
 	due = due[:max(min(len(due), most-loading), 0)]
 	for _, b := range due {
 		want := plan[b.Address]
 		share := float64(want.Len()) / float64(max(svc.Engine.Layers, 1))
 		crowd := max(float64(len(due)+loading)/float64(svc.Engine.LoadsAtOnce), 1)
 		takes := time.Duration(float64(svc.Engine.LoadTime) * share * crowd)
-		c.pending[b.Incarnation()] = order{address: b.Address, want: want, until: now.Add(takes + loadSlack)}
+		c.pending[b.Incarnation()] = order{address: b.Address, want: want, deadline: now.Add(takes + loadMargin)}
 	}
 	return due
 }
 
-// firstWave names the engines, by address, that make up the first whole chain of
+// firstChains names the engines, by address, that make up the first whole chain of
 // each failure domain: the fastest cards until every layer is held.
-func firstWave(spec *model.EngineSpec, plan Plan, engines []Engine) map[string]bool {
+func firstChains(spec *model.EngineSpec, plan Plan, engines []Engine) map[string]bool {
 	wave := map[string]bool{}
-	for _, group := range byDomain(engines) {
+	for _, group := range groupByDomain(engines) {
 		for i, e := range group {
 			wave[e.Address] = true
 			classEnds := i+1 == len(group) || group[i+1].Card.Pace != e.Card.Pace
@@ -126,10 +126,10 @@
 	return wave
 }
 
-// before orders engines for loading: first the first chains, one failure domain
-// after the other, so that requests are served before all loads are done; then
+// loadsBefore orders engines for loading: first the first chains, one failure domain
+// after the other, so that requests are served loadsBefore all loads are done; then
 // the rest by card, failure domain and layer.
-func before(spec *model.EngineSpec, plan Plan, first map[string]bool, a, b *model.BackendServer) bool {
+func loadsBefore(spec *model.EngineSpec, plan Plan, first map[string]bool, a, b *model.BackendServer) bool {
 	if first[a.Address] != first[b.Address] {
 		return first[a.Address]
 	}
@@ -147,16 +147,16 @@
 	return plan[a.Address].From < plan[b.Address].From
 }
 
-// place gives one order. The report before it tells the number of orders that
+// sendOrder gives one order. The report before it tells the number of orders that
 // the engine has begun: an order that arrives late, after a newer one, then no
 // longer fits.
-func (c *Controller) place(ctx context.Context, svc *model.Service, b *model.BackendServer, want model.LayerRange, token model.Revision) {
+func (c *Controller) sendOrder(ctx context.Context, svc *model.Service, b *model.BackendServer, want model.LayerRange, token model.Revision) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	report, err := c.Engines.Report(ctx, b)
 	if err != nil {
 		klog.InfoS("no report before an order", "server", b.Incarnation(), "err", err)
-		c.pause(b.Incarnation(), want, refusedPause)
+		c.delayOrder(b.Incarnation(), want, orderRetryDelay)
 		return
 	}
 	if report.Holds == want {
@@ -164,12 +164,12 @@
 		return
 	}
 	if report.Busy {
-		c.pause(b.Incarnation(), want, refusedPause)
+		c.delayOrder(b.Incarnation(), want, orderRetryDelay)
 		return
 	}
-	if !c.stillWanted(svc.Name, b, want, token) {
+	if !c.stillValid(svc.Name, b, want, token) {
 		klog.InfoS("order not given: plan or leader changed meanwhile", "server", b.Incarnation(), "to", want.String(), "token", token)
-		c.pause(b.Incarnation(), want, 0)
+		c.delayOrder(b.Incarnation(), want, 0)
 		return
 	}
 	result, err := c.Engines.Place(ctx, b, want, int64(token), report.Orders)
@@ -177,19 +177,19 @@
 		"token", token, "expected", report.Orders, "result", int(result), "err", err)
 	switch result {
 	case OrderAccepted, OrderUnknown:
-		c.noteGiven(b.Incarnation())
+		c.markSent(b.Incarnation())
 	case OrderFenced:
 		c.OnFenced(token)
 	case OrderRefused:
-		c.pause(b.Incarnation(), want, refusedPause)
+		c.delayOrder(b.Incarnation(), want, orderRetryDelay)
 	}
 }
 
-// stillWanted tells whether this process still leads under a token, and the plan still
+// stillValid tells whether this process still leads under a token, and the plan still
 // has an engine hold these layers. Both may have changed while the engine's report was
 // under way: the engine would load layers that it must give up again, and it refuses
 // an older token only once it has seen a newer one.
-func (c *Controller) stillWanted(service string, b *model.BackendServer, want model.LayerRange, token model.Revision) bool {
+func (c *Controller) stillValid(service string, b *model.BackendServer, want model.LayerRange, token model.Revision) bool {
 	if c.FencingToken() != token {
 		return false
 	}
@@ -199,18 +199,18 @@
 	return ok && planned == want
 }
 
-// noteGiven notes that an engine may carry out the order that it was given.
-func (c *Controller) noteGiven(inc model.Incarnation) {
+// markSent notes that an engine may carry out the order that it was given.
+func (c *Controller) markSent(inc model.Incarnation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if o, ok := c.pending[inc]; ok {
-		o.given = true
+		o.sent = true
 		c.pending[inc] = o
 	}
 }
 
-func (c *Controller) pause(inc model.Incarnation, want model.LayerRange, d time.Duration) {
+func (c *Controller) delayOrder(inc model.Incarnation, want model.LayerRange, d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pending[inc] = order{want: want, until: c.Now().Add(d)} // not given
+	c.pending[inc] = order{want: want, deadline: c.Now().Add(d)} // not given
 }
--- a/internal/coordination/placement/orders_test.go
+++ b/internal/coordination/placement/orders_test.go
@@ -15,22 +15,22 @@
 
 // slowEngines answer each order after a while and count how many are asked at once.
 type slowEngines struct {
-	*shop
-	mu      sync.Mutex
-	at      int
-	highest int
+	*testCluster
+	mu          sync.Mutex
+	inFlight    int
+	maxInFlight int
 }
 
 func (e *slowEngines) Place(ctx context.Context, b *model.BackendServer, held model.LayerRange, fence, expected int64) (OrderResult, error) {
 	e.mu.Lock()
-	e.at++
-	e.highest = max(e.highest, e.at)
+	e.inFlight++
+	e.maxInFlight = max(e.maxInFlight, e.inFlight)
 	e.mu.Unlock()
 	time.Sleep(10 * time.Millisecond)
 	e.mu.Lock()
-	e.at--
+	e.inFlight--
 	e.mu.Unlock()
-	return e.shop.Place(ctx, b, held, fence, expected)
+	return e.testCluster.Place(ctx, b, held, fence, expected)
 }
 
 // A thousand engines start at one moment. The leader orders all of them within seconds,
@@ -39,17 +39,17 @@
 func TestOrdersAreGivenOverFewConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const engines = 1000
-		s := newShop(t)
-		slow := &slowEngines{shop: s}
+		s := newTestCluster(t)
+		slow := &slowEngines{testCluster: s}
 		s.c.Engines = slow
 		var all []Engine
 		for i := range engines {
-			card := spec().Cards[i%len(spec().Cards)]
+			card := testSpec().Cards[i%len(testSpec().Cards)]
 			all = append(all, Engine{Address: fmt.Sprintf("e%d", i), Domain: fmt.Sprintf("d%d", i%8), Card: card})
 		}
 		s.add(all)
-		s.run(settleTime + 3*time.Second)
-		assert.Assert(t, slow.highest <= ordersAtOnce, "%d at once", slow.highest)
+		s.run(settleDelay + 3*time.Second)
+		assert.Assert(t, slow.maxInFlight <= maxConcurrentOrders, "%d at once", slow.maxInFlight)
 		want := BuildPlan(s.spec, all)
 		for _, e := range all {
 			assert.Equal(t, s.held(e.Address), want[e.Address], e.Address)
--- a/internal/coordination/placement/plan.go
+++ b/internal/coordination/placement/plan.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// wholeFactor is how much memory a group must have, in models, to be worth
+	// minChainMemoryFactor is how much memory a group must have, in models, to be worth
 	// a chain of its own: a fifth more than the weights leaves an engine some
 	// thirty thousand tokens.
-	wholeFactor = 1.2
-	// chainFactor is how much memory each of several chains of one group must
+	minChainMemoryFactor = 1.2
+	// splitMemoryFactor is how much memory each of several chains of one group must
 	// have, in models. Below it one longer chain serves more streams, as the
 	// weights are held once.
-	chainFactor = 1.6
-	// likePace is how much slower a card may be and still count as of like speed: a
+	splitMemoryFactor = 1.6
+	// similarPaceFactor is how much slower a card may be and still count as of like speed: a
 	// chain of both is no slower than one of the slower card.
-	likePace = 1.25
-	// spareWeights is the share of its memory that an engine outside of whole
+	similarPaceFactor = 1.25
+	// spareWeightShare is the share of its memory that an engine outside of whole
 	// chains fills with weights; the rest holds requests.
-	spareWeights = 0.75
+	spareWeightShare = 0.75
 )
 
 // Engine is an engine as the planner sees it.
@@ -66,8 +66,8 @@
 func BuildPlan(spec *model.EngineSpec, engines []Engine) Plan {
 	plan := Plan{}
 	var rest []Engine
-	for _, group := range byDomain(engines) {
-		need := needed(spec, group)
+	for _, group := range groupByDomain(engines) {
+		need := requiredTokens(spec, group)
 		for first := true; len(group) > 0; first = false {
 			var class []Engine
 			class, group = takeFastest(spec, group)
@@ -76,22 +76,22 @@
 				rest = append(rest, group...)
 				group = nil
 			case first:
-				serve(spec, plan, class, need)
+				placeChains(spec, plan, class, need)
 			default:
-				for _, c := range split(spec, class) {
+				for _, c := range splitChains(spec, class) {
 					PlanChain(spec, c, plan)
 				}
 			}
 		}
 	}
-	known := byAddress(engines)
+	known := indexByAddress(engines)
 	for _, e := range rest {
-		placeSpare(spec, e, leastHeld(spec, plan, known, e), plan)
+		placeSpare(spec, e, leastHeldLayer(spec, plan, known, e), plan)
 	}
 	return plan
 }
 
-func byAddress(engines []Engine) map[string]Engine {
+func indexByAddress(engines []Engine) map[string]Engine {
 	known := make(map[string]Engine, len(engines))
 	for _, e := range engines {
 		known[e.Address] = e
@@ -99,9 +99,9 @@
 	return known
 }
 
-// byDomain groups engines by failure domain; inside, fast and large cards come
+// groupByDomain groups engines by failure domain; inside, fast and large cards come
 // first.
-func byDomain(engines []Engine) [][]Engine {
+func groupByDomain(engines []Engine) [][]Engine {
 	sorted := append([]Engine(nil), engines...)
 	sort.Slice(sorted, func(i, j int) bool {
 		a, b := sorted[i], sorted[j]
@@ -129,11 +129,11 @@
 // takeFastest takes whole classes of cards of like speed, the fastest first, until they hold
 // a model with room for requests; nil if all of them do not.
 func takeFastest(spec *model.EngineSpec, group []Engine) (chain, left []Engine) {
-	need := wholeFactor * float64(spec.Layers) * spec.LayerMB
+	need := minChainMemoryFactor * float64(spec.Layers) * spec.LayerMB
 	sum := 0.0
 	for i, e := range group {
 		sum += e.Card.MB
-		classEnds := i+1 == len(group) || group[i+1].Card.Pace > likePace*e.Card.Pace
+		classEnds := i+1 == len(group) || group[i+1].Card.Pace > similarPaceFactor*e.Card.Pace
 		if classEnds && sum >= need {
 			return group[:i+1], group[i+1:]
 		}
@@ -141,14 +141,14 @@
 	return nil, group
 }
 
-// split divides a group into as many chains as have memory enough each.
-func split(spec *model.EngineSpec, group []Engine) [][]Engine {
+// splitChains divides a group into as many chains as have memory enough each.
+func splitChains(spec *model.EngineSpec, group []Engine) [][]Engine {
 	modelMB := float64(spec.Layers) * spec.LayerMB
 	total := 0.0
 	for _, e := range group {
 		total += e.Card.MB
 	}
-	n := max(int(total/(modelMB*chainFactor)), 1)
+	n := max(int(total/(modelMB*splitMemoryFactor)), 1)
 	chains := make([][]Engine, n)
 	sums := make([]float64, n)
 	for _, e := range group {
@@ -162,7 +162,7 @@
 		sums[least] += e.Card.MB
 	}
 	for _, s := range sums {
-		if s < wholeFactor*modelMB {
+		if s < minChainMemoryFactor*modelMB {
 			return [][]Engine{group}
 		}
 	}
@@ -179,7 +179,7 @@
 		best := -1
 		most := 0.0
 		for i, e := range chain {
-			if t := tokens(spec, e.Card, counts[i]+1); best < 0 || t > most {
+			if t := tokenCapacity(spec, e.Card, counts[i]+1); best < 0 || t > most {
 				best = i
 				most = t
 			}
@@ -193,8 +193,8 @@
 	}
 }
 
-// tokens is how many tokens an engine has room for with n layers.
-func tokens(spec *model.EngineSpec, card model.Card, n int) float64 {
+// tokenCapacity is how many tokenCapacity an engine has room for with n layers.
+func tokenCapacity(spec *model.EngineSpec, card model.Card, n int) float64 {
 	return (card.MB - float64(n)*spec.LayerMB) / (float64(n) * spec.LayerTokenMB())
 }
 
@@ -206,7 +206,7 @@
 // placeSpare gives an engine the layers from next on and tells where the one
 // after it begins.
 func placeSpare(spec *model.EngineSpec, e Engine, next int, plan Plan) int {
-	n := min(max(int(spareWeights*e.Card.MB/spec.LayerMB), 1), MaxLayers(spec, e.Card))
+	n := min(max(int(spareWeightShare*e.Card.MB/spec.LayerMB), 1), MaxLayers(spec, e.Card))
 	if n <= 0 {
 		return next
 	}
--- a/internal/coordination/placement/plan_test.go
+++ b/internal/coordination/placement/plan_test.go
@@ -18,7 +18,7 @@
 	"l4":   {Name: "l4", MB: 21600, Pace: 16, ReadFactor: 8.2},
 }
 
-func spec() *model.EngineSpec {
+func testSpec() *model.EngineSpec {
 	s := &model.EngineSpec{Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 918000, UsualPrompt: 774, UsualAnswer: 200}
 	for _, c := range cards {
 		s.Cards = append(s.Cards, c)
@@ -26,8 +26,8 @@
 	return s
 }
 
-// engines makes so many engines of a card in a domain.
-func engines(domain, card string, n int) []Engine {
+// makeEngines makes so many makeEngines of a card in a domain.
+func makeEngines(domain, card string, n int) []Engine {
 	var out []Engine
 	for i := range n {
 		out = append(out, Engine{Address: fmt.Sprintf("%s-%s-%d", domain, card, i), Domain: domain, Card: cards[card]})
@@ -35,21 +35,21 @@
 	return out
 }
 
-// site is a mid-size site: three domains of different strength.
-func site() []Engine {
+// mixedEngines is a mid-size mixedEngines: three domains of different strength.
+func mixedEngines() []Engine {
 	var all []Engine
 	for _, g := range []struct {
 		domain         string
 		a100, l40s, l4 int
 	}{{"luka", 1, 3, 8}, {"solin", 1, 6, 5}, {"kastela", 2, 2, 5}} {
-		all = append(all, engines(g.domain, "a100", g.a100)...)
-		all = append(all, engines(g.domain, "l40s", g.l40s)...)
-		all = append(all, engines(g.domain, "l4", g.l4)...)
+		all = append(all, makeEngines(g.domain, "a100", g.a100)...)
+		all = append(all, makeEngines(g.domain, "l40s", g.l40s)...)
+		all = append(all, makeEngines(g.domain, "l4", g.l4)...)
 	}
 	return all
 }
 
-func holders(plan Plan, all []Engine, keep func(Engine) bool) []int {
+func countHolders(plan Plan, all []Engine, keep func(Engine) bool) []int {
 	counts := make([]int, 80)
 	for _, e := range all {
 		if !keep(e) {
@@ -63,7 +63,7 @@
 	return counts
 }
 
-func least(counts []int) int {
+func minCount(counts []int) int {
 	m := counts[0]
 	for _, n := range counts {
 		m = min(m, n)
@@ -74,26 +74,26 @@
 // Each domain's fast cards make up a whole chain without its slow ones, which
 // would set the pace of each token.
 func TestFastCardsMakeWholeChains(t *testing.T) {
-	all := site()
-	plan := BuildPlan(spec(), all)
+	all := mixedEngines()
+	plan := BuildPlan(testSpec(), all)
 	for _, d := range []string{"luka", "solin", "kastela"} {
-		fast := holders(plan, all, func(e Engine) bool { return e.Domain == d && e.Card.Name != "l4" })
-		assert.Equal(t, least(fast), 1, "%s: %v", d, fast)
+		fast := countHolders(plan, all, func(e Engine) bool { return e.Domain == d && e.Card.Name != "l4" })
+		assert.Equal(t, minCount(fast), 1, "%s: %v", d, fast)
 	}
-	every := holders(plan, all, func(Engine) bool { return true })
-	assert.Assert(t, least(every) >= 5, "beside the three chains others stand in for every layer twice: %v", every)
+	every := countHolders(plan, all, func(Engine) bool { return true })
+	assert.Assert(t, minCount(every) >= 5, "beside the three chains others stand in for every layer twice: %v", every)
 }
 
 // The thinnest engine bounds its chain: in a chain nobody has less than three
 // quarters of the token memory of the best.
 func TestChainIsEven(t *testing.T) {
-	s := spec()
-	all := append(engines("d", "a100", 1), engines("d", "l40s", 3)...)
+	s := testSpec()
+	all := append(makeEngines("d", "a100", 1), makeEngines("d", "l40s", 3)...)
 	plan := Plan{}
 	PlanChain(s, all, plan)
 	lo, hi := 1e18, 0.0
 	for _, e := range all {
-		n := tokens(s, e.Card, plan[e.Address].Len())
+		n := tokenCapacity(s, e.Card, plan[e.Address].Len())
 		lo = min(lo, n)
 		hi = max(hi, n)
 	}
@@ -105,10 +105,10 @@
 // those that two share.
 func TestRoomIsEvenOverLayers(t *testing.T) {
 	s := weakSpec()
-	for _, group := range byDomain(weakSite()) {
+	for _, group := range groupByDomain(weakEngines()) {
 		plan := BuildPlan(s, group)
-		room := roomOf(s, plan, group)
-		assert.Assert(t, slices.Min(room) >= needed(s, group), "%s: %.0f of %.0f tokens", group[0].Domain, slices.Min(room), needed(s, group))
+		room := layerCapacityOf(s, plan, group)
+		assert.Assert(t, slices.Min(room) >= requiredTokens(s, group), "%s: %.0f of %.0f tokens", group[0].Domain, slices.Min(room), requiredTokens(s, group))
 		assert.Assert(t, slices.Min(room) >= 0.6*room.mean(), "%s: %.0f to %.0f tokens", group[0].Domain, slices.Min(room), slices.Max(room))
 	}
 }
@@ -124,7 +124,7 @@
 	}
 }
 
-func weakSite() []Engine {
+func weakEngines() []Engine {
 	var all []Engine
 	for domain, counts := range map[string][3]int{"a": {1, 13, 7}, "b": {2, 5, 9}, "c": {1, 8, 13}} {
 		for i, card := range weakSpec().Cards {
@@ -144,7 +144,7 @@
 // refuses; so a chain has half as many engines, and most layers have two holders.
 func TestWeakDomainsBearALoss(t *testing.T) {
 	s := weakSpec()
-	for _, group := range byDomain(weakSite()) {
+	for _, group := range groupByDomain(weakEngines()) {
 		plan := BuildPlan(s, group)
 		even := Plan{}
 		PlanChain(s, group, even)
@@ -164,32 +164,32 @@
 // list the engines in another order, make the same.
 func TestPlanIsAFunctionOfTheEngines(t *testing.T) {
 	s := weakSpec()
-	all := weakSite()
+	all := weakEngines()
 	plan := BuildPlan(s, all)
 	slices.Reverse(all)
-	assert.Assert(t, same(plan, BuildPlan(s, all)))
+	assert.Assert(t, equalPlans(plan, BuildPlan(s, all)))
 }
 
 func TestLargeDomainGetsSeveralChains(t *testing.T) {
-	all := engines("d", "l40s", 14)
-	plan := BuildPlan(spec(), all)
-	counts := holders(plan, all, func(Engine) bool { return true })
-	assert.Equal(t, least(counts), 2)
+	all := makeEngines("d", "l40s", 14)
+	plan := BuildPlan(testSpec(), all)
+	counts := countHolders(plan, all, func(Engine) bool { return true })
+	assert.Equal(t, minCount(counts), 2)
 }
 
 // Whatever comes together, no engine is ever planned to hold more layers than
 // its memory has: an order for more crashes it.
 func TestPlansFitTheMemory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := spec()
+		s := testSpec()
 		all := drawEngines(rt)
 		plan := BuildPlan(s, all)
-		fits(rt, s, plan, all)
+		assertFits(rt, s, plan, all)
 		// Some go, some come.
 		keep := all[:rapid.IntRange(0, len(all)).Draw(rt, "kept")]
-		now := append(append([]Engine(nil), keep...), engines("new", "l4", rapid.IntRange(0, 4).Draw(rt, "new"))...)
+		now := append(append([]Engine(nil), keep...), makeEngines("new", "l4", rapid.IntRange(0, 4).Draw(rt, "new"))...)
 		next, _ := Extend(s, plan, now)
-		fits(rt, s, next, now)
+		assertFits(rt, s, next, now)
 		for _, e := range keep {
 			assert.Equal(rt, next[e.Address], plan[e.Address], "%s was moved", e.Address)
 		}
@@ -200,13 +200,13 @@
 	var all []Engine
 	for _, d := range []string{"a", "b", "c"} {
 		for card := range cards {
-			all = append(all, engines(d, card, rapid.IntRange(0, 7).Draw(rt, d+card))...)
+			all = append(all, makeEngines(d, card, rapid.IntRange(0, 7).Draw(rt, d+card))...)
 		}
 	}
 	return all
 }
 
-func fits(t assert.TestingT, s *model.EngineSpec, plan Plan, all []Engine) {
+func assertFits(t assert.TestingT, s *model.EngineSpec, plan Plan, all []Engine) {
 	for _, e := range all {
 		held := plan[e.Address]
 		assert.Assert(t, held.From >= 0 && held.Len() >= 0 && held.To <= s.Layers, "%s holds %s", e.Address, held)
@@ -217,8 +217,8 @@
 // An engine that is gone for good is followed by another at a new address. The
 // new one takes its place, and nothing else is loaded again.
 func TestNewcomerTakesTheVacantRange(t *testing.T) {
-	s := spec()
-	all := site()
+	s := testSpec()
+	all := mixedEngines()
 	plan := BuildPlan(s, all)
 	lost := "luka-l40s-1"
 	var now []Engine
@@ -233,13 +233,13 @@
 	assert.Equal(t, next["fresh"], plan[lost])
 	again, changed := Extend(s, next, now)
 	assert.Assert(t, !changed)
-	assert.Assert(t, same(next, again))
+	assert.Assert(t, equalPlans(next, again))
 }
 
 // A newcomer with nobody to follow covers what is held least in its domain.
 func TestNewcomerCoversTheLeastHeldLayers(t *testing.T) {
-	s := spec()
-	all := append(engines("d", "a100", 2), engines("d", "l40s", 1)...)
+	s := testSpec()
+	all := append(makeEngines("d", "a100", 2), makeEngines("d", "l40s", 1)...)
 	plan := BuildPlan(s, all)
 	now := append(append([]Engine(nil), all...), Engine{Address: "x", Domain: "d", Card: cards["l4"]}, Engine{Address: "y", Domain: "d", Card: cards["l4"]})
 	next, _ := Extend(s, plan, now)
@@ -251,7 +251,7 @@
 // fits every memory, and covers the gaps if enough engines can be spared.
 func TestRepairNeverUncovers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := spec()
+		s := testSpec()
 		all := drawEngines(rt)
 		plan := BuildPlan(s, all)
 		left := all[:rapid.IntRange(0, len(all)).Draw(rt, "left")]
@@ -260,7 +260,7 @@
 			before[l] = true
 		}
 		next, _ := Repair(s, plan, left)
-		fits(rt, s, next, left)
+		assertFits(rt, s, next, left)
 		for _, l := range UncoveredLayers(s, next, left) {
 			assert.Assert(rt, before[l], "layer %d was held before the repair", l)
 		}
@@ -272,8 +272,8 @@
 // other way round both domains would send their streams through the pipe between
 // them.
 func TestNewcomerServesItsOwnDomain(t *testing.T) {
-	s := spec()
-	all := append(engines("a", "l40s", 4), engines("b", "a100", 3)...)
+	s := testSpec()
+	all := append(makeEngines("a", "l40s", 4), makeEngines("b", "a100", 3)...)
 	plan := BuildPlan(s, all)
 	lostHere, lostThere := "a-l40s-1", "b-a100-1"
 	assert.Assert(t, plan[lostThere].Len() > plan[lostHere].Len())
@@ -284,18 +284,18 @@
 		}
 	}
 	inA := func(e Engine) bool { return e.Domain == "a" }
-	assert.Equal(t, least(holders(plan, now, inA)), 0, "the loss is felt")
+	assert.Equal(t, minCount(countHolders(plan, now, inA)), 0, "the loss is felt")
 	now = append(now, Engine{Address: "fresh", Domain: "a", Card: cards["a100"]})
 	next, _ := Extend(s, plan, now)
-	assert.Assert(t, least(holders(next, now, inA)) > 0, "fresh holds %s, domain a lacked %s", next["fresh"], plan[lostHere])
+	assert.Assert(t, minCount(countHolders(next, now, inA)) > 0, "fresh holds %s, domain a lacked %s", next["fresh"], plan[lostHere])
 }
 
 // A domain lost one range and no newcomer comes; others of its engines hold theirs
 // together. One of them is moved, so that streams need not leave the domain for a
 // few layers.
 func TestMendMakesADomainWhole(t *testing.T) {
-	s := spec()
-	all := append(engines("a", "a100", 3), engines("a", "l4", 9)...)
+	s := testSpec()
+	all := append(makeEngines("a", "a100", 3), makeEngines("a", "l4", 9)...)
 	plan := BuildPlan(s, all)
 	var now []Engine
 	for _, e := range all {
@@ -304,7 +304,7 @@
 		}
 		now = append(now, e)
 	}
-	now = append(now, engines("b", "a100", 3)...)
+	now = append(now, makeEngines("b", "a100", 3)...)
 	plan, _ = Extend(s, plan, now)
 	for _, e := range now {
 		if e.Domain == "b" {
@@ -312,31 +312,31 @@
 		}
 	}
 	inA := func(e Engine) bool { return e.Domain == "a" }
-	assert.Equal(t, least(holders(plan, now, inA)), 0)
-	next, changed := RepairDomains(s, plan, now, allSure)
+	assert.Equal(t, minCount(countHolders(plan, now, inA)), 0)
+	next, changed := RepairDomains(s, plan, now, trustAll)
 	assert.Assert(t, changed)
-	assert.Assert(t, least(holders(next, now, inA)) > 0)
+	assert.Assert(t, minCount(countHolders(next, now, inA)) > 0)
 	for range 3 {
-		next, changed = RepairDomains(s, next, now, allSure)
+		next, changed = RepairDomains(s, next, now, trustAll)
 	}
 	assert.Assert(t, !changed, "it comes to rest")
 }
 
-func allSure(string) bool { return true }
+func trustAll(string) bool { return true }
 
 // The store was away, and an engine that is gone is still listed. What it seems to
 // hold does not count: the one that could be spared beside it is the last that does
 // its work there, and stays.
 func TestMendTrustsNoEngineThatMayBeGone(t *testing.T) {
-	s := spec()
-	all := append(engines("a", "a100", 4), Engine{Address: "low", Domain: "a", Card: cards["l40s"]})
-	plan := BuildPlan(s, engines("a", "a100", 4))
+	s := testSpec()
+	all := append(makeEngines("a", "a100", 4), Engine{Address: "low", Domain: "a", Card: cards["l40s"]})
+	plan := BuildPlan(s, makeEngines("a", "a100", 4))
 	hole, twice := plan["a-a100-1"], plan["a-a100-2"]
 	plan["low"] = twice
 	now := append(append([]Engine(nil), all[:1]...), all[2:]...)
 	next, changed := RepairDomains(s, plan, now, func(address string) bool { return address != "a-a100-2" })
 	assert.Assert(t, !changed || next["low"] == twice, "low went to %s", next["low"])
-	next, changed = RepairDomains(s, plan, now, allSure)
+	next, changed = RepairDomains(s, plan, now, trustAll)
 	assert.Assert(t, changed && next["low"].From <= hole.From, "low went to %s", next["low"])
 }
 
@@ -344,8 +344,8 @@
 // streams and stay: until one had let go of them and loaded, the domain would lack
 // its layers too. The small one, whose layers a large one holds, takes the place.
 func TestMendLeavesBusyEngines(t *testing.T) {
-	s := spec()
-	all := append(engines("a", "a100", 4), engines("b", "a100", 3)...)
+	s := testSpec()
+	all := append(makeEngines("a", "a100", 4), makeEngines("b", "a100", 3)...)
 	plan := Plan{}
 	PlanChain(s, all[:4], plan)
 	PlanChain(s, all[4:], plan)
@@ -354,9 +354,9 @@
 	now = append(now, all[2:]...)
 	plan["low"] = model.LayerRange{From: held.To, To: held.To + held.Len()}
 	inA := func(e Engine) bool { return e.Domain == "a" }
-	assert.Equal(t, least(holders(plan, now, inA)), 0)
-	next, changed := RepairDomains(s, plan, now, allSure)
-	assert.Assert(t, changed && least(holders(next, now, inA)) > 0, "the spare went to %s", next["low"])
+	assert.Equal(t, minCount(countHolders(plan, now, inA)), 0)
+	next, changed := RepairDomains(s, plan, now, trustAll)
+	assert.Assert(t, changed && minCount(countHolders(next, now, inA)) > 0, "the spare went to %s", next["low"])
 	for _, e := range now {
 		if e.Card.Name == "a100" {
 			assert.Equal(t, next[e.Address], plan[e.Address], e.Address)
@@ -368,10 +368,10 @@
 // calm day.
 func TestPlansNeedNoMending(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := spec()
+		s := testSpec()
 		all := drawEngines(rt)
 		plan := BuildPlan(s, all)
-		_, changed := RepairDomains(s, plan, all, allSure)
+		_, changed := RepairDomains(s, plan, all, trustAll)
 		assert.Assert(rt, !changed)
 	})
 }
@@ -380,15 +380,15 @@
 // every memory.
 func TestMendNeverUncovers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := spec()
+		s := testSpec()
 		all := drawEngines(rt)
 		plan := BuildPlan(s, all)
 		left := all[:rapid.IntRange(0, len(all)).Draw(rt, "left")]
-		next, _ := RepairDomains(s, plan, left, allSure)
-		fits(rt, s, next, left)
-		for _, group := range byDomain(left) {
+		next, _ := RepairDomains(s, plan, left, trustAll)
+		assertFits(rt, s, next, left)
+		for _, group := range groupByDomain(left) {
 			in := func(e Engine) bool { return e.Domain == group[0].Domain }
-			was, is := holders(plan, left, in), holders(next, left, in)
+			was, is := countHolders(plan, left, in), countHolders(next, left, in)
 			for l := range is {
 				assert.Assert(rt, is[l] > 0 || was[l] == 0, "layer %d was held in %s", l, group[0].Domain)
 			}
@@ -401,7 +401,7 @@
 // hold the other does.
 func TestMendFillsALargeHoleWithSeveralEngines(t *testing.T) {
 	s := weakSpec()
-	all := inDomain(weakSite(), "b")
+	all := inDomain(weakEngines(), "b")
 	plan := BuildPlan(s, all)
 	alone := func(e Engine) bool {
 		counts := Coverage(s, plan, all)
@@ -415,10 +415,10 @@
 	}
 	left := slices.DeleteFunc(slices.Clone(all), alone)
 	assert.Assert(t, len(left) < len(all) && len(UncoveredLayers(s, plan, left)) > 6)
-	next, changed := RepairDomains(s, plan, left, allSure)
+	next, changed := RepairDomains(s, plan, left, trustAll)
 	assert.Assert(t, changed)
 	assert.Equal(t, len(UncoveredLayers(s, next, left)), 0)
-	fits(t, s, next, left)
+	assertFits(t, s, next, left)
 }
 
 // BenchmarkMake plans for 2,950 engines in 18 failure domains: what the leader does
--- a/internal/coordination/placement/repair.go
+++ b/internal/coordination/placement/repair.go
@@ -6,32 +6,32 @@
 // others where they are. A new engine takes the place of one that is gone, unless
 // another range is of much more use to its failure domain.
 func Extend(spec *model.EngineSpec, plan Plan, engines []Engine) (next Plan, changed bool) {
-	next = copyOf(plan)
-	known := byAddress(engines)
-	for _, group := range byDomain(engines) {
+	next = clonePlan(plan)
+	known := indexByAddress(engines)
+	for _, group := range groupByDomain(engines) {
 		for _, e := range group {
 			if _, ok := next[e.Address]; ok {
 				continue
 			}
 			changed = true
-			extend(spec, next, engines, known, e)
+			assignRange(spec, next, engines, known, e)
 		}
 	}
 	return next, changed
 }
 
-// extend gives a range to one engine that has none.
-func extend(spec *model.EngineSpec, plan Plan, engines []Engine, known map[string]Engine, e Engine) {
-	n := needOf(spec, plan, engines, e.Domain)
-	best := n.best(e)
-	if addr := vacancy(spec, plan, known, e, n); addr != "" && n.of(e, plan[addr]) >= keepShare*n.of(e, best) {
+// assignRange gives a range to one engine that has none.
+func assignRange(spec *model.EngineSpec, plan Plan, engines []Engine, known map[string]Engine, e Engine) {
+	n := newPlacementBenefit(spec, plan, engines, e.Domain)
+	best := n.bestRange(e)
+	if addr := findVacancy(spec, plan, known, e, n); addr != "" && n.rangeBenefit(e, plan[addr]) >= minVacancyBenefit*n.rangeBenefit(e, best) {
 		best = plan[addr]
 		delete(plan, addr)
 	}
 	plan[e.Address] = best
 }
 
-func copyOf(plan Plan) Plan {
+func clonePlan(plan Plan) Plan {
 	next := make(Plan, len(plan))
 	for addr, held := range plan {
 		next[addr] = held
@@ -68,14 +68,14 @@
 // only engines whose own layers others hold as well, the slowest cards first,
 // since they carry the least.
 func Repair(spec *model.EngineSpec, plan Plan, engines []Engine) (next Plan, changed bool) {
-	next = copyOf(plan)
-	groups := byDomain(engines)
+	next = clonePlan(plan)
+	groups := groupByDomain(engines)
 	for {
 		gaps := UncoveredLayers(spec, next, engines)
 		if len(gaps) == 0 {
 			return next, changed
 		}
-		e, ok := dispensable(spec, next, engines, groups)
+		e, ok := findRedundant(spec, next, engines, groups)
 		if !ok {
 			return next, changed
 		}
@@ -84,8 +84,8 @@
 	}
 }
 
-// dispensable finds an engine whose layers are all held by others too.
-func dispensable(spec *model.EngineSpec, plan Plan, engines []Engine, groups [][]Engine) (Engine, bool) {
+// findRedundant finds an engine whose layers are all held by others too.
+func findRedundant(spec *model.EngineSpec, plan Plan, engines []Engine, groups [][]Engine) (Engine, bool) {
 	counts := Coverage(spec, plan, engines)
 	var best Engine
 	found := false
@@ -109,20 +109,20 @@
 	return true
 }
 
-// vacancy finds a planned range whose engine is gone and that fits e's memory, the
+// findVacancy finds a planned range whose engine is gone and that fits e's memory, the
 // one of most use; empty if there is none.
-func vacancy(spec *model.EngineSpec, plan Plan, known map[string]Engine, e Engine, n need) string {
+func findVacancy(spec *model.EngineSpec, plan Plan, known map[string]Engine, e Engine, n placementBenefit) string {
 	best := ""
 	most := 0.0
 	for addr, held := range plan {
 		if _, ok := known[addr]; ok || held.Len() > MaxLayers(spec, e.Card) {
 			continue
 		}
-		if tokens(spec, e.Card, held.Len()) < n.usual()*4 {
+		if tokenCapacity(spec, e.Card, held.Len()) < n.typicalTokens()*4 {
 			continue
 		}
 		// By address where the use is the same: a plan is a function of the engines.
-		if use := n.of(e, held); best == "" || use > most || use == most && addr < best {
+		if use := n.rangeBenefit(e, held); best == "" || use > most || use == most && addr < best {
 			best = addr
 			most = use
 		}
@@ -130,9 +130,9 @@
 	return best
 }
 
-// leastHeld finds where a spare should begin: the layer that is held least, in
+// leastHeldLayer finds where a spare should begin: the layer that is held least, in
 // its own domain first.
-func leastHeld(spec *model.EngineSpec, plan Plan, known map[string]Engine, e Engine) int {
+func leastHeldLayer(spec *model.EngineSpec, plan Plan, known map[string]Engine, e Engine) int {
 	const ownWeight = 2
 	counts := make([]int, spec.Layers)
 	for addr, held := range plan {
--- a/internal/coordination/placement/restore_test.go
+++ b/internal/coordination/placement/restore_test.go
@@ -20,13 +20,13 @@
 	for name, inCopy := range map[string]bool{"an older plan": true, "no plan": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newShop(t)
-				all := site()
+				s := newTestCluster(t)
+				all := mixedEngines()
 				s.add(all)
 				early := s.store.Copy()
 				s.run(12 * time.Second)
 				s.traffic.Store(true)
-				given := s.ordersGiven()
+				given := s.totalOrders()
 				inForce := s.c.plans["s"].plan
 				if inCopy {
 					s.store.Restore(early)
@@ -46,13 +46,13 @@
 				}
 				s.token.Store(int64(s.store.Put(leader.Key, []byte(`{}`))))
 				s.run(5 * time.Second)
-				assert.Assert(t, same(s.c.plans["s"].plan, inForce))
-				assert.Equal(t, s.ordersGiven(), given, "nobody is moved")
+				assert.Assert(t, equalPlans(s.c.plans["s"].plan, inForce))
+				assert.Equal(t, s.totalOrders(), given, "nobody is moved")
 				it, err := s.store.Get(context.Background(), leader.PlanPrefix+"s")
 				assert.NilError(t, err)
 				stored, err := DecodePlan(it.Value)
 				assert.NilError(t, err)
-				assert.Assert(t, same(stored, inForce), "it is written again")
+				assert.Assert(t, equalPlans(stored, inForce), "it is written again")
 			})
 		})
 	}
