--- a/internal/coordination/placement/backoff.go
+++ b/internal/coordination/placement/backoff.go
@@ -9,26 +9,25 @@
 )
 
 const (
-	// backoffThreshold is how many processes may end at an address while they load a range before
-	// the next one there waits for its order.
+	// backoffThreshold is how many processes may exit at an address while they load a
+	// range before further orders there are delayed.
 	backoffThreshold = 3
-	// initialBackoff and longestBackoff bound that wait, which doubles with each end.
+	// initialBackoff and maxBackoff bound the delay, which doubles with each further exit.
 	initialBackoff = 10 * time.Second
 	maxBackoff     = 5 * time.Minute
 )
 
-// loadExits counts the processes at one address that ended while they loaded a range.
+// loadExits counts the processes at one address that exited while they loaded a range.
 type loadExits struct {
 	layers  model.LayerRange
 	count   int
-	retryAt time.Time // no order before
+	retryAt time.Time // no order is sent earlier
 }
 
-// recordLoadExit takes in that an engine's process ended with an order of its own not
-// carried out. An order that ends the engine which it is given to would else be given to
-// each process that comes after it at the address: the layers would never be held, each
-// load would slow the others down, and streams that are moved there would be lost with it.
-// The caller holds the lock.
+// recordLoadExit records that an engine process exited before it carried out its order.
+// Without a backoff, an order that crashes its engine would be sent to every process that
+// restarts at the address. The layers would never be held, and each load would slow down
+// the others. The caller holds c.mu.
 func (c *Controller) recordLoadExit(o order) {
 	if !o.sent {
 		return
@@ -44,18 +43,17 @@
 	}
 	backoff := min(initialBackoff<<min(e.count-backoffThreshold, 10), maxBackoff)
 	e.retryAt = c.Now().Add(backoff)
-	klog.InfoS("orders withheld: engines end under them", "address", o.address, "layers", o.want.String(), "ends", e.count, "for", backoff)
+	klog.InfoS("orders withheld: engine processes exit while they load these layers", "address", o.address, "layers", o.want.String(), "ends", e.count, "for", backoff)
 }
 
-// mayLoad tells whether an engine at an address may be ordered to hold a range. The caller
-// holds the lock.
+// mayLoad reports whether an engine at an address may be ordered to hold a range. The
+// caller holds c.mu.
 func (c *Controller) mayLoad(address string, want model.LayerRange) bool {
 	e := c.loadExits[address]
 	return e == nil || e.layers != want || !c.Now().Before(e.retryAt)
 }
 
-// clearLoadExits takes in that an engine holds what it was ordered to. The caller holds the
-// lock.
+// clearLoadExits resets the backoff of an engine that holds layers. The caller holds c.mu.
 func (c *Controller) clearLoadExits(b *model.BackendServer) {
 	if b.Holds.Len() > 0 {
 		delete(c.loadExits, b.Address)
