--- a/internal/coordination/placement/balance.go
+++ b/internal/coordination/placement/balance.go
@@ -8,34 +8,33 @@
 )
 
 const (
-	// shortageOffsetRequests is the room, in usual requests, below which a layer counts as
-	// all but bare: the fewer it has the more one place there is worth, and
-	// infinitely much would be a layer's last token.
+	// shortageOffsetRequests is a token capacity, in typical requests, that is added to
+	// each layer so that the shortage of an empty layer stays finite.
 	shortageOffsetRequests = 20
-	// minVacancyBenefit is how much of the best range's use a vacant one must have to be
-	// taken up: its neighbours begin and end where it does, so that chains through
-	// it have fewer parts.
+	// minVacancyBenefit is the share of the best range's benefit that a vacant range must
+	// have to be reused. Chains through a reused range have fewer stages, since its
+	// neighbors begin and end where it does.
 	minVacancyBenefit = 0.7
-	// maxMoves is how many engines one look moves within a failure domain: two small
-	// ones fill the place of a larger one, and a third what is left of it.
+	// maxMoves is how many engines one repair moves within a failure domain. Two small
+	// engines can replace a larger one, and a third one the remainder.
 	maxMoves = 3
-	// minRemainingShare is the share of its domain's mean room that each of an engine's
-	// layers must have without it for the engine to be spared.
+	// minRemainingShare is the share of the domain's mean token capacity that each layer
+	// of an engine must keep without it before the engine may be moved.
 	minRemainingShare = 0.5
 )
 
-// layerCapacity is how many tokens have layerCapacity at each layer; each stream needs all layers.
+// layerCapacity is the token capacity of each layer. Every stream needs all layers.
 type layerCapacity []float64
 
 func layerCapacityOf(spec *model.EngineSpec, plan Plan, engines []Engine) layerCapacity {
-	r := make(layerCapacity, spec.Layers)
+	c := make(layerCapacity, spec.Layers)
 	for _, e := range engines {
-		r.add(plan[e.Address], rangeCapacity(spec, e, plan[e.Address]), 1)
+		c.add(plan[e.Address], rangeCapacity(spec, e, plan[e.Address]), 1)
 	}
-	return r
+	return c
 }
 
-// rangeCapacity is the room that an engine gives each layer of a range.
+// rangeCapacity returns how many tokens an engine has memory for in each layer of a range.
 func rangeCapacity(spec *model.EngineSpec, e Engine, held model.LayerRange) float64 {
 	if held.Len() <= 0 {
 		return 0
@@ -43,98 +42,99 @@
 	return math.Max(tokenCapacity(spec, e.Card, held.Len()), 0)
 }
 
-func (r layerCapacity) add(held model.LayerRange, tokens, sign float64) {
-	for l := held.From; l < min(held.To, len(r)); l++ {
-		r[l] += sign * tokens
+func (c layerCapacity) add(held model.LayerRange, tokens, sign float64) {
+	for l := held.From; l < min(held.To, len(c)); l++ {
+		c[l] += sign * tokens
 	}
 }
 
-func (r layerCapacity) mean() float64 {
+func (c layerCapacity) mean() float64 {
 	sum := 0.0
-	for _, t := range r {
+	for _, t := range c {
 		sum += t
 	}
-	return sum / float64(max(len(r), 1))
+	return sum / float64(max(len(c), 1))
 }
 
-// shortage of a layer is one over the square of its room, so that the thinnest
-// layers count; bare bounds it.
-func shortage(bare, has float64) float64 {
-	t := math.Max(has, 0) + bare
-	return 1 / (t * t)
+// shortage is the inverse square of a layer's token capacity, so that the layers with the
+// least capacity dominate. The offset bounds it.
+func shortage(offset, capacity float64) float64 {
+	total := math.Max(capacity, 0) + offset
+	return 1 / (total * total)
 }
 
-// placementBenefit is what an engine of one failure domain could relieve.
+// placementBenefit computes how much an engine of one failure domain would reduce the
+// shortage of layers.
 type placementBenefit struct {
-	spec  *model.EngineSpec
-	own   layerCapacity // of its domain
-	total layerCapacity // of all domains
+	spec   *model.EngineSpec
+	domain layerCapacity // of the engine's failure domain
+	total  layerCapacity // of all failure domains
 }
 
 func newPlacementBenefit(spec *model.EngineSpec, plan Plan, engines []Engine, domain string) placementBenefit {
-	return placementBenefit{spec: spec, own: layerCapacityOf(spec, plan, inDomain(engines, domain)), total: layerCapacityOf(spec, plan, engines)}
+	return placementBenefit{spec: spec, domain: layerCapacityOf(spec, plan, inDomain(engines, domain)), total: layerCapacityOf(spec, plan, engines)}
 }
 
 func inDomain(engines []Engine, domain string) []Engine {
-	var own []Engine
+	var out []Engine
 	for _, e := range engines {
 		if e.Domain == domain {
-			own = append(own, e)
+			out = append(out, e)
 		}
 	}
-	return own
+	return out
 }
 
-// layerBenefit is what an engine with so many tokens a layer relieves layerBenefit one layer: for its
-// domain, and for all, who come to it over the pipes.
-func (n placementBenefit) layerBenefit(layer int, tokens float64) float64 {
-	return n.shortageReduction(n.own[layer], tokens) + n.shortageReduction(n.total[layer], tokens)
+// layerBenefit returns the benefit of more token capacity at one layer: for the failure
+// domain itself, and for all others, which reach the layer over the interconnects.
+func (b placementBenefit) layerBenefit(layer int, tokens float64) float64 {
+	return b.shortageReduction(b.domain[layer], tokens) + b.shortageReduction(b.total[layer], tokens)
 }
 
-// shortageReduction is by how much a layer's shortage falls when it gets more room.
-func (n placementBenefit) shortageReduction(has, more float64) float64 {
-	return shortage(n.shortageOffset(), has) - shortage(n.shortageOffset(), has+more)
+// shortageReduction returns by how much the shortage of a layer falls with more capacity.
+func (b placementBenefit) shortageReduction(capacity, added float64) float64 {
+	return shortage(b.shortageOffset(), capacity) - shortage(b.shortageOffset(), capacity+added)
 }
 
-func (n placementBenefit) shortageOffset() float64 { return shortageOffsetRequests * n.typicalTokens() }
+func (b placementBenefit) shortageOffset() float64 { return shortageOffsetRequests * b.typicalTokens() }
 
-// typicalTokens is what a typicalTokens request holds, in tokens.
-func (n placementBenefit) typicalTokens() float64 {
-	return float64(max(n.spec.UsualPrompt+n.spec.UsualAnswer, 1))
+// typicalTokens returns the number of tokens of a typical request.
+func (b placementBenefit) typicalTokens() float64 {
+	return float64(max(b.spec.UsualPrompt+b.spec.UsualAnswer, 1))
 }
 
-// rangeBenefit is what an engine relieves with a range.
-func (n placementBenefit) rangeBenefit(e Engine, held model.LayerRange) float64 {
-	t := rangeCapacity(n.spec, e, held)
+// rangeBenefit returns the benefit of an engine that holds a range.
+func (b placementBenefit) rangeBenefit(e Engine, held model.LayerRange) float64 {
+	tokens := rangeCapacity(b.spec, e, held)
 	sum := 0.0
-	for l := held.From; l < min(held.To, len(n.own)); l++ {
-		sum += n.layerBenefit(l, t)
+	for l := held.From; l < min(held.To, len(b.domain)); l++ {
+		sum += b.layerBenefit(l, tokens)
 	}
 	return sum
 }
 
-// apply counts an engine's range in, or out with sign -1.
-func (n placementBenefit) apply(e Engine, held model.LayerRange, sign float64) {
-	t := rangeCapacity(n.spec, e, held)
-	n.own.add(held, t, sign)
-	n.total.add(held, t, sign)
+// apply adds the capacity of an engine's range, or subtracts it with sign -1.
+func (b placementBenefit) apply(e Engine, held model.LayerRange, sign float64) {
+	tokens := rangeCapacity(b.spec, e, held)
+	b.domain.add(held, tokens, sign)
+	b.total.add(held, tokens, sign)
 }
 
-// bestRange finds the range with which an engine relieves most. A long one serves more
-// layers, a short one leaves more room in each.
-func (n placementBenefit) bestRange(e Engine) model.LayerRange {
+// bestRange returns the range with the greatest benefit for an engine. A long range serves
+// more layers, a short one leaves more token capacity in each.
+func (b placementBenefit) bestRange(e Engine) model.LayerRange {
 	var best model.LayerRange
-	most := 0.0
-	for size := 1; size <= MaxLayers(n.spec, e.Card); size++ {
-		t := math.Max(tokenCapacity(n.spec, e.Card, size), 0)
+	bestSum := 0.0
+	for size := 1; size <= MaxLayers(b.spec, e.Card); size++ {
+		tokens := math.Max(tokenCapacity(b.spec, e.Card, size), 0)
 		sum := 0.0
-		for end := range n.spec.Layers {
-			sum += n.layerBenefit(end, t)
+		for end := range b.spec.Layers {
+			sum += b.layerBenefit(end, tokens)
 			if end >= size {
-				sum -= n.layerBenefit(end-size, t)
+				sum -= b.layerBenefit(end-size, tokens)
 			}
-			if end+1 >= size && sum > most {
-				most = sum
+			if end+1 >= size && sum > bestSum {
+				bestSum = sum
 				best = model.LayerRange{From: end + 1 - size, To: end + 1}
 			}
 		}
@@ -142,59 +142,58 @@
 	return best
 }
 
-// RepairDomains makes failure domains whole that hold as many layers as the model has but
-// not each of them: their streams else go over the pipes to other domains and back
-// for a few layers, and once the pipes are full their engines stand idle while
-// callers are refused.
+// RepairDomains moves engines within failure domains that plan as many layers as the model
+// has but do not cover all of them. Streams of such a domain cross the interconnects for a
+// few layers. Once these are full, the domain's engines are idle while requests are
+// refused.
 //
-// It moves engines that are spared, the slowest cards first. An engine that gives
-// up layers takes nothing new until the last stream has left it, ten seconds and
-// more for a busy one, and only then loads: to move one that carries the domain's
-// streams costs more than the hole.
+// Only engines whose layers others hold with capacity to spare are moved, those with the
+// slowest cards first. An engine that gives up layers accepts no streams until its running
+// ones have left, and only then loads. Moving a busy engine costs more than the missing
+// layers.
 //
-// sure tells, by address, which engines are known to do their work: while the store
-// is away others may be gone and still be listed, and what they seem to hold is no
-// ground for taking an engine away that does hold it.
-func RepairDomains(spec *model.EngineSpec, plan Plan, engines []Engine, sure func(address string) bool) (next Plan, changed bool) {
+// Only engines for which trusted returns true are moved or counted as other holders of a
+// layer. While the store is unavailable, engines that have exited may still be listed.
+func RepairDomains(spec *model.EngineSpec, plan Plan, engines []Engine, trusted func(address string) bool) (next Plan, changed bool) {
 	next = clonePlan(plan)
 	for _, group := range groupByDomain(engines) {
 		if len(UncoveredLayers(spec, next, group)) == 0 || countPlanned(next, group) < spec.Layers {
 			continue
 		}
-		known := slices.DeleteFunc(slices.Clone(group), func(e Engine) bool { return !sure(e.Address) })
+		movable := slices.DeleteFunc(slices.Clone(group), func(e Engine) bool { return !trusted(e.Address) })
 		for range maxMoves {
-			e, ok := findSpare(spec, next, known)
+			e, ok := findSpare(spec, next, movable)
 			if !ok || len(UncoveredLayers(spec, next, group)) == 0 {
 				break
 			}
-			n := newPlacementBenefit(spec, next, engines, e.Domain)
-			n.apply(e, next[e.Address], -1)
-			next[e.Address] = n.bestRange(e)
+			benefit := newPlacementBenefit(spec, next, engines, e.Domain)
+			benefit.apply(e, next[e.Address], -1)
+			next[e.Address] = benefit.bestRange(e)
 			changed = true
 		}
 	}
 	return next, changed
 }
 
-// findSpare finds the slowest engine of some of one domain whose layers others of them
-// hold with room to spare.
-func findSpare(spec *model.EngineSpec, plan Plan, group []Engine) (who Engine, ok bool) {
-	own := layerCapacityOf(spec, plan, group)
-	least := minRemainingShare * own.mean()
+// findSpare returns the engine with the slowest card among those of one failure domain
+// whose layers the others hold with capacity to spare.
+func findSpare(spec *model.EngineSpec, plan Plan, group []Engine) (best Engine, ok bool) {
+	capacity := layerCapacityOf(spec, plan, group)
+	minTokens := minRemainingShare * capacity.mean()
 	for _, e := range group {
 		held := plan[e.Address]
-		enough := held.Len() > 0
-		for l := held.From; l < min(held.To, len(own)); l++ {
-			enough = enough && own[l]-rangeCapacity(spec, e, held) >= least
+		spare := held.Len() > 0
+		for l := held.From; l < min(held.To, len(capacity)); l++ {
+			spare = spare && capacity[l]-rangeCapacity(spec, e, held) >= minTokens
 		}
-		if enough && (!ok || e.Card.Pace > who.Card.Pace) {
-			who, ok = e, true
+		if spare && (!ok || e.Card.Pace > best.Card.Pace) {
+			best, ok = e, true
 		}
 	}
-	return who, ok
+	return best, ok
 }
 
-// countPlanned adds up the layers that engines hold, those held twice counted twice.
+// countPlanned sums the planned layers of engines. A layer held twice counts twice.
 func countPlanned(plan Plan, engines []Engine) int {
 	sum := 0
 	for _, e := range engines {
