--- a/internal/coordination/placement/bound.go
+++ b/internal/coordination/placement/bound.go
@@ -6,23 +6,23 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// bisectionSteps halve the interval in which a flow is sought; 40 leave it exact to a
-// millionth of a millionth.
+// bisectionSteps is the number of bisection steps by which MaxFlow approaches the maximum.
 const bisectionSteps = 40
 
-// Capacity is what an engine has to give to the layers that it holds, in units x
+// Capacity returns what an engine can process for the layers that it holds, in units times
 // layers.
 type Capacity func(e Engine, held model.LayerRange) float64
 
-// MemoryCapacity is an engine's token memory beside the weights of its range, in
-// tokens x layers.
+// MemoryCapacity returns the memory of an engine that the weights of its range leave for
+// tokens, in tokens times layers.
 func MemoryCapacity(spec *model.EngineSpec) Capacity {
 	return func(e Engine, held model.LayerRange) float64 {
 		return rangeCapacity(spec, e, held) * float64(held.Len())
 	}
 }
 
-// PrefillCapacity is how many prompt tokens a second an engine reads, times layers.
+// PrefillCapacity returns the prefill rate of an engine, in prompt tokens per second times
+// layers.
 func PrefillCapacity(spec *model.EngineSpec) Capacity {
 	return func(e Engine, _ model.LayerRange) float64 {
 		if e.Card.ReadFactor <= 0 {
@@ -32,22 +32,22 @@
 	}
 }
 
-// MaxFlow is how much passes through all layers at most: each unit needs every layer
-// once, at any engine that holds it, and an engine divides what it has among its
-// layers as it likes. It is the maximum flow from the layers to the engines.
+// MaxFlow returns the greatest amount that can pass through all layers. Each unit needs
+// every layer once, at any engine that holds it. An engine divides its capacity freely
+// among its layers. This is the maximum flow from layers to engines.
 //
-// Ranges are intervals. So a given amount passes if it does where each layer, in
-// order, is served by the engine whose range ends first; the greatest such amount
-// is found by halving.
-func MaxFlow(spec *model.EngineSpec, plan Plan, engines []Engine, supply Capacity) float64 {
+// Ranges are intervals, so an amount is feasible if it passes when each layer in order is
+// served by the engine whose range ends first. The greatest feasible amount is found by
+// bisection.
+func MaxFlow(spec *model.EngineSpec, plan Plan, engines []Engine, capacity Capacity) float64 {
 	low, high := 0.0, 0.0
 	for _, e := range engines {
-		high += supply(e, plan[e.Address])
+		high += capacity(e, plan[e.Address])
 	}
 	high /= float64(max(spec.Layers, 1))
 	for range bisectionSteps {
 		amount := (low + high) / 2
-		if feasible(spec, plan, engines, supply, amount) {
+		if feasible(spec, plan, engines, capacity, amount) {
 			low = amount
 		} else {
 			high = amount
@@ -56,34 +56,34 @@
 	return low
 }
 
-// feasible tells whether an amount feasible through all layers.
-func feasible(spec *model.EngineSpec, plan Plan, engines []Engine, supply Capacity, amount float64) bool {
-	left := make([]float64, len(engines))
+// feasible reports whether an amount can pass through all layers.
+func feasible(spec *model.EngineSpec, plan Plan, engines []Engine, capacity Capacity, amount float64) bool {
+	remaining := make([]float64, len(engines))
 	for i, e := range engines {
-		left[i] = supply(e, plan[e.Address])
+		remaining[i] = capacity(e, plan[e.Address])
 	}
 	for layer := range spec.Layers {
-		wanted := amount
-		for wanted > 0 {
-			i := earliestEnding(plan, engines, left, layer)
+		demand := amount
+		for demand > 0 {
+			i := earliestEnding(plan, engines, remaining, layer)
 			if i < 0 {
 				return false
 			}
-			taken := math.Min(left[i], wanted)
-			left[i] -= taken
-			wanted -= taken
+			used := math.Min(remaining[i], demand)
+			remaining[i] -= used
+			demand -= used
 		}
 	}
 	return true
 }
 
-// earliestEnding finds the engine that holds a layer, has something left, and whose
-// range ends first; -1 if there is none.
-func earliestEnding(plan Plan, engines []Engine, left []float64, layer int) int {
+// earliestEnding returns the index of the engine that holds a layer, has capacity
+// remaining, and whose range ends first. It returns -1 if there is none.
+func earliestEnding(plan Plan, engines []Engine, remaining []float64, layer int) int {
 	first := -1
 	for i, e := range engines {
 		held := plan[e.Address]
-		if left[i] <= 0 || layer < held.From || layer >= held.To {
+		if remaining[i] <= 0 || layer < held.From || layer >= held.To {
 			continue
 		}
 		if first < 0 || held.To < plan[engines[first].Address].To {
@@ -93,46 +93,46 @@
 	return first
 }
 
-// MemoryBound is how many tokens have room at once at most, whatever the plan:
-// the weights lie in memory once, and all the rest holds tokens.
+// MemoryBound returns an upper bound on the tokens that fit into memory under any plan:
+// the weights are held once, and the remaining memory holds tokens.
 func MemoryBound(spec *model.EngineSpec, engines []Engine) float64 {
 	mb := -float64(spec.Layers) * spec.LayerMB
 	for _, e := range engines {
 		mb += e.Card.MB
 	}
-	per := float64(spec.Layers) * spec.LayerTokenMB()
-	if per <= 0 {
+	perToken := float64(spec.Layers) * spec.LayerTokenMB()
+	if perToken <= 0 {
 		return 0
 	}
-	return math.Max(mb/per, 0)
+	return math.Max(mb/perToken, 0)
 }
 
-// PrefillBound is how many prompt tokens a second are read at most, whatever the
-// plan: every engine always reads.
+// PrefillBound returns an upper bound on the prefill rate under any plan, in prompt tokens
+// per second. It assumes that every engine is always busy with prefill.
 func PrefillBound(spec *model.EngineSpec, engines []Engine) float64 {
-	supply := PrefillCapacity(spec)
+	capacity := PrefillCapacity(spec)
 	sum := 0.0
 	for _, e := range engines {
-		sum += supply(e, model.LayerRange{})
+		sum += capacity(e, model.LayerRange{})
 	}
 	return sum / float64(max(spec.Layers, 1))
 }
 
-// MinStages is how many engines the shortest chain through a plan has; 0 where layers
-// lack.
+// MinStages returns the number of stages of the shortest chain through a plan, or 0 if the
+// plan does not cover all layers.
 func MinStages(spec *model.EngineSpec, plan Plan, engines []Engine) int {
 	n := 0
 	for at := 0; at < spec.Layers; n++ {
-		far := at
+		reach := at
 		for _, e := range engines {
 			if held := plan[e.Address]; held.From <= at {
-				far = max(far, held.To)
+				reach = max(reach, held.To)
 			}
 		}
-		if far == at {
+		if reach == at {
 			return 0
 		}
-		at = far
+		at = reach
 	}
 	return n
 }
