--- a/internal/coordination/placement/controller.go
+++ b/internal/coordination/placement/controller.go
@@ -16,42 +16,44 @@
 )
 
 const (
-	// settleDelay is how long no engine must have appeared before the first
-	// plan: engines register over the first seconds, and a plan made too early
-	// lacks whole chains.
+	// settleDelay is how long no new engine must have appeared before the first plan is
+	// built. Engines register over the first seconds, and a plan built too early lacks
+	// whole chains.
 	settleDelay = 1500 * time.Millisecond
-	// maxSettleDelay bounds the wait for engines that keep appearing.
+	// maxSettleDelay bounds the wait while engines keep appearing.
 	maxSettleDelay = 6 * time.Second
-	// newEngineDelay is how long an engine that appears later is left empty: a
+	// newEngineDelay is how long an engine that appears later stays empty, since a
 	// replacement registers shortly before its predecessor leaves.
 	newEngineDelay = 1200 * time.Millisecond
-	// gapDelay is how long layers may be held by nobody before other engines are
-	// moved there: an engine that restarts is back within some three seconds
-	// and takes its own range again, at the price of one load instead of two.
+	// gapDelay is how long layers may be held by no engine before others are moved there.
+	// An engine that restarts takes its own range again, which costs one load instead of
+	// two.
 	gapDelay = 2 * time.Second
-	// orderTimeout bounds an order's answer, which only says that it began.
+	// orderTimeout bounds the wait for the answer to an order, which only acknowledges
+	// that it began.
 	orderTimeout = time.Second
 )
 
-// Controller carries the plan out while this process leads.
+// Controller applies the placement plan while this process is the leader.
 type Controller struct {
 	Config  *routes.ActiveConfig
 	Catalog *catalog.Catalog
 	Store   platform.Store
 	Engines EngineClient
-	// FencingToken is the fencing token; 0 while another process leads.
+	// FencingToken returns the token of the current leadership, or 0 while another process
+	// leads.
 	FencingToken func() model.Revision
-	// OnFenced is told that an engine refused a token.
+	// OnFenced is called when an engine rejects a token because it has seen a higher one.
 	OnFenced func(token model.Revision)
-	// HasTraffic tells whether callers' requests were seen by any router.
+	// HasTraffic reports whether any router has received requests.
 	HasTraffic func() bool
-	// Suspected tells whether there is evidence against an engine; nil for never.
+	// Suspected reports whether there is evidence against an engine. Nil means never.
 	Suspected func(engine model.Incarnation) bool
-	// Unreachable tells whether an engine has answered nobody here for a while, whatever its
-	// entry says; nil for never.
+	// Unreachable reports whether an engine has not answered this router for a while, even
+	// if it is still listed. Nil means never.
 	Unreachable func(engine model.Incarnation) bool
-	// StreamCount counts the streams that run through an engine, as far as known; nil
-	// where that is not counted.
+	// StreamCount returns the known number of streams that run through an engine. If nil,
+	// all engines count as busy.
 	StreamCount func(engine model.Incarnation) float64
 	Now         func() time.Time
 
@@ -60,30 +62,32 @@
 	pending        map[model.Incarnation]order
 	appearedAt     map[model.Incarnation]time.Time
 	startedAt      time.Time
-	lastAppearance time.Time             // when the last engine appeared
+	lastAppearance time.Time             // of any engine
 	loadExits      map[string]*loadExits // by address
-	// gapSince is since when some layer of a service is held by nobody.
+	// gapSince is the time, by service, since when no engine holds some layer.
 	gapSince map[string]time.Time
-	// domainGapSince is since when some failure domain lacks layers that its own engines
-	// could hold.
+	// domainGapSince is the time, by service, since when some failure domain lacks layers
+	// that its own engines could hold.
 	domainGapSince map[string]time.Time
-	// domainGapCheckedAt is when they were last looked for.
+	// domainGapCheckedAt is the time, by service, of the last check of failure domains.
 	domainGapCheckedAt map[string]time.Time
 }
 
-// storedPlan is a plan and the store's revision of it.
+// storedPlan is a plan with its revision in the store.
 type storedPlan struct {
 	plan     Plan
 	revision model.Revision
-	// needsWrite says that the store does not hold it, as it came back from an older copy.
+	// needsWrite is set after the store was restored from an older copy, which may lack
+	// the plan.
 	needsWrite bool
 }
 
-// ObservePlan takes in a plan from the store.
+// ObservePlan records a plan that was read from the store. A plan that cannot be decoded
+// is logged and ignored.
 func (c *Controller) ObservePlan(service string, value []byte, revision model.Revision) {
 	plan, err := DecodePlan(value)
 	if err != nil {
-		klog.InfoS("stored plan cannot be read", "service", service, "revision", revision, "err", err)
+		klog.InfoS("cannot decode stored plan", "service", service, "revision", revision, "err", err)
 		return
 	}
 	c.acceptPlan(service, storedPlan{plan: plan, revision: revision})
@@ -103,7 +107,8 @@
 	}
 }
 
-// Tick does what is due. It is called a few times a second.
+// Tick updates and stores the plans and sends the orders that are due. It must be called a
+// few times per second.
 func (c *Controller) Tick(ctx context.Context) {
 	table := c.Config.Load()
 	if table == nil {
@@ -134,7 +139,8 @@
 	c.sendOrders(ctx, svc, servers, plan, token)
 }
 
-// placeableEngines lists the placeableEngines that can be placed and notes when each appeared.
+// placeableEngines returns the engines with a configured card, and records when each
+// engine appeared.
 func (c *Controller) placeableEngines(svc *model.Service) []*model.BackendServer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,11 +151,11 @@
 	for _, b := range c.Catalog.Load().Service(svc.Name) {
 		present[b.Incarnation()] = true
 		if _, ok := svc.Engine.Card(b.Card); !ok {
-			c.recordAppearance(b, now, "card is not listed")
+			c.recordAppearance(b, now, "card is not configured")
 			continue
 		}
 		if b.Holds.To > svc.Engine.Layers {
-			c.recordAppearance(b, now, "holds layers outside of the model")
+			c.recordAppearance(b, now, "held layers exceed the model")
 		}
 		c.recordAppearance(b, now, "")
 		out = append(out, b)
@@ -164,30 +170,30 @@
 	return out
 }
 
-func (c *Controller) recordAppearance(b *model.BackendServer, now time.Time, why string) {
+func (c *Controller) recordAppearance(b *model.BackendServer, now time.Time, reason string) {
 	if _, ok := c.appearedAt[b.Incarnation()]; ok {
 		return
 	}
 	c.appearedAt[b.Incarnation()] = now
 	c.lastAppearance = now
-	if why != "" {
-		klog.InfoS("engine entry is malformed", "server", b.Incarnation(), "why", why, "card", b.Card, "holds", b.Holds.String())
+	if reason != "" {
+		klog.InfoS("engine entry is malformed", "server", b.Incarnation(), "why", reason, "card", b.Card, "holds", b.Holds.String())
 	}
 }
 
-// currentPlan gives the currentPlan to carry out; nil while it is too early for one.
+// currentPlan returns the plan to apply, or nil while too few engines have registered.
 func (c *Controller) currentPlan(svc *model.Service, servers []*model.BackendServer) Plan {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Now()
 	old := c.plans[svc.Name]
-	fresh := !c.HasTraffic()
-	if old.plan == nil || fresh && hasUnplanned(old.plan, c.plannerEngines(svc, servers, now, 0)) {
-		quiet := now.Sub(c.lastAppearance)
-		if len(servers) == 0 || quiet < settleDelay && now.Sub(c.startedAt) < maxSettleDelay {
+	noTraffic := !c.HasTraffic()
+	if old.plan == nil || noTraffic && hasUnplanned(old.plan, c.plannerEngines(svc, servers, now, 0)) {
+		sinceLast := now.Sub(c.lastAppearance)
+		if len(servers) == 0 || sinceLast < settleDelay && now.Sub(c.startedAt) < maxSettleDelay {
 			return old.plan
 		}
-		if old.plan == nil && !fresh {
+		if old.plan == nil && !noTraffic {
 			return PlanFromHeldLayers(svc.Engine, c.plannerEngines(svc, servers, now, 0), servers)
 		}
 		return BuildPlan(svc.Engine, c.plannerEngines(svc, servers, now, 0))
@@ -202,13 +208,13 @@
 	}
 	repaired, changed := Repair(svc.Engine, next, settled)
 	if changed {
-		klog.InfoS("plan repaired: layers were held by nobody", "service", svc.Name, "layers", UncoveredLayers(svc.Engine, next, settled))
+		klog.InfoS("plan repaired: some layers were held by no engine", "service", svc.Name, "layers", UncoveredLayers(svc.Engine, next, settled))
 		delete(c.gapSince, svc.Name)
 	}
 	return repaired
 }
 
-// hasUnplanned tells whether some engine has no range.
+// hasUnplanned reports whether the plan has no range for some engine.
 func hasUnplanned(plan Plan, engines []Engine) bool {
 	for _, e := range engines {
 		if _, ok := plan[e.Address]; !ok {
@@ -218,11 +224,12 @@
 	return false
 }
 
-// plannerEngines gives the planner's view of engines that have been there a while.
-func (c *Controller) plannerEngines(svc *model.Service, servers []*model.BackendServer, now time.Time, age time.Duration) []Engine {
+// plannerEngines returns the planner's view of the engines that appeared at least minAge
+// ago.
+func (c *Controller) plannerEngines(svc *model.Service, servers []*model.BackendServer, now time.Time, minAge time.Duration) []Engine {
 	var out []Engine
 	for _, b := range servers {
-		if now.Sub(c.appearedAt[b.Incarnation()]) < age {
+		if now.Sub(c.appearedAt[b.Incarnation()]) < minAge {
 			continue
 		}
 		card, _ := svc.Engine.Card(b.Card)
@@ -231,8 +238,8 @@
 	return out
 }
 
-// persist stores a changed plan under the condition that this process still
-// leads: the leadership key has the revision that is the token.
+// persist stores a changed plan and reports whether the plan is in effect. The write is
+// conditional on the leadership key, whose revision is the fencing token.
 func (c *Controller) persist(ctx context.Context, service string, plan Plan, token model.Revision) bool {
 	c.mu.Lock()
 	old := c.plans[service]
@@ -242,7 +249,7 @@
 	}
 	value, err := json.Marshal(plan)
 	if err != nil {
-		klog.ErrorS(err, "plan not encoded", "service", service)
+		klog.ErrorS(err, "cannot encode plan", "service", service)
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -252,17 +259,16 @@
 		Put: []platform.Item{{Key: leader.PlanPrefix + service, Value: value}},
 	})
 	if err != nil {
-		klog.InfoS("plan not stored", "service", service, "token", token, "err", err)
+		klog.InfoS("cannot store plan", "service", service, "token", token, "err", err)
 		return false
 	}
 	klog.InfoS("plan stored", "service", service, "token", token, "revision", revision, "engines", len(plan), "before", len(old.plan))
 	return c.acceptPlan(service, storedPlan{plan: plan, revision: revision})
 }
 
-// acceptPlan keeps a plan unless a newer one is known, and tells whether it is the one
-// that is known now. The store's answer may come after the watch has shown what the
-// next leader stored; taken for newer by the order of arrival, the older plan would
-// be extended and stored again when this process leads once more.
+// acceptPlan records a plan unless a newer one is known, and reports whether it is now the
+// known one. Plans are compared by revision: the result of a write may arrive after the
+// watch has shown a plan that the next leader stored.
 func (c *Controller) acceptPlan(service string, p storedPlan) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -270,8 +276,8 @@
 	old := c.plans[service]
 	switch {
 	case old.needsWrite && old.revision.Era() < p.revision.Era() && !equalPlans(old.plan, p.plan):
-		// The first plan that is read in a new era is a copy's: an older one. Carried out,
-		// it would move engines back.
+		// The first plan that is read after a restore comes from the older copy. Applying it
+		// would move engines back.
 		old.revision = p.revision
 		c.plans[service] = old
 	case old.revision < p.revision:
@@ -280,8 +286,8 @@
 	return c.plans[service].revision == p.revision
 }
 
-// HandleStoreRestore takes in that the store came back from an older copy: the plans in force stay, and
-// whoever leads writes them again.
+// HandleStoreRestore marks all plans as not stored after the store was restored from an
+// older copy. The plans stay in effect, and the leader writes them again.
 func (c *Controller) HandleStoreRestore() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -303,8 +309,8 @@
 	return true
 }
 
-// PlanFromHeldLayers makes a plan of what engines hold already, where the stored plan is
-// not known; empty engines are then added as newcomers.
+// PlanFromHeldLayers builds a plan from the layers that engines already hold, for use when
+// the stored plan is unknown. Empty engines are added as by Extend.
 func PlanFromHeldLayers(spec *model.EngineSpec, engines []Engine, servers []*model.BackendServer) Plan {
 	plan := Plan{}
 	for _, b := range servers {
