--- a/internal/coordination/placement/orders.go
+++ b/internal/coordination/placement/orders.go
@@ -11,46 +11,48 @@
 )
 
 const (
-	// loadMargin is added to the time a load should take before the order is
-	// taken for lost and given again.
+	// loadMargin is added to the expected load time before an order counts as lost and is
+	// sent again.
 	loadMargin = 3 * time.Second
-	// maxConcurrentOrders bounds the engines that are asked and ordered at one moment: each is
-	// a connection with its buffers, some 20 KB, and where thousands of engines start
-	// the leader would have one to each. In 10 ms an order they are all given within a
-	// second.
+	// maxConcurrentOrders bounds the engines that are contacted at once. Each takes a
+	// connection with its buffers, which matters when thousands of engines start together.
 	maxConcurrentOrders = 64
-	// orderRetryDelay is how long an engine that refused an order is left alone.
+	// orderRetryDelay is the delay before the next order to an engine that refused one,
+	// did not answer, or was busy.
 	orderRetryDelay = time.Second
 )
 
-// OrderResult is what became of an order.
+// OrderResult is the outcome of an order.
 type OrderResult int
 
-// Results of an order. Unknown may be carried out, also later.
+// Results of an order. An order with result OrderUnknown may still be carried out later.
 const (
 	OrderUnknown OrderResult = iota
 	OrderAccepted
 	OrderRefused
-	OrderFenced // a higher fencing token was seen
+	OrderFenced // the engine has seen a higher fencing token
 )
 
-// EngineClient gives orders to engines and reads their reports.
+// EngineClient sends orders to engines and reads their reports.
 type EngineClient interface {
 	Report(ctx context.Context, b *model.BackendServer) (model.EngineReport, error)
-	// Place orders an engine to hold a range, if expected orders were begun.
+	// Place orders an engine to hold a range. The engine accepts it only if it has begun
+	// expected orders since its start and has seen no higher fencing token than fence.
 	Place(ctx context.Context, b *model.BackendServer, held model.LayerRange, fence, expected int64) (OrderResult, error)
 }
 
+// order is the last order to an engine, or a delay before the next one if it was not sent.
 type order struct {
 	address  string
 	want     model.LayerRange
-	deadline time.Time // given up then
-	sent     bool      // the engine may carry it out
+	deadline time.Time // no further order is sent earlier
+	sent     bool      // the engine may carry out the order
 }
 
-// sendOrders orders what differs from the plan: whole chains of fast cards
-// first, so that requests are served before all loads are done, and no more at
-// once than load without slowing each other down, once there is traffic.
+// sendOrders orders engines to load the layers in which they differ from the plan.
+// Complete chains of fast cards come first, so that requests are served before all loads
+// are done. Once there is traffic, no more loads run at once than do not slow each other
+// down.
 func (c *Controller) sendOrders(ctx context.Context, svc *model.Service, servers []*model.BackendServer, plan Plan, token model.Revision) {
 	due := make(chan *model.BackendServer, len(servers))
 	for _, b := range c.dueOrders(svc, servers, plan) {
@@ -66,13 +68,14 @@
 	}
 }
 
+// dueOrders returns the engines to order now, and records the orders as pending.
 func (c *Controller) dueOrders(svc *model.Service, servers []*model.BackendServer, plan Plan) []*model.BackendServer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Now()
-	most := len(servers)
+	maxLoads := len(servers)
 	if c.HasTraffic() {
-		most = svc.Engine.LoadsAtOnce
+		maxLoads = svc.Engine.LoadsAtOnce
 	}
 	loading := 0
 	var due []*model.BackendServer
@@ -92,43 +95,42 @@
 		}
 		card, _ := svc.Engine.Card(b.Card)
 		if want.Len() > MaxLayers(svc.Engine, card) {
-			klog.InfoS("order withheld: more layers than memory", "server", b.Incarnation(), "card", b.Card, "layers", want.String())
+			klog.InfoS("order withheld: planned layers exceed the memory of the card", "server", b.Incarnation(), "card", b.Card, "layers", want.String())
 			continue
 		}
 		due = append(due, b)
 	}
 	first := firstChains(svc.Engine, plan, c.plannerEngines(svc, servers, now, 0))
 	sort.SliceStable(due, func(i, j int) bool { return loadsBefore(svc.Engine, plan, first, due[i], due[j]) })
-	due = due[:max(min(len(due), most-loading), 0)]
+	due = due[:max(min(len(due), maxLoads-loading), 0)]
 	for _, b := range due {
 		want := plan[b.Address]
 		share := float64(want.Len()) / float64(max(svc.Engine.Layers, 1))
-		crowd := max(float64(len(due)+loading)/float64(svc.Engine.LoadsAtOnce), 1)
-		takes := time.Duration(float64(svc.Engine.LoadTime) * share * crowd)
-		c.pending[b.Incarnation()] = order{address: b.Address, want: want, deadline: now.Add(takes + loadMargin)}
+		contention := max(float64(len(due)+loading)/float64(svc.Engine.LoadsAtOnce), 1)
+		loadTime := time.Duration(float64(svc.Engine.LoadTime) * share * contention)
+		c.pending[b.Incarnation()] = order{address: b.Address, want: want, deadline: now.Add(loadTime + loadMargin)}
 	}
 	return due
 }
 
-// firstChains names the engines, by address, that make up the first whole chain of
-// each failure domain: the fastest cards until every layer is held.
+// firstChains returns the engines, by address, that form the first chain of each failure
+// domain: those with the fastest cards until every layer is held.
 func firstChains(spec *model.EngineSpec, plan Plan, engines []Engine) map[string]bool {
-	wave := map[string]bool{}
+	members := map[string]bool{}
 	for _, group := range groupByDomain(engines) {
 		for i, e := range group {
-			wave[e.Address] = true
+			members[e.Address] = true
 			classEnds := i+1 == len(group) || group[i+1].Card.Pace != e.Card.Pace
 			if classEnds && len(UncoveredLayers(spec, plan, group[:i+1])) == 0 {
 				break
 			}
 		}
 	}
-	return wave
+	return members
 }
 
-// loadsBefore orders engines for loading: first the first chains, one failure domain
-// after the other, so that requests are served loadsBefore all loads are done; then
-// the rest by card, failure domain and layer.
+// loadsBefore reports whether a loads before b. The first chains come first, one failure
+// domain after another, then the remaining engines by card, failure domain and layer.
 func loadsBefore(spec *model.EngineSpec, plan Plan, first map[string]bool, a, b *model.BackendServer) bool {
 	if first[a.Address] != first[b.Address] {
 		return first[a.Address]
@@ -147,15 +149,15 @@
 	return plan[a.Address].From < plan[b.Address].From
 }
 
-// sendOrder gives one order. The report before it tells the number of orders that
-// the engine has begun: an order that arrives late, after a newer one, then no
-// longer fits.
+// sendOrder sends one order. It first reads the number of orders that the engine has begun
+// from the engine's report, so that the engine rejects an order that arrives after a newer
+// one.
 func (c *Controller) sendOrder(ctx context.Context, svc *model.Service, b *model.BackendServer, want model.LayerRange, token model.Revision) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	report, err := c.Engines.Report(ctx, b)
 	if err != nil {
-		klog.InfoS("no report before an order", "server", b.Incarnation(), "err", err)
+		klog.InfoS("cannot read engine report before an order", "server", b.Incarnation(), "err", err)
 		c.delayOrder(b.Incarnation(), want, orderRetryDelay)
 		return
 	}
@@ -168,12 +170,12 @@
 		return
 	}
 	if !c.stillValid(svc.Name, b, want, token) {
-		klog.InfoS("order not given: plan or leader changed meanwhile", "server", b.Incarnation(), "to", want.String(), "token", token)
+		klog.InfoS("order dropped: plan or leader changed before it was sent", "server", b.Incarnation(), "to", want.String(), "token", token)
 		c.delayOrder(b.Incarnation(), want, 0)
 		return
 	}
 	result, err := c.Engines.Place(ctx, b, want, int64(token), report.Orders)
-	klog.InfoS("order given", "server", b.Incarnation(), "address", b.Address, "card", b.Card, "from", b.Holds.String(), "to", want.String(),
+	klog.InfoS("order sent", "server", b.Incarnation(), "address", b.Address, "card", b.Card, "from", b.Holds.String(), "to", want.String(),
 		"token", token, "expected", report.Orders, "result", int(result), "err", err)
 	switch result {
 	case OrderAccepted, OrderUnknown:
@@ -185,10 +187,9 @@
 	}
 }
 
-// stillValid tells whether this process still leads under a token, and the plan still
-// has an engine hold these layers. Both may have changed while the engine's report was
-// under way: the engine would load layers that it must give up again, and it refuses
-// an older token only once it has seen a newer one.
+// stillValid reports whether this process still leads under the token and the plan still
+// assigns these layers to the engine. Either may change while the engine's report is read.
+// An engine rejects an older token only after it has seen a newer one.
 func (c *Controller) stillValid(service string, b *model.BackendServer, want model.LayerRange, token model.Revision) bool {
 	if c.FencingToken() != token {
 		return false
@@ -199,7 +200,7 @@
 	return ok && planned == want
 }
 
-// markSent notes that an engine may carry out the order that it was given.
+// markSent records that the engine may carry out its pending order.
 func (c *Controller) markSent(inc model.Incarnation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -212,5 +213,5 @@
 func (c *Controller) delayOrder(inc model.Incarnation, want model.LayerRange, d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pending[inc] = order{want: want, deadline: c.Now().Add(d)} // not given
+	c.pending[inc] = order{want: want, deadline: c.Now().Add(d)} // not sent
 }
