--- a/internal/coordination/placement/plan.go
+++ b/internal/coordination/placement/plan.go
@@ -1,5 +1,5 @@
-// Package placement decides which layers each engine holds. The plan is a pure
-// function of the engines; the controller carries it out.
+// Package placement plans which layers each engine holds, and orders engines to load
+// them. The plan is a pure function of the engines. Controller applies it.
 package placement
 
 import (
@@ -13,19 +13,18 @@
 )
 
 const (
-	// minChainMemoryFactor is how much memory a group must have, in models, to be worth
-	// a chain of its own: a fifth more than the weights leaves an engine some
-	// thirty thousand tokens.
+	// minChainMemoryFactor is the memory that a group of engines needs to form a chain, as
+	// a multiple of the model weights. The excess holds the tokens of requests.
 	minChainMemoryFactor = 1.2
-	// splitMemoryFactor is how much memory each of several chains of one group must
-	// have, in models. Below it one longer chain serves more streams, as the
-	// weights are held once.
+	// splitMemoryFactor is the memory that each of several chains of one group needs, as a
+	// multiple of the model weights. With less memory a single chain serves more streams,
+	// since the weights are held only once.
 	splitMemoryFactor = 1.6
-	// similarPaceFactor is how much slower a card may be and still count as of like speed: a
-	// chain of both is no slower than one of the slower card.
+	// similarPaceFactor is how much slower a card may be and still join the class of a
+	// faster one.
 	similarPaceFactor = 1.25
-	// spareWeightShare is the share of its memory that an engine outside of whole
-	// chains fills with weights; the rest holds requests.
+	// spareWeightShare is the share of its memory that an engine outside of chains fills
+	// with weights. The rest holds the tokens of requests.
 	spareWeightShare = 0.75
 )
 
@@ -36,47 +35,47 @@
 	Card    model.Card
 }
 
-// Plan says which layers each engine holds, by address: an engine that restarts
-// is a new incarnation at the same address and takes up its range again.
+// Plan maps the addresses of engines to the layers that they hold. An engine that restarts
+// is a new incarnation at the same address and loads the same range again.
 type Plan map[string]model.LayerRange
 
-// DecodePlan reads a plan from the store. A plan with a range that is none is
-// nobody's: taken in part it would leave layers uncovered.
+// DecodePlan decodes a plan from the store. It rejects a plan with any invalid range,
+// since a partial plan would leave layers uncovered.
 func DecodePlan(value []byte) (Plan, error) {
 	var plan Plan
 	if err := json.Unmarshal(value, &plan); err != nil {
-		return nil, errors.Wrap(err, "plan")
+		return nil, errors.Wrap(err, "decode plan")
 	}
 	if plan == nil {
-		return nil, errors.New("plan: none")
+		return nil, errors.New("decode plan: value is null")
 	}
 	for addr, held := range plan {
 		if held.From < 0 || held.To < held.From {
-			return nil, errors.Errorf("plan: %.40q holds %s", addr, held)
+			return nil, errors.Errorf("decode plan: %.40q has invalid layer range %s", addr, held)
 		}
 	}
 	return plan, nil
 }
 
-// BuildPlan plans for engines that hold nothing yet. In each failure domain cards of like
-// speed make up whole chains, the fastest first, since the slowest part sets the
-// pace of each token. The fastest get as many chains as can bear the domain's
-// streams together, and hold layers once more, to stand in for lost engines. What is
-// left over covers the layers once more over all domains.
+// BuildPlan plans for engines that hold no layers yet. In each failure domain, cards of
+// similar speed form chains, the fastest first, since the slowest stage limits the speed
+// of a chain. The fastest class gets as many chains as have memory for the streams of the
+// failure domain, and standby copies of layers. Engines that are left over cover the
+// layers again across all failure domains.
 func BuildPlan(spec *model.EngineSpec, engines []Engine) Plan {
 	plan := Plan{}
-	var rest []Engine
+	var spares []Engine
 	for _, group := range groupByDomain(engines) {
-		need := requiredTokens(spec, group)
+		tokens := requiredTokens(spec, group)
 		for first := true; len(group) > 0; first = false {
 			var class []Engine
 			class, group = takeFastest(spec, group)
 			switch {
 			case class == nil:
-				rest = append(rest, group...)
+				spares = append(spares, group...)
 				group = nil
 			case first:
-				placeChains(spec, plan, class, need)
+				placeChains(spec, plan, class, tokens)
 			default:
 				for _, c := range splitChains(spec, class) {
 					PlanChain(spec, c, plan)
@@ -85,7 +84,7 @@
 		}
 	}
 	known := indexByAddress(engines)
-	for _, e := range rest {
+	for _, e := range spares {
 		placeSpare(spec, e, leastHeldLayer(spec, plan, known, e), plan)
 	}
 	return plan
@@ -99,8 +98,8 @@
 	return known
 }
 
-// groupByDomain groups engines by failure domain; inside, fast and large cards come
-// first.
+// groupByDomain groups engines by failure domain, those with fast cards first, then those
+// with much memory.
 func groupByDomain(engines []Engine) [][]Engine {
 	sorted := append([]Engine(nil), engines...)
 	sort.Slice(sorted, func(i, j int) bool {
@@ -126,22 +125,23 @@
 	return groups
 }
 
-// takeFastest takes whole classes of cards of like speed, the fastest first, until they hold
-// a model with room for requests; nil if all of them do not.
+// takeFastest removes whole classes of cards of similar speed from a group, the fastest
+// first, until they have memory for a chain. It returns no chain if the whole group does
+// not.
 func takeFastest(spec *model.EngineSpec, group []Engine) (chain, left []Engine) {
-	need := minChainMemoryFactor * float64(spec.Layers) * spec.LayerMB
+	minMB := minChainMemoryFactor * float64(spec.Layers) * spec.LayerMB
 	sum := 0.0
 	for i, e := range group {
 		sum += e.Card.MB
 		classEnds := i+1 == len(group) || group[i+1].Card.Pace > similarPaceFactor*e.Card.Pace
-		if classEnds && sum >= need {
+		if classEnds && sum >= minMB {
 			return group[:i+1], group[i+1:]
 		}
 	}
 	return nil, group
 }
 
-// splitChains divides a group into as many chains as have memory enough each.
+// splitChains divides a group into as many chains as each have enough memory.
 func splitChains(spec *model.EngineSpec, group []Engine) [][]Engine {
 	modelMB := float64(spec.Layers) * spec.LayerMB
 	total := 0.0
@@ -152,14 +152,14 @@
 	chains := make([][]Engine, n)
 	sums := make([]float64, n)
 	for _, e := range group {
-		least := 0
+		smallest := 0
 		for i := range sums {
-			if sums[i] < sums[least] {
-				least = i
+			if sums[i] < sums[smallest] {
+				smallest = i
 			}
 		}
-		chains[least] = append(chains[least], e)
-		sums[least] += e.Card.MB
+		chains[smallest] = append(chains[smallest], e)
+		sums[smallest] += e.Card.MB
 	}
 	for _, s := range sums {
 		if s < minChainMemoryFactor*modelMB {
@@ -169,10 +169,10 @@
 	return chains
 }
 
-// PlanChain divides all layers over engines, in their order, and notes that in the
-// plan: so that the engine with the least token memory has as much as possible, as
-// it bounds the whole chain. Where they do not hold the model together, some get
-// more than their memory.
+// PlanChain divides all layers over the engines of a chain, in their order, and adds their
+// ranges to the plan. It maximizes the token capacity of the engine with the least, since
+// that limits the chain. If the engines cannot hold the model together, some ranges exceed
+// the memory of their engine.
 func PlanChain(spec *model.EngineSpec, chain []Engine, plan Plan) {
 	counts := make([]int, len(chain))
 	for range spec.Layers {
@@ -193,18 +193,19 @@
 	}
 }
 
-// tokenCapacity is how many tokenCapacity an engine has room for with n layers.
+// tokenCapacity returns how many tokens an engine with n layers has memory for.
 func tokenCapacity(spec *model.EngineSpec, card model.Card, n int) float64 {
 	return (card.MB - float64(n)*spec.LayerMB) / (float64(n) * spec.LayerTokenMB())
 }
 
-// MaxLayers is how many layers a card holds at most; more crash the engine.
+// MaxLayers returns the greatest number of layers that a card has memory for. An engine
+// that is ordered to load more crashes.
 func MaxLayers(spec *model.EngineSpec, card model.Card) int {
 	return min(int(math.Floor(card.MB/spec.LayerMB)), spec.Layers)
 }
 
-// placeSpare gives an engine the layers from next on and tells where the one
-// after it begins.
+// placeSpare assigns an engine a range that begins at layer next, and returns the layer
+// after the range.
 func placeSpare(spec *model.EngineSpec, e Engine, next int, plan Plan) int {
 	n := min(max(int(spareWeightShare*e.Card.MB/spec.LayerMB), 1), MaxLayers(spec, e.Card))
 	if n <= 0 {
