--- a/internal/coordination/placement/repair.go
+++ b/internal/coordination/placement/repair.go
@@ -2,9 +2,9 @@
 
 import "github.com/skylarkwood/skylarkwood/internal/model"
 
-// Extend gives ranges to engines that the plan does not know and leaves the
-// others where they are. A new engine takes the place of one that is gone, unless
-// another range is of much more use to its failure domain.
+// Extend assigns ranges to engines that the plan does not contain, and leaves the others
+// unchanged. A new engine takes the range of one that has left, unless another range has a
+// much greater benefit for its failure domain.
 func Extend(spec *model.EngineSpec, plan Plan, engines []Engine) (next Plan, changed bool) {
 	next = clonePlan(plan)
 	known := indexByAddress(engines)
@@ -20,11 +20,11 @@
 	return next, changed
 }
 
-// assignRange gives a range to one engine that has none.
+// assignRange assigns a range to one engine that has none.
 func assignRange(spec *model.EngineSpec, plan Plan, engines []Engine, known map[string]Engine, e Engine) {
-	n := newPlacementBenefit(spec, plan, engines, e.Domain)
-	best := n.bestRange(e)
-	if addr := findVacancy(spec, plan, known, e, n); addr != "" && n.rangeBenefit(e, plan[addr]) >= minVacancyBenefit*n.rangeBenefit(e, best) {
+	benefit := newPlacementBenefit(spec, plan, engines, e.Domain)
+	best := benefit.bestRange(e)
+	if addr := findVacancy(spec, plan, known, e, benefit); addr != "" && benefit.rangeBenefit(e, plan[addr]) >= minVacancyBenefit*benefit.rangeBenefit(e, best) {
 		best = plan[addr]
 		delete(plan, addr)
 	}
@@ -39,7 +39,7 @@
 	return next
 }
 
-// UncoveredLayers lists the layers that none of the engines is planned to hold.
+// UncoveredLayers returns the layers that the plan assigns to none of the engines.
 func UncoveredLayers(spec *model.EngineSpec, plan Plan, engines []Engine) []int {
 	counts := Coverage(spec, plan, engines)
 	var out []int
@@ -51,7 +51,7 @@
 	return out
 }
 
-// Coverage counts the engines that are planned to hold each layer.
+// Coverage returns, for each layer, how many of the engines the plan assigns it to.
 func Coverage(spec *model.EngineSpec, plan Plan, engines []Engine) []int {
 	counts := make([]int, spec.Layers)
 	for _, e := range engines {
@@ -63,10 +63,9 @@
 	return counts
 }
 
-// Repair moves engines onto layers that nobody holds any more, where no
-// newcomer takes them: without those layers no token is made anywhere. It moves
-// only engines whose own layers others hold as well, the slowest cards first,
-// since they carry the least.
+// Repair moves engines to layers that no engine holds. No chain exists without these
+// layers. Only engines whose layers others hold as well are moved, those with the slowest
+// cards first, since they serve the fewest streams.
 func Repair(spec *model.EngineSpec, plan Plan, engines []Engine) (next Plan, changed bool) {
 	next = clonePlan(plan)
 	groups := groupByDomain(engines)
@@ -84,7 +83,8 @@
 	}
 }
 
-// findRedundant finds an engine whose layers are all held by others too.
+// findRedundant returns the engine with the slowest card among those whose layers others
+// all hold as well.
 func findRedundant(spec *model.EngineSpec, plan Plan, engines []Engine, groups [][]Engine) (Engine, bool) {
 	counts := Coverage(spec, plan, engines)
 	var best Engine
@@ -109,29 +109,30 @@
 	return true
 }
 
-// findVacancy finds a planned range whose engine is gone and that fits e's memory, the
-// one of most use; empty if there is none.
-func findVacancy(spec *model.EngineSpec, plan Plan, known map[string]Engine, e Engine, n placementBenefit) string {
+// findVacancy returns the address of a planned range whose engine has left, which fits
+// into e's memory and has the greatest benefit. It returns an empty string if there is
+// none.
+func findVacancy(spec *model.EngineSpec, plan Plan, known map[string]Engine, e Engine, b placementBenefit) string {
 	best := ""
-	most := 0.0
+	bestBenefit := 0.0
 	for addr, held := range plan {
 		if _, ok := known[addr]; ok || held.Len() > MaxLayers(spec, e.Card) {
 			continue
 		}
-		if tokenCapacity(spec, e.Card, held.Len()) < n.typicalTokens()*4 {
+		if tokenCapacity(spec, e.Card, held.Len()) < b.typicalTokens()*4 {
 			continue
 		}
-		// By address where the use is the same: a plan is a function of the engines.
-		if use := n.rangeBenefit(e, held); best == "" || use > most || use == most && addr < best {
+		// Ties are broken by address, so that the plan depends only on the engines.
+		if benefit := b.rangeBenefit(e, held); best == "" || benefit > bestBenefit || benefit == bestBenefit && addr < best {
 			best = addr
-			most = use
+			bestBenefit = benefit
 		}
 	}
 	return best
 }
 
-// leastHeldLayer finds where a spare should begin: the layer that is held least, in
-// its own domain first.
+// leastHeldLayer returns the layer at which the range of a spare engine begins: the one
+// with the fewest holders, where those in its own failure domain count more.
 func leastHeldLayer(spec *model.EngineSpec, plan Plan, known map[string]Engine, e Engine) int {
 	const ownWeight = 2
 	counts := make([]int, spec.Layers)
