--- a/internal/coordination/placement/whole.go
+++ b/internal/coordination/placement/whole.go
@@ -11,25 +11,23 @@
 )
 
 const (
-	// tokenMemoryShare is the share of a failure domain's token memory, beyond one copy of
-	// the model, that its chains are made to bear at once; the rest is given up for
-	// shorter chains and for layers held twice. Six deployments used 0.11 to 0.19 of
-	// it on calm days. Mean worth of fifteen days with trouble of a site whose
-	// domains hold the model less than twice: 0.722 with all memory kept for
-	// tokens, 0.756 at 0.2, 0.750 at 0.3, 0.724 at 0.4.
+	// tokenMemoryShare is the share of the memory of a failure domain beyond one copy of
+	// the model that its chains must have for tokens at once. The rest allows shorter
+	// chains and standby copies of layers.
 	tokenMemoryShare = 0.25
-	// hopTime is what one more engine in a chain costs a token: 0.2 ms one way,
-	// and waiting for the pass in progress.
+	// hopTime is the time that one more engine in a chain adds to each token: the network
+	// delay, and the wait for the pass in progress.
 	hopTime = 400 * time.Microsecond
 )
 
-// requiredTokens is for how many tokens at once a failure domain needs room.
+// requiredTokens returns the number of tokens that a failure domain must have memory for
+// at once.
 func requiredTokens(spec *model.EngineSpec, group []Engine) float64 {
-	beyond := modelCopies(spec, group) - 1
-	return tokenMemoryShare * beyond * float64(spec.Layers) * spec.LayerMB / spec.KVTokenMB()
+	spare := modelCopies(spec, group) - 1
+	return tokenMemoryShare * spare * float64(spec.Layers) * spec.LayerMB / spec.KVTokenMB()
 }
 
-// modelCopies is how often a group's memory would hold the model.
+// modelCopies returns how often the model fits into the memory of a group.
 func modelCopies(spec *model.EngineSpec, group []Engine) float64 {
 	memory := 0.0
 	for _, e := range group {
@@ -38,59 +36,60 @@
 	return memory / (float64(spec.Layers) * spec.LayerMB)
 }
 
-// placeChains places the model on the fastest engines of a failure domain, as often as
-// their memory bears beside room for so many tokens: whole chains, and one more that
-// holds the first layers only. Those are held once more than the others and need
-// less room at each holder.
+// placeChains places as many copies of the model on the fastest engines of a failure
+// domain as fit beside the given number of tokens. One more copy holds only the first
+// layers. These have one more holder and need less token capacity at each.
 //
-// Chains have few engines: each is one more whose loss interrupts their streams, and
-// one more hop for each token, so that more streams are in progress when something
-// is lost.
-func placeChains(spec *model.EngineSpec, plan Plan, group []Engine, need float64) {
+// The layout prefers chains with few engines. Each further engine can fail and interrupt
+// the streams of its chain, and adds a hop to each token.
+func placeChains(spec *model.EngineSpec, plan Plan, group []Engine, tokens float64) {
 	for n := int(modelCopies(spec, group)); n >= 1; n-- {
-		for more := spec.Layers - 1; more >= 0; more-- {
-			d := chainLayout{spec: spec, chains: n, extraLayers: more, tokens: need}
-			if own, left, ok := d.place(group); ok {
-				own, left = d.growCapacity(group, own, left)
-				maps.Copy(plan, own)
+		for extra := spec.Layers - 1; extra >= 0; extra-- {
+			d := chainLayout{spec: spec, chains: n, extraLayers: extra, tokens: tokens}
+			if placed, left, ok := d.place(group); ok {
+				placed, left = d.growCapacity(group, placed, left)
+				maps.Copy(plan, placed)
 				placeStandbys(spec, plan, group, left)
 				return
 			}
 		}
 	}
-	// They have less room than is needed: all of it goes to one chain.
+	// No layout has the required token capacity, so a single chain gets all engines.
 	PlanChain(spec, group, plan)
 }
 
 // chainLayout is one way to place the model in a failure domain.
 type chainLayout struct {
 	spec *model.EngineSpec
-	// chains is how many whole chains there are, extraLayers how many layers one extraLayers holds.
+	// chains is the number of complete chains, extraLayers the number of first layers that
+	// one more holder has.
 	chains, extraLayers int
-	// tokens is what all holders of a layer have room for together.
+	// tokens is the token capacity of all holders of a layer together.
 	tokens float64
 }
 
-// growCapacity gives the chains as much room as they can have without fewer layers held
-// twice: the last engine of a chain would else have all of what is left.
+// growCapacity increases the token capacity of a layout as far as the same number of extra
+// layers still fits. Without it the last engine of a chain would get all capacity that is
+// left.
 func (d chainLayout) growCapacity(group []Engine, plan Plan, left []Engine) (Plan, []Engine) {
-	const step = 1.04
+	const growth = 1.04
 	for {
-		d.tokens *= step
-		next, rest, ok := d.place(group)
+		d.tokens *= growth
+		next, nextLeft, ok := d.place(group)
 		if !ok || d.tokens == 0 {
 			return plan, left
 		}
-		plan, left = next, rest
+		plan, left = next, nextLeft
 	}
 }
 
-// place fills one chain after the other with the fastest engines that are left.
+// place fills one chain after another with the fastest engines that are left. It reports
+// false if they do not fit.
 func (d chainLayout) place(group []Engine) (plan Plan, left []Engine, ok bool) {
 	left = slices.Clone(group)
-	room := d.tokens / float64(d.chains)
+	perChain := d.tokens / float64(d.chains)
 	sort.SliceStable(left, func(i, j int) bool {
-		return layerTime(d.spec, left[i], room) < layerTime(d.spec, left[j], room)
+		return layerTime(d.spec, left[i], perChain) < layerTime(d.spec, left[j], perChain)
 	})
 	plan = Plan{}
 	for range d.chains {
@@ -104,7 +103,8 @@
 	return plan, left, true
 }
 
-// fill divides the first layers over engines, in their order.
+// fill divides the first layers over engines, in their order, and returns the engines that
+// are left.
 func (d chainLayout) fill(plan Plan, engines []Engine, layers int) (left []Engine, ok bool) {
 	from := 0
 	for i, e := range engines {
@@ -121,27 +121,29 @@
 	return nil, from >= layers
 }
 
-// layersFrom is how many layers from one on a card holds with its share of the room.
+// layersFrom returns how many layers a card holds from the given layer on, with its share
+// of the token capacity.
 func (d chainLayout) layersFrom(card model.Card, from int) int {
 	if n := maxLayersWith(d.spec, card, d.tokens/float64(d.chains+1)); from+n <= d.extraLayers {
 		return n
 	}
 	n := maxLayersWith(d.spec, card, d.tokens/float64(d.chains))
-	// One that begins among the layers that are held once more ends with them, if
-	// it holds no more that way.
+	// Only with the lower token capacity of the extra layers would the range pass their
+	// end, so it ends there.
 	if from < d.extraLayers && from+n < d.extraLayers {
 		return d.extraLayers - from
 	}
 	return n
 }
 
-// maxLayersWith is how many layers a card holds beside room for so many tokens.
+// maxLayersWith returns how many layers a card has memory for beside the given number of
+// tokens.
 func maxLayersWith(spec *model.EngineSpec, card model.Card, tokens float64) int {
 	return min(int(card.MB/(spec.LayerMB+tokens*spec.LayerTokenMB())), spec.Layers)
 }
 
-// layerTime is what a token takes for one layer at an engine, its share of the hop
-// included, in seconds; infinite where the engine has no room for a layer.
+// layerTime returns the time in seconds that an engine adds to a token for each layer,
+// including its share of the hop. It is infinite if the engine has no memory for a layer.
 func layerTime(spec *model.EngineSpec, e Engine, tokens float64) float64 {
 	n := maxLayersWith(spec, e.Card, tokens)
 	if n == 0 {
@@ -150,21 +152,21 @@
 	return spec.StepTime.Seconds()*e.Card.Pace/float64(spec.Layers) + hopTime.Seconds()/float64(n)
 }
 
-// placeStandbys gives the engines that are left over the layers that their failure
-// domain holds least, with as much room for tokens as its chains have: when an
-// engine of a chain is lost its streams go on there.
+// placeStandbys assigns the remaining engines the layers that their failure domain covers
+// least, with the token capacity of its chains. If an engine of a chain fails, its streams
+// move there.
 func placeStandbys(spec *model.EngineSpec, plan Plan, group, left []Engine) {
 	if len(left) == 0 {
 		return
 	}
-	room := math.Inf(1)
+	capacity := math.Inf(1)
 	for _, e := range group {
 		if held := plan[e.Address]; held.Len() > 0 {
-			room = math.Min(room, tokenCapacity(spec, e.Card, held.Len()))
+			capacity = math.Min(capacity, tokenCapacity(spec, e.Card, held.Len()))
 		}
 	}
 	for _, e := range left {
-		n := maxLayersWith(spec, e.Card, room)
+		n := maxLayersWith(spec, e.Card, capacity)
 		if n == 0 {
 			n = min(max(int(spareWeightShare*e.Card.MB/spec.LayerMB), 1), MaxLayers(spec, e.Card))
 		}
@@ -174,17 +176,17 @@
 	}
 }
 
-// leastCoveredRange finds the n layers in a row that are held least.
+// leastCoveredRange returns the n consecutive layers that are covered least.
 func leastCoveredRange(counts []int, n int) model.LayerRange {
 	best := model.LayerRange{To: n}
-	least := math.MaxInt
+	minSum := math.MaxInt
 	for from := 0; from+n <= len(counts); from++ {
 		sum := 0
 		for _, c := range counts[from : from+n] {
 			sum += c * c
 		}
-		if sum < least {
-			least = sum
+		if sum < minSum {
+			minSum = sum
 			best = model.LayerRange{From: from, To: from + n}
 		}
 	}
