--- a/internal/coordination/placement/backoff_test.go
+++ b/internal/coordination/placement/backoff_test.go
@@ -10,11 +10,9 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// An engine's process ends while it loads what it was ordered to, comes back under its id
-// and is ordered the same again, and so on. After three ends the address is left alone for
-// a while, then tried once; an engine that carries its order out is as good as any. Without
-// that each of the twelve processes was given the order.
-func TestOrderThatEndsItsEngine(t *testing.T) {
+// An engine exits under each order and restarts under its ID. Further orders are delayed,
+// and a completed load resets the delay.
+func TestOrderThatCrashesItsEngineIsDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, all := newLoadedCluster(t)
 		e := all[3]
@@ -27,15 +25,15 @@
 		}
 		assert.Equal(t, given, backoffThreshold)
 		s.run(initialBackoff)
-		assert.Equal(t, s.held(e.Address), want, "tried again")
+		assert.Equal(t, s.held(e.Address), want, "ordered again after the delay")
 		s.restart(e)
 		s.run(2 * time.Second)
-		assert.Equal(t, s.held(e.Address), want, "nothing is held against it any more")
+		assert.Equal(t, s.held(e.Address), want, "a completed load resets the delay")
 	})
 }
 
-// What ended under one order may carry out another.
-func TestOtherOrderIsNotWithheld(t *testing.T) {
+// Exits under one order do not delay other layers or other addresses.
+func TestOtherOrdersAreNotDelayed(t *testing.T) {
 	c := &Controller{Now: time.Now}
 	c.init()
 	bad := order{address: "a:1", want: model.LayerRange{To: 4}, sent: true}
