--- a/internal/coordination/placement/bound_test.go
+++ b/internal/coordination/placement/bound_test.go
@@ -10,8 +10,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// augmentingMaxFlow is the same by augmenting paths over a graph of layers and engines,
-// slow and written without regard to intervals; capacities are whole numbers.
+// augmentingMaxFlow computes the flow of MaxFlow by augmenting paths over a graph of
+// layers and engines, without use of intervals. Capacities are integers.
 func augmentingMaxFlow(layers int, plan Plan, engines []Engine, supply []int, amount int) int {
 	left := append([]int(nil), supply...)
 	sent := make([][]int, layers) // from a layer to an engine
@@ -55,9 +55,9 @@
 	return total
 }
 
-// The flow found over intervals is that of augmenting paths: the amount passes, and
-// a little more does not.
-func TestFlowIsTheMaximum(t *testing.T) {
+// MaxFlow agrees with the reference implementation: its amount passes, and one unit more
+// does not.
+func TestMaxFlowMatchesAugmentingPaths(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := &model.EngineSpec{Layers: rapid.IntRange(1, 6).Draw(rt, "layers")}
 		n := rapid.IntRange(1, 5).Draw(rt, "engines")
@@ -80,11 +80,9 @@
 	})
 }
 
-// No plan passes its bounds. Of that of memory the planner gives up two thirds here:
-// weights lie in memory once for each whole chain and once more to stand in for lost
-// engines. What it keeps is what each domain needs, in its own engines: twice what
-// callers used of it on calm days. More would be room that nobody uses.
-func TestPlanAgainstItsBounds(t *testing.T) {
+// A plan exceeds no upper bound, gives each failure domain the token capacity that it
+// requires, and keeps most of the prefill rate.
+func TestPlanStaysWithinItsBounds(t *testing.T) {
 	s := testSpec()
 	s.ReadRate = 245000
 	all := mixedEngines()
