--- a/internal/coordination/placement/controller_test.go
+++ b/internal/coordination/placement/controller_test.go
@@ -20,7 +20,7 @@
 	"github.com/skylarkwood/skylarkwood/platform/standin"
 )
 
-// testCluster is engines that carry out orders, with a controller before them.
+// testCluster simulates engines that carry out the orders of a controller.
 type testCluster struct {
 	t       *testing.T
 	c       *Controller
@@ -34,12 +34,12 @@
 	revision   model.Revision
 	holds      map[string]model.LayerRange
 	orders     map[string]int64
-	born       map[string]int64 // by id; 0 where it was not told
+	born       map[string]int64 // by ID; 0 if not reported
 	loading    int
-	maxLoading int // loads at once
+	maxLoading int // the most loads at once
 	fenced     int64
 	result     OrderResult
-	orderDelay time.Duration // orders are carried out so much later, unanswered
+	orderDelay time.Duration // delay before an order is carried out; the order times out meanwhile
 }
 
 func newTestCluster(t *testing.T) *testCluster {
@@ -58,7 +58,7 @@
 	return s
 }
 
-// publishConfig publishes a configuration with these engines.
+// publishConfig publishes a configuration with an engine spec.
 func (s *testCluster) publishConfig(sp *model.EngineSpec) {
 	s.spec = sp
 	version := s.c.Config.Version() + 1
@@ -108,7 +108,7 @@
 	}
 	begin := func() {
 		if s.orders[b.ID] != expected {
-			return // an order that comes too late no longer fits
+			return // a newer order has begun
 		}
 		s.orders[b.ID]++
 		s.loading++
@@ -134,12 +134,12 @@
 	ended := s.born[b.ID] != born
 	s.mu.Unlock()
 	if ended {
-		return // with it the load
+		return // the load ended with its process
 	}
 	s.register(b.ID, b.Address, b.FailureDomain, b.Card, held)
 }
 
-// run ticks for a while of virtual time.
+// run calls Tick for a period of virtual time.
 func (s *testCluster) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		s.c.Tick(context.Background())
@@ -173,7 +173,7 @@
 		for _, e := range all {
 			assert.Equal(t, s.held(e.Address), want[e.Address], e.Address)
 		}
-		assert.Equal(t, s.totalOrders(), int64(len(all)), "each engine is ordered once")
+		assert.Equal(t, s.totalOrders(), int64(len(all)), "each engine gets one order")
 		var stored Plan
 		it, err := s.store.Get(context.Background(), leader.PlanPrefix+"s")
 		assert.NilError(t, err)
@@ -182,8 +182,8 @@
 	})
 }
 
-// Engines register over some seconds. A plan made of the first of them would
-// lack whole chains, so it waits until no more come.
+// Engines register over several seconds. A plan for the first of them would lack whole
+// chains.
 func TestControllerWaitsForEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCluster(t)
@@ -198,8 +198,8 @@
 	})
 }
 
-// With traffic no more loads run at once than do not slow each other down, and
-// the first to be loaded make up a whole chain.
+// With traffic the number of concurrent loads is bounded, and the first loads form a whole
+// chain.
 func TestControllerLoadsChainsFirstUnderTraffic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCluster(t)
@@ -215,13 +215,13 @@
 				counts[l]++
 			}
 		}
-		assert.Assert(t, minCount(counts) >= 1, "no whole chain yet: %v", counts)
+		assert.Assert(t, minCount(counts) >= 1, "no whole chain is loaded: %v", counts)
 	})
 }
 
-// An engine restarts: a new incarnation at its address, empty. It gets the same
-// range again, and nobody else is ordered.
-func TestControllerLoadsARestartedEngine(t *testing.T) {
+// An engine restarts empty, as a new incarnation at its address. It gets the same range
+// again and no other engine is ordered.
+func TestControllerReloadsARestartedEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCluster(t)
 		all := mixedEngines()
@@ -239,8 +239,8 @@
 	})
 }
 
-// Orders get no answer and are carried out seconds later. The leader gives them
-// again; the late ones then no longer fit, so that each engine loads once.
+// Orders time out and are carried out seconds later. The leader sends them again, but each
+// engine loads only once.
 func TestControllerSurvivesLateOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCluster(t)
@@ -260,8 +260,8 @@
 	})
 }
 
-// Another leader was elected. Its token is higher at the store: the old leader
-// can no longer store a plan, and gives no orders without one.
+// Another leader was elected and its token is higher in the store. The old leader can no
+// longer store a plan and sends no orders.
 func TestControllerStopsWhenItNoLongerLeads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCluster(t)
@@ -284,9 +284,9 @@
 	})
 }
 
-// A leader takes over while the stored plan is not known. It goes on with what
-// engines hold instead of loading everything anew.
-func TestControllerAdoptsWhatEnginesHold(t *testing.T) {
+// A new leader does not know the stored plan. It keeps the layers that engines hold
+// instead of loading all again.
+func TestControllerKeepsHeldLayersIfPlanIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCluster(t)
 		s.traffic.Store(true)
@@ -311,10 +311,9 @@
 	})
 }
 
-// Both engines that hold some layers are gone for good and nobody comes. For a
-// while no token is made anywhere; then a slow card whose layers others hold as
-// well is moved there, and nothing else is loaded.
-func TestControllerRepairsAGap(t *testing.T) {
+// All engines that hold some layers have left and no replacement registers. An engine with
+// a slow card whose layers others hold is moved, and few others load.
+func TestControllerRepairsUncoveredLayers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCluster(t)
 		all := append(makeEngines("a", "a100", 3), makeEngines("a", "l4", 9)...)
@@ -344,9 +343,9 @@
 	})
 }
 
-// Entries with an unknown card, or layers outside of the model, are not counted
-// on, and disturb nobody else.
-func TestControllerPassesOverOddEntries(t *testing.T) {
+// An entry with an unknown card and layers outside of the model gets no order and does not
+// affect other engines.
+func TestControllerIgnoresMalformedEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCluster(t)
 		all := mixedEngines()
