--- a/internal/coordination/placement/decode_test.go
+++ b/internal/coordination/placement/decode_test.go
@@ -7,8 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Whatever lies in a plan's place, reading it ends; what is taken for a plan can be
-// worked with by whoever repairs and extends plans.
+// Any value decodes to an error or to a plan that can be extended, repaired and encoded.
 func FuzzDecodePlan(f *testing.F) {
 	for _, seed := range []string{
 		`{"10.0.0.1:80":{"from":0,"to":40},"10.0.0.2:80":{"from":40,"to":80}}`,
