--- a/internal/coordination/placement/incarnation_test.go
+++ b/internal/coordination/placement/incarnation_test.go
@@ -10,7 +10,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// restart starts an engine anew under its id: empty, its orders counted anew.
+// restart simulates a restart of an engine under its ID: it is empty and has begun no
+// orders.
 func (s *testCluster) restart(e Engine) {
 	s.mu.Lock()
 	s.born[e.Address]++
@@ -19,8 +20,8 @@
 	s.register(e.Address, e.Address, e.Domain, e.Card.Name, model.LayerRange{})
 }
 
-// newLoadedCluster has site's engines, which tell their starts, loaded and callers before
-// them.
+// newLoadedCluster returns a loaded cluster with traffic whose engines report their start
+// time.
 func newLoadedCluster(t *testing.T) (*testCluster, []Engine) {
 	s := newTestCluster(t)
 	all := mixedEngines()
@@ -33,27 +34,24 @@
 	return s, all
 }
 
-// An engine takes an order, crashes while it loads and is back under its id. What
-// is awaited of the one before is nothing to the new one: it is ordered at once,
-// and not when the load of the one before should have ended.
-func TestReturnedEngineIsOrderedAtOnce(t *testing.T) {
+// An engine crashes while it loads and restarts under its ID. The pending order of the
+// previous process must not delay the next one.
+func TestRestartedEngineIsOrderedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, all := newLoadedCluster(t)
 		e := all[3]
 		want := s.held(e.Address)
 		s.restart(e)
-		s.run(400 * time.Millisecond) // it loads
+		s.run(400 * time.Millisecond) // the engine is loading
 		s.restart(e)
 		s.run(1600 * time.Millisecond)
 		assert.Equal(t, s.held(e.Address), want)
 	})
 }
 
-// An order to an engine is lost on its way. The engine crashes and is back under
-// its id, and seconds later the order is carried out by the new process, whose
-// count it happens to fit. The layers are those of the plan; the order that the
-// new process was given itself then no longer fits, and it loads once.
-func TestOrderOfBeforeIsCarriedOutByTheNewProcess(t *testing.T) {
+// An order to an engine that crashed is carried out late by its next process. The order
+// that this process got itself is then rejected, so it loads once.
+func TestLateOrderToPreviousProcessIsLoadedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, all := newLoadedCluster(t)
 		e := all[3]
@@ -62,9 +60,9 @@
 		s.orderDelay = 5 * time.Second
 		s.mu.Unlock()
 		s.restart(e)
-		s.run(time.Second) // ordered, unanswered
+		s.run(time.Second) // the order times out
 		s.restart(e)
-		s.run(time.Second) // ordered again
+		s.run(time.Second) // a second order is sent
 		s.mu.Lock()
 		s.orderDelay = 0
 		s.mu.Unlock()
@@ -74,9 +72,9 @@
 	})
 }
 
-// The same while the plan changes in between: the late order brings layers that
-// the plan no longer wants there. The engine ends with those of the plan.
-func TestLateOrderOfAnOlderPlan(t *testing.T) {
+// A late order brings layers that the plan no longer assigns to the engine. The engine
+// must end up with those of the plan.
+func TestLateOrderFromAReplacedPlanIsCorrected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, all := newLoadedCluster(t)
 		e := all[len(all)-1]
@@ -84,7 +82,7 @@
 		s.orderDelay = 6 * time.Second
 		s.mu.Unlock()
 		s.restart(e)
-		s.run(time.Second) // ordered to hold what the plan has, unanswered
+		s.run(time.Second) // the order times out
 		s.mu.Lock()
 		s.orderDelay = 0
 		s.mu.Unlock()
