--- a/internal/coordination/placement/late_test.go
+++ b/internal/coordination/placement/late_test.go
@@ -15,7 +15,7 @@
 	"github.com/skylarkwood/skylarkwood/platform/standin"
 )
 
-// slowReports holds engines' reports back until release is closed.
+// slowReports delays the reports of engines until release is closed.
 type slowReports struct {
 	*testCluster
 	asked   chan struct{}
@@ -28,8 +28,8 @@
 	return s.testCluster.Report(ctx, b)
 }
 
-// newClusterWithSlowReport sets a shop up with one engine that is about to be ordered to hold some
-// layers: its report before the order is under way.
+// newClusterWithSlowReport returns a cluster with one engine whose report before an order
+// is in progress. The report returns once the channel is closed.
 func newClusterWithSlowReport(t *testing.T) (*testCluster, chan struct{}) {
 	s := newTestCluster(t)
 	s.traffic.Store(true)
@@ -48,10 +48,9 @@
 	return raw
 }
 
-// The leader asks an engine for its report before an order, and loses the leadership
-// before the answer comes. The order must not be given all the same: the new leader
-// has not ordered this engine yet, so that the engine would take it.
-func TestNoOrderOnceTheLeadershipIsLost(t *testing.T) {
+// The leader loses the leadership while it reads an engine's report before an order. The
+// engine would accept the order, since the new leader has not ordered it yet.
+func TestNoOrderAfterLeadershipLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, release := newClusterWithSlowReport(t)
 		s.token.Store(0)
@@ -61,11 +60,9 @@
 	})
 }
 
-// While the report before an order is under way another plan comes into force, by
-// which the engine holds other layers. Given all the same, the order has the engine
-// load layers that it must give up again, and those that are planned are missing
-// for two loads instead of one.
-func TestNoOrderOfAPlanThatWasReplaced(t *testing.T) {
+// The plan changes while an engine's report is read. An order from the old plan would cost
+// a second load.
+func TestNoOrderFromAReplacedPlan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, release := newClusterWithSlowReport(t)
 		want := model.LayerRange{From: 20, To: 40}
@@ -75,12 +72,12 @@
 		assert.Equal(t, s.totalOrders(), int64(0))
 		s.run(orderRetryDelay + time.Second/2)
 		time.Sleep(time.Second) // for the load
-		assert.Equal(t, s.held("e"), want, "the present plan is carried out")
+		assert.Equal(t, s.held("e"), want, "the engine holds the layers of the new plan")
 		assert.Equal(t, s.totalOrders(), int64(1))
 	})
 }
 
-// slowCommits calls before with each commit that took effect, ahead of its answer.
+// slowCommits calls before after each successful commit, ahead of its return.
 type slowCommits struct {
 	*standin.Store
 	before func(revision model.Revision)
@@ -94,10 +91,9 @@
 	return revision, err
 }
 
-// A leader stores a plan and the answer is slow. Meanwhile the next leader has stored
-// another one, which the watch shows. The late answer must not put the older plan
-// back: leading again, this router would order every engine by it.
-func TestALateAnswerDoesNotBringAnOlderPlanBack(t *testing.T) {
+// The result of a leader's commit arrives after the watch has shown the plan of the next
+// leader. The newer plan must stay.
+func TestLateCommitResultKeepsTheNewerPlan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCluster(t)
 		newer := Plan{"e:1": {From: 20, To: 40}}
@@ -106,7 +102,7 @@
 		}}
 		s.register("e", "e:1", "hala", "a100", model.LayerRange{})
 		token := model.Revision(s.token.Load())
-		assert.Assert(t, !s.c.persist(context.Background(), "s", Plan{"e:1": {From: 0, To: 20}}, token), "the stored plan is not in force")
+		assert.Assert(t, !s.c.persist(context.Background(), "s", Plan{"e:1": {From: 0, To: 20}}, token), "the older plan must not be in effect")
 		assert.Assert(t, equalPlans(s.c.plans["s"].plan, newer))
 		_, err := s.store.Get(context.Background(), leader.PlanPrefix+"s")
 		assert.NilError(t, err)
