--- a/internal/coordination/placement/mend_test.go
+++ b/internal/coordination/placement/mend_test.go
@@ -10,8 +10,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// newWeakCluster has three weak domains loaded and callers before them, and gives the
-// engines of one.
+// newWeakCluster returns a loaded cluster of three weak failure domains with traffic, and
+// the engines of one of them.
 func newWeakCluster(t *testing.T) (*testCluster, []Engine) {
 	s := newTestCluster(t)
 	spec := weakSpec()
@@ -24,7 +24,8 @@
 	return s, inDomain(weakEngines(), "b")
 }
 
-// soleHolder finds an engine whose layers nobody else of the domain holds.
+// soleHolder returns an engine whose first and last layer no other engine of the failure
+// domain holds.
 func soleHolder(plan Plan, all []Engine) Engine {
 	counts := Coverage(weakSpec(), plan, all)
 	for _, e := range all {
@@ -36,37 +37,35 @@
 	return Engine{}
 }
 
-// The pattern: an engine that holds layers alone leaves its domain for good. Until
-// they are held again the domain's callers are refused, some fifty a second, as pipes
-// carry few of them. Engines that stand in for others and run nothing load within
-// 1.5 s, so they are moved after a second; busy ones wait for their streams.
-func TestIdleEnginesFillAHoleAtOnce(t *testing.T) {
+// A failure domain loses the only engine that holds some layers. Idle engines are moved to
+// them soon, busy ones later.
+func TestIdleEnginesCoverMissingLayersAtOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		streams float64
 		within  time.Duration
-		whole   bool
+		covered bool
 	}{
-		"idle": {streams: 0, within: 3 * time.Second, whole: true},
-		"busy": {streams: 9, within: 3 * time.Second, whole: false},
+		"idle": {streams: 0, within: 3 * time.Second, covered: true},
+		"busy": {streams: 9, within: 3 * time.Second, covered: false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s, all := newWeakCluster(t)
 				s.c.StreamCount = func(model.Incarnation) float64 { return c.streams }
 				plan := s.c.plans["s"].plan
-				gone := soleHolder(plan, all)
-				assert.Assert(t, gone.Address != "")
-				s.remove(gone.Address)
+				lost := soleHolder(plan, all)
+				assert.Assert(t, lost.Address != "")
+				s.remove(lost.Address)
 				s.run(c.within)
-				assert.Equal(t, s.coversModel(all, gone), c.whole)
+				assert.Equal(t, s.coversModel(all, lost), c.covered)
 				s.run(10 * time.Second)
-				assert.Assert(t, s.coversModel(all, gone))
+				assert.Assert(t, s.coversModel(all, lost))
 			})
 		})
 	}
 }
 
-// coversModel tells whether engines hold every layer, one of them left out.
+// coversModel reports whether engines hold every layer without one of them.
 func (s *testCluster) coversModel(all []Engine, without Engine) bool {
 	held := make([]bool, weakSpec().Layers)
 	for _, e := range all {
@@ -83,22 +82,22 @@
 	return true
 }
 
-// An engine falls silent while its entry stands, as the store is about to be away:
-// that it answers nobody is enough to fill its place.
-func TestSilentEngineIsReplacedThoughItsEntryStands(t *testing.T) {
+// An engine stops answering but stays listed. Its layers are covered without waiting for
+// its entry to expire.
+func TestSilentEngineIsReplacedWhileStillListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, all := newWeakCluster(t)
 		s.c.StreamCount = func(model.Incarnation) float64 { return 0 }
-		gone := soleHolder(s.c.plans["s"].plan, all)
-		s.c.Unreachable = func(inc model.Incarnation) bool { return inc.ID == gone.Address }
+		lost := soleHolder(s.c.plans["s"].plan, all)
+		s.c.Unreachable = func(inc model.Incarnation) bool { return inc.ID == lost.Address }
 		s.run(3 * time.Second)
-		assert.Assert(t, s.coversModel(all, gone))
+		assert.Assert(t, s.coversModel(all, lost))
 	})
 }
 
-// The leader itself is cut off and hears from no engine. It believes the entries, and
-// moves nobody.
-func TestLeaderThatIsCutOffMovesNobody(t *testing.T) {
+// The leader itself is disconnected and reaches none of many engines. It must not move
+// any.
+func TestDisconnectedLeaderMovesNoEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, all := newWeakCluster(t)
 		s.c.StreamCount = func(model.Incarnation) float64 { return 0 }
