--- a/internal/coordination/placement/orders_test.go
+++ b/internal/coordination/placement/orders_test.go
@@ -13,7 +13,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// slowEngines answer each order after a while and count how many are asked at once.
+// slowEngines delays each order and counts how many are in flight.
 type slowEngines struct {
 	*testCluster
 	mu          sync.Mutex
@@ -33,10 +33,9 @@
 	return e.testCluster.Place(ctx, b, held, fence, expected)
 }
 
-// A thousand engines start at one moment. The leader orders all of them within seconds,
-// over a bounded number of connections: one to each would take more memory than a small
-// instance has for control.
-func TestOrdersAreGivenOverFewConnections(t *testing.T) {
+// A thousand engines start together. The leader orders all of them within seconds over a
+// bounded number of connections, which bounds its memory.
+func TestOrdersUseABoundedNumberOfConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const engines = 1000
 		s := newTestCluster(t)
