--- a/internal/coordination/placement/plan_test.go
+++ b/internal/coordination/placement/plan_test.go
@@ -26,7 +26,7 @@
 	return s
 }
 
-// makeEngines makes so many makeEngines of a card in a domain.
+// makeEngines returns n engines with a card in a failure domain.
 func makeEngines(domain, card string, n int) []Engine {
 	var out []Engine
 	for i := range n {
@@ -35,7 +35,7 @@
 	return out
 }
 
-// mixedEngines is a mid-size mixedEngines: three domains of different strength.
+// mixedEngines returns the engines of three failure domains of different strength.
 func mixedEngines() []Engine {
 	var all []Engine
 	for _, g := range []struct {
@@ -71,9 +71,9 @@
 	return m
 }
 
-// Each domain's fast cards make up a whole chain without its slow ones, which
-// would set the pace of each token.
-func TestFastCardsMakeWholeChains(t *testing.T) {
+// The fast cards of each failure domain form a chain without its slow ones, which would
+// limit the chain's speed.
+func TestFastCardsFormWholeChains(t *testing.T) {
 	all := mixedEngines()
 	plan := BuildPlan(testSpec(), all)
 	for _, d := range []string{"luka", "solin", "kastela"} {
@@ -81,12 +81,12 @@
 		assert.Equal(t, minCount(fast), 1, "%s: %v", d, fast)
 	}
 	every := countHolders(plan, all, func(Engine) bool { return true })
-	assert.Assert(t, minCount(every) >= 5, "beside the three chains others stand in for every layer twice: %v", every)
+	assert.Assert(t, minCount(every) >= 5, "every layer needs three chains and two standby holders: %v", every)
 }
 
-// The thinnest engine bounds its chain: in a chain nobody has less than three
-// quarters of the token memory of the best.
-func TestChainIsEven(t *testing.T) {
+// The engine with the least token capacity limits a chain, so the capacities must be
+// similar.
+func TestPlanChainBalancesTokenCapacity(t *testing.T) {
 	s := testSpec()
 	all := append(makeEngines("d", "a100", 1), makeEngines("d", "l40s", 3)...)
 	plan := Plan{}
@@ -100,10 +100,9 @@
 	assert.Assert(t, lo >= 0.75*hi, "%.0f to %.0f tokens", lo, hi)
 }
 
-// The thinnest layer bounds a failure domain, however many engines hold it: those
-// that one engine holds alone have as much room, up to the rounding of layers, as
-// those that two share.
-func TestRoomIsEvenOverLayers(t *testing.T) {
+// The layer with the least token capacity limits a failure domain, so layers with one
+// holder need about as much as those with two.
+func TestTokenCapacityIsBalancedOverLayers(t *testing.T) {
 	s := weakSpec()
 	for _, group := range groupByDomain(weakEngines()) {
 		plan := BuildPlan(s, group)
@@ -113,8 +112,8 @@
 	}
 }
 
-// weakSpec and weakSite are many weak cards beside few strong ones: three domains
-// whose memory holds the model 2.98, 2.21 and 2.83 times, no class of cards alone.
+// weakSpec and weakEngines describe three failure domains with many weak cards and few
+// strong ones. No class of cards alone can hold the model.
 func weakSpec() *model.EngineSpec {
 	return &model.EngineSpec{
 		Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 328000, StepTime: 850 * time.Microsecond, ReadRate: 353000,
@@ -136,13 +135,9 @@
 	return all
 }
 
-// The pattern: 150 streams a second before 59 weak engines, of which two die in the
-// same moment every few seconds, in any domain. With one chain of all engines a
-// domain each death hits every stream there, and the domain has no chain until the
-// engine is back; pipes between domains carry a twentieth of the callers. The
-// grounds: streams through a dead engine are late, and a domain without a chain
-// refuses; so a chain has half as many engines, and most layers have two holders.
-func TestWeakDomainsBearALoss(t *testing.T) {
+// A failure domain of weak engines must not form one long chain, in which each exit
+// interrupts all streams. Chains are short and most layers have two holders.
+func TestWeakDomainsSurviveAnEngineLoss(t *testing.T) {
 	s := weakSpec()
 	for _, group := range groupByDomain(weakEngines()) {
 		plan := BuildPlan(s, group)
@@ -160,8 +155,7 @@
 	}
 }
 
-// A plan is a function of the engines: routers that lead one after the other, and
-// list the engines in another order, make the same.
+// Successive leaders list the engines in different orders and must build the same plan.
 func TestPlanIsAFunctionOfTheEngines(t *testing.T) {
 	s := weakSpec()
 	all := weakEngines()
@@ -177,15 +171,14 @@
 	assert.Equal(t, minCount(counts), 2)
 }
 
-// Whatever comes together, no engine is ever planned to hold more layers than
-// its memory has: an order for more crashes it.
+// No plan assigns an engine more layers than its memory holds, which would crash it.
 func TestPlansFitTheMemory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := testSpec()
 		all := drawEngines(rt)
 		plan := BuildPlan(s, all)
 		assertFits(rt, s, plan, all)
-		// Some go, some come.
+		// Some engines leave, and new ones appear.
 		keep := all[:rapid.IntRange(0, len(all)).Draw(rt, "kept")]
 		now := append(append([]Engine(nil), keep...), makeEngines("new", "l4", rapid.IntRange(0, 4).Draw(rt, "new"))...)
 		next, _ := Extend(s, plan, now)
@@ -214,9 +207,9 @@
 	}
 }
 
-// An engine that is gone for good is followed by another at a new address. The
-// new one takes its place, and nothing else is loaded again.
-func TestNewcomerTakesTheVacantRange(t *testing.T) {
+// An engine is replaced by one at a new address, which takes the vacant range. No other
+// engine loads.
+func TestNewEngineTakesTheVacantRange(t *testing.T) {
 	s := testSpec()
 	all := mixedEngines()
 	plan := BuildPlan(s, all)
@@ -236,8 +229,9 @@
 	assert.Assert(t, equalPlans(next, again))
 }
 
-// A newcomer with nobody to follow covers what is held least in its domain.
-func TestNewcomerCoversTheLeastHeldLayers(t *testing.T) {
+// A new engine without a vacant range covers the layers of its failure domain that are
+// held least.
+func TestNewEngineCoversTheLeastHeldLayers(t *testing.T) {
 	s := testSpec()
 	all := append(makeEngines("d", "a100", 2), makeEngines("d", "l40s", 1)...)
 	plan := BuildPlan(s, all)
@@ -247,9 +241,9 @@
 	assert.Assert(t, next["x"].To <= next["y"].From || next["y"].To <= next["x"].From, "%s and %s overlap", next["x"], next["y"])
 }
 
-// Whatever is lost, a repair leaves no layer that was held without a holder,
-// fits every memory, and covers the gaps if enough engines can be spared.
-func TestRepairNeverUncovers(t *testing.T) {
+// Whichever engines are lost, a repair leaves no held layer without a holder and fits the
+// memory of each engine.
+func TestRepairNeverUncoversLayers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := testSpec()
 		all := drawEngines(rt)
@@ -267,11 +261,9 @@
 	})
 }
 
-// Engines of two domains are gone, and a newcomer comes to one of them. It takes
-// the place that its own domain lacks, though the other one's range is longer: the
-// other way round both domains would send their streams through the pipe between
-// them.
-func TestNewcomerServesItsOwnDomain(t *testing.T) {
+// Two failure domains lose an engine, and a new one appears in one of them. It covers the
+// layers that its own failure domain lacks, even if the range of the other is longer.
+func TestNewEngineServesItsOwnDomain(t *testing.T) {
 	s := testSpec()
 	all := append(makeEngines("a", "l40s", 4), makeEngines("b", "a100", 3)...)
 	plan := BuildPlan(s, all)
@@ -284,16 +276,15 @@
 		}
 	}
 	inA := func(e Engine) bool { return e.Domain == "a" }
-	assert.Equal(t, minCount(countHolders(plan, now, inA)), 0, "the loss is felt")
+	assert.Equal(t, minCount(countHolders(plan, now, inA)), 0, "domain a lacks layers")
 	now = append(now, Engine{Address: "fresh", Domain: "a", Card: cards["a100"]})
 	next, _ := Extend(s, plan, now)
 	assert.Assert(t, minCount(countHolders(next, now, inA)) > 0, "fresh holds %s, domain a lacked %s", next["fresh"], plan[lostHere])
 }
 
-// A domain lost one range and no newcomer comes; others of its engines hold theirs
-// together. One of them is moved, so that streams need not leave the domain for a
-// few layers.
-func TestMendMakesADomainWhole(t *testing.T) {
+// A failure domain loses a range without a replacement. One of its spare engines is moved
+// there, so that streams need not leave the failure domain.
+func TestRepairDomainsCoversMissingLayers(t *testing.T) {
 	s := testSpec()
 	all := append(makeEngines("a", "a100", 3), makeEngines("a", "l4", 9)...)
 	plan := BuildPlan(s, all)
@@ -319,15 +310,14 @@
 	for range 3 {
 		next, changed = RepairDomains(s, next, now, trustAll)
 	}
-	assert.Assert(t, !changed, "it comes to rest")
+	assert.Assert(t, !changed, "repeated repairs must converge")
 }
 
 func trustAll(string) bool { return true }
 
-// The store was away, and an engine that is gone is still listed. What it seems to
-// hold does not count: the one that could be spared beside it is the last that does
-// its work there, and stays.
-func TestMendTrustsNoEngineThatMayBeGone(t *testing.T) {
+// An engine that may have exited does not count as a holder, so the other holder of its
+// layers is not moved.
+func TestRepairDomainsIgnoresUntrustedHolders(t *testing.T) {
 	s := testSpec()
 	all := append(makeEngines("a", "a100", 4), Engine{Address: "low", Domain: "a", Card: cards["l40s"]})
 	plan := BuildPlan(s, makeEngines("a", "a100", 4))
@@ -340,10 +330,9 @@
 	assert.Assert(t, changed && next["low"].From <= hole.From, "low went to %s", next["low"])
 }
 
-// A domain lost a range that nobody else of it holds. Its large engines carry the
-// streams and stay: until one had let go of them and loaded, the domain would lack
-// its layers too. The small one, whose layers a large one holds, takes the place.
-func TestMendLeavesBusyEngines(t *testing.T) {
+// A failure domain lacks a range. The spare engine moves there, and the large engines that
+// carry the streams stay.
+func TestRepairDomainsKeepsBusyEngines(t *testing.T) {
 	s := testSpec()
 	all := append(makeEngines("a", "a100", 4), makeEngines("b", "a100", 3)...)
 	plan := Plan{}
@@ -364,9 +353,8 @@
 	}
 }
 
-// As planned, no domain needs mending: engines that were placed are not moved on a
-// calm day.
-func TestPlansNeedNoMending(t *testing.T) {
+// A new plan needs no repair, so engines are not moved without a loss.
+func TestNewPlansNeedNoRepair(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := testSpec()
 		all := drawEngines(rt)
@@ -376,9 +364,9 @@
 	})
 }
 
-// Whatever is lost, mending takes no layer from a domain that held it, and fits
-// every memory.
-func TestMendNeverUncovers(t *testing.T) {
+// Whichever engines are lost, a repair takes no layer from a failure domain that held it
+// and fits the memory of each engine.
+func TestRepairDomainsNeverUncoversLayers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := testSpec()
 		all := drawEngines(rt)
@@ -396,10 +384,9 @@
 	})
 }
 
-// Two engines of a domain that each hold some layers alone leave at once. Two that
-// stand in for others take their place together, a small one each: what one cannot
-// hold the other does.
-func TestMendFillsALargeHoleWithSeveralEngines(t *testing.T) {
+// A failure domain loses two engines that were the only holders of their layers. Several
+// small standby engines cover these together.
+func TestRepairDomainsUsesSeveralEngines(t *testing.T) {
 	s := weakSpec()
 	all := inDomain(weakEngines(), "b")
 	plan := BuildPlan(s, all)
@@ -421,9 +408,9 @@
 	assertFits(t, s, next, left)
 }
 
-// BenchmarkMake plans for 2,950 engines in 18 failure domains: what the leader does
-// once, when the system is first started.
-func BenchmarkMake(b *testing.B) {
+// BenchmarkBuildPlan plans for 2,952 engines in 18 failure domains, as the leader does
+// when a large system first starts.
+func BenchmarkBuildPlan(b *testing.B) {
 	s := weakSpec()
 	var all []Engine
 	for d := range 18 {
