--- a/internal/coordination/placement/restore_test.go
+++ b/internal/coordination/placement/restore_test.go
@@ -13,10 +13,9 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// The store comes back from a copy in which the plan is an older one, or none. The plan in
-// force stays, whoever leads writes it again, and no engine is moved back to what it held
-// before: its layers would be lost to callers while it loads, twice.
-func TestPlanInForceStaysOverARestore(t *testing.T) {
+// The store is restored from a copy with an older plan or none. The current plan stays and
+// is stored again. No engine moves back, which would cost two loads.
+func TestCurrentPlanSurvivesAStoreRestore(t *testing.T) {
 	for name, inCopy := range map[string]bool{"an older plan": true, "no plan": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -26,12 +25,12 @@
 				early := s.store.Copy()
 				s.run(12 * time.Second)
 				s.traffic.Store(true)
-				given := s.totalOrders()
-				inForce := s.c.plans["s"].plan
+				before := s.totalOrders()
+				current := s.c.plans["s"].plan
 				if inCopy {
 					s.store.Restore(early)
 					older := Plan{}
-					for addr := range inForce {
+					for addr := range current {
 						older[addr] = model.LayerRange{To: 1}
 					}
 					raw, err := json.Marshal(older)
@@ -46,13 +45,13 @@
 				}
 				s.token.Store(int64(s.store.Put(leader.Key, []byte(`{}`))))
 				s.run(5 * time.Second)
-				assert.Assert(t, equalPlans(s.c.plans["s"].plan, inForce))
-				assert.Equal(t, s.totalOrders(), given, "nobody is moved")
+				assert.Assert(t, equalPlans(s.c.plans["s"].plan, current))
+				assert.Equal(t, s.totalOrders(), before, "no engine is moved")
 				it, err := s.store.Get(context.Background(), leader.PlanPrefix+"s")
 				assert.NilError(t, err)
 				stored, err := DecodePlan(it.Value)
 				assert.NilError(t, err)
-				assert.Assert(t, equalPlans(stored, inForce), "it is written again")
+				assert.Assert(t, equalPlans(stored, current), "the current plan is stored again")
 			})
 		})
 	}
