--- a/internal/coordination/placement/plan.go
+++ b/internal/coordination/placement/plan.go
@@ -44,14 +44,14 @@
 func DecodePlan(value []byte) (Plan, error) {
 	var plan Plan
 	if err := json.Unmarshal(value, &plan); err != nil {
-		return nil, errors.Wrap(err, "decode plan")
+		return nil, errors.Wrap(err, "plan")
 	}
 	if plan == nil {
-		return nil, errors.New("decode plan: value is null")
+		return nil, errors.New("plan: value is null")
 	}
 	for addr, held := range plan {
 		if held.From < 0 || held.To < held.From {
-			return nil, errors.Errorf("decode plan: %.40q has invalid layer range %s", addr, held)
+			return nil, errors.Errorf("plan: %.40q has invalid layer range %s", addr, held)
 		}
 	}
 	return plan, nil
