--- a/internal/coordination/flow/dinic_test.go
+++ b/internal/coordination/flow/dinic_test.go
@@ -7,34 +7,34 @@
 
 // maxFlow is the most that engines and links carry.
 func maxFlow(groups []Group, layers int, link InterconnectRate) float64 {
-	b := newBuilder(groups, layers, link)
+	b := newGraphBuilder(groups, layers, link)
 	return b.net.maxFlow(b.source, b.sink)
 }
 
-// builder lays the graph out. Each group is two nodes joined by an arc of its
+// graphBuilder lays the graph out. Each group is two nodes joined by an arc of its
 // rate. What goes from one domain to another at one boundary of layers shares a
 // way, an arc of the link's rate; a link used at several boundaries is split
 // evenly over them.
-type builder struct {
+type graphBuilder struct {
 	net          *network
 	source, sink int
-	ways         map[pair]*way
+	crossings    map[crossingKey]*crossing
 }
 
-// pair is the way between two domains at one boundary of layers.
-type pair struct {
+// crossingKey is the way between two domains at one boundary of layers.
+type crossingKey struct {
 	from, to string
 	boundary int
 }
 
-// way is the arcs into and out of a shared link, by group.
-type way struct {
+// crossing is the arcs into and out of a shared link, by group.
+type crossing struct {
 	in, out        int
 	enters, leaves map[int]int
 }
 
-func newBuilder(groups []Group, layers int, link InterconnectRate) *builder {
-	b := &builder{net: &network{}, ways: map[pair]*way{}}
+func newGraphBuilder(groups []Group, layers int, link InterconnectRate) *graphBuilder {
+	b := &graphBuilder{net: &network{}, crossings: map[crossingKey]*crossing{}}
 	b.source = b.net.node()
 	b.sink = b.net.node()
 	in := make([]int, len(groups))
@@ -49,26 +49,26 @@
 			b.net.arc(out[i], b.sink, math.Inf(1))
 		}
 	}
-	shares := boundaries(groups)
+	shares := countBoundaries(groups)
 	for i, g := range groups {
 		for j, h := range groups {
 			if follows(g.Range, h.Range) {
-				w := b.way(pair{g.Domain, h.Domain, g.Range.To}, link, shares)
-				b.join(w.enters, i, out[i], w.in)
-				b.join(w.leaves, j, w.out, in[j])
+				w := b.crossing(crossingKey{g.Domain, h.Domain, g.Range.To}, link, shares)
+				b.connect(w.enters, i, out[i], w.in)
+				b.connect(w.leaves, j, w.out, in[j])
 			}
 		}
 	}
 	return b
 }
 
-// boundaries counts at how many boundaries each pair of domains is used.
-func boundaries(groups []Group) map[[2]string]int {
-	used := map[pair]bool{}
+// countBoundaries counts at how many countBoundaries each pair of domains is used.
+func countBoundaries(groups []Group) map[[2]string]int {
+	used := map[crossingKey]bool{}
 	n := map[[2]string]int{}
 	for _, g := range groups {
 		for _, h := range groups {
-			p := pair{g.Domain, h.Domain, g.Range.To}
+			p := crossingKey{g.Domain, h.Domain, g.Range.To}
 			if follows(g.Range, h.Range) && !used[p] {
 				used[p] = true
 				n[[2]string{g.Domain, h.Domain}]++
@@ -78,18 +78,18 @@
 	return n
 }
 
-func (b *builder) way(p pair, link InterconnectRate, shares map[[2]string]int) *way {
-	if w, ok := b.ways[p]; ok {
+func (b *graphBuilder) crossing(p crossingKey, link InterconnectRate, shares map[[2]string]int) *crossing {
+	if w, ok := b.crossings[p]; ok {
 		return w
 	}
-	w := &way{in: b.net.node(), out: b.net.node(), enters: map[int]int{}, leaves: map[int]int{}}
+	w := &crossing{in: b.net.node(), out: b.net.node(), enters: map[int]int{}, leaves: map[int]int{}}
 	b.net.arc(w.in, w.out, link(p.from, p.to)/float64(shares[[2]string{p.from, p.to}]))
-	b.ways[p] = w
+	b.crossings[p] = w
 	return w
 }
 
-// join adds the arc of a group to a way once.
-func (b *builder) join(arcs map[int]int, group, from, to int) {
+// connect adds the arc of a group to a way once.
+func (b *graphBuilder) connect(arcs map[int]int, group, from, to int) {
 	if _, ok := arcs[group]; !ok {
 		arcs[group] = b.net.arc(from, to, math.Inf(1))
 	}
@@ -97,28 +97,28 @@
 
 // network is a graph for Dinic's algorithm (1970), with capacities in float64.
 type network struct {
-	arcs []arc
-	out  [][]int // arc numbers by node; arc n and n^1 are each other's reverse
+	arcs     []arc
+	outgoing [][]int // arc numbers by node; arc n and n^1 are each other's reverse
 }
 
 type arc struct {
-	to   int
-	left float64
+	to       int
+	residual float64
 }
 
-// tiny is what counts as no capacity, against rounding.
-const tiny = 1e-6
+// minCapacity is what counts as no capacity, against rounding.
+const minCapacity = 1e-6
 
 func (n *network) node() int {
-	n.out = append(n.out, nil)
-	return len(n.out) - 1
+	n.outgoing = append(n.outgoing, nil)
+	return len(n.outgoing) - 1
 }
 
 func (n *network) arc(from, to int, capacity float64) int {
 	id := len(n.arcs)
 	n.arcs = append(n.arcs, arc{to, capacity}, arc{from, 0})
-	n.out[from] = append(n.out[from], id)
-	n.out[to] = append(n.out[to], id+1)
+	n.outgoing[from] = append(n.outgoing[from], id)
+	n.outgoing[to] = append(n.outgoing[to], id+1)
 	return id
 }
 
@@ -129,10 +129,10 @@
 		if level[sink] < 0 {
 			return total
 		}
-		next := make([]int, len(n.out))
+		next := make([]int, len(n.outgoing))
 		for {
-			f := n.push(source, sink, math.Inf(1), level, next)
-			if f <= tiny {
+			f := n.augment(source, sink, math.Inf(1), level, next)
+			if f <= minCapacity {
 				break
 			}
 			total += f
@@ -141,7 +141,7 @@
 }
 
 func (n *network) levels(source int) []int {
-	level := make([]int, len(n.out))
+	level := make([]int, len(n.outgoing))
 	for i := range level {
 		level[i] = -1
 	}
@@ -150,8 +150,8 @@
 	for len(queue) > 0 {
 		u := queue[0]
 		queue = queue[1:]
-		for _, id := range n.out[u] {
-			if a := n.arcs[id]; a.left > tiny && level[a.to] < 0 {
+		for _, id := range n.outgoing[u] {
+			if a := n.arcs[id]; a.residual > minCapacity && level[a.to] < 0 {
 				level[a.to] = level[u] + 1
 				queue = append(queue, a.to)
 			}
@@ -160,20 +160,20 @@
 	return level
 }
 
-func (n *network) push(u, sink int, most float64, level, next []int) float64 {
+func (n *network) augment(u, sink int, most float64, level, next []int) float64 {
 	if u == sink {
 		return most
 	}
-	for ; next[u] < len(n.out[u]); next[u]++ {
-		id := n.out[u][next[u]]
+	for ; next[u] < len(n.outgoing[u]); next[u]++ {
+		id := n.outgoing[u][next[u]]
 		a := &n.arcs[id]
-		if a.left <= tiny || level[a.to] != level[u]+1 {
+		if a.residual <= minCapacity || level[a.to] != level[u]+1 {
 			continue
 		}
-		f := n.push(a.to, sink, math.Min(most, a.left), level, next)
-		if f > tiny {
-			a.left -= f
-			n.arcs[id^1].left += f
+		f := n.augment(a.to, sink, math.Min(most, a.residual), level, next)
+		if f > minCapacity {
+			a.residual -= f
+			n.arcs[id^1].residual += f
 			return f
 		}
 	}
--- a/internal/coordination/flow/flow.go
+++ b/internal/coordination/flow/flow.go
@@ -62,7 +62,7 @@
 func Solve(groups []Group, layers int, link InterconnectRate, precision float64) Plan {
 	p := newPacker(groups, layers, link)
 	p.epsilon = precision
-	p.setPrices()
+	p.initPrices()
 	p.run()
 	return p.plan()
 }
@@ -81,51 +81,51 @@
 	used  float64
 }
 
-// use is how much of a resource one position of a chain takes.
-type use struct {
+// usage is how much of a resource one position of a chain takes.
+type usage struct {
 	res    *resource
 	amount float64
 }
 
 type packer struct {
-	groups  []Group
-	layers  int
-	engines []resource
-	links   map[[2]string]*resource
-	byTo    []int // groups by their last layer
-	epsilon float64
-	chains  map[string]*Chain
-	bound   float64
+	groups        []Group
+	layers        int
+	engines       []resource
+	interconnects map[[2]string]*resource
+	byLastLayer   []int // groups by their last layer
+	epsilon       float64
+	chains        map[string]*Chain
+	upperBound    float64
 }
 
 func newPacker(groups []Group, layers int, link InterconnectRate) *packer {
 	p := &packer{
-		groups:  groups,
-		layers:  layers,
-		engines: make([]resource, len(groups)),
-		links:   map[[2]string]*resource{},
-		chains:  map[string]*Chain{},
-		bound:   math.Inf(1),
+		groups:        groups,
+		layers:        layers,
+		engines:       make([]resource, len(groups)),
+		interconnects: map[[2]string]*resource{},
+		chains:        map[string]*Chain{},
+		upperBound:    math.Inf(1),
 	}
 	for i, g := range groups {
 		p.engines[i].rate = g.Rate
-		p.byTo = append(p.byTo, i)
+		p.byLastLayer = append(p.byLastLayer, i)
 		for _, h := range groups {
 			d := [2]string{g.Domain, h.Domain}
-			if r := link(d[0], d[1]); p.links[d] == nil && !math.IsInf(r, 1) {
-				p.links[d] = &resource{rate: r}
+			if r := link(d[0], d[1]); p.interconnects[d] == nil && !math.IsInf(r, 1) {
+				p.interconnects[d] = &resource{rate: r}
 			}
 		}
 	}
-	sort.Slice(p.byTo, func(a, b int) bool {
-		return groups[p.byTo[a]].Range.To < groups[p.byTo[b]].Range.To
+	sort.Slice(p.byLastLayer, func(a, b int) bool {
+		return groups[p.byLastLayer[a]].Range.To < groups[p.byLastLayer[b]].Range.To
 	})
 	return p
 }
 
-// setPrices gives each resource its first, tiny price.
-func (p *packer) setPrices() {
-	m := float64(len(p.engines) + len(p.links))
+// initPrices gives each resource its first, tiny price.
+func (p *packer) initPrices() {
+	m := float64(len(p.engines) + len(p.interconnects))
 	delta := math.Pow(m/(1-p.epsilon), -1/p.epsilon) * (1 - p.epsilon)
 	for _, r := range p.resources() {
 		r.price = delta / r.rate
@@ -137,7 +137,7 @@
 	for i := range p.engines {
 		out = append(out, &p.engines[i])
 	}
-	for _, l := range p.links {
+	for _, l := range p.interconnects {
 		out = append(out, l)
 	}
 	return out
@@ -154,17 +154,17 @@
 		if chain == nil {
 			return
 		}
-		p.bound = math.Min(p.bound, p.value()/cost)
+		p.upperBound = math.Min(p.upperBound, p.totalValue()/cost)
 		if cost >= 1 {
 			return
 		}
-		p.send(chain)
+		p.route(chain)
 	}
 }
 
-// value is what all resources are worth at their prices. By duality no plan
+// totalValue is what all resources are worth at their prices. By duality no plan
 // carries more than this for each unit that the cheapest chain costs.
-func (p *packer) value() float64 {
+func (p *packer) totalValue() float64 {
 	v := 0.0
 	for _, r := range p.resources() {
 		v += r.price * r.rate
@@ -172,7 +172,7 @@
 	return v
 }
 
-func (p *packer) send(chain []int) {
+func (p *packer) route(chain []int) {
 	uses := p.uses(chain)
 	amount := math.Inf(1)
 	for _, u := range uses {
@@ -200,7 +200,7 @@
 
 // uses sums what one position of a chain takes of each resource. A group that
 // runs a part of its layers is taken up in part.
-func (p *packer) uses(chain []int) []use {
+func (p *packer) uses(chain []int) []usage {
 	sum := map[*resource]float64{}
 	done := 0
 	for i, g := range chain {
@@ -210,23 +210,23 @@
 		if i+1 == len(chain) {
 			break
 		}
-		if l := p.link(g, chain[i+1]); l != nil {
+		if l := p.interconnect(g, chain[i+1]); l != nil {
 			sum[l]++
 		}
 	}
-	out := make([]use, 0, len(sum))
+	out := make([]usage, 0, len(sum))
 	for r, a := range sum {
-		out = append(out, use{r, a})
+		out = append(out, usage{r, a})
 	}
 	return out
 }
 
-func (p *packer) link(from, to int) *resource {
-	return p.links[[2]string{p.groups[from].Domain, p.groups[to].Domain}]
+func (p *packer) interconnect(from, to int) *resource {
+	return p.interconnects[[2]string{p.groups[from].Domain, p.groups[to].Domain}]
 }
 
-func (p *packer) linkPrice(from, to int) float64 {
-	if l := p.link(from, to); l != nil {
+func (p *packer) interconnectPrice(from, to int) float64 {
+	if l := p.interconnect(from, to); l != nil {
 		return l.price
 	}
 	return 0
@@ -244,7 +244,7 @@
 		}
 	}
 	end, endCost := -1, math.Inf(1)
-	for _, g := range p.byTo {
+	for _, g := range p.byLastLayer {
 		if math.IsInf(cost[g], 1) {
 			continue
 		}
@@ -256,7 +256,7 @@
 			end, endCost = g, cost[g]
 		}
 	}
-	return trace(end, via), endCost
+	return tracePath(end, via), endCost
 }
 
 func (p *packer) relax(g int, cost []float64, via []int) {
@@ -266,14 +266,14 @@
 			continue
 		}
 		part := float64(next.Range.To-from.To) / float64(next.Range.Len())
-		c := cost[g] + p.linkPrice(g, h) + part*p.engines[h].price
+		c := cost[g] + p.interconnectPrice(g, h) + part*p.engines[h].price
 		if c < cost[h] {
 			cost[h], via[h] = c, g
 		}
 	}
 }
 
-func trace(end int, via []int) []int {
+func tracePath(end int, via []int) []int {
 	var chain []int
 	for g := end; g >= 0; g = via[g] {
 		chain = append([]int{g}, chain...)
@@ -302,6 +302,6 @@
 		}
 		return chainKey(a.Groups) < chainKey(b.Groups)
 	})
-	out.UpperBound = p.bound
+	out.UpperBound = p.upperBound
 	return out
 }
--- a/internal/coordination/flow/flow_test.go
+++ b/internal/coordination/flow/flow_test.go
@@ -10,12 +10,12 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-func free(_, _ string) float64 { return math.Inf(1) }
+func unlimited(_, _ string) float64 { return math.Inf(1) }
 
-func rng(from, to int) model.LayerRange { return model.LayerRange{From: from, To: to} }
+func layerRange(from, to int) model.LayerRange { return model.LayerRange{From: from, To: to} }
 
-// near allows for the coarseness of the packing.
-func near(got, want float64) bool { return math.Abs(got-want) <= 4*FinePrecision*want+1e-9 }
+// approxEqual allows for the coarseness of the packing.
+func approxEqual(got, want float64) bool { return math.Abs(got-want) <= 4*FinePrecision*want+1e-9 }
 
 func TestKnownFlows(t *testing.T) {
 	for _, tc := range []struct {
@@ -24,18 +24,18 @@
 		link   InterconnectRate
 		want   float64
 	}{
-		{"narrowest stage", []Group{{"a", rng(0, 4), 10}, {"a", rng(4, 8), 7}}, free, 7},
-		{"two ways", []Group{{"a", rng(0, 4), 10}, {"a", rng(4, 8), 3}, {"b", rng(4, 8), 5}}, free, 8},
-		{"overlap is run in part", []Group{{"a", rng(0, 6), 30}, {"a", rng(4, 8), 9}}, free, 18},
-		{"whole model at one", []Group{{"a", rng(0, 8), 4}, {"a", rng(0, 4), 3}, {"a", rng(4, 8), 3}}, free, 7},
-		{"a layer is missing", []Group{{"a", rng(0, 3), 10}, {"a", rng(4, 8), 10}}, free, 0},
-		{"link used at two boundaries", []Group{{"a", rng(0, 2), 10}, {"b", rng(2, 4), 10}, {"a", rng(4, 6), 10}, {"b", rng(6, 8), 10}},
+		{"narrowest stage", []Group{{"a", layerRange(0, 4), 10}, {"a", layerRange(4, 8), 7}}, unlimited, 7},
+		{"two ways", []Group{{"a", layerRange(0, 4), 10}, {"a", layerRange(4, 8), 3}, {"b", layerRange(4, 8), 5}}, unlimited, 8},
+		{"overlap is run in part", []Group{{"a", layerRange(0, 6), 30}, {"a", layerRange(4, 8), 9}}, unlimited, 18},
+		{"whole model at one", []Group{{"a", layerRange(0, 8), 4}, {"a", layerRange(0, 4), 3}, {"a", layerRange(4, 8), 3}}, unlimited, 7},
+		{"a layer is missing", []Group{{"a", layerRange(0, 3), 10}, {"a", layerRange(4, 8), 10}}, unlimited, 0},
+		{"link used at two boundaries", []Group{{"a", layerRange(0, 2), 10}, {"b", layerRange(2, 4), 10}, {"a", layerRange(4, 6), 10}, {"b", layerRange(6, 8), 10}},
 			func(a, b string) float64 { return 2 }, 1},
-		{"slow link", []Group{{"a", rng(0, 4), 10}, {"b", rng(4, 8), 10}}, func(a, b string) float64 { return 2 }, 2},
+		{"slow link", []Group{{"a", layerRange(0, 4), 10}, {"b", layerRange(4, 8), 10}}, func(a, b string) float64 { return 2 }, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := Solve(tc.groups, 8, tc.link, FinePrecision)
-			assert.Assert(t, near(got.Rate, tc.want), "%g, want %g", got.Rate, tc.want)
+			assert.Assert(t, approxEqual(got.Rate, tc.want), "%g, want %g", got.Rate, tc.want)
 		})
 	}
 }
@@ -53,7 +53,7 @@
 			at := rapid.IntRange(0, 2).Draw(rt, "range")
 			groups = append(groups, Group{
 				Domain: rapid.SampledFrom(domains).Draw(rt, "domain"),
-				Range:  rng(cuts[at], cuts[at+1]),
+				Range:  layerRange(cuts[at], cuts[at+1]),
 				Rate:   float64(rapid.IntRange(1, 100).Draw(rt, "rate")),
 			})
 		}
@@ -73,7 +73,7 @@
 			assert.Assert(rt, used[i] <= g.Rate*(1+1e-9))
 		}
 		best := maxFlow(groups, 8, link)
-		assert.Assert(rt, near(plan.Rate, best), "plan %g, maximum flow %g", plan.Rate, best)
+		assert.Assert(rt, approxEqual(plan.Rate, best), "plan %g, maximum flow %g", plan.Rate, best)
 		assert.Assert(rt, best == 0 || plan.UpperBound >= best*(1-1e-6), "bound %g below the maximum flow %g", plan.UpperBound, best)
 	})
 }
@@ -88,7 +88,7 @@
 	var groups []Group
 	for d := 0; d < domains; d++ {
 		for from := 0; from < 8; from += 2 {
-			groups = append(groups, Group{string(rune('a' + d)), rng(from, from+2), float64(10 + d)})
+			groups = append(groups, Group{string(rune('a' + d)), layerRange(from, from+2), float64(10 + d)})
 		}
 	}
 	link := func(a, b string) float64 {
