--- a/internal/coordination/liveness/liveness.go
+++ b/internal/coordination/liveness/liveness.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	// watchers is how many routers keep a connection to an engine: one may be
+	// watchersPerEngine is how many routers keep a connection to an engine: one may be
 	// frozen or cut off. Each reopens it whenever the engine's idle timeout ends.
-	watchers = 2
-	// syncEvery is how often engines and routers are looked over.
-	syncEvery = 500 * time.Millisecond
-	// retryPause is after a connection that could not be opened, or that was
+	watchersPerEngine = 2
+	// syncInterval is how often engines and routers are looked over.
+	syncInterval = 500 * time.Millisecond
+	// retryDelay is after a connection that could not be opened, or that was
 	// closed at once: an engine that has too many resets new ones.
-	retryPause = time.Second
+	retryDelay = time.Second
 )
 
 // Watcher watches engines by a connection kept open to each.
@@ -50,7 +50,7 @@
 
 // Run watches until ctx ends.
 func (s *Watcher) Run(ctx context.Context) {
-	tick := time.NewTicker(syncEvery)
+	tick := time.NewTicker(syncInterval)
 	defer tick.Stop()
 	for {
 		s.sync(ctx)
@@ -96,34 +96,34 @@
 // few routers after its own hash: routers that know of different ones choose
 // almost the same, without asking each other, and finding them takes a binary
 // search.
-type ring []point
+type ring []ringPoint
 
-type point struct {
-	at     uint64
+type ringPoint struct {
+	hash   uint64
 	router string
 }
 
-// ringPoints is how many places each router has on the ring, so that their
+// pointsPerRouter is how many places each router has on the ring, so that their
 // shares differ little.
-const ringPoints = 8
+const pointsPerRouter = 8
 
 func newRing(routers []string) ring {
-	out := make(ring, 0, len(routers)*ringPoints)
+	out := make(ring, 0, len(routers)*pointsPerRouter)
 	for _, r := range routers {
-		for i := range ringPoints {
-			out = append(out, point{at: spread.Hash(r, strconv.Itoa(i)), router: r})
+		for i := range pointsPerRouter {
+			out = append(out, ringPoint{hash: spread.Hash(r, strconv.Itoa(i)), router: r})
 		}
 	}
-	slices.SortFunc(out, func(a, b point) int { return cmp.Compare(a.at, b.at) })
+	slices.SortFunc(out, func(a, b ringPoint) int { return cmp.Compare(a.hash, b.hash) })
 	return out
 }
 
 // assigned tells whether a router is among those that watch an engine.
 func (r ring) assigned(self, engine string) bool {
-	from, _ := slices.BinarySearchFunc(r, spread.Hash(engine), func(p point, at uint64) int { return cmp.Compare(p.at, at) })
-	var met [watchers]string
+	from, _ := slices.BinarySearchFunc(r, spread.Hash(engine), func(p ringPoint, at uint64) int { return cmp.Compare(p.hash, at) })
+	var met [watchersPerEngine]string
 	n := 0
-	for i := 0; i < len(r) && n < watchers; i++ {
+	for i := 0; i < len(r) && n < watchersPerEngine; i++ {
 		next := r[(from+i)%len(r)].router
 		if slices.Contains(met[:n], next) {
 			continue
@@ -151,26 +151,26 @@
 				s.OnExit(b)
 				return
 			}
-			pause(ctx)
+			waitRetryDelay(ctx)
 			continue
 		}
 		seen = true
 		began := time.Now()
-		closed(ctx, conn)
+		waitClosed(ctx, conn)
 		short++
-		if time.Since(began) >= retryPause {
+		if time.Since(began) >= retryDelay {
 			short = 0
 		}
 		// One may have been closed by the end that is looked for.
 		if short > 1 {
-			pause(ctx)
+			waitRetryDelay(ctx)
 		}
 	}
 }
 
-// closed waits until a connection ends, or ctx does. Nothing was asked on it, so
+// waitClosed waits until a connection ends, or ctx does. Nothing was asked on it, so
 // whatever comes makes it unfit as well.
-func closed(ctx context.Context, c net.Conn) {
+func waitClosed(ctx context.Context, c net.Conn) {
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
 	defer c.Close()
@@ -178,8 +178,8 @@
 	_, _ = c.Read(make([]byte, 1))
 }
 
-func pause(ctx context.Context) {
-	t := time.NewTimer(retryPause)
+func waitRetryDelay(ctx context.Context) {
+	t := time.NewTimer(retryDelay)
 	defer t.Stop()
 	select {
 	case <-t.C:
--- a/internal/coordination/liveness/liveness_test.go
+++ b/internal/coordination/liveness/liveness_test.go
@@ -16,20 +16,20 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// engine accepts connections while its process lives.
-type engine struct {
-	mu     sync.Mutex
-	open   []net.Conn
-	dialed int
-	dial   error // what a new connection meets
+// fakeEngine accepts connections while its process lives.
+type fakeEngine struct {
+	mu        sync.Mutex
+	open      []net.Conn
+	dialCount int
+	dialErr   error // what a new connection meets
 }
 
-func (e *engine) accept(context.Context, string) (net.Conn, error) {
+func (e *fakeEngine) dial(context.Context, string) (net.Conn, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dialed++
-	if e.dial != nil {
-		return nil, e.dial
+	e.dialCount++
+	if e.dialErr != nil {
+		return nil, e.dialErr
 	}
 	near, far := net.Pipe()
 	e.open = append(e.open, far)
@@ -37,34 +37,34 @@
 }
 
 // close ends all connections; new ones meet err.
-func (e *engine) close(err error) {
+func (e *fakeEngine) close(err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dial = err
+	e.dialErr = err
 	for _, c := range e.open {
 		c.Close()
 	}
 	e.open = nil
 }
 
-func (e *engine) dials() int {
+func (e *fakeEngine) dials() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.dialed
+	return e.dialCount
 }
 
-var refused = errors.Wrap(syscall.ECONNREFUSED, "dial")
+var errRefused = errors.Wrap(syscall.ECONNREFUSED, "dial")
 
-// watching runs a watcher over one engine in virtual time.
-func watching(t *testing.T, f func(e *engine, gone *[]string)) {
+// runWatcher runs a watcher over one engine in virtual time.
+func runWatcher(t *testing.T, f func(e *fakeEngine, gone *[]string)) {
 	synctest.Test(t, func(t *testing.T) {
-		e := &engine{}
+		e := &fakeEngine{}
 		var gone []string
 		s := &Watcher{
 			Self:    "a",
 			Routers: func() []string { return []string{"a"} },
 			Engines: func() []*model.BackendServer { return []*model.BackendServer{{ID: "e", Address: "e:1"}} },
-			Dial:    e.accept,
+			Dial:    e.dial,
 			OnExit:  func(b *model.BackendServer) { gone = append(gone, b.ID) },
 		}
 		ctx, stop := context.WithCancel(context.Background())
@@ -81,8 +81,8 @@
 // An engine's process dies in the middle of its streams. Its connections close,
 // its port refuses new ones: that is known at once, and told once.
 func TestEndOfAProcessIsSeenAtOnce(t *testing.T) {
-	watching(t, func(e *engine, gone *[]string) {
-		e.close(refused)
+	runWatcher(t, func(e *fakeEngine, gone *[]string) {
+		e.close(errRefused)
 		synctest.Wait()
 		assert.DeepEqual(t, *gone, []string{"e"})
 		time.Sleep(10 * time.Second)
@@ -93,7 +93,7 @@
 // Engines close connections that rest. The next one is accepted: no evidence, and
 // that one is watched.
 func TestClosedIdleConnectionIsNoEvidence(t *testing.T) {
-	watching(t, func(e *engine, gone *[]string) {
+	runWatcher(t, func(e *fakeEngine, gone *[]string) {
 		for range 3 {
 			time.Sleep(10 * time.Second)
 			e.close(nil)
@@ -101,7 +101,7 @@
 		}
 		assert.Equal(t, len(*gone), 0)
 		assert.Equal(t, e.dials(), 4)
-		e.close(refused)
+		e.close(errRefused)
 		synctest.Wait()
 		assert.Equal(t, len(*gone), 1)
 	})
@@ -110,7 +110,7 @@
 // This router is cut off from an engine, or the engine goes dark: connections
 // time out. Others may reach it, so that is no proof of its end.
 func TestCutOffEngineIsNotGone(t *testing.T) {
-	watching(t, func(e *engine, gone *[]string) {
+	runWatcher(t, func(e *fakeEngine, gone *[]string) {
 		e.close(errors.New("i/o timeout"))
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, len(*gone), 0)
@@ -120,7 +120,7 @@
 // An engine that has too many connections resets each new one. It is asked about
 // once a second, not in a loop.
 func TestFullEngineIsNotDialedInALoop(t *testing.T) {
-	watching(t, func(e *engine, _ *[]string) {
+	runWatcher(t, func(e *fakeEngine, _ *[]string) {
 		before := e.dials()
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
@@ -159,8 +159,8 @@
 				moved++
 			}
 		}
-		assert.Equal(t, before, watchers)
-		assert.Equal(t, after, watchers)
+		assert.Equal(t, before, watchersPerEngine)
+		assert.Equal(t, after, watchersPerEngine)
 	}
 	assert.Assert(t, moved <= 16, "%d of 100 watches moved for one router of 24", moved)
 }
