--- a/internal/coordination/keepalive/keepalive.go
+++ b/internal/coordination/keepalive/keepalive.go
@@ -16,12 +16,12 @@
 // caller, some milliseconds, many times over where the idle time is short.
 const (
 	marginShare = 0.5
-	leastMargin = time.Second
+	minMargin   = time.Second
 )
 
 // IdleMargin gives the margin beyond an idle time.
 func IdleMargin(idle time.Duration) time.Duration {
-	return max(leastMargin, time.Duration(marginShare*float64(idle)))
+	return max(minMargin, time.Duration(marginShare*float64(idle)))
 }
 
 // Phase is what a connection is doing.
@@ -37,15 +37,15 @@
 // ConnState is the life of one connection. Its zero value rests since the zero time. Its
 // owner keeps calls apart.
 type ConnState struct {
-	phase   Phase
-	since   time.Time // when the phase began
-	retired bool
+	phase         Phase
+	phaseStart    time.Time // when the phase began
+	closeWhenIdle bool
 }
 
 // StartIdle begins to wait for the next request.
 func (l *ConnState) StartIdle(now time.Time) {
 	l.phase = Idle
-	l.since = now
+	l.phaseStart = now
 }
 
 // BytesRead takes in that bytes were read. The first ones of a head begin its time; later
@@ -53,7 +53,7 @@
 func (l *ConnState) BytesRead(now time.Time) {
 	if l.phase == Idle {
 		l.phase = ReadingHeader
-		l.since = now
+		l.phaseStart = now
 	}
 }
 
@@ -61,13 +61,13 @@
 func (l *ConnState) StartRequest() { l.phase = Serving }
 
 // CloseWhenIdle ends the connection as soon as it rests: its router stops.
-func (l *ConnState) CloseWhenIdle() { l.retired = true }
+func (l *ConnState) CloseWhenIdle() { l.closeWhenIdle = true }
 
 // Phase gives the present phase.
 func (l *ConnState) Phase() Phase { return l.phase }
 
-// longAgo is a bound that has passed.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a bound that has passed.
+var pastDeadline = time.Unix(1, 0)
 
 // Deadline is when the phase must be over, by the limits that are in force now: a
 // connection that came to rest under a shorter time is used by its caller for as
@@ -77,11 +77,11 @@
 	case l.phase == Serving:
 		return time.Time{}
 	case l.phase == ReadingHeader:
-		return l.since.Add(limits.HeaderTime)
-	case l.retired:
-		return longAgo
+		return l.phaseStart.Add(limits.HeaderTime)
+	case l.closeWhenIdle:
+		return pastDeadline
 	}
-	return l.since.Add(limits.IdleTime + IdleMargin(limits.IdleTime))
+	return l.phaseStart.Add(limits.IdleTime + IdleMargin(limits.IdleTime))
 }
 
 // Expired decides at now whether the phase's time is over. Where bytes of the caller have
--- a/internal/coordination/keepalive/keepalive_test.go
+++ b/internal/coordination/keepalive/keepalive_test.go
@@ -11,14 +11,14 @@
 )
 
 var (
-	start  = time.Unix(1000, 0)
-	limits = model.CallerLimits{HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}
+	startTime = time.Unix(1000, 0)
+	limits    = model.CallerLimits{HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}
 )
 
 func TestRestEndsAfterTheIdleTimeAndAMargin(t *testing.T) {
 	var l ConnState
-	l.StartIdle(start)
-	until := start.Add(limits.IdleTime + IdleMargin(limits.IdleTime))
+	l.StartIdle(startTime)
+	until := startTime.Add(limits.IdleTime + IdleMargin(limits.IdleTime))
 	assert.Assert(t, !l.Expired(until.Add(-1), limits, false))
 	assert.Assert(t, l.Expired(until, limits, false))
 }
@@ -27,8 +27,8 @@
 // their connections open; short times have a second at least.
 func TestMarginCoversCallersThatRestLonger(t *testing.T) {
 	var l ConnState
-	l.StartIdle(start)
-	assert.Assert(t, !l.Expired(start.Add(limits.IdleTime*4/3), limits, false))
+	l.StartIdle(startTime)
+	assert.Assert(t, !l.Expired(startTime.Add(limits.IdleTime*4/3), limits, false))
 	assert.Equal(t, IdleMargin(100*time.Millisecond), time.Second)
 }
 
@@ -36,44 +36,44 @@
 // time ended, and is looked at after it. Closed now, the caller would have no answer.
 func TestBytesThatHaveArrivedKeepAConnection(t *testing.T) {
 	var l ConnState
-	l.StartIdle(start)
-	assert.Assert(t, !l.Expired(start.Add(time.Hour), limits, true))
-	l.BytesRead(start)
-	assert.Assert(t, !l.Expired(start.Add(time.Hour), limits, true))
+	l.StartIdle(startTime)
+	assert.Assert(t, !l.Expired(startTime.Add(time.Hour), limits, true))
+	l.BytesRead(startTime)
+	assert.Assert(t, !l.Expired(startTime.Add(time.Hour), limits, true))
 }
 
 // The operator lengthens the idle time while a connection rests, and its caller uses it
 // within the new one.
 func TestLimitsInForceNowCount(t *testing.T) {
 	var l ConnState
-	l.StartIdle(start)
+	l.StartIdle(startTime)
 	longer := limits
 	longer.IdleTime = time.Hour
-	assert.Assert(t, !l.Expired(start.Add(time.Minute), longer, false))
-	assert.Assert(t, l.Expired(start.Add(time.Minute), limits, false))
+	assert.Assert(t, !l.Expired(startTime.Add(time.Minute), longer, false))
+	assert.Assert(t, l.Expired(startTime.Add(time.Minute), limits, false))
 }
 
 // A caller sends a head byte by byte.
 func TestHeadIsBoundedFromItsFirstByte(t *testing.T) {
 	var l ConnState
-	l.StartIdle(start)
-	l.BytesRead(start.Add(time.Second))
-	l.BytesRead(start.Add(2 * time.Second))
-	assert.Equal(t, l.Deadline(limits), start.Add(time.Second+limits.HeaderTime))
+	l.StartIdle(startTime)
+	l.BytesRead(startTime.Add(time.Second))
+	l.BytesRead(startTime.Add(2 * time.Second))
+	assert.Equal(t, l.Deadline(limits), startTime.Add(time.Second+limits.HeaderTime))
 }
 
 // A router stops: connections at rest end at once, those with a head under way don't,
 // those with a request end when it has been answered.
 func TestRetiredConnectionsEndAtRest(t *testing.T) {
 	var l ConnState
-	l.StartIdle(start)
-	l.BytesRead(start)
+	l.StartIdle(startTime)
+	l.BytesRead(startTime)
 	l.CloseWhenIdle()
-	assert.Assert(t, !l.Expired(start, limits, false))
+	assert.Assert(t, !l.Expired(startTime, limits, false))
 	l.StartRequest()
-	assert.Assert(t, !l.Expired(start.Add(time.Hour), limits, false))
-	l.StartIdle(start.Add(time.Hour))
-	assert.Assert(t, l.Expired(start.Add(time.Hour), limits, false))
+	assert.Assert(t, !l.Expired(startTime.Add(time.Hour), limits, false))
+	l.StartIdle(startTime.Add(time.Hour))
+	assert.Assert(t, l.Expired(startTime.Add(time.Hour), limits, false))
 }
 
 // Whatever happens in whatever order: a connection with a request in progress, or with
@@ -81,7 +81,7 @@
 func TestNoRequestIsEnded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l ConnState
-		now := start
+		now := startTime
 		l.StartIdle(now)
 		t.Repeat(map[string]func(*rapid.T){
 			"rest":   func(*rapid.T) { l.StartIdle(now) },
