--- a/internal/coordination/flow/dinic_test.go
+++ b/internal/coordination/flow/dinic_test.go
@@ -2,38 +2,39 @@
 
 import "math"
 
-// The maximum flow of the layered graph by Dinic's algorithm (1970): the check
-// on Solve where no tokens go back to the first stage.
+// This file computes the maximum flow of the layered graph by Dinic's algorithm (1970), as
+// a reference for Solve.
 
-// maxFlow is the most that engines and links carry.
-func maxFlow(groups []Group, layers int, link InterconnectRate) float64 {
-	b := newGraphBuilder(groups, layers, link)
+// maxFlow returns the greatest rate that groups and interconnects allow.
+func maxFlow(groups []Group, layers int, rate InterconnectRate) float64 {
+	b := newGraphBuilder(groups, layers, rate)
 	return b.net.maxFlow(b.source, b.sink)
 }
 
-// graphBuilder lays the graph out. Each group is two nodes joined by an arc of its
-// rate. What goes from one domain to another at one boundary of layers shares a
-// way, an arc of the link's rate; a link used at several boundaries is split
-// evenly over them.
+// graphBuilder builds the flow graph. Each group is two nodes joined by an arc of its
+// rate. The flow from one failure domain to another at one layer boundary shares a
+// crossing, an arc of the rate of the interconnect. The rate is split evenly over the
+// boundaries at which the interconnect is used.
 type graphBuilder struct {
 	net          *network
 	source, sink int
 	crossings    map[crossingKey]*crossing
 }
 
-// crossingKey is the way between two domains at one boundary of layers.
+// crossingKey identifies the crossing between two failure domains at one layer boundary.
 type crossingKey struct {
 	from, to string
 	boundary int
 }
 
-// crossing is the arcs into and out of a shared link, by group.
+// crossing holds the nodes of a shared interconnect, and the arcs into and out of it by
+// group.
 type crossing struct {
 	in, out        int
 	enters, leaves map[int]int
 }
 
-func newGraphBuilder(groups []Group, layers int, link InterconnectRate) *graphBuilder {
+func newGraphBuilder(groups []Group, layers int, rate InterconnectRate) *graphBuilder {
 	b := &graphBuilder{net: &network{}, crossings: map[crossingKey]*crossing{}}
 	b.source = b.net.node()
 	b.sink = b.net.node()
@@ -53,49 +54,50 @@
 	for i, g := range groups {
 		for j, h := range groups {
 			if follows(g.Range, h.Range) {
-				w := b.crossing(crossingKey{g.Domain, h.Domain, g.Range.To}, link, shares)
-				b.connect(w.enters, i, out[i], w.in)
-				b.connect(w.leaves, j, w.out, in[j])
+				c := b.crossing(crossingKey{g.Domain, h.Domain, g.Range.To}, rate, shares)
+				b.connect(c.enters, i, out[i], c.in)
+				b.connect(c.leaves, j, c.out, in[j])
 			}
 		}
 	}
 	return b
 }
 
-// countBoundaries counts at how many countBoundaries each pair of domains is used.
+// countBoundaries returns the number of layer boundaries at which each pair of failure
+// domains is used.
 func countBoundaries(groups []Group) map[[2]string]int {
 	used := map[crossingKey]bool{}
-	n := map[[2]string]int{}
+	counts := map[[2]string]int{}
 	for _, g := range groups {
 		for _, h := range groups {
-			p := crossingKey{g.Domain, h.Domain, g.Range.To}
-			if follows(g.Range, h.Range) && !used[p] {
-				used[p] = true
-				n[[2]string{g.Domain, h.Domain}]++
+			key := crossingKey{g.Domain, h.Domain, g.Range.To}
+			if follows(g.Range, h.Range) && !used[key] {
+				used[key] = true
+				counts[[2]string{g.Domain, h.Domain}]++
 			}
 		}
 	}
-	return n
+	return counts
 }
 
-func (b *graphBuilder) crossing(p crossingKey, link InterconnectRate, shares map[[2]string]int) *crossing {
-	if w, ok := b.crossings[p]; ok {
-		return w
+func (b *graphBuilder) crossing(key crossingKey, rate InterconnectRate, shares map[[2]string]int) *crossing {
+	if c, ok := b.crossings[key]; ok {
+		return c
 	}
-	w := &crossing{in: b.net.node(), out: b.net.node(), enters: map[int]int{}, leaves: map[int]int{}}
-	b.net.arc(w.in, w.out, link(p.from, p.to)/float64(shares[[2]string{p.from, p.to}]))
-	b.crossings[p] = w
-	return w
+	c := &crossing{in: b.net.node(), out: b.net.node(), enters: map[int]int{}, leaves: map[int]int{}}
+	b.net.arc(c.in, c.out, rate(key.from, key.to)/float64(shares[[2]string{key.from, key.to}]))
+	b.crossings[key] = c
+	return c
 }
 
-// connect adds the arc of a group to a way once.
+// connect adds the arc of a group to a crossing unless it exists.
 func (b *graphBuilder) connect(arcs map[int]int, group, from, to int) {
 	if _, ok := arcs[group]; !ok {
 		arcs[group] = b.net.arc(from, to, math.Inf(1))
 	}
 }
 
-// network is a graph for Dinic's algorithm (1970), with capacities in float64.
+// network is a flow graph with float64 capacities.
 type network struct {
 	arcs     []arc
 	outgoing [][]int // arc numbers by node; arc n and n^1 are each other's reverse
@@ -106,7 +108,7 @@
 	residual float64
 }
 
-// minCapacity is what counts as no capacity, against rounding.
+// minCapacity is the capacity below which an arc counts as full, because of rounding.
 const minCapacity = 1e-6
 
 func (n *network) node() int {
@@ -160,9 +162,9 @@
 	return level
 }
 
-func (n *network) augment(u, sink int, most float64, level, next []int) float64 {
+func (n *network) augment(u, sink int, limit float64, level, next []int) float64 {
 	if u == sink {
-		return most
+		return limit
 	}
 	for ; next[u] < len(n.outgoing[u]); next[u]++ {
 		id := n.outgoing[u][next[u]]
@@ -170,7 +172,7 @@
 		if a.residual <= minCapacity || level[a.to] != level[u]+1 {
 			continue
 		}
-		f := n.augment(a.to, sink, math.Min(most, a.residual), level, next)
+		f := n.augment(a.to, sink, math.Min(limit, a.residual), level, next)
 		if f > minCapacity {
 			a.residual -= f
 			n.arcs[id^1].residual += f
