--- a/internal/coordination/flow/flow.go
+++ b/internal/coordination/flow/flow.go
@@ -1,14 +1,12 @@
-// Package flow computes the most that a mixed set of engines and links can
-// carry, and the chains by which to carry it: a maximum flow through the layers
-// (scheduling pipelines over mixed accelerators by max-flow is published work,
-// Mei and others, 2024), in which an engine that runs a part of its layers is
-// taken up in part. Links count the activations between stages; the tokens that
-// go back to the first stage are a thousand times smaller.
+// Package flow computes how many token positions per second a mixed set of engines and
+// interconnects can process at most, and the chains that achieve it. It solves a maximum
+// flow through the layers, as published for mixed accelerators by Mei and others (2024).
+// An engine that runs a part of its layers counts in part. Interconnects count the
+// activations between stages. The tokens that return to the first stage are negligible.
 //
-// It is a fractional packing problem: chains are packed into the rates of
-// engines and links. It is solved by the algorithm of Garg and Könemann (1998),
-// which needs only the cheapest chain under a price for each resource, and gives
-// a proven upper bound beside its solution.
+// This is a fractional packing problem: chains are packed into the rates of engines and
+// interconnects. The algorithm of Garg and Könemann (1998) solves it. It needs only the
+// cheapest chain under a price for each resource, and also yields a proven upper bound.
 package flow
 
 import (
@@ -18,87 +16,87 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// Group is engines of one failure domain that hold the same layers.
+// Group is a set of engines in one failure domain that hold the same layers.
 type Group struct {
 	Domain string
 	Range  model.LayerRange
-	// Rate is how many positions a second the group runs through its layers.
+	// Rate is the number of positions per second that the group runs through its layers.
 	Rate float64
 }
 
-// InterconnectRate gives how many positions a second go from one failure domain to
-// another; infinity for no limit.
+// InterconnectRate returns how many positions per second can pass from one failure domain
+// to another. Infinity means no limit.
 type InterconnectRate func(from, to string) float64
 
-// Chain is groups in layer order, and how many positions a second they carry
-// together by the plan.
+// Chain is a sequence of groups in layer order, as indices, with the positions per second
+// that the plan assigns to it.
 type Chain struct {
 	Groups []int
 	Rate   float64
 }
 
-// Plan is a packing of chains.
+// Plan is a packing of chains into the rates of groups and interconnects.
 type Plan struct {
 	Chains []Chain
-	// Rate is the sum of the chains' rates, positions a second.
+	// Rate is the sum of the rates of the chains, in positions per second.
 	Rate float64
-	// UpperBound is proven: no plan carries more.
+	// UpperBound is a proven upper bound on the rate of any plan.
 	UpperBound float64
 }
 
-// Precisions for Solve. The work grows with the inverse of its square.
+// Precisions for Solve. Its run time grows with the inverse square of the precision.
 const (
-	// FinePrecision is for bounds that figures are measured against.
+	// FinePrecision is for bounds that measurements are compared with.
 	FinePrecision = 0.03
-	// CoarsePrecision is for plans that are made again every second.
+	// CoarsePrecision is for plans that are solved again every second.
 	CoarsePrecision = 0.12
 )
 
-// maxSteps bounds the work on odd inputs.
+// maxSteps bounds the run time on degenerate inputs.
 const maxSteps = 200_000
 
-// Solve plans for a model of so many layers. The plan is within about thrice the
-// precision of the best.
-func Solve(groups []Group, layers int, link InterconnectRate, precision float64) Plan {
-	p := newPacker(groups, layers, link)
+// Solve returns a plan for a model with the given number of layers. Its relative error is
+// at most about three times the precision.
+func Solve(groups []Group, layers int, rate InterconnectRate, precision float64) Plan {
+	p := newPacker(groups, layers, rate)
 	p.epsilon = precision
 	p.initPrices()
 	p.run()
 	return p.plan()
 }
 
-// follows tells whether b takes over where a ends. Layers of b that a has run
-// already are left out.
+// follows reports whether b can run the layers after the end of a. Layers of b that a has
+// run already are skipped.
 func follows(a, b model.LayerRange) bool {
 	return b.From <= a.To && a.To < b.To
 }
 
-// resource is something with a rate that chains use up: a group, or a link
-// between two domains.
+// resource is a group or an interconnect, whose rate chains use up.
 type resource struct {
 	rate  float64
 	price float64
 	used  float64
 }
 
-// usage is how much of a resource one position of a chain takes.
+// usage is how much of a resource one position of a chain uses.
 type usage struct {
 	res    *resource
 	amount float64
 }
 
+// packer holds the state of Solve.
 type packer struct {
 	groups        []Group
 	layers        int
 	engines       []resource
 	interconnects map[[2]string]*resource
-	byLastLayer   []int // groups by their last layer
+	byLastLayer   []int // group indices
 	epsilon       float64
 	chains        map[string]*Chain
 	upperBound    float64
 }
 
-func newPacker(groups []Group, layers int, link InterconnectRate) *packer {
+func newPacker(groups []Group, layers int, rate InterconnectRate) *packer {
 	p := &packer{
 		groups:        groups,
 		layers:        layers,
@@ -111,9 +109,9 @@
 		p.engines[i].rate = g.Rate
 		p.byLastLayer = append(p.byLastLayer, i)
 		for _, h := range groups {
-			d := [2]string{g.Domain, h.Domain}
-			if r := link(d[0], d[1]); p.interconnects[d] == nil && !math.IsInf(r, 1) {
-				p.interconnects[d] = &resource{rate: r}
+			pair := [2]string{g.Domain, h.Domain}
+			if r := rate(pair[0], pair[1]); p.interconnects[pair] == nil && !math.IsInf(r, 1) {
+				p.interconnects[pair] = &resource{rate: r}
 			}
 		}
 	}
@@ -123,7 +121,7 @@
 	return p
 }
 
-// initPrices gives each resource its first, tiny price.
+// initPrices sets the small initial price of each resource.
 func (p *packer) initPrices() {
 	m := float64(len(p.engines) + len(p.interconnects))
 	delta := math.Pow(m/(1-p.epsilon), -1/p.epsilon) * (1 - p.epsilon)
@@ -143,8 +141,8 @@
 	return out
 }
 
-// run sends flow along the cheapest chain and raises the prices of what it used
-// up, until prices say that all is used up.
+// run repeatedly routes flow along the cheapest chain and raises the prices of the
+// resources that it uses, until a chain costs at least 1.
 func (p *packer) run() {
 	if len(p.groups) == 0 {
 		return
@@ -162,8 +160,8 @@
 	}
 }
 
-// totalValue is what all resources are worth at their prices. By duality no plan
-// carries more than this for each unit that the cheapest chain costs.
+// totalValue returns the value of all resources at their prices. By duality no plan has a
+// higher rate than this value divided by the cost of the cheapest chain.
 func (p *packer) totalValue() float64 {
 	v := 0.0
 	for _, r := range p.resources() {
@@ -172,6 +170,7 @@
 	return v
 }
 
+// route adds as much flow to a chain as its scarcest resource allows.
 func (p *packer) route(chain []int) {
 	uses := p.uses(chain)
 	amount := math.Inf(1)
@@ -198,29 +197,31 @@
 	return string(b)
 }
 
-// uses sums what one position of a chain takes of each resource. A group that
-// runs a part of its layers is taken up in part.
+// uses returns what one position of a chain uses of each resource. A group that runs a
+// part of its layers is used in part.
 func (p *packer) uses(chain []int) []usage {
-	sum := map[*resource]float64{}
-	done := 0
+	amounts := map[*resource]float64{}
+	layersDone := 0
 	for i, g := range chain {
-		rng := p.groups[g].Range
-		sum[&p.engines[g]] += float64(rng.To-done) / float64(rng.Len())
-		done = rng.To
+		held := p.groups[g].Range
+		amounts[&p.engines[g]] += float64(held.To-layersDone) / float64(held.Len())
+		layersDone = held.To
 		if i+1 == len(chain) {
 			break
 		}
 		if l := p.interconnect(g, chain[i+1]); l != nil {
-			sum[l]++
+			amounts[l]++
 		}
 	}
-	out := make([]usage, 0, len(sum))
-	for r, a := range sum {
+	out := make([]usage, 0, len(amounts))
+	for r, a := range amounts {
 		out = append(out, usage{r, a})
 	}
 	return out
 }
 
+// interconnect returns the interconnect between two groups, or nil if its rate is not
+// limited.
 func (p *packer) interconnect(from, to int) *resource {
 	return p.interconnects[[2]string{p.groups[from].Domain, p.groups[to].Domain}]
 }
@@ -232,13 +233,13 @@
 	return 0
 }
 
-// cheapest finds the chain of least price. It walks the groups in the order of
+// cheapest returns the chain of the lowest price. It visits the groups in the order of
 // their last layers, so that each is reached before it is left.
 func (p *packer) cheapest() ([]int, float64) {
 	cost := make([]float64, len(p.groups))
-	via := make([]int, len(p.groups))
+	previous := make([]int, len(p.groups))
 	for i, g := range p.groups {
-		cost[i], via[i] = math.Inf(1), -1
+		cost[i], previous[i] = math.Inf(1), -1
 		if g.Range.From == 0 {
 			cost[i] = p.engines[i].price
 		}
@@ -249,17 +250,18 @@
 			continue
 		}
 		if p.groups[g].Range.To < p.layers {
-			p.relax(g, cost, via)
+			p.relax(g, cost, previous)
 			continue
 		}
 		if cost[g] < endCost {
 			end, endCost = g, cost[g]
 		}
 	}
-	return tracePath(end, via), endCost
+	return tracePath(end, previous), endCost
 }
 
-func (p *packer) relax(g int, cost []float64, via []int) {
+// relax updates the cost of the groups that can follow group g.
+func (p *packer) relax(g int, cost []float64, previous []int) {
 	from := p.groups[g].Range
 	for h, next := range p.groups {
 		if !follows(from, next.Range) {
@@ -268,32 +270,32 @@
 		part := float64(next.Range.To-from.To) / float64(next.Range.Len())
 		c := cost[g] + p.interconnectPrice(g, h) + part*p.engines[h].price
 		if c < cost[h] {
-			cost[h], via[h] = c, g
+			cost[h], previous[h] = c, g
 		}
 	}
 }
 
-func tracePath(end int, via []int) []int {
+func tracePath(end int, previous []int) []int {
 	var chain []int
-	for g := end; g >= 0; g = via[g] {
+	for g := end; g >= 0; g = previous[g] {
 		chain = append([]int{g}, chain...)
 	}
 	return chain
 }
 
-// plan scales what was sent so that nothing is used beyond its rate.
+// plan returns the routed flow, scaled so that no resource is used beyond its rate.
 func (p *packer) plan() Plan {
-	worst := 0.0
+	overuse := 0.0
 	for _, r := range p.resources() {
-		worst = math.Max(worst, r.used/r.rate)
+		overuse = math.Max(overuse, r.used/r.rate)
 	}
 	out := Plan{}
-	if worst == 0 {
+	if overuse == 0 {
 		return out
 	}
 	for _, c := range p.chains {
-		out.Chains = append(out.Chains, Chain{Groups: c.Groups, Rate: c.Rate / worst})
-		out.Rate += c.Rate / worst
+		out.Chains = append(out.Chains, Chain{Groups: c.Groups, Rate: c.Rate / overuse})
+		out.Rate += c.Rate / overuse
 	}
 	sort.Slice(out.Chains, func(i, j int) bool {
 		a, b := out.Chains[i], out.Chains[j]
