--- a/internal/coordination/flow/flow_test.go
+++ b/internal/coordination/flow/flow_test.go
@@ -14,7 +14,7 @@
 
 func layerRange(from, to int) model.LayerRange { return model.LayerRange{From: from, To: to} }
 
-// approxEqual allows for the coarseness of the packing.
+// approxEqual allows for the precision of the packing.
 func approxEqual(got, want float64) bool { return math.Abs(got-want) <= 4*FinePrecision*want+1e-9 }
 
 func TestKnownFlows(t *testing.T) {
@@ -25,9 +25,9 @@
 		want   float64
 	}{
 		{"narrowest stage", []Group{{"a", layerRange(0, 4), 10}, {"a", layerRange(4, 8), 7}}, unlimited, 7},
-		{"two ways", []Group{{"a", layerRange(0, 4), 10}, {"a", layerRange(4, 8), 3}, {"b", layerRange(4, 8), 5}}, unlimited, 8},
-		{"overlap is run in part", []Group{{"a", layerRange(0, 6), 30}, {"a", layerRange(4, 8), 9}}, unlimited, 18},
-		{"whole model at one", []Group{{"a", layerRange(0, 8), 4}, {"a", layerRange(0, 4), 3}, {"a", layerRange(4, 8), 3}}, unlimited, 7},
+		{"two second stages", []Group{{"a", layerRange(0, 4), 10}, {"a", layerRange(4, 8), 3}, {"b", layerRange(4, 8), 5}}, unlimited, 8},
+		{"overlapping layers run once", []Group{{"a", layerRange(0, 6), 30}, {"a", layerRange(4, 8), 9}}, unlimited, 18},
+		{"one group holds the whole model", []Group{{"a", layerRange(0, 8), 4}, {"a", layerRange(0, 4), 3}, {"a", layerRange(4, 8), 3}}, unlimited, 7},
 		{"a layer is missing", []Group{{"a", layerRange(0, 3), 10}, {"a", layerRange(4, 8), 10}}, unlimited, 0},
 		{"link used at two boundaries", []Group{{"a", layerRange(0, 2), 10}, {"b", layerRange(2, 4), 10}, {"a", layerRange(4, 6), 10}, {"b", layerRange(6, 8), 10}},
 			func(a, b string) float64 { return 2 }, 1},
@@ -40,11 +40,9 @@
 	}
 }
 
-// Whatever the groups and links, the plan's chains cover the model in order, no
-// group or link is used beyond its rate, the plan is near its proven bound, and
-// where ranges do not overlap and no tokens go back the bound is the maximum
-// flow.
-func TestPlanIsNearTheBound(t *testing.T) {
+// Chains of a plan cover the model in order and use no group beyond its rate. If ranges do
+// not overlap, the plan is near the maximum flow, and its upper bound is not below it.
+func TestPlanIsNearTheUpperBound(t *testing.T) {
 	domains := []string{"a", "b", "c"}
 	cuts := []int{0, 2, 4, 8}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -78,10 +76,10 @@
 	})
 }
 
-// The plan of one region: three failure domains, four ranges of layers.
+// BenchmarkSolveRegion plans for three failure domains and four layer ranges.
 func BenchmarkSolveRegion(b *testing.B) { benchmarkSolve(b, 3) }
 
-// The plan of the whole target fleet at once, which no entry makes.
+// BenchmarkSolveFleet plans for 18 failure domains at once.
 func BenchmarkSolveFleet(b *testing.B) { benchmarkSolve(b, 18) }
 
 func benchmarkSolve(b *testing.B, domains int) {
