--- a/internal/coordination/liveness/liveness.go
+++ b/internal/coordination/liveness/liveness.go
@@ -1,8 +1,7 @@
-// Package liveness notices the death of engines at once. A stream whose chain
-// loses a later part gets no word of it: its first engine goes on waiting, and
-// silence shows only after several times the usual pause between events. But a
-// process that ends closes its connections; whoever keeps one open sees that in
-// a few milliseconds.
+// Package liveness detects engine exits quickly. The first engine of a chain is not
+// notified when a later one exits, and a timeout on silence takes several times the usual
+// interval between events. A process that exits closes its connections, so routers keep
+// one open to each engine.
 package liveness
 
 import (
@@ -23,37 +22,39 @@
 )
 
 const (
-	// watchersPerEngine is how many routers keep a connection to an engine: one may be
-	// frozen or cut off. Each reopens it whenever the engine's idle timeout ends.
+	// watchersPerEngine is how many routers keep a connection to an engine, since one
+	// router may be frozen or disconnected. Each reconnects after the idle timeout of the
+	// engine.
 	watchersPerEngine = 2
-	// syncInterval is how often engines and routers are looked over.
+	// syncInterval is how often the lists of engines and routers are read.
 	syncInterval = 500 * time.Millisecond
-	// retryDelay is after a connection that could not be opened, or that was
-	// closed at once: an engine that has too many resets new ones.
+	// retryDelay is the delay after a failed or immediately closed connection. An engine
+	// with too many connections resets new ones.
 	retryDelay = time.Second
 )
 
-// Watcher watches engines by a connection kept open to each.
+// Watcher detects engine exits through a connection kept open to each assigned engine.
 type Watcher struct {
-	// Self is this router's name, Routers lists all that are alive.
+	// Self is the address of this router. Routers returns the addresses of all live
+	// routers.
 	Self    string
 	Routers func() []string
-	// Engines lists the engines that are known.
+	// Engines returns the known engines.
 	Engines func() []*model.BackendServer
 	Dial    func(ctx context.Context, addr string) (net.Conn, error)
-	// OnExit is told of an engine whose process has ended.
+	// OnExit is called with an engine whose process has exited.
 	OnExit func(b *model.BackendServer)
 
 	mu      sync.Mutex
 	watched map[model.Incarnation]context.CancelFunc
 }
 
-// Run watches until ctx ends.
-func (s *Watcher) Run(ctx context.Context) {
+// Run watches engines until ctx is done.
+func (w *Watcher) Run(ctx context.Context) {
 	tick := time.NewTicker(syncInterval)
 	defer tick.Stop()
 	for {
-		s.sync(ctx)
+		w.sync(ctx)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -62,40 +63,39 @@
 	}
 }
 
-// sync begins to watch engines that are this router's to watch, and leaves those
-// that are not any more.
-func (s *Watcher) sync(ctx context.Context) {
-	ring := newRing(s.Routers())
-	mine := map[model.Incarnation]*model.BackendServer{}
-	for _, b := range s.Engines() {
-		if ring.assigned(s.Self, b.ID) {
-			mine[b.Incarnation()] = b
+// sync starts to watch the engines that are assigned to this router, and stops watching
+// the others.
+func (w *Watcher) sync(ctx context.Context) {
+	ring := newRing(w.Routers())
+	assigned := map[model.Incarnation]*model.BackendServer{}
+	for _, b := range w.Engines() {
+		if ring.assigned(w.Self, b.ID) {
+			assigned[b.Incarnation()] = b
 		}
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.watched == nil {
-		s.watched = map[model.Incarnation]context.CancelFunc{}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.watched == nil {
+		w.watched = map[model.Incarnation]context.CancelFunc{}
 	}
-	for inc, stop := range s.watched {
-		if mine[inc] == nil {
+	for inc, stop := range w.watched {
+		if assigned[inc] == nil {
 			stop()
-			delete(s.watched, inc)
+			delete(w.watched, inc)
 		}
 	}
-	for inc, b := range mine {
-		if s.watched[inc] == nil {
-			watch, stop := context.WithCancel(ctx)
-			s.watched[inc] = stop
-			go s.watch(watch, b)
+	for inc, b := range assigned {
+		if w.watched[inc] == nil {
+			watchCtx, stop := context.WithCancel(ctx)
+			w.watched[inc] = stop
+			go w.watch(watchCtx, b)
 		}
 	}
 }
 
-// ring places routers on a circle of hashes. An engine is watched by the first
-// few routers after its own hash: routers that know of different ones choose
-// almost the same, without asking each other, and finding them takes a binary
-// search.
+// ring is a consistent hash ring of routers. The first routers after the hash of an engine
+// watch it. Routers that know of different routers still choose mostly the same watchers,
+// without coordination.
 type ring []ringPoint
 
 type ringPoint struct {
@@ -103,8 +103,7 @@
 	router string
 }
 
-// pointsPerRouter is how many places each router has on the ring, so that their
-// shares differ little.
+// pointsPerRouter is how many points each router has on the ring, to balance their shares.
 const pointsPerRouter = 8
 
 func newRing(routers []string) ring {
@@ -118,63 +117,63 @@
 	return out
 }
 
-// assigned tells whether a router is among those that watch an engine.
+// assigned reports whether a router is among those that watch an engine.
 func (r ring) assigned(self, engine string) bool {
-	from, _ := slices.BinarySearchFunc(r, spread.Hash(engine), func(p ringPoint, at uint64) int { return cmp.Compare(p.hash, at) })
-	var met [watchersPerEngine]string
+	from, _ := slices.BinarySearchFunc(r, spread.Hash(engine), func(p ringPoint, hash uint64) int { return cmp.Compare(p.hash, hash) })
+	var distinct [watchersPerEngine]string
 	n := 0
 	for i := 0; i < len(r) && n < watchersPerEngine; i++ {
 		next := r[(from+i)%len(r)].router
-		if slices.Contains(met[:n], next) {
+		if slices.Contains(distinct[:n], next) {
 			continue
 		}
 		if next == self {
 			return true
 		}
-		met[n] = next
+		distinct[n] = next
 		n++
 	}
 	return false
 }
 
-// watch keeps a connection to one engine open. Its end is no evidence alone, as
-// engines close connections that rest; that the port then refuses another is.
-// An engine that is cut off or dark refuses nothing.
-func (s *Watcher) watch(ctx context.Context, b *model.BackendServer) {
-	seen := false
-	short := 0 // connections in a row that were closed at once
+// watch keeps a connection to one engine open. A closed connection alone is no evidence of
+// an exit, since engines close idle connections. A refused reconnect after it is. An
+// engine that is unreachable does not refuse connections.
+func (w *Watcher) watch(ctx context.Context, b *model.BackendServer) {
+	connected := false
+	shortLived := 0 // consecutive connections that were closed at once
 	for ctx.Err() == nil {
-		conn, err := s.Dial(ctx, b.Address)
+		conn, err := w.Dial(ctx, b.Address)
 		if err != nil {
-			if seen && ctx.Err() == nil && errors.Is(err, syscall.ECONNREFUSED) {
-				klog.InfoS("engine's process ended", "server", b.Incarnation(), "address", b.Address, "evidence", "a kept connection was closed and a new one refused")
-				s.OnExit(b)
+			if connected && ctx.Err() == nil && errors.Is(err, syscall.ECONNREFUSED) {
+				klog.InfoS("engine process exited", "server", b.Incarnation(), "address", b.Address, "evidence", "open connection was closed and a reconnect was refused")
+				w.OnExit(b)
 				return
 			}
 			waitRetryDelay(ctx)
 			continue
 		}
-		seen = true
-		began := time.Now()
+		connected = true
+		opened := time.Now()
 		waitClosed(ctx, conn)
-		short++
-		if time.Since(began) >= retryDelay {
-			short = 0
+		shortLived++
+		if time.Since(opened) >= retryDelay {
+			shortLived = 0
 		}
-		// One may have been closed by the end that is looked for.
-		if short > 1 {
+		// The first such connection is retried at once, as the engine may have exited.
+		if shortLived > 1 {
 			waitRetryDelay(ctx)
 		}
 	}
 }
 
-// waitClosed waits until a connection ends, or ctx does. Nothing was asked on it, so
-// whatever comes makes it unfit as well.
+// waitClosed waits until a connection ends or ctx is done. No request is sent on it, so
+// any received data makes it unusable as well.
 func waitClosed(ctx context.Context, c net.Conn) {
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
 	defer c.Close()
-	// The error says only that it ended; what that means the next dial tells.
+	// The error does not matter. The next dial shows whether the engine has exited.
 	_, _ = c.Read(make([]byte, 1))
 }
 
