--- a/internal/coordination/liveness/liveness_test.go
+++ b/internal/coordination/liveness/liveness_test.go
@@ -16,12 +16,12 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// fakeEngine accepts connections while its process lives.
+// fakeEngine accepts connections until dialErr is set.
 type fakeEngine struct {
 	mu        sync.Mutex
 	open      []net.Conn
 	dialCount int
-	dialErr   error // what a new connection meets
+	dialErr   error // returned to new connections
 }
 
 func (e *fakeEngine) dial(context.Context, string) (net.Conn, error) {
@@ -36,7 +36,7 @@
 	return near, nil
 }
 
-// close ends all connections; new ones meet err.
+// close closes all connections. New ones fail with err, or succeed if it is nil.
 func (e *fakeEngine) close(err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -55,71 +55,70 @@
 
 var errRefused = errors.Wrap(syscall.ECONNREFUSED, "dial")
 
-// runWatcher runs a watcher over one engine in virtual time.
-func runWatcher(t *testing.T, f func(e *fakeEngine, gone *[]string)) {
+// runWatcher runs a watcher of one engine in virtual time.
+func runWatcher(t *testing.T, f func(e *fakeEngine, exited *[]string)) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngine{}
-		var gone []string
+		var exited []string
 		s := &Watcher{
 			Self:    "a",
 			Routers: func() []string { return []string{"a"} },
 			Engines: func() []*model.BackendServer { return []*model.BackendServer{{ID: "e", Address: "e:1"}} },
 			Dial:    e.dial,
-			OnExit:  func(b *model.BackendServer) { gone = append(gone, b.ID) },
+			OnExit:  func(b *model.BackendServer) { exited = append(exited, b.ID) },
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		var done sync.WaitGroup
 		done.Go(func() { s.Run(ctx) })
 		time.Sleep(2 * time.Second)
-		f(e, &gone)
+		f(e, &exited)
 		stop()
 		done.Wait()
 		synctest.Wait()
 	})
 }
 
-// An engine's process dies in the middle of its streams. Its connections close,
-// its port refuses new ones: that is known at once, and told once.
-func TestEndOfAProcessIsSeenAtOnce(t *testing.T) {
-	runWatcher(t, func(e *fakeEngine, gone *[]string) {
+// An engine process exits while streams run. Its connections close and its port refuses
+// new ones, so the exit is reported at once and only once.
+func TestProcessExitIsReportedAtOnce(t *testing.T) {
+	runWatcher(t, func(e *fakeEngine, exited *[]string) {
 		e.close(errRefused)
 		synctest.Wait()
-		assert.DeepEqual(t, *gone, []string{"e"})
+		assert.DeepEqual(t, *exited, []string{"e"})
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, len(*gone), 1)
+		assert.Equal(t, len(*exited), 1)
 	})
 }
 
-// Engines close connections that rest. The next one is accepted: no evidence, and
-// that one is watched.
-func TestClosedIdleConnectionIsNoEvidence(t *testing.T) {
-	runWatcher(t, func(e *fakeEngine, gone *[]string) {
+// Engines close idle connections and accept new ones. That is no exit, and the new
+// connection is watched.
+func TestClosedIdleConnectionIsNotAnExit(t *testing.T) {
+	runWatcher(t, func(e *fakeEngine, exited *[]string) {
 		for range 3 {
 			time.Sleep(10 * time.Second)
 			e.close(nil)
 			synctest.Wait()
 		}
-		assert.Equal(t, len(*gone), 0)
+		assert.Equal(t, len(*exited), 0)
 		assert.Equal(t, e.dials(), 4)
 		e.close(errRefused)
 		synctest.Wait()
-		assert.Equal(t, len(*gone), 1)
+		assert.Equal(t, len(*exited), 1)
 	})
 }
 
-// This router is cut off from an engine, or the engine goes dark: connections
-// time out. Others may reach it, so that is no proof of its end.
-func TestCutOffEngineIsNotGone(t *testing.T) {
-	runWatcher(t, func(e *fakeEngine, gone *[]string) {
+// Connections to an engine time out. Others may still reach it, so this is no exit.
+func TestUnreachableEngineIsNotAnExit(t *testing.T) {
+	runWatcher(t, func(e *fakeEngine, exited *[]string) {
 		e.close(errors.New("i/o timeout"))
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, len(*gone), 0)
+		assert.Equal(t, len(*exited), 0)
 	})
 }
 
-// An engine that has too many connections resets each new one. It is asked about
-// once a second, not in a loop.
-func TestFullEngineIsNotDialedInALoop(t *testing.T) {
+// An engine with too many connections resets each new one. It is dialed about once per
+// second.
+func TestEngineThatResetsConnectionsIsRedialedWithDelay(t *testing.T) {
 	runWatcher(t, func(e *fakeEngine, _ *[]string) {
 		before := e.dials()
 		for range 50 {
@@ -130,10 +129,9 @@
 	})
 }
 
-// Two dozen routers share the watch over fifty engines: each engine has its few
-// watchers, and when a router goes away another takes its place, while the rest
-// of the assignment stays as it was.
-func TestEnginesAreSharedOut(t *testing.T) {
+// Each engine has the required number of watchers. When a router leaves, few assignments
+// change.
+func TestEnginesAreDistributedOverRouters(t *testing.T) {
 	var routers []string
 	for i := range 24 {
 		routers = append(routers, fmt.Sprintf("10.0.0.%d:1", i))
@@ -144,18 +142,18 @@
 		id := fmt.Sprintf("i-%d", i)
 		before, after := 0, 0
 		for _, r := range routers {
-			had := all.assigned(r, id)
-			if had {
+			wasAssigned := all.assigned(r, id)
+			if wasAssigned {
 				before++
 			}
 			if r == routers[0] {
 				continue
 			}
-			has := fewer.assigned(r, id)
-			if has {
+			isAssigned := fewer.assigned(r, id)
+			if isAssigned {
 				after++
 			}
-			if has != had {
+			if isAssigned != wasAssigned {
 				moved++
 			}
 		}
