--- a/internal/coordination/keepalive/keepalive.go
+++ b/internal/coordination/keepalive/keepalive.go
@@ -1,6 +1,5 @@
-// Package keepalive decides how long a caller's connection may rest and how long a
-// request's head may take. It decides only for connections on which no request is in
-// progress: those are ended by the request's own answer.
+// Package keepalive decides how long a caller's connection may be idle and how long a
+// request header may take. Connections with a request in progress have no deadline here.
 package keepalive
 
 import (
@@ -9,85 +8,83 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// The margin is kept beyond the operator's idle time, as a request that crosses the
-// close is lost to its caller. Callers are told to use a connection until shortly
-// before that time; they were seen to use it up to a third beyond, 20 s where it was
-// 15 s, and half of it covers that. A second at least covers the way to the farthest
-// caller, some milliseconds, many times over where the idle time is short.
+// The margin is added to the idle timeout, since a request that is sent while the
+// connection is closed gets no response. Callers are told the timeout without the margin,
+// but may use connections longer. The minimum covers the network delay to callers.
 const (
 	marginShare = 0.5
 	minMargin   = time.Second
 )
 
-// IdleMargin gives the margin beyond an idle time.
+// IdleMargin returns the margin that is added to an idle timeout.
 func IdleMargin(idle time.Duration) time.Duration {
 	return max(minMargin, time.Duration(marginShare*float64(idle)))
 }
 
-// Phase is what a connection is doing.
+// Phase is the phase of a connection.
 type Phase int
 
-// The phases. Only Idle and ReadingHeader have a bound here.
+// Phases of a connection. Only Idle and ReadingHeader have a deadline.
 const (
 	Idle          Phase = iota // nothing of the next request has been read
-	ReadingHeader              // a part of a head has been read
+	ReadingHeader              // a part of a header has been read
 	Serving                    // a request is in progress
 )
 
-// ConnState is the life of one connection. Its zero value rests since the zero time. Its
-// owner keeps calls apart.
+// ConnState tracks the phase of one connection. The zero value is idle since the zero
+// time. It is not safe for concurrent use.
 type ConnState struct {
 	phase         Phase
-	phaseStart    time.Time // when the phase began
+	phaseStart    time.Time
 	closeWhenIdle bool
 }
 
-// StartIdle begins to wait for the next request.
-func (l *ConnState) StartIdle(now time.Time) {
-	l.phase = Idle
-	l.phaseStart = now
+// StartIdle records that the connection waits for the next request.
+func (s *ConnState) StartIdle(now time.Time) {
+	s.phase = Idle
+	s.phaseStart = now
 }
 
-// BytesRead takes in that bytes were read. The first ones of a head begin its time; later
-// ones don't prolong it, or a caller could hold the connection by single bytes.
-func (l *ConnState) BytesRead(now time.Time) {
-	if l.phase == Idle {
-		l.phase = ReadingHeader
-		l.phaseStart = now
+// BytesRead records that bytes were read. Only the first bytes of a header start its
+// timeout. Otherwise a caller could hold the connection by sending single bytes.
+func (s *ConnState) BytesRead(now time.Time) {
+	if s.phase == Idle {
+		s.phase = ReadingHeader
+		s.phaseStart = now
 	}
 }
 
-// StartRequest begins a request.
-func (l *ConnState) StartRequest() { l.phase = Serving }
+// StartRequest records that a request is in progress.
+func (s *ConnState) StartRequest() { s.phase = Serving }
 
-// CloseWhenIdle ends the connection as soon as it rests: its router stops.
-func (l *ConnState) CloseWhenIdle() { l.closeWhenIdle = true }
+// CloseWhenIdle makes the connection expire as soon as it is idle, for a router that shuts
+// down.
+func (s *ConnState) CloseWhenIdle() { s.closeWhenIdle = true }
 
-// Phase gives the present phase.
-func (l *ConnState) Phase() Phase { return l.phase }
+// Phase returns the current phase.
+func (s *ConnState) Phase() Phase { return s.phase }
 
-// pastDeadline is a bound that has passed.
+// pastDeadline is a deadline that has already passed.
 var pastDeadline = time.Unix(1, 0)
 
-// Deadline is when the phase must be over, by the limits that are in force now: a
-// connection that came to rest under a shorter time is used by its caller for as
-// long as the newest configuration says. Zero is no bound.
-func (l *ConnState) Deadline(limits model.CallerLimits) time.Time {
+// Deadline returns when the current phase must end under the given limits, or the zero
+// time if it has no deadline. Changed limits apply also to a connection that is already
+// idle.
+func (s *ConnState) Deadline(limits model.CallerLimits) time.Time {
 	switch {
-	case l.phase == Serving:
+	case s.phase == Serving:
 		return time.Time{}
-	case l.phase == ReadingHeader:
-		return l.phaseStart.Add(limits.HeaderTime)
-	case l.closeWhenIdle:
+	case s.phase == ReadingHeader:
+		return s.phaseStart.Add(limits.HeaderTime)
+	case s.closeWhenIdle:
 		return pastDeadline
 	}
-	return l.phaseStart.Add(limits.IdleTime + IdleMargin(limits.IdleTime))
+	return s.phaseStart.Add(limits.IdleTime + IdleMargin(limits.IdleTime))
 }
 
-// Expired decides at now whether the phase's time is over. Where bytes of the caller have
-// arrived and are not read yet it is not: a router that is short of processor time is
-// late to read them, which is not the caller's fault.
-func (l *ConnState) Expired(now time.Time, limits model.CallerLimits, arrived bool) bool {
-	until := l.Deadline(limits)
-	return !until.IsZero() && !arrived && !now.Before(until)
+// Expired reports whether the deadline has passed. A connection on which unread bytes have
+// arrived does not expire, since a router that lacks CPU time may read them late.
+func (s *ConnState) Expired(now time.Time, limits model.CallerLimits, arrived bool) bool {
+	deadline := s.Deadline(limits)
+	return !deadline.IsZero() && !arrived && !now.Before(deadline)
 }
