--- a/internal/coordination/keepalive/keepalive_test.go
+++ b/internal/coordination/keepalive/keepalive_test.go
@@ -15,7 +15,7 @@
 	limits    = model.CallerLimits{HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}
 )
 
-func TestRestEndsAfterTheIdleTimeAndAMargin(t *testing.T) {
+func TestIdleConnectionExpiresAfterTimeoutAndMargin(t *testing.T) {
 	var l ConnState
 	l.StartIdle(startTime)
 	until := startTime.Add(limits.IdleTime + IdleMargin(limits.IdleTime))
@@ -23,18 +23,18 @@
 	assert.Assert(t, l.Expired(until, limits, false))
 }
 
-// Callers rest up to a third longer than the idle time that they were told, and find
-// their connections open; short times have a second at least.
-func TestMarginCoversCallersThatRestLonger(t *testing.T) {
+// Callers that use a connection up to a third beyond the idle timeout find it open. The
+// margin has a minimum.
+func TestMarginCoversCallersThatIdleLonger(t *testing.T) {
 	var l ConnState
 	l.StartIdle(startTime)
 	assert.Assert(t, !l.Expired(startTime.Add(limits.IdleTime*4/3), limits, false))
 	assert.Equal(t, IdleMargin(100*time.Millisecond), time.Second)
 }
 
-// A router was short of processor time: the caller's request arrived before the idle
-// time ended, and is looked at after it. Closed now, the caller would have no answer.
-func TestBytesThatHaveArrivedKeepAConnection(t *testing.T) {
+// A router that lacks CPU time reads a request only after the deadline. It must not close
+// the connection on it.
+func TestUnreadBytesKeepAConnectionOpen(t *testing.T) {
 	var l ConnState
 	l.StartIdle(startTime)
 	assert.Assert(t, !l.Expired(startTime.Add(time.Hour), limits, true))
@@ -42,9 +42,8 @@
 	assert.Assert(t, !l.Expired(startTime.Add(time.Hour), limits, true))
 }
 
-// The operator lengthens the idle time while a connection rests, and its caller uses it
-// within the new one.
-func TestLimitsInForceNowCount(t *testing.T) {
+// The idle timeout changes while a connection is idle. The new one applies.
+func TestCurrentLimitsApply(t *testing.T) {
 	var l ConnState
 	l.StartIdle(startTime)
 	longer := limits
@@ -53,8 +52,8 @@
 	assert.Assert(t, l.Expired(startTime.Add(time.Minute), limits, false))
 }
 
-// A caller sends a head byte by byte.
-func TestHeadIsBoundedFromItsFirstByte(t *testing.T) {
+// A caller that sends a header byte by byte must not extend its deadline.
+func TestHeaderTimeoutStartsAtTheFirstByte(t *testing.T) {
 	var l ConnState
 	l.StartIdle(startTime)
 	l.BytesRead(startTime.Add(time.Second))
@@ -62,9 +61,8 @@
 	assert.Equal(t, l.Deadline(limits), startTime.Add(time.Second+limits.HeaderTime))
 }
 
-// A router stops: connections at rest end at once, those with a head under way don't,
-// those with a request end when it has been answered.
-func TestRetiredConnectionsEndAtRest(t *testing.T) {
+// On shutdown idle connections expire at once, others after their header or request.
+func TestCloseWhenIdleExpiresOnlyIdleConnections(t *testing.T) {
 	var l ConnState
 	l.StartIdle(startTime)
 	l.BytesRead(startTime)
@@ -76,9 +74,9 @@
 	assert.Assert(t, l.Expired(startTime.Add(time.Hour), limits, false))
 }
 
-// Whatever happens in whatever order: a connection with a request in progress, or with
-// bytes that have arrived, is never ended here.
-func TestNoRequestIsEnded(t *testing.T) {
+// In any sequence of events, a connection with a request in progress or with unread bytes
+// never expires.
+func TestConnectionWithARequestNeverExpires(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l ConnState
 		now := startTime
@@ -94,7 +92,7 @@
 			"": func(t *rapid.T) {
 				arrived := rapid.Bool().Draw(t, "arrived")
 				if l.Expired(now, limits, arrived) && (arrived || l.Phase() == Serving) {
-					t.Fatal("ended with a request in it")
+					t.Fatal("expired with a request")
 				}
 			},
 		})
