--- a/internal/coordination/placement/backoff_test.go
+++ b/internal/coordination/placement/backoff_test.go
@@ -17,13 +17,13 @@
 		s, all := newLoadedCluster(t)
 		e := all[3]
 		want := s.held(e.Address)
-		given := 0
+		ordered := 0
 		for range 12 {
 			s.restart(e)
 			s.run(800 * time.Millisecond)
-			given += int(s.orders[e.Address])
+			ordered += int(s.orders[e.Address])
 		}
-		assert.Equal(t, given, backoffThreshold)
+		assert.Equal(t, ordered, backoffThreshold)
 		s.run(initialBackoff)
 		assert.Equal(t, s.held(e.Address), want, "ordered again after the delay")
 		s.restart(e)
