--- a/internal/coordination/placement/bound_test.go
+++ b/internal/coordination/placement/bound_test.go
@@ -74,13 +74,13 @@
 			byAddress[e.Address] = float64(supply[i])
 		}
 		flow := MaxFlow(s, plan, all, func(e Engine, _ model.LayerRange) float64 { return byAddress[e.Address] })
-		whole := int(math.Floor(flow + 1e-6))
-		assert.Equal(rt, augmentingMaxFlow(s.Layers, plan, all, supply, whole), whole*s.Layers, "flow %.3f", flow)
-		assert.Assert(rt, augmentingMaxFlow(s.Layers, plan, all, supply, whole+1) < (whole+1)*s.Layers, "flow %.3f", flow)
+		floor := int(math.Floor(flow + 1e-6))
+		assert.Equal(rt, augmentingMaxFlow(s.Layers, plan, all, supply, floor), floor*s.Layers, "flow %.3f", flow)
+		assert.Assert(rt, augmentingMaxFlow(s.Layers, plan, all, supply, floor+1) < (floor+1)*s.Layers, "flow %.3f", flow)
 	})
 }
 
-// A plan exceeds no upper bound, gives each failure domain the token capacity that it
+// A plan exceeds no upper bound, has the token capacity that each failure domain
 // requires, and keeps most of the prefill rate.
 func TestPlanStaysWithinItsBounds(t *testing.T) {
 	s := testSpec()
