--- a/internal/coordination/placement/controller.go
+++ b/internal/coordination/placement/controller.go
@@ -18,7 +18,7 @@
 const (
 	// settleDelay is how long no new engine must have appeared before the first plan is
 	// built. Engines register over the first seconds, and a plan built too early lacks
-	// whole chains.
+	// complete chains.
 	settleDelay = 1500 * time.Millisecond
 	// maxSettleDelay bounds the wait while engines keep appearing.
 	maxSettleDelay = 6 * time.Second
