--- a/internal/coordination/placement/controller_test.go
+++ b/internal/coordination/placement/controller_test.go
@@ -34,12 +34,12 @@
 	revision   model.Revision
 	holds      map[string]model.LayerRange
 	orders     map[string]int64
-	born       map[string]int64 // by ID; 0 if not reported
+	born       map[string]int64 // by ID, 0 if not reported
 	loading    int
 	maxLoading int // the most loads at once
 	fenced     int64
 	result     OrderResult
-	orderDelay time.Duration // delay before an order is carried out; the order times out meanwhile
+	orderDelay time.Duration // before an order is carried out, after it has timed out
 }
 
 func newTestCluster(t *testing.T) *testCluster {
@@ -182,7 +182,7 @@
 	})
 }
 
-// Engines register over several seconds. A plan for the first of them would lack whole
+// Engines register over several seconds. A plan for the first of them would lack complete
 // chains.
 func TestControllerWaitsForEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -198,7 +198,7 @@
 	})
 }
 
-// With traffic the number of concurrent loads is bounded, and the first loads form a whole
+// With traffic the number of concurrent loads is bounded, and the first loads form a complete
 // chain.
 func TestControllerLoadsChainsFirstUnderTraffic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -215,7 +215,7 @@
 				counts[l]++
 			}
 		}
-		assert.Assert(t, minCount(counts) >= 1, "no whole chain is loaded: %v", counts)
+		assert.Assert(t, minCount(counts) >= 1, "no complete chain is loaded: %v", counts)
 	})
 }
 
