--- a/internal/coordination/placement/plan_test.go
+++ b/internal/coordination/placement/plan_test.go
@@ -321,13 +321,13 @@
 	s := testSpec()
 	all := append(makeEngines("a", "a100", 4), Engine{Address: "low", Domain: "a", Card: cards["l40s"]})
 	plan := BuildPlan(s, makeEngines("a", "a100", 4))
-	hole, twice := plan["a-a100-1"], plan["a-a100-2"]
+	gap, twice := plan["a-a100-1"], plan["a-a100-2"]
 	plan["low"] = twice
 	now := append(append([]Engine(nil), all[:1]...), all[2:]...)
 	next, changed := RepairDomains(s, plan, now, func(address string) bool { return address != "a-a100-2" })
 	assert.Assert(t, !changed || next["low"] == twice, "low went to %s", next["low"])
 	next, changed = RepairDomains(s, plan, now, trustAll)
-	assert.Assert(t, changed && next["low"].From <= hole.From, "low went to %s", next["low"])
+	assert.Assert(t, changed && next["low"].From <= gap.From, "low went to %s", next["low"])
 }
 
 // A failure domain lacks a range. The spare engine moves there, and the large engines that
