--- a/internal/coordination/flow/dinic_test.go
+++ b/internal/coordination/flow/dinic_test.go
@@ -100,7 +100,7 @@
 // network is a flow graph with float64 capacities.
 type network struct {
 	arcs     []arc
-	outgoing [][]int // arc numbers by node; arc n and n^1 are each other's reverse
+	outgoing [][]int // arc numbers by node, arcs n and n^1 are reverse to each other
 }
 
 type arc struct {
