--- a/internal/coordination/placement/controller_test.go
+++ b/internal/coordination/placement/controller_test.go
@@ -39,7 +39,7 @@
 	maxLoading int // the most loads at once
 	fenced     int64
 	result     OrderResult
-	orderDelay time.Duration // before an order is carried out, after it has timed out
+	orderDelay time.Duration // delay of orders, which time out meanwhile
 }
 
 func newTestCluster(t *testing.T) *testCluster {
@@ -198,8 +198,8 @@
 	})
 }
 
-// With traffic the number of concurrent loads is bounded, and the first loads form a complete
-// chain.
+// With traffic the number of concurrent loads is bounded, and the first loads form a
+// complete chain.
 func TestControllerLoadsChainsFirstUnderTraffic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCluster(t)
