--- a/internal/coordination/placement/holes.go
+++ b/internal/coordination/placement/holes.go
@@ -47,7 +47,7 @@
 	if elapsed < delay {
 		return plan
 	}
-	klog.InfoS("plan repaired: a failure domain lacked layers that other failure domains held", "service", svc.Name, "for", elapsed)
+	klog.InfoS("plan repaired: a failure domain lacked layers", "service", svc.Name, "for", elapsed)
 	delete(c.domainGapSince, svc.Name)
 	return repaired
 }
