--- a/internal/coordination/flow/flow_test.go
+++ b/internal/coordination/flow/flow_test.go
@@ -10,12 +10,12 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-func free(_, _ string) float64 { return math.Inf(1) }
+func unlimited(_, _ string) float64 { return math.Inf(1) }
 
-func rng(from, to int) model.LayerRange { return model.LayerRange{From: from, To: to} }
+func layerRange(from, to int) model.LayerRange { return model.LayerRange{From: from, To: to} }
 
-// near allows for the coarseness of the packing.
-func near(got, want float64) bool { return math.Abs(got-want) <= 4*FinePrecision*want+1e-9 }
+// approxEqual allows for the precision of the packing.
+func approxEqual(got, want float64) bool { return math.Abs(got-want) <= 4*FinePrecision*want+1e-9 }
 
 func TestKnownFlows(t *testing.T) {
 	for _, tc := range []struct {
@@ -24,27 +24,25 @@
 		link   InterconnectRate
 		want   float64
 	}{
-		{"narrowest stage", []Group{{"a", rng(0, 4), 10}, {"a", rng(4, 8), 7}}, free, 7},
-		{"two ways", []Group{{"a", rng(0, 4), 10}, {"a", rng(4, 8), 3}, {"b", rng(4, 8), 5}}, free, 8},
-		{"overlap is run in part", []Group{{"a", rng(0, 6), 30}, {"a", rng(4, 8), 9}}, free, 18},
-		{"whole model at one", []Group{{"a", rng(0, 8), 4}, {"a", rng(0, 4), 3}, {"a", rng(4, 8), 3}}, free, 7},
-		{"a layer is missing", []Group{{"a", rng(0, 3), 10}, {"a", rng(4, 8), 10}}, free, 0},
-		{"link used at two boundaries", []Group{{"a", rng(0, 2), 10}, {"b", rng(2, 4), 10}, {"a", rng(4, 6), 10}, {"b", rng(6, 8), 10}},
+		{"narrowest stage", []Group{{"a", layerRange(0, 4), 10}, {"a", layerRange(4, 8), 7}}, unlimited, 7},
+		{"two second stages", []Group{{"a", layerRange(0, 4), 10}, {"a", layerRange(4, 8), 3}, {"b", layerRange(4, 8), 5}}, unlimited, 8},
+		{"overlapping layers run once", []Group{{"a", layerRange(0, 6), 30}, {"a", layerRange(4, 8), 9}}, unlimited, 18},
+		{"one group holds the whole model", []Group{{"a", layerRange(0, 8), 4}, {"a", layerRange(0, 4), 3}, {"a", layerRange(4, 8), 3}}, unlimited, 7},
+		{"a layer is missing", []Group{{"a", layerRange(0, 3), 10}, {"a", layerRange(4, 8), 10}}, unlimited, 0},
+		{"link used at two boundaries", []Group{{"a", layerRange(0, 2), 10}, {"b", layerRange(2, 4), 10}, {"a", layerRange(4, 6), 10}, {"b", layerRange(6, 8), 10}},
 			func(a, b string) float64 { return 2 }, 1},
-		{"slow link", []Group{{"a", rng(0, 4), 10}, {"b", rng(4, 8), 10}}, func(a, b string) float64 { return 2 }, 2},
+		{"slow link", []Group{{"a", layerRange(0, 4), 10}, {"b", layerRange(4, 8), 10}}, func(a, b string) float64 { return 2 }, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := Solve(tc.groups, 8, tc.link, FinePrecision)
-			assert.Assert(t, near(got.Rate, tc.want), "%g, want %g", got.Rate, tc.want)
+			assert.Assert(t, approxEqual(got.Rate, tc.want), "%g, want %g", got.Rate, tc.want)
 		})
 	}
 }
 
-// Whatever the groups and links, the plan's chains cover the model in order, no
-// group or link is used beyond its rate, the plan is near its proven bound, and
-// where ranges do not overlap and no tokens go back the bound is the maximum
-// flow.
-func TestPlanIsNearTheBound(t *testing.T) {
+// Chains of a plan cover the model in order and use no group beyond its rate. If ranges do
+// not overlap, the plan is near the maximum flow, and its upper bound is not below it.
+func TestPlanIsNearTheUpperBound(t *testing.T) {
 	domains := []string{"a", "b", "c"}
 	cuts := []int{0, 2, 4, 8}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -53,7 +51,7 @@
 			at := rapid.IntRange(0, 2).Draw(rt, "range")
 			groups = append(groups, Group{
 				Domain: rapid.SampledFrom(domains).Draw(rt, "domain"),
-				Range:  rng(cuts[at], cuts[at+1]),
+				Range:  layerRange(cuts[at], cuts[at+1]),
 				Rate:   float64(rapid.IntRange(1, 100).Draw(rt, "rate")),
 			})
 		}
@@ -73,22 +71,22 @@
 			assert.Assert(rt, used[i] <= g.Rate*(1+1e-9))
 		}
 		best := maxFlow(groups, 8, link)
-		assert.Assert(rt, near(plan.Rate, best), "plan %g, maximum flow %g", plan.Rate, best)
+		assert.Assert(rt, approxEqual(plan.Rate, best), "plan %g, maximum flow %g", plan.Rate, best)
 		assert.Assert(rt, best == 0 || plan.UpperBound >= best*(1-1e-6), "bound %g below the maximum flow %g", plan.UpperBound, best)
 	})
 }
 
-// The plan of one region: three failure domains, four ranges of layers.
+// BenchmarkSolveRegion plans for three failure domains and four layer ranges.
 func BenchmarkSolveRegion(b *testing.B) { benchmarkSolve(b, 3) }
 
-// The plan of the whole target fleet at once, which no entry makes.
+// BenchmarkSolveFleet plans for 18 failure domains at once.
 func BenchmarkSolveFleet(b *testing.B) { benchmarkSolve(b, 18) }
 
 func benchmarkSolve(b *testing.B, domains int) {
 	var groups []Group
 	for d := 0; d < domains; d++ {
 		for from := 0; from < 8; from += 2 {
-			groups = append(groups, Group{string(rune('a' + d)), rng(from, from+2), float64(10 + d)})
+			groups = append(groups, Group{string(rune('a' + d)), layerRange(from, from+2), float64(10 + d)})
 		}
 	}
 	link := func(a, b string) float64 {
--- a/internal/coordination/liveness/liveness_test.go
+++ b/internal/coordination/liveness/liveness_test.go
@@ -16,111 +16,110 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// engine accepts connections while its process lives.
-type engine struct {
-	mu     sync.Mutex
-	open   []net.Conn
-	dialed int
-	dial   error // what a new connection meets
+// fakeEngine accepts connections until dialErr is set.
+type fakeEngine struct {
+	mu        sync.Mutex
+	open      []net.Conn
+	dialCount int
+	dialErr   error // returned to new connections
 }
 
-func (e *engine) accept(context.Context, string) (net.Conn, error) {
+func (e *fakeEngine) dial(context.Context, string) (net.Conn, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dialed++
-	if e.dial != nil {
-		return nil, e.dial
+	e.dialCount++
+	if e.dialErr != nil {
+		return nil, e.dialErr
 	}
 	near, far := net.Pipe()
 	e.open = append(e.open, far)
 	return near, nil
 }
 
-// close ends all connections; new ones meet err.
-func (e *engine) close(err error) {
+// close closes all connections. New ones fail with err, or succeed if it is nil.
+func (e *fakeEngine) close(err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dial = err
+	e.dialErr = err
 	for _, c := range e.open {
 		c.Close()
 	}
 	e.open = nil
 }
 
-func (e *engine) dials() int {
+func (e *fakeEngine) dials() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.dialed
+	return e.dialCount
 }
 
-var refused = errors.Wrap(syscall.ECONNREFUSED, "dial")
+var errRefused = errors.Wrap(syscall.ECONNREFUSED, "dial")
 
-// watching runs a watcher over one engine in virtual time.
-func watching(t *testing.T, f func(e *engine, gone *[]string)) {
+// runWatcher runs a watcher of one engine in virtual time.
+func runWatcher(t *testing.T, f func(e *fakeEngine, exited *[]string)) {
 	synctest.Test(t, func(t *testing.T) {
-		e := &engine{}
-		var gone []string
+		e := &fakeEngine{}
+		var exited []string
 		s := &Watcher{
 			Self:    "a",
 			Routers: func() []string { return []string{"a"} },
 			Engines: func() []*model.BackendServer { return []*model.BackendServer{{ID: "e", Address: "e:1"}} },
-			Dial:    e.accept,
-			OnExit:  func(b *model.BackendServer) { gone = append(gone, b.ID) },
+			Dial:    e.dial,
+			OnExit:  func(b *model.BackendServer) { exited = append(exited, b.ID) },
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		var done sync.WaitGroup
 		done.Go(func() { s.Run(ctx) })
 		time.Sleep(2 * time.Second)
-		f(e, &gone)
+		f(e, &exited)
 		stop()
 		done.Wait()
 		synctest.Wait()
 	})
 }
 
-// An engine's process dies in the middle of its streams. Its connections close,
-// its port refuses new ones: that is known at once, and told once.
-func TestEndOfAProcessIsSeenAtOnce(t *testing.T) {
-	watching(t, func(e *engine, gone *[]string) {
-		e.close(refused)
+// An engine process exits while streams run. Its connections close and its port refuses
+// new ones, so the exit is reported at once and only once.
+func TestProcessExitIsReportedAtOnce(t *testing.T) {
+	runWatcher(t, func(e *fakeEngine, exited *[]string) {
+		e.close(errRefused)
 		synctest.Wait()
-		assert.DeepEqual(t, *gone, []string{"e"})
+		assert.DeepEqual(t, *exited, []string{"e"})
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, len(*gone), 1)
+		assert.Equal(t, len(*exited), 1)
 	})
 }
 
-// Engines close connections that rest. The next one is accepted: no evidence, and
-// that one is watched.
-func TestClosedIdleConnectionIsNoEvidence(t *testing.T) {
-	watching(t, func(e *engine, gone *[]string) {
+// Engines close idle connections and accept new ones. That is no exit, and the new
+// connection is watched.
+func TestClosedIdleConnectionIsNotAnExit(t *testing.T) {
+	runWatcher(t, func(e *fakeEngine, exited *[]string) {
 		for range 3 {
 			time.Sleep(10 * time.Second)
 			e.close(nil)
 			synctest.Wait()
 		}
-		assert.Equal(t, len(*gone), 0)
+		assert.Equal(t, len(*exited), 0)
 		assert.Equal(t, e.dials(), 4)
-		e.close(refused)
+		e.close(errRefused)
 		synctest.Wait()
-		assert.Equal(t, len(*gone), 1)
+		assert.Equal(t, len(*exited), 1)
 	})
 }
 
-// This router is cut off from an engine, or the engine goes dark: connections
-// time out. Others may reach it, so that is no proof of its end.
-func TestCutOffEngineIsNotGone(t *testing.T) {
-	watching(t, func(e *engine, gone *[]string) {
+// Connections to an engine time out. Others may still reach it, so this is no exit.
+func TestUnreachableEngineIsNotAnExit(t *testing.T) {
+	runWatcher(t, func(e *fakeEngine, exited *[]string) {
 		e.close(errors.New("i/o timeout"))
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, len(*gone), 0)
+		assert.Equal(t, len(*exited), 0)
 	})
 }
 
-// An engine that has too many connections resets each new one. It is asked about
-// once a second, not in a loop.
-func TestFullEngineIsNotDialedInALoop(t *testing.T) {
-	watching(t, func(e *engine, _ *[]string) {
+// An engine with too many connections resets each new one. It is dialed about once per
+// second.
+func TestEngineThatResetsConnectionsIsRedialedWithDelay(t *testing.T) {
+	runWatcher(t, func(e *fakeEngine, _ *[]string) {
 		before := e.dials()
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
@@ -130,10 +129,9 @@
 	})
 }
 
-// Two dozen routers share the watch over fifty engines: each engine has its few
-// watchers, and when a router goes away another takes its place, while the rest
-// of the assignment stays as it was.
-func TestEnginesAreSharedOut(t *testing.T) {
+// Each engine has the required number of watchers. When a router leaves, few assignments
+// change.
+func TestEnginesAreDistributedOverRouters(t *testing.T) {
 	var routers []string
 	for i := range 24 {
 		routers = append(routers, fmt.Sprintf("10.0.0.%d:1", i))
@@ -144,23 +142,23 @@
 		id := fmt.Sprintf("i-%d", i)
 		before, after := 0, 0
 		for _, r := range routers {
-			had := all.assigned(r, id)
-			if had {
+			wasAssigned := all.assigned(r, id)
+			if wasAssigned {
 				before++
 			}
 			if r == routers[0] {
 				continue
 			}
-			has := fewer.assigned(r, id)
-			if has {
+			isAssigned := fewer.assigned(r, id)
+			if isAssigned {
 				after++
 			}
-			if has != had {
+			if isAssigned != wasAssigned {
 				moved++
 			}
 		}
-		assert.Equal(t, before, watchers)
-		assert.Equal(t, after, watchers)
+		assert.Equal(t, before, watchersPerEngine)
+		assert.Equal(t, after, watchersPerEngine)
 	}
 	assert.Assert(t, moved <= 16, "%d of 100 watches moved for one router of 24", moved)
 }
--- a/internal/coordination/placement/bound_test.go
+++ b/internal/coordination/placement/bound_test.go
@@ -10,9 +10,9 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// maxFlow is the same by augmenting paths over a graph of layers and engines,
-// slow and written without regard to intervals; capacities are whole numbers.
-func maxFlow(layers int, plan Plan, engines []Engine, supply []int, amount int) int {
+// augmentingMaxFlow computes the flow of MaxFlow by augmenting paths over a graph of
+// layers and engines, without use of intervals. Capacities are integers.
+func augmentingMaxFlow(layers int, plan Plan, engines []Engine, supply []int, amount int) int {
 	left := append([]int(nil), supply...)
 	sent := make([][]int, layers) // from a layer to an engine
 	for l := range sent {
@@ -55,9 +55,9 @@
 	return total
 }
 
-// The flow found over intervals is that of augmenting paths: the amount passes, and
-// a little more does not.
-func TestFlowIsTheMaximum(t *testing.T) {
+// MaxFlow agrees with the reference implementation: its amount passes, and one unit more
+// does not.
+func TestMaxFlowMatchesAugmentingPaths(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := &model.EngineSpec{Layers: rapid.IntRange(1, 6).Draw(rt, "layers")}
 		n := rapid.IntRange(1, 5).Draw(rt, "engines")
@@ -74,27 +74,25 @@
 			byAddress[e.Address] = float64(supply[i])
 		}
 		flow := MaxFlow(s, plan, all, func(e Engine, _ model.LayerRange) float64 { return byAddress[e.Address] })
-		whole := int(math.Floor(flow + 1e-6))
-		assert.Equal(rt, maxFlow(s.Layers, plan, all, supply, whole), whole*s.Layers, "flow %.3f", flow)
-		assert.Assert(rt, maxFlow(s.Layers, plan, all, supply, whole+1) < (whole+1)*s.Layers, "flow %.3f", flow)
+		floor := int(math.Floor(flow + 1e-6))
+		assert.Equal(rt, augmentingMaxFlow(s.Layers, plan, all, supply, floor), floor*s.Layers, "flow %.3f", flow)
+		assert.Assert(rt, augmentingMaxFlow(s.Layers, plan, all, supply, floor+1) < (floor+1)*s.Layers, "flow %.3f", flow)
 	})
 }
 
-// No plan passes its bounds. Of that of memory the planner gives up two thirds here:
-// weights lie in memory once for each whole chain and once more to stand in for lost
-// engines. What it keeps is what each domain needs, in its own engines: twice what
-// callers used of it on calm days. More would be room that nobody uses.
-func TestPlanAgainstItsBounds(t *testing.T) {
-	s := spec()
+// A plan exceeds no upper bound, has the token capacity that each failure domain
+// requires, and keeps most of the prefill rate.
+func TestPlanStaysWithinItsBounds(t *testing.T) {
+	s := testSpec()
 	s.ReadRate = 245000
-	all := site()
+	all := mixedEngines()
 	plan := BuildPlan(s, all)
 	memory := MaxFlow(s, plan, all, MemoryCapacity(s))
 	reading := MaxFlow(s, plan, all, PrefillCapacity(s))
 	assert.Assert(t, memory <= MemoryBound(s, all))
 	assert.Assert(t, reading <= PrefillBound(s, all)*1.0001)
-	for _, group := range byDomain(all) {
-		own, need := MaxFlow(s, plan, group, MemoryCapacity(s)), needed(s, group)
+	for _, group := range groupByDomain(all) {
+		own, need := MaxFlow(s, plan, group, MemoryCapacity(s)), requiredTokens(s, group)
 		assert.Assert(t, own >= need, "%s: %.0f of %.0f", group[0].Domain, own, need)
 	}
 	assert.Assert(t, reading >= 0.8*PrefillBound(s, all), "%.0f of %.0f", reading, PrefillBound(s, all))
--- a/internal/coordination/placement/decode_test.go
+++ b/internal/coordination/placement/decode_test.go
@@ -7,8 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Whatever lies in a plan's place, reading it ends; what is taken for a plan can be
-// worked with by whoever repairs and extends plans.
+// Any value decodes to an error or to a plan that can be extended, repaired and encoded.
 func FuzzDecodePlan(f *testing.F) {
 	for _, seed := range []string{
 		`{"10.0.0.1:80":{"from":0,"to":40},"10.0.0.2:80":{"from":40,"to":80}}`,
@@ -21,15 +20,15 @@
 		if err != nil {
 			return
 		}
-		all := site()
+		all := mixedEngines()
 		for addr, held := range plan {
 			all = append(all, Engine{Address: addr, Domain: "luka", Card: cards["l4"]})
 			assert.Assert(t, held.From >= 0 && held.Len() >= 0)
 			break
 		}
-		next, _ := Extend(spec(), plan, all)
-		Repair(spec(), next, all)
-		RepairDomains(spec(), next, all, func(string) bool { return true })
+		next, _ := Extend(testSpec(), plan, all)
+		Repair(testSpec(), next, all)
+		RepairDomains(testSpec(), next, all, func(string) bool { return true })
 		again, err := json.Marshal(plan)
 		assert.NilError(t, err)
 		_, err = DecodePlan(again)
--- a/internal/coordination/placement/incarnation_test.go
+++ b/internal/coordination/placement/incarnation_test.go
@@ -10,8 +10,9 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// again starts an engine anew under its id: empty, its orders counted anew.
-func (s *shop) again(e Engine) {
+// restart simulates a restart of an engine under its ID: it is empty and has begun no
+// orders.
+func (s *testCluster) restart(e Engine) {
 	s.mu.Lock()
 	s.born[e.Address]++
 	s.orders[e.Address] = 0
@@ -19,11 +20,11 @@
 	s.register(e.Address, e.Address, e.Domain, e.Card.Name, model.LayerRange{})
 }
 
-// loadedShop has site's engines, which tell their starts, loaded and callers before
-// them.
-func loadedShop(t *testing.T) (*shop, []Engine) {
-	s := newShop(t)
-	all := site()
+// newLoadedCluster returns a loaded cluster with traffic whose engines report their start
+// time.
+func newLoadedCluster(t *testing.T) (*testCluster, []Engine) {
+	s := newTestCluster(t)
+	all := mixedEngines()
 	for _, e := range all {
 		s.born[e.Address] = 100
 	}
@@ -33,40 +34,37 @@
 	return s, all
 }
 
-// An engine takes an order, crashes while it loads and is back under its id. What
-// is awaited of the one before is nothing to the new one: it is ordered at once,
-// and not when the load of the one before should have ended.
-func TestReturnedEngineIsOrderedAtOnce(t *testing.T) {
+// An engine crashes while it loads and restarts under its ID. The pending order of the
+// previous process must not delay the next one.
+func TestRestartedEngineIsOrderedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, all := loadedShop(t)
+		s, all := newLoadedCluster(t)
 		e := all[3]
 		want := s.held(e.Address)
-		s.again(e)
-		s.run(400 * time.Millisecond) // it loads
-		s.again(e)
+		s.restart(e)
+		s.run(400 * time.Millisecond) // the engine is loading
+		s.restart(e)
 		s.run(1600 * time.Millisecond)
 		assert.Equal(t, s.held(e.Address), want)
 	})
 }
 
-// An order to an engine is lost on its way. The engine crashes and is back under
-// its id, and seconds later the order is carried out by the new process, whose
-// count it happens to fit. The layers are those of the plan; the order that the
-// new process was given itself then no longer fits, and it loads once.
-func TestOrderOfBeforeIsCarriedOutByTheNewProcess(t *testing.T) {
+// An order to an engine that crashed is carried out late by its next process. The order
+// that this process got itself is then rejected, so it loads once.
+func TestLateOrderToPreviousProcessIsLoadedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, all := loadedShop(t)
+		s, all := newLoadedCluster(t)
 		e := all[3]
 		want := s.held(e.Address)
 		s.mu.Lock()
-		s.late = 5 * time.Second
+		s.orderDelay = 5 * time.Second
 		s.mu.Unlock()
-		s.again(e)
-		s.run(time.Second) // ordered, unanswered
-		s.again(e)
-		s.run(time.Second) // ordered again
+		s.restart(e)
+		s.run(time.Second) // the order times out
+		s.restart(e)
+		s.run(time.Second) // a second order is sent
 		s.mu.Lock()
-		s.late = 0
+		s.orderDelay = 0
 		s.mu.Unlock()
 		s.run(20 * time.Second)
 		assert.Equal(t, s.held(e.Address), want)
@@ -74,27 +72,27 @@
 	})
 }
 
-// The same while the plan changes in between: the late order brings layers that
-// the plan no longer wants there. The engine ends with those of the plan.
-func TestLateOrderOfAnOlderPlan(t *testing.T) {
+// A late order brings layers that the plan no longer assigns to the engine. The engine
+// must end up with those of the plan.
+func TestLateOrderFromAReplacedPlanIsCorrected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, all := loadedShop(t)
+		s, all := newLoadedCluster(t)
 		e := all[len(all)-1]
 		s.mu.Lock()
-		s.late = 6 * time.Second
+		s.orderDelay = 6 * time.Second
 		s.mu.Unlock()
-		s.again(e)
-		s.run(time.Second) // ordered to hold what the plan has, unanswered
+		s.restart(e)
+		s.run(time.Second) // the order times out
 		s.mu.Lock()
-		s.late = 0
+		s.orderDelay = 0
 		s.mu.Unlock()
 		s.c.mu.Lock()
-		next := copyOf(s.c.plans["s"].plan)
+		next := clonePlan(s.c.plans["s"].plan)
 		want := model.LayerRange{From: 0, To: next[e.Address].Len()}
 		next[e.Address] = want
-		s.c.plans["s"] = stored{plan: next, revision: s.c.plans["s"].revision}
+		s.c.plans["s"] = storedPlan{plan: next, revision: s.c.plans["s"].revision}
 		s.c.mu.Unlock()
-		s.again(e)
+		s.restart(e)
 		s.run(30 * time.Second)
 		assert.Equal(t, s.held(e.Address), want)
 	})
