--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -35,7 +35,7 @@
 	prober.Catalog = c
 	r := &Relay{Detector: detector.New(time.Now), Catalog: c, Health: health, Chooser: chooser, Memory: memory, WaitQueue: admission.NewWaitQueue(), Suspects: prober, FailureDomain: "a", Now: time.Now,
 		Quarantine: quarantine.New(func() time.Duration { return 0 })}
-	q := &request{Relay: r, call: &model.Call{Attempt: "1"}, since: time.Now(), avoid: map[model.Incarnation]bool{}}
+	q := &request{Relay: r, call: &model.Call{Attempt: "1"}, startTime: time.Now(), avoid: map[model.Incarnation]bool{}}
 	q.ticket = routes.Admission{
 		Route: &model.Route{TargetLatency: 500 * time.Millisecond, MaxAttempts: 2},
 		Service: &model.Service{Name: "s", Engine: &model.EngineSpec{
--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -61,7 +61,7 @@
 
 // finish writes the request's line and counts it.
 func (q *request) finish(outcome string, f *fault.Error, status int) {
-	took := q.Now().Sub(q.since)
+	took := q.Now().Sub(q.startTime)
 	kind := ""
 	msg := ""
 	if f != nil {
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -68,7 +68,7 @@
 			return s.giveUp(ctx, last)
 		}
 		klog.InfoS("stream resumed at another chain", "request", q.call.Attempt, "after", s.lastID, "events", s.events,
-			"err", err, "sends", q.sends, "ms", q.Now().Sub(q.since).Milliseconds())
+			"err", err, "sends", q.sends, "ms", q.Now().Sub(q.startTime).Milliseconds())
 		if q.runs > 0 {
 			wait.For(ctx, regroupWait)
 		}
@@ -222,7 +222,7 @@
 		s.ranEvents++
 		if !q.out.head {
 			s.begin(ans)
-			q.firstEvent = q.Now().Sub(q.since)
+			q.firstEvent = q.Now().Sub(q.startTime)
 			q.Observer.FirstEvent(q.ticket.Service.Name, q.firstEvent)
 		}
 		s.timeEvent()
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -139,10 +139,10 @@
 // request is one request on its way.
 type request struct {
 	*Relay
-	call   *model.Call
-	ticket routes.Admission
-	out    *begun
-	since  time.Time
+	call      *model.Call
+	ticket    routes.Admission
+	out       *begun
+	startTime time.Time
 	// runs counts the sends that may have run; sends counts all.
 	runs, sends int
 	// unsent counts the tries of which nothing went out.
@@ -166,13 +166,13 @@
 // Serve answers one request. whole is false where the caller's connection must
 // be broken off, because the answer cannot be completed.
 func (r *Relay) Serve(ctx context.Context, c *model.Call, caller ResponseWriter) (whole bool) {
-	q := &request{Relay: r, call: c, out: &begun{ResponseWriter: caller}, since: r.Now(), avoid: map[model.Incarnation]bool{}}
+	q := &request{Relay: r, call: c, out: &begun{ResponseWriter: caller}, startTime: r.Now(), avoid: map[model.Incarnation]bool{}}
 	defer q.contain(&whole)
 	table := r.table(ctx)
 	if table == nil {
 		return q.refuse(fault.New(fault.NotReady, "no configuration yet"))
 	}
-	ticket, denied := table.Admit(c, q.since)
+	ticket, denied := table.Admit(c, q.startTime)
 	q.ticket = ticket
 	if denied != nil {
 		return q.deny(denied)
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -48,7 +48,7 @@
 
 // watchedOn is a running stream through some engines and its watch.
 func (s *site) watchedOn(t *testing.T, route model.Route, parts []chains.Stage) (*chainWatch, context.Context) {
-	q := &request{Relay: s.Relay, call: &model.Call{Attempt: "1"}, since: time.Now(), avoid: map[model.Incarnation]bool{}}
+	q := &request{Relay: s.Relay, call: &model.Call{Attempt: "1"}, startTime: time.Now(), avoid: map[model.Incarnation]bool{}}
 	table := s.Config.Load()
 	route.Host = "h"
 	q.ticket.Route = &route
