--- a/internal/protocol/relay/panic.go
+++ b/internal/protocol/relay/panic.go
@@ -13,13 +13,13 @@
 // errPanicked says that the code of a request panicked.
 var errPanicked = errors.New("panic in the code")
 
-// begun is a caller that remembers whether it has the head of an answer.
-type begun struct {
+// headerTracker is a caller that remembers whether it has the head of an answer.
+type headerTracker struct {
 	ResponseWriter
 	head bool
 }
 
-func (b *begun) Begin(status int, header http.Header, length int64) {
+func (b *headerTracker) Begin(status int, header http.Header, length int64) {
 	b.head = true
 	b.ResponseWriter.WriteHeader(status, header, length)
 }
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -141,7 +141,7 @@
 	*Relay
 	call      *model.Call
 	ticket    routes.Admission
-	out       *begun
+	out       *headerTracker
 	startTime time.Time
 	// runs counts the sends that may have run; sends counts all.
 	runs, sends int
@@ -166,7 +166,7 @@
 // Serve answers one request. whole is false where the caller's connection must
 // be broken off, because the answer cannot be completed.
 func (r *Relay) Serve(ctx context.Context, c *model.Call, caller ResponseWriter) (whole bool) {
-	q := &request{Relay: r, call: c, out: &begun{ResponseWriter: caller}, startTime: r.Now(), avoid: map[model.Incarnation]bool{}}
+	q := &request{Relay: r, call: c, out: &headerTracker{ResponseWriter: caller}, startTime: r.Now(), avoid: map[model.Incarnation]bool{}}
 	defer q.contain(&whole)
 	table := r.table(ctx)
 	if table == nil {
