--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -27,8 +27,8 @@
 	leastTry = 150 * time.Millisecond
 )
 
-// whole is an answer with all of its body.
-type whole struct {
+// bufferedResponse is an answer with all of its body.
+type bufferedResponse struct {
 	status  int
 	header  http.Header
 	verdict platform.Verdict
@@ -38,7 +38,7 @@
 // dispatch sends a call to one backend server of a plain service, and to others
 // while that is allowed and helps.
 func (q *request) dispatch(ctx context.Context) bool {
-	var last *whole
+	var last *bufferedResponse
 	for ctx.Err() == nil {
 		server, f := q.pickAlone(ctx)
 		if f != nil && last == nil {
@@ -69,7 +69,7 @@
 // giveUp answers with the last failure of a backend server where one came, also when
 // the time is over by now: it is ready. A refusal of a backend server becomes the
 // system's own.
-func (q *request) giveUp(ctx context.Context, last *whole) bool {
+func (q *request) giveUp(ctx context.Context, last *bufferedResponse) bool {
 	switch {
 	case last != nil && !last.verdict.NotRun:
 		return q.deliver(last)
@@ -112,7 +112,7 @@
 }
 
 // try sends the call to one server and reads its whole answer.
-func (q *request) try(ctx context.Context, b *model.BackendServer) (*whole, error) {
+func (q *request) try(ctx context.Context, b *model.BackendServer) (*bufferedResponse, error) {
 	run, cancel, stop := q.ActiveRuns.track(ctx, b.Incarnation(), !q.ticket.Idempotent())
 	defer stop()
 	q.avoid[b.Incarnation()] = true
@@ -140,7 +140,7 @@
 
 // exchange sends the call and reads its whole answer. The server's load counts it from
 // here on; whoever takes in how it ended takes it off again, and a panic does so here.
-func (q *request) exchange(run context.Context, b *model.BackendServer) (read *whole, err error) {
+func (q *request) exchange(run context.Context, b *model.BackendServer) (read *bufferedResponse, err error) {
 	q.Health.Begin(b.Incarnation())
 	returns := false
 	defer func() {
@@ -219,7 +219,7 @@
 }
 
 // judge takes in what an answer says of its server.
-func (q *request) judge(b *model.BackendServer, ans *whole, took time.Duration) {
+func (q *request) judge(b *model.BackendServer, ans *bufferedResponse, took time.Duration) {
 	switch {
 	case ans.verdict.Misdirected:
 		q.Health.End(b.Incarnation(), false, 0)
@@ -235,7 +235,7 @@
 
 // readWhole reads an answer to its end. An answer that is cut short, or that
 // belongs to another request, is an error.
-func (q *request) readWhole(ans *Response) (*whole, error) {
+func (q *request) readWhole(ans *Response) (*bufferedResponse, error) {
 	defer ans.Body.Close()
 	v := platform.DecodeVerdict(ans.Status, ans.Header)
 	if v.Attempt != "" && v.Attempt != q.call.Attempt {
@@ -253,11 +253,11 @@
 	if !v.NotRun && v.Signature == "" {
 		return nil, errors.Errorf("answer with status %d has no signature", ans.Status)
 	}
-	return &whole{status: ans.Status, header: ans.Header, verdict: v, body: body}, nil
+	return &bufferedResponse{status: ans.Status, header: ans.Header, verdict: v, body: body}, nil
 }
 
 // deliver passes a backend server's answer on unchanged.
-func (q *request) deliver(ans *whole) bool {
+func (q *request) deliver(ans *bufferedResponse) bool {
 	h := http.Header{}
 	platform.AnswerHeaders(h, ans.header)
 	q.out.Begin(ans.status, h, int64(len(ans.body)))
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -38,9 +38,9 @@
 	ranEvents int
 	// ranOn are the first engines that ran it.
 	ranOn     map[model.Incarnation]bool
-	lastEvent time.Time // when the caller got the last event
-	delivered error     // why the caller could not be written to
-	ready     *whole    // the last engine's own failure
+	lastEvent time.Time         // when the caller got the last event
+	delivered error             // why the caller could not be written to
+	ready     *bufferedResponse // the last engine's own failure
 }
 
 // generate runs a request through chains of engines.
@@ -174,7 +174,7 @@
 }
 
 // single passes on an answer that is not a stream of events.
-func (s *stream) single(read *whole, err error) (done, complete bool, _ error) {
+func (s *stream) single(read *bufferedResponse, err error) (done, complete bool, _ error) {
 	if err != nil {
 		return false, false, fault.New(fault.BackendLost, "%v", err)
 	}
@@ -184,7 +184,7 @@
 // failed handles an engine's own failure: a stream that has not begun may be
 // tried elsewhere, else the failure is the answer. It is kept, to be the answer also
 // where trying elsewhere comes to nothing.
-func (s *stream) failed(ans *Response, read *whole, err error) (done, complete bool, _ error) {
+func (s *stream) failed(ans *Response, read *bufferedResponse, err error) (done, complete bool, _ error) {
 	if err != nil {
 		return false, false, fault.New(fault.BackendFailed, "%v", err)
 	}
