--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -156,7 +156,7 @@
 	fingerprint     model.Fingerprint
 	fingerprintOnce sync.Once
 	// barred is where the request may not run now though others may.
-	barred barred
+	barred exclusions
 	chain  string // for the log
 	// firstEvent and longestGap describe a stream as its caller saw it; 0
 	// where there was none.
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -26,16 +26,16 @@
 	listenTimeout = 400 * time.Millisecond
 )
 
-// barred is where a suspect may not run now: at servers that run another one, and in
+// exclusions is where a suspect may not run now: at servers that run another one, and in
 // failure domains where one just ended under it.
-type barred struct {
+type exclusions struct {
 	servers map[model.Incarnation]bool
 	domains map[string]bool
 	// alone says that the request runs alone, suspect that others of its kind keep away.
 	alone, suspect bool
 }
 
-func (b *barred) bars(s *model.BackendServer) bool {
+func (b *exclusions) bars(s *model.BackendServer) bool {
 	return b.servers[s.Incarnation()] || b.domains[s.FailureDomain]
 }
 
@@ -63,7 +63,7 @@
 // caller, here or at another router.
 func (q *request) standing(ctx context.Context) (quarantine.Assessment, *fault.Error) {
 	if !q.Quarantine.HasSuspects() {
-		q.barred = barred{}
+		q.barred = exclusions{}
 		return quarantine.Assessment{}, nil
 	}
 	v := q.Quarantine.Assess(q.work())
