--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -63,13 +63,13 @@
 		}
 		klog.InfoS("sent again", "request", q.call.Attempt, "reason", reason, "server", server.Incarnation(), "err", err, "sends", q.sends)
 	}
-	return q.giveUp(ctx, last)
+	return q.respondFailure(ctx, last)
 }
 
-// giveUp answers with the last failure of a backend server where one came, also when
+// respondFailure answers with the last failure of a backend server where one came, also when
 // the time is over by now: it is ready. A refusal of a backend server becomes the
 // system's own.
-func (q *request) giveUp(ctx context.Context, last *bufferedResponse) bool {
+func (q *request) respondFailure(ctx context.Context, last *bufferedResponse) bool {
 	switch {
 	case last != nil && !last.verdict.NotRun:
 		return q.deliver(last)
