--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -54,7 +54,7 @@
 	for {
 		parts, hold, f := s.place(ctx)
 		if f != nil {
-			return s.giveUp(ctx, keepFirst(last, f))
+			return s.respondFailure(ctx, keepFirst(last, f))
 		}
 		done, whole, err := s.runHolding(ctx, parts, hold)
 		if done {
@@ -65,7 +65,7 @@
 		}
 		last = fault.From(err)
 		if ctx.Err() != nil || !s.resumable() || !q.mayResume(ctx, err) {
-			return s.giveUp(ctx, last)
+			return s.respondFailure(ctx, last)
 		}
 		klog.InfoS("stream resumed at another chain", "request", q.call.Attempt, "after", s.lastID, "events", s.events,
 			"err", err, "sends", q.sends, "ms", q.Now().Sub(q.startTime).Milliseconds())
@@ -75,10 +75,10 @@
 	}
 }
 
-// giveUp gives the final answer of a stream that goes on nowhere: an engine's own
+// respondFailure gives the final answer of a stream that goes on nowhere: an engine's own
 // failure where one came whole and nothing was begun, also when the time is over by
 // now, as it is ready; else the system's.
-func (s *stream) giveUp(ctx context.Context, f *fault.Error) bool {
+func (s *stream) respondFailure(ctx context.Context, f *fault.Error) bool {
 	switch {
 	case s.ready != nil && !s.out.head:
 		return s.deliver(s.ready)
