--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -15,12 +15,12 @@
 	err      error
 }
 
-// giveUp ends a run for what was found out when its news count stood at news. It asks
+// endIfUnchanged ends a run for what was found out when its news count stood at news. It asks
 // again under the lock that it ends the run with: an event that came since, or a move,
 // shows that the chain works. A run that no other engine may go on with, or for which
 // no repeated send is granted, is kept: its end would be a sure loss, while a silent
 // engine may go on; its caller decides how long to wait.
-func (w *chainWatch) giveUp(news int, v verdict) {
+func (w *chainWatch) endIfUnchanged(news int, v verdict) {
 	granted := !w.last && w.grant()
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -47,7 +47,7 @@
 	case why == engineGone:
 		w.endIfThrough(culprit)
 	default:
-		w.giveUp(news, verdict{culprit: culprit, why: why})
+		w.endIfUnchanged(news, verdict{culprit: culprit, why: why})
 	}
 }
 
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -185,7 +185,7 @@
 	}
 	if err != nil {
 		w.q.Suspects.Unreachable(first, w.q.call.Attempt, err)
-		w.giveUp(news, verdict{culprit: first.Incarnation(), why: silence, silences: n, err: err})
+		w.endIfUnchanged(news, verdict{culprit: first.Incarnation(), why: silence, silences: n, err: err})
 		return
 	}
 	if addr := stallOf(report, w.q.call.Attempt); addr != "" {
@@ -199,7 +199,7 @@
 		return
 	}
 	if n >= w.patience() {
-		w.giveUp(news, verdict{why: silence, silences: n})
+		w.endIfUnchanged(news, verdict{why: silence, silences: n})
 		return
 	}
 	w.askAgain(news, nextSilence)
@@ -252,7 +252,7 @@
 		w.fail(server, nil)
 		return
 	}
-	w.giveUp(news, verdict{why: silence, silences: n})
+	w.endIfUnchanged(news, verdict{why: silence, silences: n})
 }
 
 // fail takes in that an engine of the chain does not do its part: all streams of this
