--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -128,7 +128,7 @@
 	ans, err := q.exchange(run, b)
 	if err != nil {
 		result = resultOf(endingOf(run, err), err)
-		q.missed(b, endingOf(run, err), err, q.Now().Sub(began))
+		q.recordFailure(b, endingOf(run, err), err, q.Now().Sub(began))
 		return nil, err
 	}
 	if !ans.verdict.NotRun {
@@ -197,8 +197,8 @@
 	return true
 }
 
-// missed takes in that a try gave no answer, and why.
-func (q *request) missed(b *model.BackendServer, why ending, err error, took time.Duration) {
+// recordFailure takes in that a try gave no answer, and why.
+func (q *request) recordFailure(b *model.BackendServer, why ending, err error, took time.Duration) {
 	sent := !errors.Is(err, ErrNotSent)
 	if sent {
 		q.runs++
