--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -130,7 +130,7 @@
 	ans, err := q.BackendClient.Do(run, first.Address, q.outbound(send))
 	if err != nil {
 		result = resultOf(endingOf(run, err), err)
-		return false, false, s.missed(run, w, first, err)
+		return false, false, s.handleSendError(run, w, first, err)
 	}
 	defer ans.Body.Close()
 	v := platform.DecodeVerdict(ans.Status, ans.Header)
@@ -287,8 +287,8 @@
 	}
 }
 
-// missed takes in that an engine gave no answer, and whether the request was sent.
-func (s *stream) missed(run context.Context, w *chainWatch, first *model.BackendServer, err error) *fault.Error {
+// handleSendError takes in that an engine gave no answer, and whether the request was sent.
+func (s *stream) handleSendError(run context.Context, w *chainWatch, first *model.BackendServer, err error) *fault.Error {
 	why := endingOf(run, err)
 	if errors.Is(err, ErrNotSent) {
 		s.sends--
