--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -168,7 +168,7 @@
 	}
 	if s.delivered == nil {
 		result = resultOf(endingOf(run, end), end)
-		s.lost(w, endingOf(run, end), end)
+		s.recordChainLoss(w, endingOf(run, end), end)
 	}
 	return false, false, fault.New(fault.BackendLost, "a chain broke off after %d events", s.events)
 }
@@ -294,7 +294,7 @@
 		s.sends--
 		s.unsent++
 		if why != noConnection && !(why == timeOver && why.blames(s.Now().Sub(w.since))) {
-			s.lost(w, why, err)
+			s.recordChainLoss(w, why, err)
 			return fault.New(fault.NotConnected, "the run was ended before it was sent: %s", why)
 		}
 		s.avoid[first.Incarnation()] = true
@@ -303,15 +303,15 @@
 	}
 	s.runs++
 	s.ranOn[first.Incarnation()] = true
-	s.lost(w, why, err)
+	s.recordChainLoss(w, why, err)
 	return fault.New(fault.BackendLost, "an engine was lost before it answered")
 }
 
-// lost takes in that a chain broke off, fell silent or was given up by its caller.
+// recordChainLoss takes in that a chain broke off, fell silent or was given up by its caller.
 // The caller's end speaks against no engine. Where an engine was found at fault it
 // alone is avoided; else any of the chain may be, and the stream goes on without all
 // of them.
-func (s *stream) lost(w *chainWatch, why ending, err error) {
+func (s *stream) recordChainLoss(w *chainWatch, why ending, err error) {
 	parts, culprit := w.state()
 	klog.InfoS("chain lost", "request", s.call.Attempt, "work", s.work(), "why", why, "sent", !errors.Is(err, ErrNotSent), "chain", describe(parts), "culprit", culprit, "err", err, "events", s.events)
 	if why == callerLeft || why == timeOver || why == stopping {
