--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -140,7 +140,7 @@
 		return false, false, fault.New(fault.BackendFailed, "an engine answered another request")
 	}
 	if v.NotRun {
-		s.refused(parts, v, ans.Status)
+		s.handleRefusal(parts, v, ans.Status)
 		return false, false, fault.New(fault.Overloaded, "an engine refused with status %d", ans.Status)
 	}
 	q.runs++
@@ -264,8 +264,8 @@
 	s.Health.RecordOutcome(parts[0].Server.Incarnation(), true)
 }
 
-// refused takes in which engine would not run its part.
-func (s *stream) refused(parts []chains.Stage, v platform.Verdict, status int) {
+// handleRefusal takes in which engine would not run its part.
+func (s *stream) handleRefusal(parts []chains.Stage, v platform.Verdict, status int) {
 	culprit := parts[0].Server
 	for _, p := range parts {
 		if p.Server.Address == v.Culprit {
