--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -149,7 +149,7 @@
 		s.Health.RecordOutcome(first.Incarnation(), false)
 		read, err := s.readWhole(ans)
 		result = survivedIf(run, err)
-		return s.failed(ans, read, err)
+		return s.handleFailureResponse(ans, read, err)
 	}
 	if q.ticket.Route.Kind != model.RouteStreaming {
 		read, err := s.readWhole(ans)
@@ -181,10 +181,10 @@
 	return true, s.deliver(read), nil
 }
 
-// failed handles an engine's own failure: a stream that has not begun may be
+// handleFailureResponse handles an engine's own failure: a stream that has not begun may be
 // tried elsewhere, else the failure is the answer. It is kept, to be the answer also
 // where trying elsewhere comes to nothing.
-func (s *stream) failed(ans *Response, read *bufferedResponse, err error) (done, complete bool, _ error) {
+func (s *stream) handleFailureResponse(ans *Response, read *bufferedResponse, err error) (done, complete bool, _ error) {
 	if err != nil {
 		return false, false, fault.New(fault.BackendFailed, "%v", err)
 	}
