--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -154,7 +154,7 @@
 	if q.ticket.Route.Kind != model.RouteStreaming {
 		read, err := s.readWhole(ans)
 		result = survivedIf(run, err)
-		return s.single(read, err)
+		return s.forwardSingle(read, err)
 	}
 	s.ranEvents = 0
 	end := s.pass(ans, w)
@@ -173,8 +173,8 @@
 	return false, false, fault.New(fault.BackendLost, "a chain broke off after %d events", s.events)
 }
 
-// single passes on an answer that is not a stream of events.
-func (s *stream) single(read *bufferedResponse, err error) (done, complete bool, _ error) {
+// forwardSingle passes on an answer that is not a stream of events.
+func (s *stream) forwardSingle(read *bufferedResponse, err error) (done, complete bool, _ error) {
 	if err != nil {
 		return false, false, fault.New(fault.BackendLost, "%v", err)
 	}
