--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -157,7 +157,7 @@
 		return s.forwardSingle(read, err)
 	}
 	s.ranEvents = 0
-	end := s.pass(ans, w)
+	end := s.forwardEvents(ans, w)
 	if end == io.EOF {
 		result = quarantine.Completed
 		if !q.out.head {
@@ -195,8 +195,8 @@
 	return false, false, fault.New(fault.BackendFailed, "an engine failed with status %d", ans.Status)
 }
 
-// pass passes events on until the stream ends; io.EOF is its clean end.
-func (s *stream) pass(ans *Response, w *chainWatch) error {
+// forwardEvents passes events on until the stream ends; io.EOF is its clean end.
+func (s *stream) forwardEvents(ans *Response, w *chainWatch) error {
 	q := s.request
 	reader := eventReader{src: ans.Body}
 	for {
