--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -161,7 +161,7 @@
 	if end == io.EOF {
 		result = quarantine.Completed
 		if !q.out.head {
-			s.begin(ans)
+			s.writeHeader(ans)
 		}
 		q.finish("ran", nil, http.StatusOK)
 		return true, true, nil
@@ -221,7 +221,7 @@
 		}
 		s.ranEvents++
 		if !q.out.head {
-			s.begin(ans)
+			s.writeHeader(ans)
 			q.firstEvent = q.Now().Sub(q.startTime)
 			q.Observer.FirstEvent(q.ticket.Service.Name, q.firstEvent)
 		}
@@ -247,9 +247,9 @@
 	s.lastEvent = now
 }
 
-// begin sends the head of the first engine's answer. Streams that are resumed
+// writeHeader sends the head of the first engine's answer. Streams that are resumed
 // keep it, its signature included.
-func (s *stream) begin(ans *Response) {
+func (s *stream) writeHeader(ans *Response) {
 	h := http.Header{}
 	platform.AnswerHeaders(h, ans.Header)
 	s.out.Begin(ans.Status, h, -1)
