--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -37,10 +37,10 @@
 	// ranEvents are those of the present run, repeated ones included.
 	ranEvents int
 	// ranOn are the first engines that ran it.
-	ranOn     map[model.Incarnation]bool
-	lastEvent time.Time         // when the caller got the last event
-	delivered error             // why the caller could not be written to
-	ready     *bufferedResponse // the last engine's own failure
+	ranOn           map[model.Incarnation]bool
+	lastEvent       time.Time         // when the caller got the last event
+	delivered       error             // why the caller could not be written to
+	failureResponse *bufferedResponse // the last engine's own failure
 }
 
 // generate runs a request through chains of engines.
@@ -80,8 +80,8 @@
 // now, as it is ready; else the system's.
 func (s *stream) respondFailure(ctx context.Context, f *fault.Error) bool {
 	switch {
-	case s.ready != nil && !s.out.head:
-		return s.deliver(s.ready)
+	case s.failureResponse != nil && !s.out.head:
+		return s.deliver(s.failureResponse)
 	case ctx.Err() != nil:
 		f = s.ended(ctx)
 	}
@@ -191,7 +191,7 @@
 	if !s.out.head && (read.status < 500 || !s.repeatable()) {
 		return true, s.deliver(read), nil
 	}
-	s.ready = read
+	s.failureResponse = read
 	return false, false, fault.New(fault.BackendFailed, "an engine failed with status %d", ans.Status)
 }
 
