--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -52,7 +52,7 @@
 	}
 	var last *fault.Error
 	for {
-		parts, hold, f := s.place(ctx)
+		parts, hold, f := s.reservePermitted(ctx)
 		if f != nil {
 			return s.respondFailure(ctx, keepFirst(last, f))
 		}
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -116,9 +116,9 @@
 	return fault.New(fault.OnTrial, "%d backend servers ended under this request, so it runs alone, and there is no room for that", ends)
 }
 
-// place finds engines for the stream's next run and reserves its memory. A suspect gets
+// reservePermitted finds engines for the stream's next run and reserves its memory. A suspect gets
 // engines that run no other one.
-func (s *stream) place(ctx context.Context) ([]chains.Stage, *chains.Reservation, *fault.Error) {
+func (s *stream) reservePermitted(ctx context.Context) ([]chains.Stage, *chains.Reservation, *fault.Error) {
 	until := s.Now().Add(callersPatience)
 	for {
 		v, f := s.standing(ctx)
