--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -47,7 +47,7 @@
 		if server == nil {
 			break
 		}
-		ans, err := q.try(ctx, server)
+		ans, err := q.attempt(ctx, server)
 		switch {
 		case err == nil && !ans.verdict.NotRun && (ans.status < 500 || !q.ticket.Idempotent()):
 			return q.deliver(ans)
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// try sends the call to one server and reads its whole answer.
-func (q *request) try(ctx context.Context, b *model.BackendServer) (*bufferedResponse, error) {
+// attempt sends the call to one server and reads its whole answer.
+func (q *request) attempt(ctx context.Context, b *model.BackendServer) (*bufferedResponse, error) {
 	run, cancel, stop := q.ActiveRuns.track(ctx, b.Incarnation(), !q.ticket.Idempotent())
 	defer stop()
 	q.avoid[b.Incarnation()] = true
