--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -20,9 +20,9 @@
 	// bufferedAnswer is the largest answer that is read whole before it is
 	// passed on, so that a truncated one is never begun.
 	bufferedAnswer = 1 << 20
-	// patience is how many times the usual latency an idempotent request waits
+	// slowAttemptFactor is how many times the usual latency an idempotent request waits
 	// at one server before another is tried; at least the route's target.
-	patience = 5
+	slowAttemptFactor = 5
 	// leastTry is the shortest time that a try at one server gets.
 	leastTry = 150 * time.Millisecond
 )
@@ -163,7 +163,7 @@
 // waits for a decision under way.
 func (q *request) giveUpIfSlow(run context.Context, cancel context.CancelCauseFunc, b *model.BackendServer) (stop func()) {
 	usual := q.Health.View(b.Incarnation()).Latency
-	most := max(patience*usual, q.ticket.Route.TargetLatency, leastTry)
+	most := max(slowAttemptFactor*usual, q.ticket.Route.TargetLatency, leastTry)
 	run, quit := context.WithCancel(run)
 	decided := make(chan struct{})
 	timer := time.AfterFunc(most, func() {
