--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -198,15 +198,15 @@
 		w.askAgain(news, time.Duration(n)*nextSilence)
 		return
 	}
-	if n >= w.patience() {
+	if n >= w.stallLimit() {
 		w.endIfUnchanged(news, verdict{why: silence, silences: n})
 		return
 	}
 	w.askAgain(news, nextSilence)
 }
 
-// patience is how many silences in a row the run is allowed.
-func (w *chainWatch) patience() int {
+// stallLimit is how many silences in a row the run is allowed.
+func (w *chainWatch) stallLimit() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.begun {
