--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -19,8 +19,8 @@
 	// be asked. A busy chain is slower than the sum of its steps, as tokens wait for
 	// passes in progress.
 	slowFactor = 2.5
-	// askAgain is how long an engine's word about its pace is good for.
-	askAgain = time.Second
+	// slowdownPollInterval is how long an engine's word about its pace is good for.
+	slowdownPollInterval = time.Second
 )
 
 // SlowdownMonitor finds engines that are slower than their cards. An engine knows its own
@@ -65,7 +65,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for inc, at := range p.asked {
-		if p.Now().Sub(at) > askAgain {
+		if p.Now().Sub(at) > slowdownPollInterval {
 			delete(p.asked, inc)
 		}
 	}
@@ -74,7 +74,7 @@
 func (p *SlowdownMonitor) due(inc model.Incarnation) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if at, ok := p.asked[inc]; ok && p.Now().Sub(at) < askAgain {
+	if at, ok := p.asked[inc]; ok && p.Now().Sub(at) < slowdownPollInterval {
 		return false
 	}
 	p.asked[inc] = p.Now()
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -188,11 +188,11 @@
 		a.mu.Lock()
 		a.slow = 1
 		a.mu.Unlock()
-		time.Sleep(askAgain)
+		time.Sleep(slowdownPollInterval)
 		p.Recheck()
 		synctest.Wait()
 		assert.Equal(t, p.Memory.Slowdown(inc("e")), 1.0)
-		time.Sleep(askAgain)
+		time.Sleep(slowdownPollInterval)
 		p.Recheck()
 		synctest.Wait()
 		assert.Equal(t, a.askedTimes(), 2)
