--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -29,7 +29,7 @@
 func (w *chainWatch) assess(news int) {
 	a := w.progress.Assess()
 	if a.ReassessAfter > 0 {
-		w.askAgain(news, a.ReassessAfter)
+		w.resetTimer(news, a.ReassessAfter)
 		return
 	}
 	if a.NeedsCheck() {
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -195,14 +195,14 @@
 	if w.q.ticket.Route.Kind != model.RouteStreaming {
 		// The answer comes in one piece. Nothing before it is no silence; its engines
 		// are asked less and less often.
-		w.askAgain(news, time.Duration(n)*nextSilence)
+		w.resetTimer(news, time.Duration(n)*nextSilence)
 		return
 	}
 	if n >= w.stallLimit() {
 		w.endIfUnchanged(news, verdict{why: silence, silences: n})
 		return
 	}
-	w.askAgain(news, nextSilence)
+	w.resetTimer(news, nextSilence)
 }
 
 // stallLimit is how many silences in a row the run is allowed.
@@ -215,7 +215,7 @@
 	return mostSilences - 1
 }
 
-func (w *chainWatch) askAgain(news int, after time.Duration) {
+func (w *chainWatch) resetTimer(news int, after time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.changedLocked(news) {
