--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -44,7 +44,7 @@
 // Check asks the engines of a chain that is slow.
 func (p *SlowdownMonitor) Check(parts []chains.Stage, request string, seen, planned time.Duration) {
 	for _, part := range parts {
-		if p.due(part.Server.Incarnation()) {
+		if p.pollDue(part.Server.Incarnation()) {
 			go p.ask(part.Server, request, seen, planned)
 		}
 	}
@@ -58,7 +58,7 @@
 			p.Memory.RemoveSlowdown(inc)
 			continue
 		}
-		if p.due(inc) {
+		if p.pollDue(inc) {
 			go p.ask(b, "", 0, 0)
 		}
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-func (p *SlowdownMonitor) due(inc model.Incarnation) bool {
+func (p *SlowdownMonitor) pollDue(inc model.Incarnation) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if at, ok := p.asked[inc]; ok && p.Now().Sub(at) < slowdownPollInterval {
