--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -45,7 +45,7 @@
 func (p *SlowdownMonitor) Check(parts []chains.Stage, request string, seen, planned time.Duration) {
 	for _, part := range parts {
 		if p.pollDue(part.Server.Incarnation()) {
-			go p.ask(part.Server, request, seen, planned)
+			go p.poll(part.Server, request, seen, planned)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 			continue
 		}
 		if p.pollDue(inc) {
-			go p.ask(b, "", 0, 0)
+			go p.poll(b, "", 0, 0)
 		}
 	}
 	p.mu.Lock()
@@ -81,7 +81,7 @@
 	return true
 }
 
-func (p *SlowdownMonitor) ask(b *model.BackendServer, request string, seen, planned time.Duration) {
+func (p *SlowdownMonitor) poll(b *model.BackendServer, request string, seen, planned time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportWait)
 	defer cancel()
 	report, err := p.Report(ctx, b)
