--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -32,13 +32,13 @@
 	Report  func(ctx context.Context, b *model.BackendServer) (model.EngineReport, error)
 	Now     func() time.Time
 
-	mu    sync.Mutex
-	asked map[model.Incarnation]time.Time
+	mu         sync.Mutex
+	lastPolled map[model.Incarnation]time.Time
 }
 
 // NewSlowdownMonitor makes a pacer.
 func NewSlowdownMonitor() *SlowdownMonitor {
-	return &SlowdownMonitor{asked: map[model.Incarnation]time.Time{}}
+	return &SlowdownMonitor{lastPolled: map[model.Incarnation]time.Time{}}
 }
 
 // Check asks the engines of a chain that is slow.
@@ -64,9 +64,9 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for inc, at := range p.asked {
+	for inc, at := range p.lastPolled {
 		if p.Now().Sub(at) > slowdownPollInterval {
-			delete(p.asked, inc)
+			delete(p.lastPolled, inc)
 		}
 	}
 }
@@ -74,10 +74,10 @@
 func (p *SlowdownMonitor) pollDue(inc model.Incarnation) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if at, ok := p.asked[inc]; ok && p.Now().Sub(at) < slowdownPollInterval {
+	if at, ok := p.lastPolled[inc]; ok && p.Now().Sub(at) < slowdownPollInterval {
 		return false
 	}
-	p.asked[inc] = p.Now()
+	p.lastPolled[inc] = p.Now()
 	return true
 }
 
