--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -47,10 +47,10 @@
 	Now             func() time.Time
 
 	mu sync.Mutex
-	// ended holds engines whose process surely ended, or that were gone from the
+	// exited holds engines whose process surely exited, or that were gone from the
 	// store while they answered nobody here, and when that was noted. An answer
 	// that was asked for later takes it back.
-	ended    map[model.Incarnation]time.Time
+	exited   map[model.Incarnation]time.Time
 	suspects map[model.Incarnation]*suspect
 	answered map[model.Incarnation]time.Time // when a probe last succeeded
 }
@@ -64,7 +64,7 @@
 
 // NewProber makes a prober without suspects.
 func NewProber() *Prober {
-	return &Prober{ended: map[model.Incarnation]time.Time{}, suspects: map[model.Incarnation]*suspect{}, answered: map[model.Incarnation]time.Time{}}
+	return &Prober{exited: map[model.Incarnation]time.Time{}, suspects: map[model.Incarnation]*suspect{}, answered: map[model.Incarnation]time.Time{}}
 }
 
 // Unreachable implements Suspicions.
@@ -242,7 +242,7 @@
 func (p *Prober) Lost(inc model.Incarnation) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, ok := p.ended[inc]; ok {
+	if _, ok := p.exited[inc]; ok {
 		return true
 	}
 	s, ok := p.suspects[inc]
@@ -264,21 +264,21 @@
 func (p *Prober) Responded(inc model.Incarnation, asked time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	noted, ok := p.ended[inc]
+	noted, ok := p.exited[inc]
 	if !ok || !asked.After(noted) {
 		return
 	}
-	delete(p.ended, inc)
+	delete(p.exited, inc)
 	klog.InfoS("engine taken for ended answers", "server", inc, "after", p.Now().Sub(noted))
 }
 
 // note remembers an engine's end. The caller holds the lock.
 func (p *Prober) note(inc model.Incarnation) {
 	now := p.Now()
-	for other, at := range p.ended {
+	for other, at := range p.exited {
 		if now.Sub(at) > rememberEnded {
-			delete(p.ended, other)
+			delete(p.exited, other)
 		}
 	}
-	p.ended[inc] = now
+	p.exited[inc] = now
 }
