--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -50,9 +50,9 @@
 	// exited holds engines whose process surely exited, or that were gone from the
 	// store while they answered nobody here, and when that was noted. An answer
 	// that was asked for later takes it back.
-	exited   map[model.Incarnation]time.Time
-	suspects map[model.Incarnation]*suspect
-	answered map[model.Incarnation]time.Time // when a probe last succeeded
+	exited      map[model.Incarnation]time.Time
+	suspects    map[model.Incarnation]*suspect
+	lastSuccess map[model.Incarnation]time.Time // when a probe last succeeded
 }
 
 type suspect struct {
@@ -64,7 +64,7 @@
 
 // NewProber makes a prober without suspects.
 func NewProber() *Prober {
-	return &Prober{exited: map[model.Incarnation]time.Time{}, suspects: map[model.Incarnation]*suspect{}, answered: map[model.Incarnation]time.Time{}}
+	return &Prober{exited: map[model.Incarnation]time.Time{}, suspects: map[model.Incarnation]*suspect{}, lastSuccess: map[model.Incarnation]time.Time{}}
 }
 
 // Unreachable implements Suspicions.
@@ -121,7 +121,7 @@
 // more work from here, and what it answers here decides.
 func (p *Prober) HandlePeerSuspicion(inc model.Incarnation) {
 	p.mu.Lock()
-	trusted := p.Now().Sub(p.answered[inc]) < trustProbe
+	trusted := p.Now().Sub(p.lastSuccess[inc]) < trustProbe
 	_, known := p.suspects[inc]
 	p.mu.Unlock()
 	if trusted || known || p.Catalog.Load().Find(inc) == nil {
@@ -182,7 +182,7 @@
 			p.note(inc)
 		}
 		delete(p.suspects, inc)
-		delete(p.answered, inc)
+		delete(p.lastSuccess, inc)
 		p.mu.Unlock()
 		return
 	}
@@ -214,7 +214,7 @@
 	}
 	if err == nil {
 		delete(p.suspects, b.Incarnation())
-		p.answered[b.Incarnation()] = p.Now()
+		p.lastSuccess[b.Incarnation()] = p.Now()
 		p.mu.Unlock()
 		trusted := p.Health.RecordProbeSuccess(b.Incarnation(), asked)
 		klog.InfoS("suspected engine answers", "server", b.Incarnation(), "after", p.Now().Sub(s.since), "trusted", trusted)
