--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -56,10 +56,10 @@
 }
 
 type suspect struct {
-	since   time.Time
-	failed  bool // it did not answer the last probe
-	own     bool // this router's own evidence
-	probing bool
+	since       time.Time
+	probeFailed bool // it did not answer the last probe
+	own         bool // this router's own evidence
+	probing     bool
 }
 
 // NewProber makes a prober without suspects.
@@ -178,7 +178,7 @@
 	p.mu.Lock()
 	s := p.suspects[inc]
 	if s == nil || b == nil {
-		if s != nil && s.failed {
+		if s != nil && s.probeFailed {
 			p.note(inc)
 		}
 		delete(p.suspects, inc)
@@ -206,7 +206,7 @@
 		return
 	}
 	s.probing = false
-	s.failed = err != nil
+	s.probeFailed = err != nil
 	if err == nil && s.own && p.Health.Suspected(b.Incarnation()) {
 		// It answers, but did not do its work: the first suspicion runs out.
 		p.mu.Unlock()
@@ -246,7 +246,7 @@
 		return true
 	}
 	s, ok := p.suspects[inc]
-	return ok && s.failed && p.Now().Sub(s.since) >= lostAfter
+	return ok && s.probeFailed && p.Now().Sub(s.since) >= lostAfter
 }
 
 // Exited implements Suspicions.
