--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -58,7 +58,7 @@
 type suspect struct {
 	since       time.Time
 	probeFailed bool // it did not answer the last probe
-	own         bool // this router's own evidence
+	local       bool // this router's own evidence
 	probing     bool
 }
 
@@ -141,7 +141,7 @@
 		s = &suspect{since: p.Now()}
 		p.suspects[inc] = s
 	}
-	s.own = s.own || own
+	s.local = s.local || own
 }
 
 // Run probes until ctx ends.
@@ -207,7 +207,7 @@
 	}
 	s.probing = false
 	s.probeFailed = err != nil
-	if err == nil && s.own && p.Health.Suspected(b.Incarnation()) {
+	if err == nil && s.local && p.Health.Suspected(b.Incarnation()) {
 		// It answers, but did not do its work: the first suspicion runs out.
 		p.mu.Unlock()
 		return
@@ -220,7 +220,7 @@
 		klog.InfoS("suspected engine answers", "server", b.Incarnation(), "after", p.Now().Sub(s.since), "trusted", trusted)
 		return
 	}
-	own := s.own
+	own := s.local
 	p.mu.Unlock()
 	until := p.Now().Add(probeHold)
 	p.Health.SuspectUntil(b.Incarnation(), until)
