--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -73,7 +73,7 @@
 	if news {
 		klog.InfoS("engine suspected", "request", request, "server", b.Incarnation(), "address", b.Address, "err", err, "until", until)
 	}
-	p.add(b.Incarnation(), true)
+	p.addSuspect(b.Incarnation(), true)
 	p.AnnounceSuspect(b.Incarnation(), until)
 }
 
@@ -129,11 +129,11 @@
 	}
 	klog.InfoS("engine suspected by a peer", "server", inc)
 	p.Health.SuspectUntil(inc, p.Now().Add(probeHold))
-	p.add(inc, false)
+	p.addSuspect(inc, false)
 	p.probe(inc)
 }
 
-func (p *Prober) add(inc model.Incarnation, own bool) {
+func (p *Prober) addSuspect(inc model.Incarnation, own bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, ok := p.suspects[inc]
