--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -151,7 +151,7 @@
 	for {
 		select {
 		case <-tick.C:
-			for _, inc := range p.due() {
+			for _, inc := range p.dueProbes() {
 				p.probe(inc)
 			}
 		case <-ctx.Done():
@@ -160,7 +160,7 @@
 	}
 }
 
-func (p *Prober) due() []model.Incarnation {
+func (p *Prober) dueProbes() []model.Incarnation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []model.Incarnation
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -140,7 +140,7 @@
 		assert.Check(t, view.FailureRate == 0, "%s is charged with a failure", id)
 		assert.Check(t, view.Active == 0, "%s has work", id)
 	}
-	assert.Check(t, len(s.prober.due()) == 0, "a probe is due")
+	assert.Check(t, len(s.prober.dueProbes()) == 0, "a probe is due")
 }
 
 func signed(status int, body io.Reader) *Response {
