--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -193,12 +193,12 @@
 		ctx, cancel := context.WithTimeout(context.Background(), reportWait)
 		defer cancel()
 		_, err := p.Report(ctx, b)
-		p.result(b, asked, err)
+		p.handleProbeResult(b, asked, err)
 	}()
 }
 
-// result takes in how an engine answered what it was asked at some time.
-func (p *Prober) result(b *model.BackendServer, asked time.Time, err error) {
+// handleProbeResult takes in how an engine answered what it was asked at some time.
+func (p *Prober) handleProbeResult(b *model.BackendServer, asked time.Time, err error) {
 	p.mu.Lock()
 	s := p.suspects[b.Incarnation()]
 	if s == nil {
