--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -179,7 +179,7 @@
 	s := p.suspects[inc]
 	if s == nil || b == nil {
 		if s != nil && s.probeFailed {
-			p.note(inc)
+			p.recordExit(inc)
 		}
 		delete(p.suspects, inc)
 		delete(p.lastSuccess, inc)
@@ -253,7 +253,7 @@
 func (p *Prober) Exited(inc model.Incarnation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.note(inc)
+	p.recordExit(inc)
 }
 
 // Responded implements Suspicions. The end of an engine is told by entries that may be
@@ -272,8 +272,8 @@
 	klog.InfoS("engine taken for ended answers", "server", inc, "after", p.Now().Sub(noted))
 }
 
-// note remembers an engine's end. The caller holds the lock.
-func (p *Prober) note(inc model.Incarnation) {
+// recordExit remembers an engine's end. The caller holds the lock.
+func (p *Prober) recordExit(inc model.Incarnation) {
 	now := p.Now()
 	for other, at := range p.exited {
 		if now.Sub(at) > rememberEnded {
