--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -131,7 +131,7 @@
 	if err != nil {
 		return err
 	}
-	status, answer, err := r.order(ctx, first, body)
+	status, answer, err := r.sendOrder(ctx, first, body)
 	switch {
 	case err != nil:
 		return err
@@ -146,8 +146,8 @@
 // maxOrderAnswer bounds the answer to an order, in bytes.
 const maxOrderAnswer = 64 << 10
 
-// order sends an order to an engine and gives the status and body of its answer.
-func (r *Relay) order(ctx context.Context, b *model.BackendServer, body []byte) (status int, answer []byte, err error) {
+// sendOrder sends an sendOrder to an engine and gives the status and body of its answer.
+func (r *Relay) sendOrder(ctx context.Context, b *model.BackendServer, body []byte) (status int, answer []byte, err error) {
 	ans, err := r.BackendClient.Do(ctx, b.Address, &Request{
 		Method: http.MethodPost,
 		Target: platform.OrderPath,
@@ -182,7 +182,7 @@
 	if err != nil {
 		return placement.OrderUnknown, err
 	}
-	status, _, err := e.Relay.order(ctx, b, body)
+	status, _, err := e.Relay.sendOrder(ctx, b, body)
 	if errors.Is(err, ErrNotSent) {
 		return placement.OrderRefused, err
 	}
