--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -92,7 +92,7 @@
 			q.Observer.Retry(q.ticket.Service.Name, "repath")
 			return next
 		}
-		var refused conflict
+		var refused pathConflict
 		if !errors.As(err, &refused) {
 			w.doubt(err)
 			return nil
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -57,7 +57,7 @@
 	held = err == nil
 	klog.InfoS("path of an overdue stream checked", "request", w.q.call.Attempt, "pauseMs", a.Pause.Milliseconds(), "overdue", a.OverdueStreams,
 		"candidates", len(a.Candidates), "chain", describe(parts), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
-	var refused conflict
+	var refused pathConflict
 	switch {
 	case held:
 	case errors.As(err, &refused):
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -117,11 +117,11 @@
 	return ans.Status == http.StatusOK, nil
 }
 
-// conflict is the refusal of a path; address names the engine that does not take its
+// pathConflict is the refusal of a path; address names the engine that does not take its
 // part, if it is known.
-type conflict struct{ address string }
+type pathConflict struct{ address string }
 
-func (c conflict) Error() string { return "path refused for " + c.address }
+func (c pathConflict) Error() string { return "path refused for " + c.address }
 
 // Reroute orders the first engine of a running stream to send it over another
 // path with the same first part. The error is a conflict where an engine of the path
@@ -138,7 +138,7 @@
 	case status == http.StatusOK || status == http.StatusAccepted:
 		return nil
 	case status == http.StatusConflict:
-		return conflict{address: platform.DecodeConflict(answer)}
+		return pathConflict{address: platform.DecodeConflict(answer)}
 	}
 	return errors.Errorf("repath answered with status %d", status)
 }
