--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -10,8 +10,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// run is work in progress at backend servers.
-type run interface {
+// activeRun is work in progress at backend servers.
+type activeRun interface {
 	// leave takes in that incarnations of servers have ended (engineGone), or are
 	// believed to be at fault.
 	leave(lost engineSet, why ending)
@@ -27,7 +27,7 @@
 // ActiveRuns holds the work in progress.
 type ActiveRuns struct {
 	mu   sync.Mutex
-	runs map[run]bool
+	runs map[activeRun]bool
 	// gone holds the servers that ended of late, and when that was told.
 	gone map[model.Incarnation]time.Time
 	// silent holds the servers that were found silent of late, and when.
@@ -36,12 +36,12 @@
 
 // NewActiveRuns makes an empty set.
 func NewActiveRuns() *ActiveRuns {
-	return &ActiveRuns{runs: map[run]bool{}, gone: map[model.Incarnation]time.Time{}, silent: map[model.Incarnation]time.Time{}}
+	return &ActiveRuns{runs: map[activeRun]bool{}, gone: map[model.Incarnation]time.Time{}, silent: map[model.Incarnation]time.Time{}}
 }
 
 // add adds work that was given to some servers. It tells which of them has ended
 // meanwhile, if one has: whoever told of the end told only the work that was there.
-func (r *ActiveRuns) add(w run, servers ...model.Incarnation) (gone model.Incarnation, ended bool) {
+func (r *ActiveRuns) add(w activeRun, servers ...model.Incarnation) (gone model.Incarnation, ended bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs[w] = true
@@ -53,7 +53,7 @@
 	return model.Incarnation{}, false
 }
 
-func (r *ActiveRuns) remove(w run) {
+func (r *ActiveRuns) remove(w activeRun) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.runs, w)
