--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -18,13 +18,13 @@
 // names one more engine that does not take its part.
 const mostMoves = 4
 
-// leave takes the run away from engines. Several streams may find the same
+// leaveEngines takes the run away from engines. Several streams may find the same
 // engine at fault; a run that was moved already stays.
 //
 // A run that may be sent anew is: its tokens are read by the engines of another chain,
 // each a few layers, and all streams of the lost engine spread over all chains. Moved,
 // they would all wait for the lost engine's twin to read.
-func (w *chainWatch) leave(lost engineSet, why ending) {
+func (w *chainWatch) leaveEngines(lost engineSet, why ending) {
 	defer w.contain()
 	w.mu.Lock()
 	culprit, through := usesAny(w.parts, lost)
--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -12,9 +12,9 @@
 
 // activeRun is work in progress at backend servers.
 type activeRun interface {
-	// leave takes in that incarnations of servers have ended (engineGone), or are
+	// leaveEngines takes in that incarnations of servers have ended (engineGone), or are
 	// believed to be at fault.
-	leave(lost engineSet, why ending)
+	leaveEngines(lost engineSet, why ending)
 }
 
 // engineSet is a set of incarnations.
@@ -71,7 +71,7 @@
 	last   bool // it must not be sent again
 }
 
-func (c *call) leave(lost engineSet, why ending) {
+func (c *call) leaveEngines(lost engineSet, why ending) {
 	switch {
 	case !lost[c.server] || why != engineGone:
 	case c.last:
@@ -123,7 +123,7 @@
 		}
 	}
 	for w := range r.runs {
-		go w.leave(lost, why)
+		go w.leaveEngines(lost, why)
 	}
 }
 
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -79,7 +79,7 @@
 	if gone, ended := q.ActiveRuns.add(w, path...); ended {
 		w.end(verdict{culprit: gone, why: engineGone})
 	} else if silent := q.ActiveRuns.silentAmong(path); len(silent) > 0 {
-		go w.leave(silent, silence)
+		go w.leaveEngines(silent, silence)
 	}
 	return w
 }
