--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -28,15 +28,15 @@
 type ActiveRuns struct {
 	mu   sync.Mutex
 	runs map[activeRun]bool
-	// gone holds the servers that ended of late, and when that was told.
-	gone map[model.Incarnation]time.Time
+	// exited holds the servers that ended of late, and when that was told.
+	exited map[model.Incarnation]time.Time
 	// silent holds the servers that were found silent of late, and when.
 	silent map[model.Incarnation]time.Time
 }
 
 // NewActiveRuns makes an empty set.
 func NewActiveRuns() *ActiveRuns {
-	return &ActiveRuns{runs: map[activeRun]bool{}, gone: map[model.Incarnation]time.Time{}, silent: map[model.Incarnation]time.Time{}}
+	return &ActiveRuns{runs: map[activeRun]bool{}, exited: map[model.Incarnation]time.Time{}, silent: map[model.Incarnation]time.Time{}}
 }
 
 // add adds work that was given to some servers. It tells which of them has ended
@@ -46,7 +46,7 @@
 	defer r.mu.Unlock()
 	r.runs[w] = true
 	for _, inc := range servers {
-		if at, ok := r.gone[inc]; ok && time.Since(at) < rememberGone {
+		if at, ok := r.exited[inc]; ok && time.Since(at) < rememberGone {
 			return inc, true
 		}
 	}
@@ -117,7 +117,7 @@
 	defer r.mu.Unlock()
 	for inc := range lost {
 		if why == engineGone {
-			noteRecent(r.gone, inc)
+			noteRecent(r.exited, inc)
 		} else {
 			noteRecent(r.silent, inc)
 		}
@@ -144,7 +144,7 @@
 	defer r.mu.Unlock()
 	found := engineSet{}
 	for _, inc := range servers {
-		for _, told := range []map[model.Incarnation]time.Time{r.gone, r.silent} {
+		for _, told := range []map[model.Incarnation]time.Time{r.exited, r.silent} {
 			if at, ok := told[inc]; ok && time.Since(at) < rememberGone {
 				found[inc] = true
 			}
