--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -30,13 +30,13 @@
 	runs map[activeRun]bool
 	// exited holds the servers that ended of late, and when that was told.
 	exited map[model.Incarnation]time.Time
-	// silent holds the servers that were found silent of late, and when.
-	silent map[model.Incarnation]time.Time
+	// unresponsive holds the servers that were found unresponsive of late, and when.
+	unresponsive map[model.Incarnation]time.Time
 }
 
 // NewActiveRuns makes an empty set.
 func NewActiveRuns() *ActiveRuns {
-	return &ActiveRuns{runs: map[activeRun]bool{}, exited: map[model.Incarnation]time.Time{}, silent: map[model.Incarnation]time.Time{}}
+	return &ActiveRuns{runs: map[activeRun]bool{}, exited: map[model.Incarnation]time.Time{}, unresponsive: map[model.Incarnation]time.Time{}}
 }
 
 // add adds work that was given to some servers. It tells which of them has ended
@@ -119,7 +119,7 @@
 		if why == engineGone {
 			noteRecent(r.exited, inc)
 		} else {
-			noteRecent(r.silent, inc)
+			noteRecent(r.unresponsive, inc)
 		}
 	}
 	for w := range r.runs {
@@ -144,7 +144,7 @@
 	defer r.mu.Unlock()
 	found := engineSet{}
 	for _, inc := range servers {
-		for _, told := range []map[model.Incarnation]time.Time{r.exited, r.silent} {
+		for _, told := range []map[model.Incarnation]time.Time{r.exited, r.unresponsive} {
 			if at, ok := told[inc]; ok && time.Since(at) < rememberGone {
 				found[inc] = true
 			}
