--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -64,14 +64,14 @@
 // socket until a busy machine reads it, a tenth of a second or two later.
 const finalAnswerWait = 250 * time.Millisecond
 
-// call is one request at one server of a plain service.
-type call struct {
+// plainRun is one request at one server of a plain service.
+type plainRun struct {
 	server model.Incarnation
 	cancel context.CancelCauseFunc
 	last   bool // it must not be sent again
 }
 
-func (c *call) leaveEngines(lost engineSet, why ending) {
+func (c *plainRun) leaveEngines(lost engineSet, why ending) {
 	switch {
 	case !lost[c.server] || why != engineGone:
 	case c.last:
@@ -86,7 +86,7 @@
 // request that may be sent again.
 func (r *ActiveRuns) track(ctx context.Context, server model.Incarnation, last bool) (run context.Context, cancel context.CancelCauseFunc, stop func()) {
 	run, cancel = context.WithCancelCause(ctx)
-	c := &call{server: server, cancel: cancel, last: last}
+	c := &plainRun{server: server, cancel: cancel, last: last}
 	if _, ended := r.add(c, server); ended {
 		cancel(engineGone)
 	}
