--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -216,7 +216,7 @@
 		}
 		if s.ranEvents == 0 {
 			parts, _ := w.state()
-			s.succeed(parts, w.since)
+			s.succeed(parts, w.sentAt)
 			w.record.AnswerStarted()
 		}
 		s.ranEvents++
@@ -293,7 +293,7 @@
 	if errors.Is(err, ErrNotSent) {
 		s.sends--
 		s.unsent++
-		if why != noConnection && !(why == timeOver && why.blames(s.Now().Sub(w.since))) {
+		if why != noConnection && !(why == timeOver && why.blames(s.Now().Sub(w.sentAt))) {
 			s.recordChainLoss(w, why, err)
 			return fault.New(fault.NotConnected, "the run was ended before it was sent: %s", why)
 		}
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -41,7 +41,7 @@
 	run    context.Context
 	cancel context.CancelCauseFunc
 	hold   *chains.Reservation
-	since  time.Time // when the run was sent
+	sentAt time.Time // when the run was sent
 	record *quarantine.Run
 	// progress is what the stream's events say of its engines.
 	progress *detector.Stream
@@ -70,7 +70,7 @@
 }
 
 func (q *request) watch(run context.Context, cancel context.CancelCauseFunc, parts []chains.Stage, hold *chains.Reservation, record *quarantine.Run) *chainWatch {
-	w := &chainWatch{q: q, run: run, cancel: cancel, parts: parts, hold: hold, record: record, since: q.Now()}
+	w := &chainWatch{q: q, run: run, cancel: cancel, parts: parts, hold: hold, record: record, sentAt: q.Now()}
 	w.last = !q.ticket.Idempotent() || q.sends+1 >= maxSends
 	w.fresh = !w.last && q.runs+1 < q.ticket.Route.MaxAttempts
 	path := engines(parts)
