--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -31,7 +31,7 @@
 		w.endLocked(v)
 		return
 	}
-	klog.InfoS("run kept: no other engine may go on", "request", w.q.call.Attempt, "why", v.why, "culprit", v.culprit, "silences", v.silences, "begun", w.begun, "budget", !w.last, "err", v.err)
+	klog.InfoS("run kept: no other engine may go on", "request", w.q.call.Attempt, "why", v.why, "culprit", v.culprit, "silences", v.silences, "begun", w.hasEvents, "budget", !w.last, "err", v.err)
 	if !w.last {
 		w.timer.Reset(nextSilence)
 	}
@@ -76,6 +76,6 @@
 	w.culprit = v.culprit
 	w.stopped = true
 	w.timer.Stop()
-	klog.InfoS("run abandoned", "request", w.q.call.Attempt, "why", v.why, "culprit", v.culprit, "silences", v.silences, "begun", w.begun, "err", v.err)
+	klog.InfoS("run abandoned", "request", w.q.call.Attempt, "why", v.why, "culprit", v.culprit, "silences", v.silences, "begun", w.hasEvents, "err", v.err)
 	w.cancel(v.why)
 }
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -50,17 +50,17 @@
 	// fresh says that the route's attempts leave one at another first engine.
 	fresh bool
 
-	mu      sync.Mutex
-	parts   []chains.Stage
-	timer   *time.Timer
-	begun   bool              // an event came
-	early   bool              // the timer is for the path check, not for a silence
-	unsure  bool              // an order was not answered and may be carried out later
-	quiet   int               // silences in a row
-	news    int               // counts events and moves, to notice what came meanwhile
-	stopped bool              // ended here, or over
-	culprit model.Incarnation // the engine at fault; empty if none was found
-	moving  bool
+	mu        sync.Mutex
+	parts     []chains.Stage
+	timer     *time.Timer
+	hasEvents bool              // an event came
+	early     bool              // the timer is for the path check, not for a silence
+	unsure    bool              // an order was not answered and may be carried out later
+	quiet     int               // silences in a row
+	news      int               // counts events and moves, to notice what came meanwhile
+	stopped   bool              // ended here, or over
+	culprit   model.Incarnation // the engine at fault; empty if none was found
+	moving    bool
 	// granted says that a repeated send was taken from the budget for what follows
 	// this run.
 	granted bool
@@ -101,7 +101,7 @@
 func (w *chainWatch) heard() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.begun = true
+	w.hasEvents = true
 	w.quiet = 0
 	w.news++
 	w.early = true
@@ -209,7 +209,7 @@
 func (w *chainWatch) stallLimit() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.begun {
+	if w.hasEvents {
 		return mostSilences
 	}
 	return mostSilences - 1
