--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -75,7 +75,7 @@
 	w.fresh = !w.last && q.runs+1 < q.ticket.Route.MaxAttempts
 	path := engines(parts)
 	w.progress = q.Detector.Track(path, q.eventInterval(parts), q.ticket.Route.TargetGap)
-	w.start()
+	w.startTimer()
 	if gone, ended := q.ActiveRuns.add(w, path...); ended {
 		w.end(verdict{culprit: gone, why: engineGone})
 	} else if silent := q.ActiveRuns.silentAmong(path); len(silent) > 0 {
@@ -84,7 +84,7 @@
 	return w
 }
 
-func (w *chainWatch) start() {
+func (w *chainWatch) startTimer() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.timer = time.AfterFunc(firstSilence, w.due)
