--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -109,12 +109,12 @@
 	if !w.stopped {
 		w.timer.Reset(next)
 	}
-	w.pace()
+	w.checkSpeed()
 }
 
-// pace has the engines asked when the last events came much slower than the
+// checkSpeed has the engines asked when the last events came much slower than the
 // chain should give them. The caller holds the lock.
-func (w *chainWatch) pace() {
+func (w *chainWatch) checkSpeed() {
 	now := w.q.Now()
 	if w.paceFrom.IsZero() {
 		w.paceFrom = now
