--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -87,7 +87,7 @@
 func (w *chainWatch) startTimer() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(firstSilence, w.due)
+	w.timer = time.AfterFunc(firstSilence, w.onTimer)
 }
 
 func engines(parts []chains.Stage) []model.Incarnation {
@@ -150,8 +150,8 @@
 	return w.parts, w.culprit
 }
 
-// due runs when the timer fires.
-func (w *chainWatch) due() {
+// onTimer runs when the timer fires.
+func (w *chainWatch) onTimer() {
 	defer w.contain()
 	w.mu.Lock()
 	early := w.early
