--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -163,12 +163,12 @@
 	case early:
 		w.assess(news)
 	default:
-		w.ask()
+		w.handleStall()
 	}
 }
 
-// ask looks into a silence.
-func (w *chainWatch) ask() {
+// handleStall looks into a silence.
+func (w *chainWatch) handleStall() {
 	w.mu.Lock()
 	if w.stopped || w.moving {
 		w.mu.Unlock()
