--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -121,7 +121,7 @@
 // through before is lost to all streams; another one may only be full.
 func (w *chainWatch) refusedAt(server *model.BackendServer, before []chains.Stage, err error) {
 	if uses(before, server.Incarnation()) {
-		w.fail(server, err)
+		w.failEngine(server, err)
 		return
 	}
 	w.q.Suspects.Refused(server, w.q.call.Attempt, http.StatusConflict)
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -62,12 +62,12 @@
 	case held:
 	case errors.As(err, &refused):
 		if server := serverAt(parts, refused.address); server != nil {
-			w.fail(server, err)
+			w.failEngine(server, err)
 		}
 	case ctx.Err() != nil && w.run.Err() == nil:
 		w.doubt(err)
 		if slices.Contains(a.Candidates, first.Incarnation()) && !w.changed(news) {
-			w.fail(first, err)
+			w.failEngine(first, err)
 		}
 	}
 }
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -249,15 +249,15 @@
 func (w *chainWatch) blame(addr string, news, n int) {
 	parts, _ := w.state()
 	if server := serverAt(parts, addr); server != nil {
-		w.fail(server, nil)
+		w.failEngine(server, nil)
 		return
 	}
 	w.endIfUnchanged(news, verdict{why: silence, silences: n})
 }
 
-// fail takes in that an engine of the chain does not do its part: all streams of this
+// failEngine takes in that an engine of the chain does not do its part: all streams of this
 // router leave it.
-func (w *chainWatch) fail(server *model.BackendServer, err error) {
+func (w *chainWatch) failEngine(server *model.BackendServer, err error) {
 	w.q.Suspects.Unreachable(server, w.q.call.Attempt, err)
 	w.q.ActiveRuns.leave(engineSet{server.Incarnation(): true}, silence)
 }
