--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -6,9 +6,9 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// verdict is why a run is ended, and by whose fault; culprit is empty where that is
+// runFailure is why a run is ended, and by whose fault; culprit is empty where that is
 // not known.
-type verdict struct {
+type runFailure struct {
 	culprit  model.Incarnation
 	why      ending
 	silences int
@@ -20,7 +20,7 @@
 // shows that the chain works. A run that no other engine may go on with, or for which
 // no repeated send is granted, is kept: its end would be a sure loss, while a silent
 // engine may go on; its caller decides how long to wait.
-func (w *chainWatch) endIfUnchanged(news int, v verdict) {
+func (w *chainWatch) endIfUnchanged(news int, v runFailure) {
 	granted := !w.last && w.grant()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -53,7 +53,7 @@
 }
 
 // end ends a run that is not over yet.
-func (w *chainWatch) end(v verdict) {
+func (w *chainWatch) end(v runFailure) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.stopped {
@@ -68,11 +68,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.stopped && !w.moving && uses(w.parts, lost) {
-		w.endLocked(verdict{culprit: lost, why: engineGone})
+		w.endLocked(runFailure{culprit: lost, why: engineGone})
 	}
 }
 
-func (w *chainWatch) endLocked(v verdict) {
+func (w *chainWatch) endLocked(v runFailure) {
 	w.culprit = v.culprit
 	w.stopped = true
 	w.timer.Stop()
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -47,7 +47,7 @@
 	case why == engineGone:
 		w.endIfThrough(culprit)
 	default:
-		w.endIfUnchanged(news, verdict{culprit: culprit, why: why})
+		w.endIfUnchanged(news, runFailure{culprit: culprit, why: why})
 	}
 }
 
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -77,7 +77,7 @@
 	w.progress = q.Detector.Track(path, q.eventInterval(parts), q.ticket.Route.TargetGap)
 	w.startTimer()
 	if gone, ended := q.ActiveRuns.add(w, path...); ended {
-		w.end(verdict{culprit: gone, why: engineGone})
+		w.end(runFailure{culprit: gone, why: engineGone})
 	} else if silent := q.ActiveRuns.silentAmong(path); len(silent) > 0 {
 		go w.leaveEngines(silent, silence)
 	}
@@ -185,7 +185,7 @@
 	}
 	if err != nil {
 		w.q.Suspects.Unreachable(first, w.q.call.Attempt, err)
-		w.endIfUnchanged(news, verdict{culprit: first.Incarnation(), why: silence, silences: n, err: err})
+		w.endIfUnchanged(news, runFailure{culprit: first.Incarnation(), why: silence, silences: n, err: err})
 		return
 	}
 	if addr := stallOf(report, w.q.call.Attempt); addr != "" {
@@ -199,7 +199,7 @@
 		return
 	}
 	if n >= w.stallLimit() {
-		w.endIfUnchanged(news, verdict{why: silence, silences: n})
+		w.endIfUnchanged(news, runFailure{why: silence, silences: n})
 		return
 	}
 	w.resetTimer(news, nextSilence)
@@ -252,7 +252,7 @@
 		w.failEngine(server, nil)
 		return
 	}
-	w.endIfUnchanged(news, verdict{why: silence, silences: n})
+	w.endIfUnchanged(news, runFailure{why: silence, silences: n})
 }
 
 // failEngine takes in that an engine of the chain does not do its part: all streams of this
