--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -21,7 +21,7 @@
 // no repeated send is granted, is kept: its end would be a sure loss, while a silent
 // engine may go on; its caller decides how long to wait.
 func (w *chainWatch) endIfUnchanged(news int, v runFailure) {
-	granted := !w.last && w.grant()
+	granted := !w.last && w.takeRetryToken()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.changedLocked(news) || w.run.Err() != nil {
@@ -37,9 +37,9 @@
 	}
 }
 
-// grant takes a repeated send from the budget for what follows this run. It stays
+// takeRetryToken takes a repeated send from the budget for what follows this run. It stays
 // granted where the chain speaks again before it is ended.
-func (w *chainWatch) grant() bool {
+func (w *chainWatch) takeRetryToken() bool {
 	w.mu.Lock()
 	granted := w.granted
 	w.mu.Unlock()
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -37,7 +37,7 @@
 	parts := w.parts
 	w.mu.Unlock()
 	var moved []chains.Stage
-	if !w.fresh || !w.grant() {
+	if !w.fresh || !w.takeRetryToken() {
 		moved = w.replace(parts, lost)
 	}
 	switch news, taken := w.take(moved); {
