--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -40,7 +40,7 @@
 	if !w.fresh || !w.takeRetryToken() {
 		moved = w.replace(parts, lost)
 	}
-	switch news, taken := w.take(moved); {
+	switch news, taken := w.finishReroute(moved); {
 	case taken:
 	case why == engineGone && w.last:
 		time.AfterFunc(finalAnswerWait, func() { w.endIfThrough(culprit) })
@@ -51,9 +51,9 @@
 	}
 }
 
-// take ends a move: the run goes through other engines now, if there are any.
+// finishReroute ends a move: the run goes through other engines now, if there are any.
 // It tells the count of news as of then.
-func (w *chainWatch) take(moved []chains.Stage) (news int, taken bool) {
+func (w *chainWatch) finishReroute(moved []chains.Stage) (news int, taken bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.moving = false
