--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -38,7 +38,7 @@
 	w.mu.Unlock()
 	var moved []chains.Stage
 	if !w.fresh || !w.takeRetryToken() {
-		moved = w.replace(parts, lost)
+		moved = w.routeAround(parts, lost)
 	}
 	switch news, taken := w.finishReroute(moved); {
 	case taken:
@@ -71,9 +71,9 @@
 	return w.news, true
 }
 
-// replace orders the first engine to send the stream around engines; nil if
+// routeAround orders the first engine to send the stream around engines; nil if
 // that cannot be done.
-func (w *chainWatch) replace(parts []chains.Stage, lost engineSet) []chains.Stage {
+func (w *chainWatch) routeAround(parts []chains.Stage, lost engineSet) []chains.Stage {
 	q := w.q
 	if !q.ticket.Idempotent() || !q.mayMove() || w.isUnsure() {
 		return nil
