--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -85,7 +85,7 @@
 		if next == nil {
 			return nil
 		}
-		err := w.reroute(next, avoid)
+		err := w.sendReroute(next, avoid)
 		if err == nil {
 			w.hold.Move(next)
 			w.record.Move(places(next))
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// reroute orders the first engine to send the stream over another path.
-func (w *chainWatch) reroute(next []chains.Stage, avoid engineSet) error {
+// sendReroute orders the first engine to send the stream over another path.
+func (w *chainWatch) sendReroute(next []chains.Stage, avoid engineSet) error {
 	ctx, cancel := context.WithTimeout(context.Background(), repathWait)
 	defer cancel()
 	began := w.q.Now()
