--- a/internal/protocol/relay/ending.go
+++ b/internal/protocol/relay/ending.go
@@ -14,7 +14,7 @@
 const (
 	callerLeft   ending = "caller left"
 	timeOver     ending = "deadline"
-	silence      ending = "silence"
+	stalled      ending = "silence"
 	engineGone   ending = "engine gone"
 	tooSlow      ending = "slower than usual"
 	noConnection ending = "no connection"
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -163,8 +163,8 @@
 		engines.answerWith(unanswered)
 		time.Sleep(resumable.TargetGap)
 		synctest.Wait()
-		assert.Equal(t, context.Cause(run), silence)
-		assert.Equal(t, context.Cause(other), silence)
+		assert.Equal(t, context.Cause(run), stalled)
+		assert.Equal(t, context.Cause(other), stalled)
 		assert.Assert(t, s.Health.Suspected(inc("head")))
 	})
 }
@@ -254,7 +254,7 @@
 		for _, w := range streams {
 			parts, culprit := w.state()
 			switch {
-			case context.Cause(w.run) == silence:
+			case context.Cause(w.run) == stalled:
 				assert.Equal(t, culprit, inc("middle"))
 				anew++
 			case parts[1].Server.ID == "middle2":
@@ -272,7 +272,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		engines := &pathEngines{}
 		s := threeParts(engines.do)
-		s.ActiveRuns.leave(engineSet{inc("middle"): true}, silence)
+		s.ActiveRuns.leave(engineSet{inc("middle"): true}, stalled)
 		w, _ := s.running(t, movable)
 		synctest.Wait()
 		assert.DeepEqual(t, ids(w), []string{"head", "middle2", "tail"})
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -79,7 +79,7 @@
 	if gone, ended := q.ActiveRuns.add(w, path...); ended {
 		w.end(runFailure{culprit: gone, why: engineGone})
 	} else if silent := q.ActiveRuns.silentAmong(path); len(silent) > 0 {
-		go w.leaveEngines(silent, silence)
+		go w.leaveEngines(silent, stalled)
 	}
 	return w
 }
@@ -185,7 +185,7 @@
 	}
 	if err != nil {
 		w.q.Suspects.Unreachable(first, w.q.call.Attempt, err)
-		w.endIfUnchanged(news, runFailure{culprit: first.Incarnation(), why: silence, silences: n, err: err})
+		w.endIfUnchanged(news, runFailure{culprit: first.Incarnation(), why: stalled, silences: n, err: err})
 		return
 	}
 	if addr := stallOf(report, w.q.call.Attempt); addr != "" {
@@ -199,7 +199,7 @@
 		return
 	}
 	if n >= w.stallLimit() {
-		w.endIfUnchanged(news, runFailure{why: silence, silences: n})
+		w.endIfUnchanged(news, runFailure{why: stalled, silences: n})
 		return
 	}
 	w.resetTimer(news, nextSilence)
@@ -252,14 +252,14 @@
 		w.failEngine(server, nil)
 		return
 	}
-	w.endIfUnchanged(news, runFailure{why: silence, silences: n})
+	w.endIfUnchanged(news, runFailure{why: stalled, silences: n})
 }
 
 // failEngine takes in that an engine of the chain does not do its part: all streams of this
 // router leave it.
 func (w *chainWatch) failEngine(server *model.BackendServer, err error) {
 	w.q.Suspects.Unreachable(server, w.q.call.Attempt, err)
-	w.q.ActiveRuns.leave(engineSet{server.Incarnation(): true}, silence)
+	w.q.ActiveRuns.leave(engineSet{server.Incarnation(): true}, stalled)
 }
 
 // serverAt is the engine of a chain with an address; nil if there is none.
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -206,6 +206,6 @@
 		assert.NilError(t, run.Err())
 		time.Sleep(time.Hour)
 		synctest.Wait()
-		assert.Equal(t, context.Cause(run), silence)
+		assert.Equal(t, context.Cause(run), stalled)
 	})
 }
