--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -43,7 +43,7 @@
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	platform.EncodeRefusal(h, q.call.Attempt, after)
 	body := []byte(f.Error() + "\n")
-	q.out.Begin(status, h, int64(len(body)))
+	q.out.WriteHeader(status, h, int64(len(body)))
 	if err := q.out.Write(body); err != nil {
 		klog.V(1).InfoS("refusal not delivered", "request", q.call.Attempt, "err", err)
 	}
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -260,7 +260,7 @@
 func (q *request) deliver(ans *bufferedResponse) bool {
 	h := http.Header{}
 	platform.AnswerHeaders(h, ans.header)
-	q.out.Begin(ans.status, h, int64(len(ans.body)))
+	q.out.WriteHeader(ans.status, h, int64(len(ans.body)))
 	err := q.out.Write(ans.body)
 	outcome := "ran"
 	if err != nil {
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -252,7 +252,7 @@
 func (s *stream) writeHeader(ans *Response) {
 	h := http.Header{}
 	platform.AnswerHeaders(h, ans.Header)
-	s.out.Begin(ans.Status, h, -1)
+	s.out.WriteHeader(ans.Status, h, -1)
 }
 
 // succeed takes in that the engines of a chain did their work, as of when it was
--- a/internal/protocol/relay/panic.go
+++ b/internal/protocol/relay/panic.go
@@ -19,7 +19,7 @@
 	head bool
 }
 
-func (b *headerTracker) Begin(status int, header http.Header, length int64) {
+func (b *headerTracker) WriteHeader(status int, header http.Header, length int64) {
 	b.head = true
 	b.ResponseWriter.WriteHeader(status, header, length)
 }
