--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -272,7 +272,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		engines := &pathEngines{}
 		s := threeParts(engines.do)
-		s.ActiveRuns.leave(engineSet{inc("middle"): true}, stalled)
+		s.ActiveRuns.notifyLoss(engineSet{inc("middle"): true}, stalled)
 		w, _ := s.running(t, movable)
 		synctest.Wait()
 		assert.DeepEqual(t, ids(w), []string{"head", "middle2", "tail"})
--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -105,14 +105,14 @@
 		r.Suspects.Unreachable(b, "", errEnded)
 	}
 	r.Suspects.Exited(inc)
-	r.ActiveRuns.leave(engineSet{inc: true}, engineGone)
+	r.ActiveRuns.notifyLoss(engineSet{inc: true}, engineGone)
 }
 
 var errEnded = errors.New("its process ended")
 
-// leave tells all work in progress that incarnations of servers have ended, or are
+// notifyLoss tells all work in progress that incarnations of servers have ended, or are
 // believed to be at fault.
-func (r *ActiveRuns) leave(lost engineSet, why ending) {
+func (r *ActiveRuns) notifyLoss(lost engineSet, why ending) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for inc := range lost {
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -259,7 +259,7 @@
 // router leave it.
 func (w *chainWatch) failEngine(server *model.BackendServer, err error) {
 	w.q.Suspects.Unreachable(server, w.q.call.Attempt, err)
-	w.q.ActiveRuns.leave(engineSet{server.Incarnation(): true}, stalled)
+	w.q.ActiveRuns.notifyLoss(engineSet{server.Incarnation(): true}, stalled)
 }
 
 // serverAt is the engine of a chain with an address; nil if there is none.
