--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -100,9 +100,9 @@
 		most = max(callersPatience-q.Now().Sub(s.lastEvent), 0)
 	}
 	until := q.Now().Add(most)
-	waiting := admission.Request{Customer: q.ticket.Customer, Priority: -q.ticket.Priority}
+	waiter := admission.Request{Customer: q.ticket.Customer, Priority: -q.ticket.Priority}
 	q.waiting = true
-	got := q.WaitQueue.Wait(ctx, waiting, most, try)
+	got := q.WaitQueue.Wait(ctx, waiter, most, try)
 	// Not in the line: there a stream that no chain serves would hold up others.
 	for s.events > 0 && hold == nil && q.Now().Before(until) && wait.For(ctx, chainPoll) {
 		clear(q.avoid)
