--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -19,7 +19,7 @@
 const (
 	// bufferedAnswer is the largest answer that is read whole before it is
 	// passed on, so that a truncated one is never begun.
-	bufferedAnswer = 1 << 20
+	maxBufferedResponse = 1 << 20
 	// slowAttemptFactor is how many times the usual latency an idempotent request waits
 	// at one server before another is tried; at least the route's target.
 	slowAttemptFactor = 5
@@ -242,13 +242,13 @@
 		ans.Body.Discard()
 		return nil, errors.Errorf("answer to another request, %s", v.Attempt)
 	}
-	body, err := io.ReadAll(io.LimitReader(ans.Body, bufferedAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(ans.Body, maxBufferedResponse+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "answer cut short")
 	}
-	if len(body) > bufferedAnswer {
+	if len(body) > maxBufferedResponse {
 		ans.Body.Discard()
-		return nil, errors.Errorf("answer longer than %d bytes", bufferedAnswer)
+		return nil, errors.Errorf("answer longer than %d bytes", maxBufferedResponse)
 	}
 	if !v.NotRun && v.Signature == "" {
 		return nil, errors.Errorf("answer with status %d has no signature", ans.Status)
