--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -24,7 +24,7 @@
 	// at one server before another is tried; at least the route's target.
 	slowAttemptFactor = 5
 	// leastTry is the shortest time that a try at one server gets.
-	leastTry = 150 * time.Millisecond
+	minAttemptTimeout = 150 * time.Millisecond
 )
 
 // bufferedResponse is an answer with all of its body.
@@ -163,7 +163,7 @@
 // waits for a decision under way.
 func (q *request) giveUpIfSlow(run context.Context, cancel context.CancelCauseFunc, b *model.BackendServer) (stop func()) {
 	usual := q.Health.View(b.Incarnation()).Latency
-	most := max(slowAttemptFactor*usual, q.ticket.Route.TargetLatency, leastTry)
+	most := max(slowAttemptFactor*usual, q.ticket.Route.TargetLatency, minAttemptTimeout)
 	run, quit := context.WithCancel(run)
 	decided := make(chan struct{})
 	timer := time.AfterFunc(most, func() {
--- a/internal/protocol/relay/ending.go
+++ b/internal/protocol/relay/ending.go
@@ -61,7 +61,7 @@
 	case callerLeft, stopping:
 		return false
 	case timeOver:
-		return took >= leastTry
+		return took >= minAttemptTimeout
 	}
 	return true
 }
