--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -193,13 +193,13 @@
 // first configuration. It comes within milliseconds from the store, within half
 // a second from a peer, and within the store's first reads after an outage;
 // callers of a site that restarts have one retry, which a refusal would use up.
-const startWait = 2 * time.Second
+const startupConfigTimeout = 2 * time.Second
 
 // table gives the configuration in force. Right after the start it waits for
 // the first one.
 func (r *Relay) table(ctx context.Context) *routes.Table {
 	table := r.Config.Load()
-	left := startWait - r.Now().Sub(r.Started)
+	left := startupConfigTimeout - r.Now().Sub(r.Started)
 	if table != nil || left <= 0 {
 		return table
 	}
