--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -16,7 +16,7 @@
 const (
 	// roomWait is how long a new stream waits for token memory, as a share of
 	// its target latency: what is left must do for the first event.
-	roomWait = 0.8
+	capacityWaitShare = 0.8
 	// callersPatience is the silence after which a stream's caller leaves, and a
 	// little more: an interrupted stream looks for another chain as long. Broken
 	// off sooner, its caller would lose it though a chain may be whole again, as
@@ -95,7 +95,7 @@
 		}
 		return verdict != chains.CapacityExhausted
 	}
-	most := time.Duration(roomWait * float64(q.ticket.Route.TargetLatency))
+	most := time.Duration(capacityWaitShare * float64(q.ticket.Route.TargetLatency))
 	if s.events > 0 {
 		most = max(callersPatience-q.Now().Sub(s.lastEvent), 0)
 	}
