--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -21,7 +21,7 @@
 	// little more: an interrupted stream looks for another chain as long. Broken
 	// off sooner, its caller would lose it though a chain may be whole again, as
 	// engines that leave are replaced within that time.
-	callersPatience = 2100 * time.Millisecond
+	callerGapTimeout = 2100 * time.Millisecond
 	// chainPoll is between two looks of an interrupted stream that no chain took.
 	chainPoll = 50 * time.Millisecond
 	// answerMargin multiplies the caller's estimate of the answer's length.
@@ -97,7 +97,7 @@
 	}
 	most := time.Duration(capacityWaitShare * float64(q.ticket.Route.TargetLatency))
 	if s.events > 0 {
-		most = max(callersPatience-q.Now().Sub(s.lastEvent), 0)
+		most = max(callerGapTimeout-q.Now().Sub(s.lastEvent), 0)
 	}
 	until := q.Now().Add(most)
 	waiter := admission.Request{Customer: q.ticket.Customer, Priority: -q.ticket.Priority}
--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -77,7 +77,7 @@
 		s.lastEvent = time.Now()
 		_, _, f = s.acquire(t.Context())
 		assert.Equal(t, f.Kind, fault.NoCapacity)
-		assert.Assert(t, time.Since(began) >= 2*time.Second && time.Since(began) <= callersPatience+chainPoll)
+		assert.Assert(t, time.Since(began) >= 2*time.Second && time.Since(began) <= callerGapTimeout+chainPoll)
 	})
 }
 
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -119,7 +119,7 @@
 // reservePermitted finds engines for the stream's next run and reserves its memory. A suspect gets
 // engines that run no other one.
 func (s *stream) reservePermitted(ctx context.Context) ([]chains.Stage, *chains.Reservation, *fault.Error) {
-	until := s.Now().Add(callersPatience)
+	until := s.Now().Add(callerGapTimeout)
 	for {
 		v, f := s.standing(ctx)
 		if f != nil {
