--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -23,7 +23,7 @@
 	// engines that leave are replaced within that time.
 	callerGapTimeout = 2100 * time.Millisecond
 	// chainPoll is between two looks of an interrupted stream that no chain took.
-	chainPoll = 50 * time.Millisecond
+	chainPollInterval = 50 * time.Millisecond
 	// answerMargin multiplies the caller's estimate of the answer's length.
 	answerMargin = 1.25
 )
@@ -104,7 +104,7 @@
 	q.waiting = true
 	got := q.WaitQueue.Wait(ctx, waiter, most, try)
 	// Not in the line: there a stream that no chain serves would hold up others.
-	for s.events > 0 && hold == nil && q.Now().Before(until) && wait.For(ctx, chainPoll) {
+	for s.events > 0 && hold == nil && q.Now().Before(until) && wait.For(ctx, chainPollInterval) {
 		clear(q.avoid)
 		try()
 	}
--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -60,7 +60,7 @@
 		assert.Assert(t, f == nil, "%v", f)
 		hold.Release()
 		assert.Equal(t, len(parts), 2)
-		assert.Assert(t, time.Since(began) <= 900*time.Millisecond+chainPoll)
+		assert.Assert(t, time.Since(began) <= 900*time.Millisecond+chainPollInterval)
 	})
 }
 
@@ -77,7 +77,7 @@
 		s.lastEvent = time.Now()
 		_, _, f = s.acquire(t.Context())
 		assert.Equal(t, f.Kind, fault.NoCapacity)
-		assert.Assert(t, time.Since(began) >= 2*time.Second && time.Since(began) <= callerGapTimeout+chainPoll)
+		assert.Assert(t, time.Since(began) >= 2*time.Second && time.Since(began) <= callerGapTimeout+chainPollInterval)
 	})
 }
 
