--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -25,7 +25,7 @@
 	// chainPoll is between two looks of an interrupted stream that no chain took.
 	chainPollInterval = 50 * time.Millisecond
 	// answerMargin multiplies the caller's estimate of the answer's length.
-	answerMargin = 1.25
+	responseTokenMargin = 1.25
 )
 
 // size is how many tokens the request will hold: its prompt, and its answer as
@@ -36,7 +36,7 @@
 	if answer == 0 {
 		answer = float64(spec.UsualAnswer)
 	}
-	answer *= answerMargin
+	answer *= responseTokenMargin
 	if q.call.MaxAnswer > 0 {
 		answer = min(answer, float64(q.call.MaxAnswer))
 	}
