--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -14,7 +14,7 @@
 
 const (
 	// checkWait bounds the order that confirms a path.
-	checkWait = 100 * time.Millisecond
+	pathCheckTimeout = 100 * time.Millisecond
 	// leastSilence is the least time that is left for an event after a path check.
 	leastSilence = 50 * time.Millisecond
 )
@@ -50,7 +50,7 @@
 	defer func() { w.progress.CheckFinished(held) }()
 	parts, _ := w.state()
 	first := parts[0].Server
-	ctx, cancel := context.WithTimeout(w.run, checkWait)
+	ctx, cancel := context.WithTimeout(w.run, pathCheckTimeout)
 	defer cancel()
 	began := w.q.Now()
 	err := w.q.Reroute(ctx, first, w.q.call.Attempt, hops(parts))
