--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -16,7 +16,7 @@
 	// checkWait bounds the order that confirms a path.
 	pathCheckTimeout = 100 * time.Millisecond
 	// leastSilence is the least time that is left for an event after a path check.
-	leastSilence = 50 * time.Millisecond
+	minStallTimeout = 50 * time.Millisecond
 )
 
 // eventInterval is the planned time between a stream's events.
@@ -39,7 +39,7 @@
 	defer w.mu.Unlock()
 	if !w.changedLocked(news) {
 		w.early = false
-		w.timer.Reset(max(nextSilence-a.Pause, leastSilence))
+		w.timer.Reset(max(nextSilence-a.Pause, minStallTimeout))
 	}
 }
 
