--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -22,7 +22,7 @@
 // regroupWait is how long an interrupted stream waits before another chain is chosen.
 // Engines that fail together are told of one after the other; chosen at once, the chain
 // would run through the next of them.
-const regroupWait = 10 * time.Millisecond
+const reselectDelay = 10 * time.Millisecond
 
 // errOutOfOrder says that an engine left an event out.
 var errOutOfOrder = errors.New("event out of order")
@@ -70,7 +70,7 @@
 		klog.InfoS("stream resumed at another chain", "request", q.call.Attempt, "after", s.lastID, "events", s.events,
 			"err", err, "sends", q.sends, "ms", q.Now().Sub(q.startTime).Milliseconds())
 		if q.runs > 0 {
-			wait.For(ctx, regroupWait)
+			wait.For(ctx, reselectDelay)
 		}
 	}
 }
