--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -16,7 +16,7 @@
 
 // mostMoves is how many paths a stream is ordered to take in one move: each refusal
 // names one more engine that does not take its part.
-const mostMoves = 4
+const maxRerouteOrders = 4
 
 // leaveEngines takes the run away from engines. Several streams may find the same
 // engine at fault; a run that was moved already stays.
@@ -80,7 +80,7 @@
 	}
 	avoid := q.ActiveRuns.silentAmong(engines(parts))
 	maps.Copy(avoid, lost)
-	for range mostMoves {
+	for range maxRerouteOrders {
 		next := q.Chooser.Replace(q.ticket.Service, parts, avoid, w.hold.Tokens(), q.ticket.Route.TargetGap)
 		if next == nil {
 			return nil
