--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -14,7 +14,7 @@
 
 const (
 	// paceEvents is over how many events a chain's speed is judged.
-	paceEvents = 10
+	speedSampleEvents = 10
 	// slowFactor is how much slower than planned a chain must be for its engines to
 	// be asked. A busy chain is slower than the sum of its steps, as tokens wait for
 	// passes in progress.
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -120,10 +120,10 @@
 		w.paceFrom = now
 		return
 	}
-	if w.paceCount++; w.paceCount < paceEvents {
+	if w.paceCount++; w.paceCount < speedSampleEvents {
 		return
 	}
-	seen := now.Sub(w.paceFrom) / paceEvents
+	seen := now.Sub(w.paceFrom) / speedSampleEvents
 	planned := w.q.eventInterval(w.parts)
 	w.paceFrom = now
 	w.paceCount = 0
