--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -18,7 +18,7 @@
 	// slowFactor is how much slower than planned a chain must be for its engines to
 	// be asked. A busy chain is slower than the sum of its steps, as tokens wait for
 	// passes in progress.
-	slowFactor = 2.5
+	slowChainFactor = 2.5
 	// slowdownPollInterval is how long an engine's word about its pace is good for.
 	slowdownPollInterval = time.Second
 )
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -127,7 +127,7 @@
 	planned := w.q.eventInterval(w.parts)
 	w.paceFrom = now
 	w.paceCount = 0
-	if float64(seen) > slowFactor*float64(planned) {
+	if float64(seen) > slowChainFactor*float64(planned) {
 		w.q.SlowdownMonitor.Check(w.parts, w.q.call.Attempt, seen, planned)
 	}
 }
