--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -13,7 +13,7 @@
 
 const (
 	// probeEvery is between two reports asked of a suspected engine.
-	probeEvery = 400 * time.Millisecond
+	probeInterval = 400 * time.Millisecond
 	// probeHold is how long a failed probe keeps an engine suspected: until
 	// after the next one.
 	probeHold = 1200 * time.Millisecond
@@ -146,7 +146,7 @@
 
 // Run probes until ctx ends.
 func (p *Prober) Run(ctx context.Context) {
-	tick := time.NewTicker(probeEvery)
+	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -287,7 +287,7 @@
 					time.Sleep(answerTime)
 					return a.report(ctx, b)
 				}
-				time.Sleep(probeEvery / 4)
+				time.Sleep(probeInterval / 4)
 				p.HandlePeerSuspicion(inc("e"))
 				time.Sleep(answerTime / 2)
 				news(p.Health)
