--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -16,7 +16,7 @@
 	probeInterval = 400 * time.Millisecond
 	// probeHold is how long a failed probe keeps an engine suspected: until
 	// after the next one.
-	probeHold = 1200 * time.Millisecond
+	failedProbePeriod = 1200 * time.Millisecond
 	// trustProbe is for how long a probe's success outweighs the suspicions of
 	// other routers, which may be cut off from the engine themselves.
 	trustProbe = 3 * time.Second
@@ -128,7 +128,7 @@
 		return
 	}
 	klog.InfoS("engine suspected by a peer", "server", inc)
-	p.Health.SuspectUntil(inc, p.Now().Add(probeHold))
+	p.Health.SuspectUntil(inc, p.Now().Add(failedProbePeriod))
 	p.addSuspect(inc, false)
 	p.probe(inc)
 }
@@ -222,7 +222,7 @@
 	}
 	own := s.local
 	p.mu.Unlock()
-	until := p.Now().Add(probeHold)
+	until := p.Now().Add(failedProbePeriod)
 	p.Health.SuspectUntil(b.Incarnation(), until)
 	if own {
 		p.AnnounceSuspect(b.Incarnation(), until)
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -279,7 +279,7 @@
 	const answerTime = 100 * time.Millisecond
 	for name, news := range map[string]func(h *catalog.Health){
 		"suspected here":   func(h *catalog.Health) { h.Suspect(inc("e")) },
-		"longer suspected": func(h *catalog.Health) { h.SuspectUntil(inc("e"), time.Now().Add(2*probeHold)) },
+		"longer suspected": func(h *catalog.Health) { h.SuspectUntil(inc("e"), time.Now().Add(2*failedProbePeriod)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			probing(t, func(p *Prober, a *asked) {
@@ -294,7 +294,7 @@
 				time.Sleep(answerTime)
 				assert.Check(t, a.askedTimes() == 1)
 				assert.Check(t, p.Health.Suspected(inc("e")))
-				time.Sleep(2 * probeHold)
+				time.Sleep(2 * failedProbePeriod)
 				assert.Check(t, !p.Health.Suspected(inc("e")))
 			})
 		})
