--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -19,7 +19,7 @@
 	failedProbePeriod = 1200 * time.Millisecond
 	// trustProbe is for how long a probe's success outweighs the suspicions of
 	// other routers, which may be cut off from the engine themselves.
-	trustProbe = 3 * time.Second
+	probeTrustPeriod = 3 * time.Second
 	// fullShare is the share of its token memory beyond which an engine that
 	// refuses is short of it, and not leaving.
 	fullShare = 0.8
@@ -121,7 +121,7 @@
 // more work from here, and what it answers here decides.
 func (p *Prober) HandlePeerSuspicion(inc model.Incarnation) {
 	p.mu.Lock()
-	trusted := p.Now().Sub(p.lastSuccess[inc]) < trustProbe
+	trusted := p.Now().Sub(p.lastSuccess[inc]) < probeTrustPeriod
 	_, known := p.suspects[inc]
 	p.mu.Unlock()
 	if trusted || known || p.Catalog.Load().Find(inc) == nil {
