--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -22,7 +22,7 @@
 	probeTrustPeriod = 3 * time.Second
 	// fullShare is the share of its token memory beyond which an engine that
 	// refuses is short of it, and not leaving.
-	fullShare = 0.8
+	fullMemoryShare = 0.8
 	// fullPause is how long an engine that is full gets nothing new: a stream
 	// ends there every few milliseconds.
 	fullPause = 300 * time.Millisecond
@@ -98,7 +98,7 @@
 		p.Unreachable(b, request, err)
 		return
 	}
-	full := report.Queued > 0 || report.UsedTokenLayers > fullShare*report.TotalTokenLayers
+	full := report.Queued > 0 || report.UsedTokenLayers > fullMemoryShare*report.TotalTokenLayers
 	well := true
 	if !full {
 		well, err = p.Healthy(ctx, b)
