--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -25,7 +25,7 @@
 	fullMemoryShare = 0.8
 	// fullPause is how long an engine that is full gets nothing new: a stream
 	// ends there every few milliseconds.
-	fullPause = 300 * time.Millisecond
+	fullEnginePeriod = 300 * time.Millisecond
 	// leavingPause is how long an engine that refuses work and calls itself ill
 	// gets none: it drains, and its entry may say so only when the store is back.
 	leavingPause = 8 * time.Second
@@ -86,7 +86,7 @@
 	if p.Health.Suspected(b.Incarnation()) {
 		return
 	}
-	p.Health.SuspectUntil(b.Incarnation(), p.Now().Add(fullPause))
+	p.Health.SuspectUntil(b.Incarnation(), p.Now().Add(fullEnginePeriod))
 	go p.whyRefused(b, request, status)
 }
 
@@ -103,7 +103,7 @@
 	if !full {
 		well, err = p.Healthy(ctx, b)
 	}
-	pause := fullPause
+	pause := fullEnginePeriod
 	switch {
 	case !well:
 		pause = leavingPause
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -225,9 +225,9 @@
 		a.load = model.EngineReport{UsedTokenLayers: 99, TotalTokenLayers: 100}
 		for range 5 {
 			p.Refused(a.server, "r", 503)
-			time.Sleep(fullPause / 2)
+			time.Sleep(fullEnginePeriod / 2)
 			assert.Assert(t, p.Health.Suspected(inc("e")))
-			time.Sleep(fullPause)
+			time.Sleep(fullEnginePeriod)
 			assert.Assert(t, !p.Health.Suspected(inc("e")))
 		}
 	})
