--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -28,7 +28,7 @@
 	fullEnginePeriod = 300 * time.Millisecond
 	// leavingPause is how long an engine that refuses work and calls itself ill
 	// gets none: it drains, and its entry may say so only when the store is back.
-	leavingPause = 8 * time.Second
+	drainingEnginePeriod = 8 * time.Second
 )
 
 // Prober keeps suspected engines from getting work until they answer again. A
@@ -106,7 +106,7 @@
 	pause := fullEnginePeriod
 	switch {
 	case !well:
-		pause = leavingPause
+		pause = drainingEnginePeriod
 	case !full:
 		pause = p.Health.NextSuspicionPeriod(b.Incarnation())
 	}
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -260,7 +260,7 @@
 			}
 			hintAt := time.Now().Add(time.Second)
 			time.AfterFunc(time.Second+refusedAt, func() {
-				p.Health.RecordRefusal(inc("e"), hintAt.Add(leavingPause), true)
+				p.Health.RecordRefusal(inc("e"), hintAt.Add(drainingEnginePeriod), true)
 			})
 			time.Sleep(time.Second)
 			p.HandlePeerSuspicion(inc("e"))
