--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -231,7 +231,7 @@
 
 // lostAfter is how long an engine must have been suspected, and not answer, to be
 // taken for lost: three probes.
-const lostAfter = 1200 * time.Millisecond
+const lostTimeout = 1200 * time.Millisecond
 
 // rememberEnded is how long an engine's end is remembered: beyond the longest stream
 // that may have run there.
@@ -246,7 +246,7 @@
 		return true
 	}
 	s, ok := p.suspects[inc]
-	return ok && s.probeFailed && p.Now().Sub(s.since) >= lostAfter
+	return ok && s.probeFailed && p.Now().Sub(s.since) >= lostTimeout
 }
 
 // Exited implements Suspicions.
