--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -235,7 +235,7 @@
 
 // rememberEnded is how long an engine's end is remembered: beyond the longest stream
 // that may have run there.
-const rememberEnded = time.Minute
+const exitRetention = time.Minute
 
 // Lost tells whether an engine's process has ended, or has not answered here for a
 // while. An entry that is gone tells neither: engines that leave serve on.
@@ -276,7 +276,7 @@
 func (p *Prober) recordExit(inc model.Incarnation) {
 	now := p.Now()
 	for other, at := range p.exited {
-		if now.Sub(at) > rememberEnded {
+		if now.Sub(at) > exitRetention {
 			delete(p.exited, other)
 		}
 	}
