--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -22,7 +22,7 @@
 
 // maxReport bounds a report, in bytes. Reports have some hundred; the longest name each
 // of an engine's streams that wait.
-const maxReport = 1 << 20
+const maxReportBytes = 1 << 20
 
 var errLongReport = errors.New("the report is too long")
 
@@ -34,11 +34,11 @@
 		return model.EngineReport{}, err
 	}
 	defer ans.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(ans.Body, maxReport+1))
+	raw, err := io.ReadAll(io.LimitReader(ans.Body, maxReportBytes+1))
 	if err != nil {
 		return model.EngineReport{}, err
 	}
-	if len(raw) > maxReport {
+	if len(raw) > maxReportBytes {
 		ans.Body.Discard()
 		return model.EngineReport{}, errLongReport
 	}
--- a/internal/protocol/relay/report_test.go
+++ b/internal/protocol/relay/report_test.go
@@ -27,7 +27,7 @@
 func (e *unending) Discard()         { e.discarded = true }
 
 func (e *unending) Read(p []byte) (int, error) {
-	if e.read > 16*maxReport {
+	if e.read > 16*maxReportBytes {
 		return 0, io.ErrUnexpectedEOF // what reads on would read on for ever
 	}
 	e.read += len(p)
@@ -43,6 +43,6 @@
 	r := &Relay{BackendClient: engine, Now: time.Now}
 	_, err := r.Report(t.Context(), &model.BackendServer{})
 	assert.ErrorIs(t, err, errLongReport)
-	assert.Assert(t, engine.read <= 2*maxReport, "%d bytes", engine.read)
+	assert.Assert(t, engine.read <= 2*maxReportBytes, "%d bytes", engine.read)
 	assert.Assert(t, engine.discarded)
 }
