--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -144,7 +144,7 @@
 }
 
 // maxOrderAnswer bounds the answer to an order, in bytes.
-const maxOrderAnswer = 64 << 10
+const maxOrderResponseBytes = 64 << 10
 
 // sendOrder sends an sendOrder to an engine and gives the status and body of its answer.
 func (r *Relay) sendOrder(ctx context.Context, b *model.BackendServer, body []byte) (status int, answer []byte, err error) {
@@ -159,8 +159,8 @@
 		return 0, nil, err
 	}
 	defer ans.Body.Close()
-	answer, err = io.ReadAll(io.LimitReader(ans.Body, maxOrderAnswer+1))
-	if err != nil || len(answer) > maxOrderAnswer {
+	answer, err = io.ReadAll(io.LimitReader(ans.Body, maxOrderResponseBytes+1))
+	if err != nil || len(answer) > maxOrderResponseBytes {
 		ans.Body.Discard()
 	}
 	return ans.Status, answer, nil
