--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -22,7 +22,7 @@
 
 // rememberGone is for how long work that is added hears of a server's end: its server
 // was chosen before. On a busy machine a tenth of a second may lie between.
-const rememberGone = time.Second
+const lossRetention = time.Second
 
 // ActiveRuns holds the work in progress.
 type ActiveRuns struct {
@@ -46,7 +46,7 @@
 	defer r.mu.Unlock()
 	r.runs[w] = true
 	for _, inc := range servers {
-		if at, ok := r.exited[inc]; ok && time.Since(at) < rememberGone {
+		if at, ok := r.exited[inc]; ok && time.Since(at) < lossRetention {
 			return inc, true
 		}
 	}
@@ -131,7 +131,7 @@
 // was told before rememberGone.
 func noteRecent(told map[model.Incarnation]time.Time, server model.Incarnation) {
 	for inc, at := range told {
-		if time.Since(at) >= rememberGone {
+		if time.Since(at) >= lossRetention {
 			delete(told, inc)
 		}
 	}
@@ -145,7 +145,7 @@
 	found := engineSet{}
 	for _, inc := range servers {
 		for _, told := range []map[model.Incarnation]time.Time{r.exited, r.unresponsive} {
-			if at, ok := told[inc]; ok && time.Since(at) < rememberGone {
+			if at, ok := told[inc]; ok && time.Since(at) < lossRetention {
 				found[inc] = true
 			}
 		}
