--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -43,7 +43,7 @@
 	switch news, taken := w.finishReroute(moved); {
 	case taken:
 	case why == engineGone && w.last:
-		time.AfterFunc(finalAnswerWait, func() { w.endIfThrough(culprit) })
+		time.AfterFunc(finalResponseTimeout, func() { w.endIfThrough(culprit) })
 	case why == engineGone:
 		w.endIfThrough(culprit)
 	default:
--- a/internal/protocol/relay/move_test.go
+++ b/internal/protocol/relay/move_test.go
@@ -38,7 +38,7 @@
 		parts, _ := w.state()
 		assert.Equal(t, parts[1].Server.ID, "spare")
 		w.heard()
-		time.Sleep(finalAnswerWait)
+		time.Sleep(finalResponseTimeout)
 		synctest.Wait()
 		assert.NilError(t, run.Err())
 	})
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -227,7 +227,7 @@
 		synctest.Wait()
 		assert.Equal(t, engines.counted(), before)
 		assert.DeepEqual(t, ids(w), []string{"head", "middle", "tail"})
-		time.Sleep(finalAnswerWait)
+		time.Sleep(finalResponseTimeout)
 		synctest.Wait()
 		assert.Equal(t, context.Cause(run), engineGone)
 	})
--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -62,7 +62,7 @@
 // finalAnswerWait is how long a request that must not be sent again waits for its answer
 // after its server has ended. The news may overtake the answer, which then lies in the
 // socket until a busy machine reads it, a tenth of a second or two later.
-const finalAnswerWait = 250 * time.Millisecond
+const finalResponseTimeout = 250 * time.Millisecond
 
 // plainRun is one request at one server of a plain service.
 type plainRun struct {
@@ -75,7 +75,7 @@
 	switch {
 	case !lost[c.server] || why != engineGone:
 	case c.last:
-		time.AfterFunc(finalAnswerWait, func() { c.cancel(engineGone) })
+		time.AfterFunc(finalResponseTimeout, func() { c.cancel(engineGone) })
 	default:
 		c.cancel(engineGone)
 	}
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -155,7 +155,7 @@
 			synctest.Wait()
 			assert.NilError(t, run.Err())
 			s.HandleEngineExit(inc("far"))
-			time.Sleep(finalAnswerWait)
+			time.Sleep(finalResponseTimeout)
 			synctest.Wait()
 			assert.Equal(t, context.Cause(run), engineGone)
 		})
