--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -16,7 +16,7 @@
 
 const (
 	// undecidedPoll is between two looks at a request of which the next evidence is due.
-	undecidedPoll = 20 * time.Millisecond
+	evidencePollInterval = 20 * time.Millisecond
 	// barredPoll is between two tries to run a request alone.
 	barredPoll = 100 * time.Millisecond
 	// apartTime is what each suspect at an engine makes it cost a token for another one:
@@ -68,7 +68,7 @@
 	}
 	v := q.Quarantine.Assess(q.work())
 	for v.Restriction == quarantine.Undecided {
-		if !wait.For(ctx, undecidedPoll) {
+		if !wait.For(ctx, evidencePollInterval) {
 			return v, q.ended(ctx)
 		}
 		v = q.Quarantine.Assess(q.work())
