--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -18,7 +18,7 @@
 	// undecidedPoll is between two looks at a request of which the next evidence is due.
 	evidencePollInterval = 20 * time.Millisecond
 	// barredPoll is between two tries to run a request alone.
-	barredPoll = 100 * time.Millisecond
+	trialPollInterval = 100 * time.Millisecond
 	// apartTime is what each suspect at an engine makes it cost a token for another one:
 	// about the difference between two cards of a kind under load, so that they spread.
 	apartTime = time.Millisecond
@@ -141,7 +141,7 @@
 			}
 		}
 		// Who has begun to run keeps its place for a while; a new one may come back.
-		if s.runs == 0 || !s.Now().Before(until) || !wait.For(ctx, barredPoll) {
+		if s.runs == 0 || !s.Now().Before(until) || !wait.For(ctx, trialPollInterval) {
 			return nil, nil, s.onTrial(v.Exits)
 		}
 		clear(s.barred.servers)
