--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -21,7 +21,7 @@
 	trialPollInterval = 100 * time.Millisecond
 	// apartTime is what each suspect at an engine makes it cost a token for another one:
 	// about the difference between two cards of a kind under load, so that they spread.
-	apartTime = time.Millisecond
+	suspectCost = time.Millisecond
 	// listenTimeout bounds asking whether a process still listens.
 	listenTimeout = 400 * time.Millisecond
 )
@@ -46,7 +46,7 @@
 	if q.barred.alone {
 		company += streams
 	}
-	return time.Duration(company * float64(apartTime))
+	return time.Duration(company * float64(suspectCost))
 }
 
 // work names what the request asks for, which its attempts have in common.
