--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -14,7 +14,7 @@
 const (
 	// firstSilence is how long a chain may take for the first event before its
 	// engines are asked.
-	firstSilence = 900 * time.Millisecond
+	firstEventTimeout = 900 * time.Millisecond
 	// nextSilence is the same between events, where the check of the path found nothing.
 	nextSilence = 450 * time.Millisecond
 	// movedSilence is the same after a part of the chain was replaced: the new
@@ -87,7 +87,7 @@
 func (w *chainWatch) startTimer() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(firstSilence, w.onTimer)
+	w.timer = time.AfterFunc(firstEventTimeout, w.onTimer)
 }
 
 func engines(parts []chains.Stage) []model.Incarnation {
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -83,7 +83,7 @@
 		s.Suspects = unreachable{s.prober, func() { asked.Load().heard() }}
 		w, run := s.watched(t, route)
 		asked.Store(w)
-		time.Sleep(firstSilence + time.Millisecond)
+		time.Sleep(firstEventTimeout + time.Millisecond)
 		synctest.Wait()
 		assert.NilError(t, run.Err())
 	})
@@ -106,7 +106,7 @@
 			return report(emptyReport), nil
 		})
 		w, run := s.watched(t, route)
-		time.Sleep(firstSilence + nextSilence + 50*time.Millisecond) // amid the second question
+		time.Sleep(firstEventTimeout + nextSilence + 50*time.Millisecond) // amid the second question
 		assert.Equal(t, asked.Load(), int64(2))
 		s.HandleEngineExit(inc("far"))
 		time.Sleep(100 * time.Millisecond)
