--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -33,7 +33,7 @@
 	}
 	klog.InfoS("run kept: no other engine may go on", "request", w.q.call.Attempt, "why", v.why, "culprit", v.culprit, "silences", v.silences, "begun", w.hasEvents, "budget", !w.last, "err", v.err)
 	if !w.last {
-		w.timer.Reset(nextSilence)
+		w.timer.Reset(nextEventTimeout)
 	}
 }
 
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -39,7 +39,7 @@
 	defer w.mu.Unlock()
 	if !w.changedLocked(news) {
 		w.early = false
-		w.timer.Reset(max(nextSilence-a.Pause, minStallTimeout))
+		w.timer.Reset(max(nextEventTimeout-a.Pause, minStallTimeout))
 	}
 }
 
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -16,7 +16,7 @@
 	// engines are asked.
 	firstEventTimeout = 900 * time.Millisecond
 	// nextSilence is the same between events, where the check of the path found nothing.
-	nextSilence = 450 * time.Millisecond
+	nextEventTimeout = 450 * time.Millisecond
 	// movedSilence is the same after a part of the chain was replaced: the new
 	// engine reads all tokens so far.
 	movedSilence = 700 * time.Millisecond
@@ -195,14 +195,14 @@
 	if w.q.ticket.Route.Kind != model.RouteStreaming {
 		// The answer comes in one piece. Nothing before it is no silence; its engines
 		// are asked less and less often.
-		w.resetTimer(news, time.Duration(n)*nextSilence)
+		w.resetTimer(news, time.Duration(n)*nextEventTimeout)
 		return
 	}
 	if n >= w.stallLimit() {
 		w.endIfUnchanged(news, runFailure{why: stalled, silences: n})
 		return
 	}
-	w.resetTimer(news, nextSilence)
+	w.resetTimer(news, nextEventTimeout)
 }
 
 // stallLimit is how many silences in a row the run is allowed.
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -106,7 +106,7 @@
 			return report(emptyReport), nil
 		})
 		w, run := s.watched(t, route)
-		time.Sleep(firstEventTimeout + nextSilence + 50*time.Millisecond) // amid the second question
+		time.Sleep(firstEventTimeout + nextEventTimeout + 50*time.Millisecond) // amid the second question
 		assert.Equal(t, asked.Load(), int64(2))
 		s.HandleEngineExit(inc("far"))
 		time.Sleep(100 * time.Millisecond)
