--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -61,7 +61,7 @@
 		return w.news, false
 	}
 	w.early = false
-	w.timer.Reset(movedSilence)
+	w.timer.Reset(reroutedEventTimeout)
 	if moved == nil {
 		return w.news, false
 	}
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -19,7 +19,7 @@
 	nextEventTimeout = 450 * time.Millisecond
 	// movedSilence is the same after a part of the chain was replaced: the new
 	// engine reads all tokens so far.
-	movedSilence = 700 * time.Millisecond
+	reroutedEventTimeout = 700 * time.Millisecond
 	// reportWait bounds asking an engine for its report.
 	reportWait = 250 * time.Millisecond
 	// repathWait bounds the order that replaces a part of a chain.
