--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -82,7 +82,7 @@
 }
 
 func (p *SlowdownMonitor) poll(b *model.BackendServer, request string, seen, planned time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), reportWait)
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	report, err := p.Report(ctx, b)
 	if err != nil {
--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -91,7 +91,7 @@
 }
 
 func (p *Prober) whyRefused(b *model.BackendServer, request string, status int) {
-	ctx, cancel := context.WithTimeout(context.Background(), reportWait)
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	report, err := p.Report(ctx, b)
 	if err != nil {
@@ -190,7 +190,7 @@
 	p.mu.Unlock()
 	asked := p.Now()
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), reportWait)
+		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		defer cancel()
 		_, err := p.Report(ctx, b)
 		p.handleProbeResult(b, asked, err)
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -15,7 +15,7 @@
 
 // askReport reads an engine's own report.
 func (r *Relay) askReport(b *model.BackendServer) (model.EngineReport, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), reportWait)
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	return r.Report(ctx, b)
 }
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -21,7 +21,7 @@
 	// engine reads all tokens so far.
 	reroutedEventTimeout = 700 * time.Millisecond
 	// reportWait bounds asking an engine for its report.
-	reportWait = 250 * time.Millisecond
+	reportTimeout = 250 * time.Millisecond
 	// repathWait bounds the order that replaces a part of a chain.
 	repathWait = 300 * time.Millisecond
 	// mostSilences is how many silences in a row a chain is allowed if its
