--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -109,7 +109,7 @@
 
 // sendReroute orders the first engine to send the stream over another path.
 func (w *chainWatch) sendReroute(next []chains.Stage, avoid engineSet) error {
-	ctx, cancel := context.WithTimeout(context.Background(), repathWait)
+	ctx, cancel := context.WithTimeout(context.Background(), rerouteTimeout)
 	defer cancel()
 	began := w.q.Now()
 	err := w.q.Reroute(ctx, next[0].Server, w.q.call.Attempt, hops(next))
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -23,7 +23,7 @@
 	// reportWait bounds asking an engine for its report.
 	reportTimeout = 250 * time.Millisecond
 	// repathWait bounds the order that replaces a part of a chain.
-	repathWait = 300 * time.Millisecond
+	rerouteTimeout = 300 * time.Millisecond
 	// mostSilences is how many silences in a row a chain is allowed if its
 	// first engine answers and names nobody; one less before the first event.
 	// Another chain then has time for an event before the caller leaves.
