--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -27,7 +27,7 @@
 	// mostSilences is how many silences in a row a chain is allowed if its
 	// first engine answers and names nobody; one less before the first event.
 	// Another chain then has time for an event before the caller leaves.
-	mostSilences = 3
+	maxStalls = 3
 )
 
 // chainWatch watches one run of a chain. When nothing comes for too long it
@@ -210,9 +210,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.hasEvents {
-		return mostSilences
+		return maxStalls
 	}
-	return mostSilences - 1
+	return maxStalls - 1
 }
 
 func (w *chainWatch) resetTimer(news int, after time.Duration) {
