--- a/internal/protocol/relay/events.go
+++ b/internal/protocol/relay/events.go
@@ -9,7 +9,7 @@
 )
 
 // maxEvent bounds one event; the engines' are some hundred bytes.
-const maxEvent = 1 << 20
+const maxEventBytes = 1 << 20
 
 // event is one whole event of a stream, as the engine sent it.
 type event struct {
@@ -61,7 +61,7 @@
 		r.buf = append(r.buf[:0], r.buf[r.pos:]...)
 		r.pos = 0
 	}
-	if len(r.buf) > maxEvent {
+	if len(r.buf) > maxEventBytes {
 		return errLongEvent
 	}
 	if cap(r.buf)-len(r.buf) < 2048 {
--- a/internal/protocol/relay/events_test.go
+++ b/internal/protocol/relay/events_test.go
@@ -47,7 +47,7 @@
 }
 
 func TestEndlessEventIsRefused(t *testing.T) {
-	_, _, err := readAll(io.LimitReader(endless{}, 3*maxEvent))
+	_, _, err := readAll(io.LimitReader(endless{}, 3*maxEventBytes))
 	assert.Equal(t, err, errLongEvent)
 }
 
