--- a/internal/protocol/relay/ending.go
+++ b/internal/protocol/relay/ending.go
@@ -12,15 +12,15 @@
 type ending string
 
 const (
-	callerLeft   ending = "caller left"
-	timeOver     ending = "deadline"
-	stalled      ending = "silence"
-	engineGone   ending = "engine gone"
-	tooSlow      ending = "slower than usual"
-	noConnection ending = "no connection"
-	brokenOff    ending = "broken off"
-	faulted      ending = "fault in the code"
-	stopping     ending = "router stops"
+	callerLeft       ending = "caller left"
+	deadlineExceeded ending = "deadline"
+	stalled          ending = "silence"
+	engineGone       ending = "engine gone"
+	tooSlow          ending = "slower than usual"
+	noConnection     ending = "no connection"
+	brokenOff        ending = "broken off"
+	faulted          ending = "fault in the code"
+	stopping         ending = "router stops"
 )
 
 // ErrStopping is the cause with which a request's context ends where its router stops
@@ -38,7 +38,7 @@
 	case errors.As(cause, &own):
 		return own
 	case errors.Is(cause, context.DeadlineExceeded) || overdue(run):
-		return timeOver
+		return deadlineExceeded
 	case cause != nil:
 		return callerLeft
 	case errors.Is(err, ErrNotSent):
@@ -60,7 +60,7 @@
 	switch e {
 	case callerLeft, stopping:
 		return false
-	case timeOver:
+	case deadlineExceeded:
 		return took >= minAttemptTimeout
 	}
 	return true
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -293,7 +293,7 @@
 	if errors.Is(err, ErrNotSent) {
 		s.sends--
 		s.unsent++
-		if why != noConnection && !(why == timeOver && why.blames(s.Now().Sub(w.sentAt))) {
+		if why != noConnection && !(why == deadlineExceeded && why.blames(s.Now().Sub(w.sentAt))) {
 			s.recordChainLoss(w, why, err)
 			return fault.New(fault.NotConnected, "the run was ended before it was sent: %s", why)
 		}
@@ -314,7 +314,7 @@
 func (s *stream) recordChainLoss(w *chainWatch, why ending, err error) {
 	parts, culprit := w.state()
 	klog.InfoS("chain lost", "request", s.call.Attempt, "work", s.work(), "why", why, "sent", !errors.Is(err, ErrNotSent), "chain", describe(parts), "culprit", culprit, "err", err, "events", s.events)
-	if why == callerLeft || why == timeOver || why == stopping {
+	if why == callerLeft || why == deadlineExceeded || why == stopping {
 		return
 	}
 	if culprit != (model.Incarnation{}) {
