--- a/internal/protocol/relay/ending.go
+++ b/internal/protocol/relay/ending.go
@@ -15,7 +15,7 @@
 	callerLeft       ending = "caller left"
 	deadlineExceeded ending = "deadline"
 	stalled          ending = "silence"
-	engineGone       ending = "engine gone"
+	engineExited     ending = "engine gone"
 	tooSlow          ending = "slower than usual"
 	noConnection     ending = "no connection"
 	brokenOff        ending = "broken off"
--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -68,7 +68,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.stopped && !w.moving && uses(w.parts, lost) {
-		w.endLocked(runFailure{culprit: lost, why: engineGone})
+		w.endLocked(runFailure{culprit: lost, why: engineExited})
 	}
 }
 
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -42,9 +42,9 @@
 	}
 	switch news, taken := w.finishReroute(moved); {
 	case taken:
-	case why == engineGone && w.last:
+	case why == engineExited && w.last:
 		time.AfterFunc(finalResponseTimeout, func() { w.endIfThrough(culprit) })
-	case why == engineGone:
+	case why == engineExited:
 		w.endIfThrough(culprit)
 	default:
 		w.endIfUnchanged(news, runFailure{culprit: culprit, why: why})
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -229,7 +229,7 @@
 		assert.DeepEqual(t, ids(w), []string{"head", "middle", "tail"})
 		time.Sleep(finalResponseTimeout)
 		synctest.Wait()
-		assert.Equal(t, context.Cause(run), engineGone)
+		assert.Equal(t, context.Cause(run), engineExited)
 	})
 }
 
--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -73,11 +73,11 @@
 
 func (c *plainRun) leaveEngines(lost engineSet, why ending) {
 	switch {
-	case !lost[c.server] || why != engineGone:
+	case !lost[c.server] || why != engineExited:
 	case c.last:
-		time.AfterFunc(finalResponseTimeout, func() { c.cancel(engineGone) })
+		time.AfterFunc(finalResponseTimeout, func() { c.cancel(engineExited) })
 	default:
-		c.cancel(engineGone)
+		c.cancel(engineExited)
 	}
 }
 
@@ -88,7 +88,7 @@
 	run, cancel = context.WithCancelCause(ctx)
 	c := &plainRun{server: server, cancel: cancel, last: last}
 	if _, ended := r.add(c, server); ended {
-		cancel(engineGone)
+		cancel(engineExited)
 	}
 	return run, cancel, func() {
 		r.remove(c)
@@ -105,7 +105,7 @@
 		r.Suspects.Unreachable(b, "", errEnded)
 	}
 	r.Suspects.Exited(inc)
-	r.ActiveRuns.notifyLoss(engineSet{inc: true}, engineGone)
+	r.ActiveRuns.notifyLoss(engineSet{inc: true}, engineExited)
 }
 
 var errEnded = errors.New("its process ended")
@@ -116,7 +116,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for inc := range lost {
-		if why == engineGone {
+		if why == engineExited {
 			noteRecent(r.exited, inc)
 		} else {
 			noteRecent(r.unresponsive, inc)
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -77,7 +77,7 @@
 	w.progress = q.Detector.Track(path, q.eventInterval(parts), q.ticket.Route.TargetGap)
 	w.startTimer()
 	if gone, ended := q.ActiveRuns.add(w, path...); ended {
-		w.end(runFailure{culprit: gone, why: engineGone})
+		w.end(runFailure{culprit: gone, why: engineExited})
 	} else if silent := q.ActiveRuns.silentAmong(path); len(silent) > 0 {
 		go w.leaveEngines(silent, stalled)
 	}
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -157,7 +157,7 @@
 			s.HandleEngineExit(inc("far"))
 			time.Sleep(finalResponseTimeout)
 			synctest.Wait()
-			assert.Equal(t, context.Cause(run), engineGone)
+			assert.Equal(t, context.Cause(run), engineExited)
 		})
 	}
 }
@@ -188,7 +188,7 @@
 		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return report(emptyReport), nil })
 		s.HandleEngineExit(inc("far"))
 		_, run := s.watched(t, route)
-		assert.Equal(t, context.Cause(run), engineGone)
+		assert.Equal(t, context.Cause(run), engineExited)
 	})
 }
 
