--- a/internal/protocol/relay/ending.go
+++ b/internal/protocol/relay/ending.go
@@ -18,7 +18,7 @@
 	engineExited     ending = "engine gone"
 	tooSlow          ending = "slower than usual"
 	noConnection     ending = "no connection"
-	brokenOff        ending = "broken off"
+	connectionLost   ending = "broken off"
 	faulted          ending = "fault in the code"
 	stopping         ending = "router stops"
 )
@@ -44,7 +44,7 @@
 	case errors.Is(err, ErrNotSent):
 		return noConnection
 	}
-	return brokenOff
+	return connectionLost
 }
 
 // overdue tells whether a context's time is over: a dial that is bound by the same
