--- a/internal/protocol/relay/ending.go
+++ b/internal/protocol/relay/ending.go
@@ -19,7 +19,7 @@
 	tooSlow          ending = "slower than usual"
 	noConnection     ending = "no connection"
 	connectionLost   ending = "broken off"
-	faulted          ending = "fault in the code"
+	panicked         ending = "fault in the code"
 	stopping         ending = "router stops"
 )
 
--- a/internal/protocol/relay/panic.go
+++ b/internal/protocol/relay/panic.go
@@ -51,7 +51,7 @@
 func (w *chainWatch) contain() {
 	if cause := recover(); cause != nil {
 		w.q.tellPanic("watch", cause)
-		w.end(runFailure{why: faulted, err: errPanicked})
+		w.end(runFailure{why: panicked, err: errPanicked})
 	}
 }
 
