--- a/internal/protocol/relay/ending.go
+++ b/internal/protocol/relay/ending.go
@@ -20,12 +20,12 @@
 	noConnection     ending = "no connection"
 	connectionLost   ending = "broken off"
 	panicked         ending = "fault in the code"
-	stopping         ending = "router stops"
+	routerStopping   ending = "router stops"
 )
 
 // ErrStopping is the cause with which a request's context ends where its router stops
 // and the time for that is nearly over.
-var ErrStopping error = stopping
+var ErrStopping error = routerStopping
 
 func (e ending) Error() string { return string(e) }
 
@@ -58,7 +58,7 @@
 // nothing of it, nor does a router that stops or a deadline that left it no time.
 func (e ending) blames(took time.Duration) bool {
 	switch e {
-	case callerLeft, stopping:
+	case callerLeft, routerStopping:
 		return false
 	case deadlineExceeded:
 		return took >= minAttemptTimeout
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -314,7 +314,7 @@
 func (s *stream) recordChainLoss(w *chainWatch, why ending, err error) {
 	parts, culprit := w.state()
 	klog.InfoS("chain lost", "request", s.call.Attempt, "work", s.work(), "why", why, "sent", !errors.Is(err, ErrNotSent), "chain", describe(parts), "culprit", culprit, "err", err, "events", s.events)
-	if why == callerLeft || why == deadlineExceeded || why == stopping {
+	if why == callerLeft || why == deadlineExceeded || why == routerStopping {
 		return
 	}
 	if culprit != (model.Incarnation{}) {
