--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -198,7 +198,7 @@
 }
 
 // recordFailure takes in that a try gave no answer, and why.
-func (q *request) recordFailure(b *model.BackendServer, why ending, err error, took time.Duration) {
+func (q *request) recordFailure(b *model.BackendServer, why endReason, err error, took time.Duration) {
 	sent := !errors.Is(err, ErrNotSent)
 	if sent {
 		q.runs++
--- a/internal/protocol/relay/ending.go
+++ b/internal/protocol/relay/ending.go
@@ -9,30 +9,30 @@
 
 // ending says why work at a backend server ended before its answer was whole. It is
 // the cause with which the relay cancels a run's context, and stands in the log.
-type ending string
+type endReason string
 
 const (
-	callerLeft       ending = "caller left"
-	deadlineExceeded ending = "deadline"
-	stalled          ending = "silence"
-	engineExited     ending = "engine gone"
-	tooSlow          ending = "slower than usual"
-	noConnection     ending = "no connection"
-	connectionLost   ending = "broken off"
-	panicked         ending = "fault in the code"
-	routerStopping   ending = "router stops"
+	callerLeft       endReason = "caller left"
+	deadlineExceeded endReason = "deadline"
+	stalled          endReason = "silence"
+	engineExited     endReason = "engine gone"
+	tooSlow          endReason = "slower than usual"
+	noConnection     endReason = "no connection"
+	connectionLost   endReason = "broken off"
+	panicked         endReason = "fault in the code"
+	routerStopping   endReason = "router stops"
 )
 
 // ErrStopping is the cause with which a request's context ends where its router stops
 // and the time for that is nearly over.
 var ErrStopping error = routerStopping
 
-func (e ending) Error() string { return string(e) }
+func (e endReason) Error() string { return string(e) }
 
 // endingOf tells why a run ended with err. What cancelled its context comes first:
 // the broken connection is only its effect.
-func endingOf(run context.Context, err error) ending {
-	var own ending
+func endingOf(run context.Context, err error) endReason {
+	var own endReason
 	cause := context.Cause(run)
 	switch {
 	case errors.As(cause, &own):
@@ -56,7 +56,7 @@
 
 // blames tells whether an end speaks against the server. A caller that leaves says
 // nothing of it, nor does a router that stops or a deadline that left it no time.
-func (e ending) blames(took time.Duration) bool {
+func (e endReason) blames(took time.Duration) bool {
 	switch e {
 	case callerLeft, routerStopping:
 		return false
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -311,7 +311,7 @@
 // The caller's end speaks against no engine. Where an engine was found at fault it
 // alone is avoided; else any of the chain may be, and the stream goes on without all
 // of them.
-func (s *stream) recordChainLoss(w *chainWatch, why ending, err error) {
+func (s *stream) recordChainLoss(w *chainWatch, why endReason, err error) {
 	parts, culprit := w.state()
 	klog.InfoS("chain lost", "request", s.call.Attempt, "work", s.work(), "why", why, "sent", !errors.Is(err, ErrNotSent), "chain", describe(parts), "culprit", culprit, "err", err, "events", s.events)
 	if why == callerLeft || why == deadlineExceeded || why == routerStopping {
--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -10,7 +10,7 @@
 // not known.
 type runFailure struct {
 	culprit  model.Incarnation
-	why      ending
+	why      endReason
 	silences int
 	err      error
 }
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -24,7 +24,7 @@
 // A run that may be sent anew is: its tokens are read by the engines of another chain,
 // each a few layers, and all streams of the lost engine spread over all chains. Moved,
 // they would all wait for the lost engine's twin to read.
-func (w *chainWatch) leaveEngines(lost engineSet, why ending) {
+func (w *chainWatch) leaveEngines(lost engineSet, why endReason) {
 	defer w.contain()
 	w.mu.Lock()
 	culprit, through := usesAny(w.parts, lost)
--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -14,7 +14,7 @@
 type activeRun interface {
 	// leaveEngines takes in that incarnations of servers have ended (engineGone), or are
 	// believed to be at fault.
-	leaveEngines(lost engineSet, why ending)
+	leaveEngines(lost engineSet, why endReason)
 }
 
 // engineSet is a set of incarnations.
@@ -71,7 +71,7 @@
 	last   bool // it must not be sent again
 }
 
-func (c *plainRun) leaveEngines(lost engineSet, why ending) {
+func (c *plainRun) leaveEngines(lost engineSet, why endReason) {
 	switch {
 	case !lost[c.server] || why != engineExited:
 	case c.last:
@@ -112,7 +112,7 @@
 
 // notifyLoss tells all work in progress that incarnations of servers have ended, or are
 // believed to be at fault.
-func (r *ActiveRuns) notifyLoss(lost engineSet, why ending) {
+func (r *ActiveRuns) notifyLoss(lost engineSet, why endReason) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for inc := range lost {
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -211,7 +211,7 @@
 }
 
 // resultOf tells what the end of a run without a whole answer says of its request.
-func resultOf(why ending, err error) quarantine.Result {
+func resultOf(why endReason, err error) quarantine.Result {
 	if !errors.Is(err, ErrNotSent) && (why == connectionLost || why == engineExited) {
 		return quarantine.ConnectionLost
 	}
