--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -127,8 +127,8 @@
 	began := q.Now()
 	ans, err := q.exchange(run, b)
 	if err != nil {
-		result = resultOf(endingOf(run, err), err)
-		q.recordFailure(b, endingOf(run, err), err, q.Now().Sub(began))
+		result = resultOf(endReasonOf(run, err), err)
+		q.recordFailure(b, endReasonOf(run, err), err, q.Now().Sub(began))
 		return nil, err
 	}
 	if !ans.verdict.NotRun {
--- a/internal/protocol/relay/ending.go
+++ b/internal/protocol/relay/ending.go
@@ -31,7 +31,7 @@
 
 // endingOf tells why a run ended with err. What cancelled its context comes first:
 // the broken connection is only its effect.
-func endingOf(run context.Context, err error) endReason {
+func endReasonOf(run context.Context, err error) endReason {
 	var own endReason
 	cause := context.Cause(run)
 	switch {
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -129,7 +129,7 @@
 	q.sends++
 	ans, err := q.BackendClient.Do(run, first.Address, q.outbound(send))
 	if err != nil {
-		result = resultOf(endingOf(run, err), err)
+		result = resultOf(endReasonOf(run, err), err)
 		return false, false, s.handleSendError(run, w, first, err)
 	}
 	defer ans.Body.Close()
@@ -167,8 +167,8 @@
 		return true, true, nil
 	}
 	if s.delivered == nil {
-		result = resultOf(endingOf(run, end), end)
-		s.recordChainLoss(w, endingOf(run, end), end)
+		result = resultOf(endReasonOf(run, end), end)
+		s.recordChainLoss(w, endReasonOf(run, end), end)
 	}
 	return false, false, fault.New(fault.BackendLost, "a chain broke off after %d events", s.events)
 }
@@ -289,7 +289,7 @@
 
 // handleSendError takes in that an engine gave no answer, and whether the request was sent.
 func (s *stream) handleSendError(run context.Context, w *chainWatch, first *model.BackendServer, err error) *fault.Error {
-	why := endingOf(run, err)
+	why := endReasonOf(run, err)
 	if errors.Is(err, ErrNotSent) {
 		s.sends--
 		s.unsent++
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -168,7 +168,7 @@
 		defer w.stop()
 		<-ctx.Done()
 		synctest.Wait()
-		assert.Equal(t, endingOf(ctx, nil), panicked)
+		assert.Equal(t, endReasonOf(ctx, nil), panicked)
 		assert.Equal(t, observer.panics, 1)
 	})
 }
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -223,7 +223,7 @@
 	if err == nil {
 		return quarantine.Completed
 	}
-	return resultOf(endingOf(run, err), err)
+	return resultOf(endReasonOf(run, err), err)
 }
 
 // places lists the servers of a chain with their failure domains.
