--- a/internal/protocol/relay/ending.go
+++ b/internal/protocol/relay/ending.go
@@ -37,7 +37,7 @@
 	switch {
 	case errors.As(cause, &own):
 		return own
-	case errors.Is(cause, context.DeadlineExceeded) || overdue(run):
+	case errors.Is(cause, context.DeadlineExceeded) || deadlinePassed(run):
 		return deadlineExceeded
 	case cause != nil:
 		return callerLeft
@@ -49,7 +49,7 @@
 
 // overdue tells whether a context's time is over: a dial that is bound by the same
 // time may notice first.
-func overdue(ctx context.Context) bool {
+func deadlinePassed(ctx context.Context) bool {
 	until, ok := ctx.Deadline()
 	return ok && !time.Now().Before(until)
 }
