--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -207,7 +207,7 @@
 		q.unsent++
 	}
 	klog.InfoS("answer lost", "request", q.call.Attempt, "work", q.work(), "why", why, "sent", sent, "server", b.Incarnation(), "err", err, "ms", took.Milliseconds())
-	if !why.blames(took) {
+	if !why.countsAsFailure(took) {
 		q.Health.Cancel(b.Incarnation())
 		return
 	}
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -293,7 +293,7 @@
 	if errors.Is(err, ErrNotSent) {
 		s.sends--
 		s.unsent++
-		if why != noConnection && !(why == deadlineExceeded && why.blames(s.Now().Sub(w.sentAt))) {
+		if why != noConnection && !(why == deadlineExceeded && why.countsAsFailure(s.Now().Sub(w.sentAt))) {
 			s.recordChainLoss(w, why, err)
 			return fault.New(fault.NotConnected, "the run was ended before it was sent: %s", why)
 		}
