--- a/internal/protocol/relay/events.go
+++ b/internal/protocol/relay/events.go
@@ -29,8 +29,8 @@
 }
 
 var (
-	errHalfEvent = errors.New("stream ends in the middle of an event")
-	errLongEvent = errors.New("event is too long")
+	errTruncatedEvent = errors.New("stream ends in the middle of an event")
+	errLongEvent      = errors.New("event is too long")
 )
 
 // next gives the next whole event; io.EOF at a clean end of the stream. The
@@ -46,7 +46,7 @@
 		}
 		if r.eof {
 			if len(bytes.TrimSpace(r.buf[r.pos:])) > 0 {
-				return event{}, errHalfEvent
+				return event{}, errTruncatedEvent
 			}
 			return event{}, io.EOF
 		}
--- a/internal/protocol/relay/events_test.go
+++ b/internal/protocol/relay/events_test.go
@@ -38,7 +38,7 @@
 // would get a piece of it twice.
 func TestHalfAnEventIsNotPassedOn(t *testing.T) {
 	events, _, err := readAll(strings.NewReader("id: 1\ndata: a\n\nid: 2\nda"))
-	assert.Equal(t, err, errHalfEvent)
+	assert.Equal(t, err, errTruncatedEvent)
 	assert.Equal(t, len(events), 1)
 	reset := errors.New("connection reset")
 	events, _, err = readAll(io.MultiReader(strings.NewReader("id: 1\ndata: a\n\nid: 2\n"), iotest.ErrReader(reset)))
