--- a/internal/protocol/relay/events.go
+++ b/internal/protocol/relay/events.go
@@ -30,7 +30,7 @@
 
 var (
 	errTruncatedEvent = errors.New("stream ends in the middle of an event")
-	errLongEvent      = errors.New("event is too long")
+	errEventTooLong   = errors.New("event is too long")
 )
 
 // next gives the next whole event; io.EOF at a clean end of the stream. The
@@ -62,7 +62,7 @@
 		r.pos = 0
 	}
 	if len(r.buf) > maxEventBytes {
-		return errLongEvent
+		return errEventTooLong
 	}
 	if cap(r.buf)-len(r.buf) < 2048 {
 		r.buf = append(make([]byte, 0, 2*cap(r.buf)+4096), r.buf...)
--- a/internal/protocol/relay/events_test.go
+++ b/internal/protocol/relay/events_test.go
@@ -48,7 +48,7 @@
 
 func TestEndlessEventIsRefused(t *testing.T) {
 	_, _, err := readAll(io.LimitReader(endless{}, 3*maxEventBytes))
-	assert.Equal(t, err, errLongEvent)
+	assert.Equal(t, err, errEventTooLong)
 }
 
 type endless struct{}
