--- a/internal/protocol/relay/panic.go
+++ b/internal/protocol/relay/panic.go
@@ -11,7 +11,7 @@
 )
 
 // errPanicked says that the code of a request panicked.
-var errPanicked = errors.New("panic in the code")
+var errPanic = errors.New("panic in the code")
 
 // headerTracker is a caller that remembers whether it has the head of an answer.
 type headerTracker struct {
@@ -51,7 +51,7 @@
 func (w *chainWatch) contain() {
 	if cause := recover(); cause != nil {
 		w.q.tellPanic("watch", cause)
-		w.end(runFailure{why: panicked, err: errPanicked})
+		w.end(runFailure{why: panicked, err: errPanic})
 	}
 }
 
@@ -65,7 +65,7 @@
 // tellPanic logs and counts a panic. It is called by what recovered it, so that the
 // stack is that of the fault.
 func (q *request) tellPanic(where string, cause any) {
-	klog.ErrorS(errPanicked, "fault in the code", "request", q.call.Attempt, "where", where, "panic", cause, "stack", string(debug.Stack()))
+	klog.ErrorS(errPanic, "fault in the code", "request", q.call.Attempt, "where", where, "panic", cause, "stack", string(debug.Stack()))
 	if q.OnPanic != nil {
 		q.OnPanic(where)
 	}
