--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -24,7 +24,7 @@
 // of an engine's streams that wait.
 const maxReportBytes = 1 << 20
 
-var errLongReport = errors.New("the report is too long")
+var errReportTooLong = errors.New("the report is too long")
 
 // Report reads an engine's own report.
 func (r *Relay) Report(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
@@ -40,7 +40,7 @@
 	}
 	if len(raw) > maxReportBytes {
 		ans.Body.Discard()
-		return model.EngineReport{}, errLongReport
+		return model.EngineReport{}, errReportTooLong
 	}
 	if ans.Status != http.StatusOK {
 		return model.EngineReport{}, errors.Errorf("report: status %d", ans.Status)
--- a/internal/protocol/relay/report_test.go
+++ b/internal/protocol/relay/report_test.go
@@ -42,7 +42,7 @@
 	engine := &unending{}
 	r := &Relay{BackendClient: engine, Now: time.Now}
 	_, err := r.Report(t.Context(), &model.BackendServer{})
-	assert.ErrorIs(t, err, errLongReport)
+	assert.ErrorIs(t, err, errReportTooLong)
 	assert.Assert(t, engine.read <= 2*maxReportBytes, "%d bytes", engine.read)
 	assert.Assert(t, engine.discarded)
 }
