--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -102,13 +102,13 @@
 func (r *Relay) HandleEngineExit(inc model.Incarnation) {
 	if b := r.Catalog.Load().Find(inc); b != nil {
 		r.endedUnder(b) // before its streams are moved: they may not all go anywhere
-		r.Suspects.Unreachable(b, "", errEnded)
+		r.Suspects.Unreachable(b, "", errExited)
 	}
 	r.Suspects.Exited(inc)
 	r.ActiveRuns.notifyLoss(engineSet{inc: true}, engineExited)
 }
 
-var errEnded = errors.New("its process ended")
+var errExited = errors.New("its process ended")
 
 // notifyLoss tells all work in progress that incarnations of servers have ended, or are
 // believed to be at fault.
