--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -31,7 +31,7 @@
 // size is how many tokens the request will hold: its prompt, and its answer as
 // the caller guesses it or as is usual.
 func (q *request) size() int {
-	spec := q.ticket.Service.Engine
+	spec := q.admitted.Service.Engine
 	answer := float64(q.call.AnswerHint)
 	if answer == 0 {
 		answer = float64(spec.UsualAnswer)
@@ -47,7 +47,7 @@
 	if q.call.PromptTokens > 0 {
 		return q.call.PromptTokens
 	}
-	return q.ticket.Service.Engine.UsualPrompt
+	return q.admitted.Service.Engine.UsualPrompt
 }
 
 // mayResume decides whether the stream goes on elsewhere.
@@ -57,7 +57,7 @@
 	}
 	// An engine that was lost does not count as an attempt, and a stream that
 	// may be resumed is worth more sends than a fresh one.
-	if !q.ticket.Idempotent() || q.sends >= maxSends {
+	if !q.admitted.Idempotent() || q.sends >= maxSends {
 		return false
 	}
 	if !q.takeRepeat(ctx) {
@@ -66,14 +66,14 @@
 		}
 		return false
 	}
-	q.Observer.Retry(q.ticket.Service.Name, "resumed")
+	q.Observer.Retry(q.admitted.Service.Name, "resumed")
 	return true
 }
 
 // acquire chooses a chain and reserves its memory, waiting a moment for room.
 func (s *stream) acquire(ctx context.Context) ([]chains.Stage, *chains.Reservation, *fault.Error) {
 	q := s.request
-	demand := chains.Requirements{Domain: q.FailureDomain, Tokens: s.tokens, MaxEventGap: q.ticket.Route.TargetGap, Avoid: q.avoid, FirstStageIn: s.firstAmong(), Resumed: s.events > 0}
+	demand := chains.Requirements{Domain: q.FailureDomain, Tokens: s.tokens, MaxEventGap: q.admitted.Route.TargetGap, Avoid: q.avoid, FirstStageIn: s.firstAmong(), Resumed: s.events > 0}
 	if q.barred.suspect {
 		demand.ExcludeFirstStage = q.barred.bars
 		demand.FirstStageCost = q.beginCost
@@ -85,22 +85,22 @@
 		if ctx.Err() != nil {
 			return false
 		}
-		parts, verdict = q.Chooser.Choose(q.ticket.Service, demand)
+		parts, verdict = q.Chooser.Choose(q.admitted.Service, demand)
 		if verdict == chains.Found {
 			hold = q.Memory.Reserve(parts, s.tokens)
-			q.Chooser.RecordStart(q.ticket.Service.Engine, parts, q.promptTokens())
+			q.Chooser.RecordStart(q.admitted.Service.Engine, parts, q.promptTokens())
 			if demand.Resumed {
-				q.Chooser.RecordResume(q.ticket.Service.Engine, parts, s.tokens)
+				q.Chooser.RecordResume(q.admitted.Service.Engine, parts, s.tokens)
 			}
 		}
 		return verdict != chains.CapacityExhausted
 	}
-	most := time.Duration(capacityWaitShare * float64(q.ticket.Route.TargetLatency))
+	most := time.Duration(capacityWaitShare * float64(q.admitted.Route.TargetLatency))
 	if s.events > 0 {
 		most = max(callerGapTimeout-q.Now().Sub(s.lastEvent), 0)
 	}
 	until := q.Now().Add(most)
-	waiter := admission.Request{Customer: q.ticket.Customer, Priority: -q.ticket.Priority}
+	waiter := admission.Request{Customer: q.admitted.Customer, Priority: -q.admitted.Priority}
 	q.waiting = true
 	got := q.WaitQueue.Wait(ctx, waiter, most, try)
 	// Not in the line: there a stream that no chain serves would hold up others.
@@ -123,10 +123,10 @@
 		}
 	}
 	if verdict == chains.NoChain {
-		return nil, nil, fault.New(fault.NoCapacity, "the engines in reach do not hold all layers: %s", q.Chooser.ExplainNoChain(q.ticket.Service, demand))
+		return nil, nil, fault.New(fault.NoCapacity, "the engines in reach do not hold all layers: %s", q.Chooser.ExplainNoChain(q.admitted.Service, demand))
 	}
 	f := fault.New(fault.Overloaded, "no chain has room: %d wait, waited %v, admitted %t, short of %s", q.WaitQueue.Len(), most, got,
-		q.Chooser.ExhaustedResource(q.ticket.Service, demand))
+		q.Chooser.ExhaustedResource(q.admitted.Service, demand))
 	return nil, nil, f
 }
 
@@ -141,7 +141,7 @@
 			alive[inc] = true
 		}
 	}
-	if len(alive) < s.ticket.Route.MaxAttempts {
+	if len(alive) < s.admitted.Route.MaxAttempts {
 		return nil
 	}
 	return alive
--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -36,7 +36,7 @@
 	r := &Relay{Detector: detector.New(time.Now), Catalog: c, Health: health, Chooser: chooser, Memory: memory, WaitQueue: admission.NewWaitQueue(), Suspects: prober, FailureDomain: "a", Now: time.Now,
 		Quarantine: quarantine.New(func() time.Duration { return 0 })}
 	q := &request{Relay: r, call: &model.Call{Attempt: "1"}, startTime: time.Now(), avoid: map[model.Incarnation]bool{}}
-	q.ticket = routes.Admission{
+	q.admitted = routes.Admission{
 		Route: &model.Route{TargetLatency: 500 * time.Millisecond, MaxAttempts: 2},
 		Service: &model.Service{Name: "s", Engine: &model.EngineSpec{
 			Layers: 12, LayerMB: 1000, KVTokenBytes: 1e6, StepTime: time.Millisecond, ReadRate: 1e5,
--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -69,17 +69,17 @@
 		msg = f.Msg
 	}
 	route, service := "", ""
-	if q.ticket.Route != nil {
-		route = q.ticket.Route.Name
+	if q.admitted.Route != nil {
+		route = q.admitted.Route.Name
 	}
-	if q.ticket.Service != nil {
-		service = q.ticket.Service.Name
+	if q.admitted.Service != nil {
+		service = q.admitted.Service.Name
 	}
 	q.Observer.Request(route, service, outcome, kind, took)
 	klog.InfoS("request ended", "request", q.call.Attempt, "outcome", outcome, "kind", kind, "cause", msg,
-		"status", status, "progress", q.progress(), "route", route, "service", service, "customer", q.ticket.Customer,
+		"status", status, "progress", q.progress(), "route", route, "service", service, "customer", q.admitted.Customer,
 		"ms", took.Milliseconds(), "firstEventMs", q.firstEvent.Milliseconds(), "longestGapMs", q.longestGap.Milliseconds(), "sends", q.sends, "mayHaveRun", q.runs, "chain", q.chain,
-		"configVersion", q.ticket.Version, "configAgeMs", q.Config.Age(q.Clock()).Milliseconds())
+		"configVersion", q.admitted.Version, "configAgeMs", q.Config.Age(q.Clock()).Milliseconds())
 }
 
 // progress is how far the request was when it ended, for the log: whether a server had
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -49,7 +49,7 @@
 		}
 		ans, err := q.attempt(ctx, server)
 		switch {
-		case err == nil && !ans.verdict.NotRun && (ans.status < 500 || !q.ticket.Idempotent()):
+		case err == nil && !ans.verdict.NotRun && (ans.status < 500 || !q.admitted.Idempotent()):
 			return q.deliver(ans)
 		case err == nil:
 			last = ans
@@ -80,7 +80,7 @@
 	case last != nil:
 		return q.refuse(fault.New(fault.Overloaded, "every backend server asked was full"))
 	}
-	return q.refuse(fault.New(fault.NoCapacity, "no backend server of %s takes work", q.ticket.Service.Name))
+	return q.refuse(fault.New(fault.NoCapacity, "no backend server of %s takes work", q.admitted.Service.Name))
 }
 
 // pickPlain chooses the backend server with the least expected wait: load seen
@@ -90,7 +90,7 @@
 	var best *model.BackendServer
 	var lowest float64
 	for _, allowSuspects := range []bool{false, true} {
-		for _, b := range q.Catalog.Load().Service(q.ticket.Service.Name) {
+		for _, b := range q.Catalog.Load().Service(q.admitted.Service.Name) {
 			view := q.Health.View(b.Incarnation())
 			if q.avoid[b.Incarnation()] || q.barred.bars(b) || view.Suspected && !allowSuspects {
 				continue
@@ -113,12 +113,12 @@
 
 // attempt sends the call to one server and reads its whole answer.
 func (q *request) attempt(ctx context.Context, b *model.BackendServer) (*bufferedResponse, error) {
-	run, cancel, stop := q.ActiveRuns.track(ctx, b.Incarnation(), !q.ticket.Idempotent())
+	run, cancel, stop := q.ActiveRuns.track(ctx, b.Incarnation(), !q.admitted.Idempotent())
 	defer stop()
 	q.avoid[b.Incarnation()] = true
 	q.chain = b.ID
 	q.sends++
-	if q.ticket.Idempotent() && q.runs+1 < q.ticket.Route.MaxAttempts && q.sends < maxSends {
+	if q.admitted.Idempotent() && q.runs+1 < q.admitted.Route.MaxAttempts && q.sends < maxSends {
 		defer q.giveUpIfSlow(run, cancel, b)()
 	}
 	record := q.Quarantine.Begin(q.work, q.barred.suspect, quarantine.Location{Server: b.Incarnation(), Domain: b.FailureDomain})
@@ -163,7 +163,7 @@
 // waits for a decision under way.
 func (q *request) giveUpIfSlow(run context.Context, cancel context.CancelCauseFunc, b *model.BackendServer) (stop func()) {
 	usual := q.Health.View(b.Incarnation()).Latency
-	most := max(slowAttemptFactor*usual, q.ticket.Route.TargetLatency, minAttemptTimeout)
+	most := max(slowAttemptFactor*usual, q.admitted.Route.TargetLatency, minAttemptTimeout)
 	run, quit := context.WithCancel(run)
 	decided := make(chan struct{})
 	timer := time.AfterFunc(most, func() {
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -151,7 +151,7 @@
 		result = survivedIf(run, err)
 		return s.handleFailureResponse(ans, read, err)
 	}
-	if q.ticket.Route.Kind != model.RouteStreaming {
+	if q.admitted.Route.Kind != model.RouteStreaming {
 		read, err := s.readWhole(ans)
 		result = survivedIf(run, err)
 		return s.forwardSingle(read, err)
@@ -223,7 +223,7 @@
 		if !q.out.head {
 			s.writeHeader(ans)
 			q.firstEvent = q.Now().Sub(q.startTime)
-			q.Observer.FirstEvent(q.ticket.Service.Name, q.firstEvent)
+			q.Observer.FirstEvent(q.admitted.Service.Name, q.firstEvent)
 		}
 		s.timeEvent()
 		if err := q.out.Write(ev.raw); err != nil {
--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -43,7 +43,7 @@
 	w.mu.Lock()
 	granted := w.granted
 	w.mu.Unlock()
-	if granted || !w.q.RetryBorrower.Take(w.run, w.q.ticket.Service.Name) {
+	if granted || !w.q.RetryBorrower.Take(w.run, w.q.admitted.Service.Name) {
 		return granted
 	}
 	w.mu.Lock()
--- a/internal/protocol/relay/lost_test.go
+++ b/internal/protocol/relay/lost_test.go
@@ -45,7 +45,7 @@
 				assert.Equal(t, err != nil, c.answer == other, "%v", err)
 				assert.Equal(t, s.Suspects.Lost(lost), c.lost)
 				q := &request{Relay: s.Relay, call: &model.Call{Attempt: "1"}}
-				q.ticket.Route = &model.Route{MaxAttempts: 2}
+				q.admitted.Route = &model.Route{MaxAttempts: 2}
 				ran := &stream{request: q, ranOn: map[model.Incarnation]bool{lost: true, inc("two"): true}}
 				assert.Equal(t, ran.firstAmong() == nil, c.lost, "a third engine may run it")
 			})
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -75,13 +75,13 @@
 // that cannot be done.
 func (w *chainWatch) routeAround(parts []chains.Stage, lost engineSet) []chains.Stage {
 	q := w.q
-	if !q.ticket.Idempotent() || !q.mayMove() || w.isUnsure() {
+	if !q.admitted.Idempotent() || !q.mayMove() || w.isUnsure() {
 		return nil
 	}
 	avoid := q.ActiveRuns.silentAmong(engines(parts))
 	maps.Copy(avoid, lost)
 	for range maxRerouteOrders {
-		next := q.Chooser.Replace(q.ticket.Service, parts, avoid, w.hold.Tokens(), q.ticket.Route.TargetGap)
+		next := q.Chooser.Replace(q.admitted.Service, parts, avoid, w.hold.Tokens(), q.admitted.Route.TargetGap)
 		if next == nil {
 			return nil
 		}
@@ -89,7 +89,7 @@
 		if err == nil {
 			w.hold.Move(next)
 			w.record.Move(places(next))
-			q.Observer.Retry(q.ticket.Service.Name, "repath")
+			q.Observer.Retry(q.admitted.Service.Name, "repath")
 			return next
 		}
 		var refused pathConflict
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -21,7 +21,7 @@
 
 // eventInterval is the planned time between a stream's events.
 func (q *request) eventInterval(parts []chains.Stage) time.Duration {
-	spec := q.ticket.Service.Engine
+	spec := q.admitted.Service.Engine
 	return q.Chooser.TokenTime(spec, parts) * time.Duration(spec.Stride)
 }
 
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -140,7 +140,7 @@
 type request struct {
 	*Relay
 	call      *model.Call
-	ticket    routes.Admission
+	admitted  routes.Admission
 	out       *headerTracker
 	startTime time.Time
 	// runs counts the sends that may have run; sends counts all.
@@ -172,18 +172,18 @@
 	if table == nil {
 		return q.refuse(fault.New(fault.NotReady, "no configuration yet"))
 	}
-	ticket, denied := table.Admit(c, q.startTime)
-	q.ticket = ticket
+	admitted, denied := table.Admit(c, q.startTime)
+	q.admitted = admitted
 	if denied != nil {
 		return q.deny(denied)
 	}
-	r.RetryBorrower.Budget.RecordRequest(ticket.Service.Name)
-	if !ticket.Deadline.IsZero() {
+	r.RetryBorrower.Budget.RecordRequest(admitted.Service.Name)
+	if !admitted.Deadline.IsZero() {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(ctx, ticket.Deadline)
+		ctx, cancel = context.WithDeadline(ctx, admitted.Deadline)
 		defer cancel()
 	}
-	if ticket.Service.Engine != nil {
+	if admitted.Service.Engine != nil {
 		return q.generate(ctx)
 	}
 	return q.dispatch(ctx)
@@ -215,16 +215,16 @@
 
 // left is how much time the request has; 0 where it has no bound.
 func (q *request) left() time.Duration {
-	if q.ticket.Deadline.IsZero() {
+	if q.admitted.Deadline.IsZero() {
 		return 0
 	}
-	return max(q.ticket.Deadline.Sub(q.Now()), time.Millisecond)
+	return max(q.admitted.Deadline.Sub(q.Now()), time.Millisecond)
 }
 
 func (q *request) outbound(s platform.Send) *Request {
-	s.Customer = q.ticket.Customer
+	s.Customer = q.admitted.Customer
 	s.Left = q.left()
-	s.Urgency = min(q.ticket.Priority, 9)
+	s.Urgency = min(q.admitted.Priority, 9)
 	return &Request{
 		Method: q.call.Method,
 		Target: q.call.Target,
--- a/internal/protocol/relay/repeat.go
+++ b/internal/protocol/relay/repeat.go
@@ -8,10 +8,10 @@
 
 // repeatable tells whether the request may be sent again at all.
 func (q *request) repeatable() bool {
-	if q.runs >= q.ticket.Route.MaxAttempts || q.sends >= maxSends {
+	if q.runs >= q.admitted.Route.MaxAttempts || q.sends >= maxSends {
 		return false
 	}
-	return q.runs == 0 || q.ticket.Idempotent()
+	return q.runs == 0 || q.admitted.Idempotent()
 }
 
 // mayRepeat takes one repeated send from the budget, if the request may be sent
@@ -29,7 +29,7 @@
 		}
 		return false
 	}
-	q.Observer.Retry(q.ticket.Service.Name, reason)
+	q.Observer.Retry(q.admitted.Service.Name, reason)
 	return true
 }
 
@@ -45,7 +45,7 @@
 		q.granted = false
 		return true
 	}
-	return q.RetryBorrower.Take(ctx, q.ticket.Service.Name)
+	return q.RetryBorrower.Take(ctx, q.admitted.Service.Name)
 }
 
 // maxSends bounds the sends of one request, refused ones included: an engine
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -51,7 +51,7 @@
 
 // work names what the request asks for, which its attempts have in common.
 func (q *request) work() model.Fingerprint {
-	q.fingerprintOnce.Do(func() { q.fingerprint = q.call.Fingerprint(q.ticket.Customer) })
+	q.fingerprintOnce.Do(func() { q.fingerprint = q.call.Fingerprint(q.admitted.Customer) })
 	return q.fingerprint
 }
 
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -71,10 +71,10 @@
 
 func (q *request) watch(run context.Context, cancel context.CancelCauseFunc, parts []chains.Stage, hold *chains.Reservation, record *quarantine.Run) *chainWatch {
 	w := &chainWatch{q: q, run: run, cancel: cancel, parts: parts, hold: hold, record: record, sentAt: q.Now()}
-	w.last = !q.ticket.Idempotent() || q.sends+1 >= maxSends
-	w.fresh = !w.last && q.runs+1 < q.ticket.Route.MaxAttempts
+	w.last = !q.admitted.Idempotent() || q.sends+1 >= maxSends
+	w.fresh = !w.last && q.runs+1 < q.admitted.Route.MaxAttempts
 	path := engines(parts)
-	w.progress = q.Detector.Track(path, q.eventInterval(parts), q.ticket.Route.TargetGap)
+	w.progress = q.Detector.Track(path, q.eventInterval(parts), q.admitted.Route.TargetGap)
 	w.startTimer()
 	if gone, ended := q.ActiveRuns.add(w, path...); ended {
 		w.end(runFailure{culprit: gone, why: engineExited})
@@ -192,7 +192,7 @@
 		w.blame(addr, news, n)
 		return
 	}
-	if w.q.ticket.Route.Kind != model.RouteStreaming {
+	if w.q.admitted.Route.Kind != model.RouteStreaming {
 		// The answer comes in one piece. Nothing before it is no silence; its engines
 		// are asked less and less often.
 		w.resetTimer(news, time.Duration(n)*nextEventTimeout)
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -51,8 +51,8 @@
 	q := &request{Relay: s.Relay, call: &model.Call{Attempt: "1"}, startTime: time.Now(), avoid: map[model.Incarnation]bool{}}
 	table := s.Config.Load()
 	route.Host = "h"
-	q.ticket.Route = &route
-	q.ticket.Service = table.Service("s")
+	q.admitted.Route = &route
+	q.admitted.Service = table.Service("s")
 	run, cancel := context.WithCancelCause(t.Context())
 	hold := s.Memory.Reserve(parts, 100)
 	w := q.watch(run, cancel, parts, hold, s.Quarantine.Begin(nil, false))
