--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -204,7 +204,7 @@
 		q.runs++
 	} else {
 		q.sends--
-		q.unsent++
+		q.unsentAttempts++
 	}
 	klog.InfoS("answer lost", "request", q.call.Attempt, "work", q.work(), "why", why, "sent", sent, "server", b.Incarnation(), "err", err, "ms", took.Milliseconds())
 	if !why.countsAsFailure(took) {
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -292,7 +292,7 @@
 	why := endReasonOf(run, err)
 	if errors.Is(err, ErrNotSent) {
 		s.sends--
-		s.unsent++
+		s.unsentAttempts++
 		if why != noConnection && !(why == deadlineExceeded && why.countsAsFailure(s.Now().Sub(w.sentAt))) {
 			s.recordChainLoss(w, why, err)
 			return fault.New(fault.NotConnected, "the run was ended before it was sent: %s", why)
--- a/internal/protocol/relay/repeat.go
+++ b/internal/protocol/relay/repeat.go
@@ -36,7 +36,7 @@
 // firstSend tells whether the next send repeats nothing, as nothing went out before: it
 // needs no part of the budget, which counts what reaches backend servers. Only a few
 // tries are free, so that one request cannot try for ever.
-func (q *request) firstSend() bool { return q.sends == 0 && q.unsent < maxSends }
+func (q *request) firstSend() bool { return q.sends == 0 && q.unsentAttempts < maxSends }
 
 // takeRepeat takes one repeated send from the budget, unless that was done when the
 // try before was given up.
