--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -101,7 +101,7 @@
 	}
 	until := q.Now().Add(most)
 	waiter := admission.Request{Customer: q.admitted.Customer, Priority: -q.admitted.Priority}
-	q.waiting = true
+	q.waitingForCapacity = true
 	got := q.WaitQueue.Wait(ctx, waiter, most, try)
 	// Not in the line: there a stream that no chain serves would hold up others.
 	for s.events > 0 && hold == nil && q.Now().Before(until) && wait.For(ctx, chainPollInterval) {
@@ -110,7 +110,7 @@
 	}
 	switch {
 	case hold != nil:
-		q.waiting = false
+		q.waitingForCapacity = false
 		return parts, hold, nil
 	case ctx.Err() != nil:
 		return nil, nil, q.ended(ctx)
@@ -118,7 +118,7 @@
 		// Better an engine that failed once than none.
 		clear(q.avoid)
 		if try(); hold != nil {
-			q.waiting = false
+			q.waitingForCapacity = false
 			return parts, hold, nil
 		}
 	}
--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -90,7 +90,7 @@
 		return "begun"
 	case q.sends > 0:
 		return "sent"
-	case q.waiting:
+	case q.waitingForCapacity:
 		return "waiting for room"
 	}
 	return "before sending"
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -146,8 +146,8 @@
 	// runs counts the sends that may have run; sends counts all.
 	runs, sends int
 	// unsent counts the tries of which nothing went out.
-	unsentAttempts int
-	waiting        bool // for room at the engines
+	unsentAttempts     int
+	waitingForCapacity bool // for room at the engines
 	// granted says that the next repeated send was taken from the budget already.
 	granted bool
 	avoid   map[model.Incarnation]bool
