--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -74,8 +74,8 @@
 func (s *stream) acquire(ctx context.Context) ([]chains.Stage, *chains.Reservation, *fault.Error) {
 	q := s.request
 	demand := chains.Requirements{Domain: q.FailureDomain, Tokens: s.tokens, MaxEventGap: q.admitted.Route.TargetGap, Avoid: q.avoid, FirstStageIn: s.firstAmong(), Resumed: s.events > 0}
-	if q.barred.suspect {
-		demand.ExcludeFirstStage = q.barred.bars
+	if q.excluded.suspect {
+		demand.ExcludeFirstStage = q.excluded.bars
 		demand.FirstStageCost = q.beginCost
 	}
 	var parts []chains.Stage
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -92,7 +92,7 @@
 	for _, allowSuspects := range []bool{false, true} {
 		for _, b := range q.Catalog.Load().Service(q.admitted.Service.Name) {
 			view := q.Health.View(b.Incarnation())
-			if q.avoid[b.Incarnation()] || q.barred.bars(b) || view.Suspected && !allowSuspects {
+			if q.avoid[b.Incarnation()] || q.excluded.bars(b) || view.Suspected && !allowSuspects {
 				continue
 			}
 			cost := (1 + float64(view.Active)) * (0.01 + view.Latency.Seconds()) * (1 + 8*view.FailureRate)
@@ -121,7 +121,7 @@
 	if q.admitted.Idempotent() && q.runs+1 < q.admitted.Route.MaxAttempts && q.sends < maxSends {
 		defer q.giveUpIfSlow(run, cancel, b)()
 	}
-	record := q.Quarantine.Begin(q.work, q.barred.suspect, quarantine.Location{Server: b.Incarnation(), Domain: b.FailureDomain})
+	record := q.Quarantine.Begin(q.work, q.excluded.suspect, quarantine.Location{Server: b.Incarnation(), Domain: b.FailureDomain})
 	result := quarantine.Inconclusive
 	defer func() { q.confirm(record.End(result)) }()
 	began := q.Now()
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -156,8 +156,8 @@
 	fingerprint     model.Fingerprint
 	fingerprintOnce sync.Once
 	// barred is where the request may not run now though others may.
-	barred exclusions
-	chain  string // for the log
+	excluded exclusions
+	chain    string // for the log
 	// firstEvent and longestGap describe a stream as its caller saw it; 0
 	// where there was none.
 	firstEvent, longestGap time.Duration
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -43,7 +43,7 @@
 // its kind, and one that runs alone from engines that have many streams to lose.
 func (q *request) beginCost(engine model.Incarnation, streams float64) time.Duration {
 	company := float64(q.Quarantine.SuspectRuns(engine))
-	if q.barred.alone {
+	if q.excluded.alone {
 		company += streams
 	}
 	return time.Duration(company * float64(suspectCost))
@@ -63,7 +63,7 @@
 // caller, here or at another router.
 func (q *request) standing(ctx context.Context) (quarantine.Assessment, *fault.Error) {
 	if !q.Quarantine.HasSuspects() {
-		q.barred = exclusions{}
+		q.excluded = exclusions{}
 		return quarantine.Assessment{}, nil
 	}
 	v := q.Quarantine.Assess(q.work())
@@ -73,11 +73,11 @@
 		}
 		v = q.Quarantine.Assess(q.work())
 	}
-	q.barred.suspect = v.Restriction != quarantine.Unrestricted
-	q.barred.alone = v.Restriction == quarantine.TrialOnly
-	q.barred.domains = v.AvoidDomains
-	if !q.barred.alone {
-		q.barred.servers = nil
+	q.excluded.suspect = v.Restriction != quarantine.Unrestricted
+	q.excluded.alone = v.Restriction == quarantine.TrialOnly
+	q.excluded.domains = v.AvoidDomains
+	if !q.excluded.alone {
+		q.excluded.servers = nil
 	}
 	if v.Restriction == quarantine.Quarantined {
 		return v, q.quarantined(v)
@@ -102,13 +102,13 @@
 	switch {
 	case g.Granted:
 		return runNow
-	case g.BusyServer == (model.Incarnation{}) || q.barred.servers[g.BusyServer]:
+	case g.BusyServer == (model.Incarnation{}) || q.excluded.servers[g.BusyServer]:
 		return notNow
 	}
-	if q.barred.servers == nil {
-		q.barred.servers = map[model.Incarnation]bool{}
+	if q.excluded.servers == nil {
+		q.excluded.servers = map[model.Incarnation]bool{}
 	}
-	q.barred.servers[g.BusyServer] = true
+	q.excluded.servers[g.BusyServer] = true
 	return lookAgain
 }
 
@@ -144,7 +144,7 @@
 		if s.runs == 0 || !s.Now().Before(until) || !wait.For(ctx, trialPollInterval) {
 			return nil, nil, s.onTrial(v.Exits)
 		}
-		clear(s.barred.servers)
+		clear(s.excluded.servers)
 	}
 }
 
