--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -78,7 +78,7 @@
 	q.Observer.Request(route, service, outcome, kind, took)
 	klog.InfoS("request ended", "request", q.call.Attempt, "outcome", outcome, "kind", kind, "cause", msg,
 		"status", status, "progress", q.progress(), "route", route, "service", service, "customer", q.admitted.Customer,
-		"ms", took.Milliseconds(), "firstEventMs", q.firstEvent.Milliseconds(), "longestGapMs", q.longestGap.Milliseconds(), "sends", q.sends, "mayHaveRun", q.runs, "chain", q.chain,
+		"ms", took.Milliseconds(), "firstEventMs", q.timeToFirstEvent.Milliseconds(), "longestGapMs", q.longestGap.Milliseconds(), "sends", q.sends, "mayHaveRun", q.runs, "chain", q.chain,
 		"configVersion", q.admitted.Version, "configAgeMs", q.Config.Age(q.Clock()).Milliseconds())
 }
 
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -222,8 +222,8 @@
 		s.ranEvents++
 		if !q.out.head {
 			s.writeHeader(ans)
-			q.firstEvent = q.Now().Sub(q.startTime)
-			q.Observer.FirstEvent(q.admitted.Service.Name, q.firstEvent)
+			q.timeToFirstEvent = q.Now().Sub(q.startTime)
+			q.Observer.FirstEvent(q.admitted.Service.Name, q.timeToFirstEvent)
 		}
 		s.timeEvent()
 		if err := q.out.Write(ev.raw); err != nil {
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -160,7 +160,7 @@
 	chain    string // for the log
 	// firstEvent and longestGap describe a stream as its caller saw it; 0
 	// where there was none.
-	firstEvent, longestGap time.Duration
+	timeToFirstEvent, longestGap time.Duration
 }
 
 // Serve answers one request. whole is false where the caller's connection must
