--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -153,8 +153,8 @@
 	avoid   map[model.Incarnation]bool
 	// fingerprint is the request's, made when it is first asked for: by the request, or by
 	// whoever tells of a server's end.
-	fingerprint     model.Fingerprint
-	fingerprintOnce sync.Once
+	cachedFingerprint model.Fingerprint
+	fingerprintOnce   sync.Once
 	// barred is where the request may not run now though others may.
 	excluded exclusions
 	chain    string // for the log
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -51,8 +51,8 @@
 
 // work names what the request asks for, which its attempts have in common.
 func (q *request) work() model.Fingerprint {
-	q.fingerprintOnce.Do(func() { q.fingerprint = q.call.Fingerprint(q.admitted.Customer) })
-	return q.fingerprint
+	q.fingerprintOnce.Do(func() { q.cachedFingerprint = q.call.Fingerprint(q.admitted.Customer) })
+	return q.cachedFingerprint
 }
 
 // standing tells whether the request may be sent to a server, and how; a fault says that it
