--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -121,7 +121,7 @@
 	if q.admitted.Idempotent() && q.runs+1 < q.admitted.Route.MaxAttempts && q.sends < maxSends {
 		defer q.giveUpIfSlow(run, cancel, b)()
 	}
-	record := q.Quarantine.Begin(q.work, q.excluded.suspect, quarantine.Location{Server: b.Incarnation(), Domain: b.FailureDomain})
+	record := q.Quarantine.Begin(q.fingerprint, q.excluded.suspect, quarantine.Location{Server: b.Incarnation(), Domain: b.FailureDomain})
 	result := quarantine.Inconclusive
 	defer func() { q.confirm(record.End(result)) }()
 	began := q.Now()
@@ -206,7 +206,7 @@
 		q.sends--
 		q.unsentAttempts++
 	}
-	klog.InfoS("answer lost", "request", q.call.Attempt, "work", q.work(), "why", why, "sent", sent, "server", b.Incarnation(), "err", err, "ms", took.Milliseconds())
+	klog.InfoS("answer lost", "request", q.call.Attempt, "work", q.fingerprint(), "why", why, "sent", sent, "server", b.Incarnation(), "err", err, "ms", took.Milliseconds())
 	if !why.countsAsFailure(took) {
 		q.Health.Cancel(b.Incarnation())
 		return
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -121,7 +121,7 @@
 	}
 	run, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	record := q.Quarantine.Begin(q.work, q.excluded.suspect, places(parts)...)
+	record := q.Quarantine.Begin(q.fingerprint, q.excluded.suspect, places(parts)...)
 	result := quarantine.Inconclusive
 	defer func() { q.confirm(record.End(result)) }()
 	w := q.watch(run, cancel, parts, hold, record)
@@ -313,7 +313,7 @@
 // of them.
 func (s *stream) recordChainLoss(w *chainWatch, why endReason, err error) {
 	parts, culprit := w.state()
-	klog.InfoS("chain lost", "request", s.call.Attempt, "work", s.work(), "why", why, "sent", !errors.Is(err, ErrNotSent), "chain", describe(parts), "culprit", culprit, "err", err, "events", s.events)
+	klog.InfoS("chain lost", "request", s.call.Attempt, "work", s.fingerprint(), "why", why, "sent", !errors.Is(err, ErrNotSent), "chain", describe(parts), "culprit", culprit, "err", err, "events", s.events)
 	if why == callerLeft || why == deadlineExceeded || why == routerStopping {
 		return
 	}
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -121,7 +121,7 @@
 	// Quarantine knows the requests under which servers end. Trial asks whether one of
 	// them may run at servers, alone among its kind.
 	Quarantine   *quarantine.Tracker
-	RequestTrial func(ctx context.Context, work model.Fingerprint, servers []model.Incarnation) quarantine.Grant
+	RequestTrial func(ctx context.Context, fingerprint model.Fingerprint, servers []model.Incarnation) quarantine.Grant
 	// CheckListening asks whether a process takes connections at an address; an error other than
 	// ErrRefused leaves that open.
 	CheckListening func(ctx context.Context, addr string) error
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -50,7 +50,7 @@
 }
 
 // work names what the request asks for, which its attempts have in common.
-func (q *request) work() model.Fingerprint {
+func (q *request) fingerprint() model.Fingerprint {
 	q.fingerprintOnce.Do(func() { q.cachedFingerprint = q.call.Fingerprint(q.admitted.Customer) })
 	return q.cachedFingerprint
 }
@@ -66,12 +66,12 @@
 		q.excluded = exclusions{}
 		return quarantine.Assessment{}, nil
 	}
-	v := q.Quarantine.Assess(q.work())
+	v := q.Quarantine.Assess(q.fingerprint())
 	for v.Restriction == quarantine.Undecided {
 		if !wait.For(ctx, evidencePollInterval) {
 			return v, q.ended(ctx)
 		}
-		v = q.Quarantine.Assess(q.work())
+		v = q.Quarantine.Assess(q.fingerprint())
 	}
 	q.excluded.suspect = v.Restriction != quarantine.Unrestricted
 	q.excluded.alone = v.Restriction == quarantine.TrialOnly
@@ -88,7 +88,7 @@
 // quarantined is the final answer for a request under which servers end. It says whether
 // this attempt ran.
 func (q *request) quarantined(v quarantine.Assessment) *fault.Error {
-	klog.InfoS("request goes to no server", "request", q.call.Attempt, "work", q.work(), "ends", v.Exits, "runs", q.runs)
+	klog.InfoS("request goes to no server", "request", q.call.Attempt, "work", q.fingerprint(), "ends", v.Exits, "runs", q.runs)
 	if q.runs == 0 {
 		return fault.New(fault.Quarantined, "%d backend servers ended under this request; it was not run this time", v.Exits)
 	}
@@ -97,8 +97,8 @@
 
 // tryAlone asks for a trial at servers. Where one of them runs another suspect it is barred.
 func (q *request) tryAlone(ctx context.Context, servers []model.Incarnation) permission {
-	g := q.RequestTrial(ctx, q.work(), servers)
-	klog.InfoS("request asks for a trial", "request", q.call.Attempt, "work", q.work(), "servers", len(servers), "first", servers[0], "granted", g.Granted, "busy", g.BusyServer, "waitMs", g.WaitMS)
+	g := q.RequestTrial(ctx, q.fingerprint(), servers)
+	klog.InfoS("request asks for a trial", "request", q.call.Attempt, "work", q.fingerprint(), "servers", len(servers), "first", servers[0], "granted", g.Granted, "busy", g.BusyServer, "waitMs", g.WaitMS)
 	switch {
 	case g.Granted:
 		return runNow
@@ -165,7 +165,7 @@
 	if !s.Quarantine.HasSuspects() {
 		return runNow
 	}
-	v := s.Quarantine.Assess(s.work())
+	v := s.Quarantine.Assess(s.fingerprint())
 	switch {
 	case v.Restriction != before.Restriction:
 		return lookAgain
@@ -182,7 +182,7 @@
 // mayMove tells whether a running stream may be moved to another engine: a request that
 // ends engines as a later part of a chain would else end one after the other in one run.
 func (q *request) mayMove() bool {
-	return !q.Quarantine.HasSuspects() || q.Quarantine.Assess(q.work()).Restriction < quarantine.TrialOnly
+	return !q.Quarantine.HasSuspects() || q.Quarantine.Assess(q.fingerprint()).Restriction < quarantine.TrialOnly
 }
 
 // pickAlone chooses a server of a plain service for the next try.
