--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -199,11 +199,11 @@
 // the first one.
 func (r *Relay) table(ctx context.Context) *routes.Table {
 	table := r.Config.Load()
-	left := startupConfigTimeout - r.Now().Sub(r.Started)
-	if table != nil || left <= 0 {
+	remaining := startupConfigTimeout - r.Now().Sub(r.Started)
+	if table != nil || remaining <= 0 {
 		return table
 	}
-	timer := time.NewTimer(left)
+	timer := time.NewTimer(remaining)
 	defer timer.Stop()
 	select {
 	case <-r.Config.Ready():
@@ -214,7 +214,7 @@
 }
 
 // left is how much time the request has; 0 where it has no bound.
-func (q *request) left() time.Duration {
+func (q *request) remaining() time.Duration {
 	if q.admitted.Deadline.IsZero() {
 		return 0
 	}
@@ -223,7 +223,7 @@
 
 func (q *request) outbound(s platform.Send) *Request {
 	s.Customer = q.admitted.Customer
-	s.Left = q.left()
+	s.Left = q.remaining()
 	s.Urgency = min(q.admitted.Priority, 9)
 	return &Request{
 		Method: q.call.Method,
