--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -127,7 +127,7 @@
 	w := q.watch(run, cancel, parts, hold, record)
 	defer func() { q.granted = w.stop() || q.granted }()
 	q.sends++
-	ans, err := q.BackendClient.Do(run, first.Address, q.outbound(send))
+	ans, err := q.BackendClient.Do(run, first.Address, q.newRequest(send))
 	if err != nil {
 		result = resultOf(endReasonOf(run, err), err)
 		return false, false, s.handleSendError(run, w, first, err)
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -221,7 +221,7 @@
 	return max(q.admitted.Deadline.Sub(q.Now()), time.Millisecond)
 }
 
-func (q *request) outbound(s platform.Send) *Request {
+func (q *request) newRequest(s platform.Send) *Request {
 	s.Customer = q.admitted.Customer
 	s.Left = q.remaining()
 	s.Urgency = min(q.admitted.Priority, 9)
