--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -37,7 +37,7 @@
 
 // dispatch sends a call to one backend server of a plain service, and to others
 // while that is allowed and helps.
-func (q *request) dispatch(ctx context.Context) bool {
+func (q *request) servePlain(ctx context.Context) bool {
 	var last *bufferedResponse
 	for ctx.Err() == nil {
 		server, f := q.pickAlone(ctx)
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -186,7 +186,7 @@
 	if admitted.Service.Engine != nil {
 		return q.generate(ctx)
 	}
-	return q.dispatch(ctx)
+	return q.servePlain(ctx)
 }
 
 // startWait is for how long after its start a router lets requests wait for the
