--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -184,7 +184,7 @@
 		defer cancel()
 	}
 	if admitted.Service.Engine != nil {
-		return q.generate(ctx)
+		return q.serveStream(ctx)
 	}
 	return q.servePlain(ctx)
 }
