--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -86,7 +86,7 @@
 // pickPlain chooses the backend server with the least expected wait: load seen
 // from here, latency, failures, and a little for another failure domain. Where
 // all are suspected the suspicion is likelier wrong than all of them down.
-func (q *request) pickPlain() *model.BackendServer {
+func (q *request) leastCostServer() *model.BackendServer {
 	var best *model.BackendServer
 	var lowest float64
 	for _, allowSuspects := range []bool{false, true} {
@@ -190,7 +190,7 @@
 // mayLeave tells whether a slow try may be given up: another server is there, and a
 // repeated send is granted.
 func (q *request) mayLeave(run context.Context) bool {
-	if q.pickPlain() == nil || !q.takeRepeat(run) {
+	if q.leastCostServer() == nil || !q.takeRepeat(run) {
 		return false
 	}
 	q.granted = true
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -192,7 +192,7 @@
 		return nil, f
 	}
 	for {
-		server := q.pickPlain()
+		server := q.leastCostServer()
 		switch {
 		case server != nil && v.Restriction != quarantine.TrialOnly:
 			return server, nil
