--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -40,7 +40,7 @@
 func (q *request) servePlain(ctx context.Context) bool {
 	var last *bufferedResponse
 	for ctx.Err() == nil {
-		server, f := q.pickAlone(ctx)
+		server, f := q.pickServer(ctx)
 		if f != nil && last == nil {
 			return q.refuse(f)
 		}
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -186,7 +186,7 @@
 }
 
 // pickAlone chooses a server of a plain service for the next try.
-func (q *request) pickAlone(ctx context.Context) (*model.BackendServer, *fault.Error) {
+func (q *request) pickServer(ctx context.Context) (*model.BackendServer, *fault.Error) {
 	v, f := q.standing(ctx)
 	if f != nil {
 		return nil, f
