--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -125,7 +125,7 @@
 	result := quarantine.Inconclusive
 	defer func() { q.confirm(record.End(result)) }()
 	began := q.Now()
-	ans, err := q.exchange(run, b)
+	ans, err := q.roundTrip(run, b)
 	if err != nil {
 		result = resultOf(endReasonOf(run, err), err)
 		q.recordFailure(b, endReasonOf(run, err), err, q.Now().Sub(began))
@@ -140,7 +140,7 @@
 
 // exchange sends the call and reads its whole answer. The server's load counts it from
 // here on; whoever takes in how it ended takes it off again, and a panic does so here.
-func (q *request) exchange(run context.Context, b *model.BackendServer) (read *bufferedResponse, err error) {
+func (q *request) roundTrip(run context.Context, b *model.BackendServer) (read *bufferedResponse, err error) {
 	q.Health.Begin(b.Incarnation())
 	returns := false
 	defer func() {
