--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -119,7 +119,7 @@
 	q.chain = b.ID
 	q.sends++
 	if q.admitted.Idempotent() && q.runs+1 < q.admitted.Route.MaxAttempts && q.sends < maxSends {
-		defer q.giveUpIfSlow(run, cancel, b)()
+		defer q.cancelIfSlow(run, cancel, b)()
 	}
 	record := q.Quarantine.Begin(q.fingerprint, q.excluded.suspect, quarantine.Location{Server: b.Incarnation(), Domain: b.FailureDomain})
 	result := quarantine.Inconclusive
@@ -161,7 +161,7 @@
 // else would be lost though its server is still at work on it; asked about only once, it
 // would stay with a server that is silent though another one may answer by then. stop
 // waits for a decision under way.
-func (q *request) giveUpIfSlow(run context.Context, cancel context.CancelCauseFunc, b *model.BackendServer) (stop func()) {
+func (q *request) cancelIfSlow(run context.Context, cancel context.CancelCauseFunc, b *model.BackendServer) (stop func()) {
 	usual := q.Health.View(b.Incarnation()).Latency
 	most := max(slowAttemptFactor*usual, q.admitted.Route.TargetLatency, minAttemptTimeout)
 	run, quit := context.WithCancel(run)
