--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -169,7 +169,7 @@
 	timer := time.AfterFunc(most, func() {
 		defer close(decided)
 		defer q.containSlow()
-		for kept := false; !q.mayLeave(run); kept = true {
+		for kept := false; !q.mayRetryElsewhere(run); kept = true {
 			if !kept {
 				klog.InfoS("slow try is kept while it may go nowhere else", "request", q.call.Attempt, "server", b.Incarnation(), "ms", most.Milliseconds())
 			}
@@ -189,7 +189,7 @@
 
 // mayLeave tells whether a slow try may be given up: another server is there, and a
 // repeated send is granted.
-func (q *request) mayLeave(run context.Context) bool {
+func (q *request) mayRetryElsewhere(run context.Context) bool {
 	if q.leastCostServer() == nil || !q.takeRepeat(run) {
 		return false
 	}
