--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -134,7 +134,7 @@
 	if !ans.verdict.NotRun {
 		result = quarantine.Completed
 	}
-	q.judge(b, ans, q.Now().Sub(began))
+	q.recordResponse(b, ans, q.Now().Sub(began))
 	return ans, nil
 }
 
@@ -219,7 +219,7 @@
 }
 
 // judge takes in what an answer says of its server.
-func (q *request) judge(b *model.BackendServer, ans *bufferedResponse, took time.Duration) {
+func (q *request) recordResponse(b *model.BackendServer, ans *bufferedResponse, took time.Duration) {
 	switch {
 	case ans.verdict.Misdirected:
 		q.Health.End(b.Incarnation(), false, 0)
