--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -150,7 +150,7 @@
 	}()
 	ans, err := q.BackendClient.Do(run, b.Address, q.newRequest(platform.Send{Instance: b.ID}))
 	if err == nil {
-		read, err = q.readWhole(ans)
+		read, err = q.readResponse(ans)
 	}
 	returns = true
 	return read, err
@@ -235,7 +235,7 @@
 
 // readWhole reads an answer to its end. An answer that is cut short, or that
 // belongs to another request, is an error.
-func (q *request) readWhole(ans *Response) (*bufferedResponse, error) {
+func (q *request) readResponse(ans *Response) (*bufferedResponse, error) {
 	defer ans.Body.Close()
 	v := platform.DecodeVerdict(ans.Status, ans.Header)
 	if v.Attempt != "" && v.Attempt != q.call.Attempt {
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -147,12 +147,12 @@
 	s.ranOn[first.Incarnation()] = true
 	if ans.Status != http.StatusOK || v.Signature == "" {
 		s.Health.RecordOutcome(first.Incarnation(), false)
-		read, err := s.readWhole(ans)
+		read, err := s.readResponse(ans)
 		result = survivedIf(run, err)
 		return s.handleFailureResponse(ans, read, err)
 	}
 	if q.admitted.Route.Kind != model.RouteStreaming {
-		read, err := s.readWhole(ans)
+		read, err := s.readResponse(ans)
 		result = survivedIf(run, err)
 		return s.forwardSingle(read, err)
 	}
