--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -50,7 +50,7 @@
 		ans, err := q.attempt(ctx, server)
 		switch {
 		case err == nil && !ans.verdict.NotRun && (ans.status < 500 || !q.admitted.Idempotent()):
-			return q.deliver(ans)
+			return q.forward(ans)
 		case err == nil:
 			last = ans
 		}
@@ -72,7 +72,7 @@
 func (q *request) respondFailure(ctx context.Context, last *bufferedResponse) bool {
 	switch {
 	case last != nil && !last.verdict.NotRun:
-		return q.deliver(last)
+		return q.forward(last)
 	case ctx.Err() != nil:
 		return q.refuse(q.ended(ctx))
 	case q.runs > 0:
@@ -257,7 +257,7 @@
 }
 
 // deliver passes a backend server's answer on unchanged.
-func (q *request) deliver(ans *bufferedResponse) bool {
+func (q *request) forward(ans *bufferedResponse) bool {
 	h := http.Header{}
 	platform.AnswerHeaders(h, ans.header)
 	q.out.WriteHeader(ans.status, h, int64(len(ans.body)))
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -81,7 +81,7 @@
 func (s *stream) respondFailure(ctx context.Context, f *fault.Error) bool {
 	switch {
 	case s.failureResponse != nil && !s.out.head:
-		return s.deliver(s.failureResponse)
+		return s.forward(s.failureResponse)
 	case ctx.Err() != nil:
 		f = s.ended(ctx)
 	}
@@ -178,7 +178,7 @@
 	if err != nil {
 		return false, false, fault.New(fault.BackendLost, "%v", err)
 	}
-	return true, s.deliver(read), nil
+	return true, s.forward(read), nil
 }
 
 // handleFailureResponse handles an engine's own failure: a stream that has not begun may be
@@ -189,7 +189,7 @@
 		return false, false, fault.New(fault.BackendFailed, "%v", err)
 	}
 	if !s.out.head && (read.status < 500 || !s.repeatable()) {
-		return true, s.deliver(read), nil
+		return true, s.forward(read), nil
 	}
 	s.failureResponse = read
 	return false, false, fault.New(fault.BackendFailed, "an engine failed with status %d", ans.Status)
