--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -15,7 +15,7 @@
 // deny answers what the configuration does not allow. An old configuration
 // may lack a route or key that is in force: then the request is refused for
 // now, which its caller may repeat, and not for good.
-func (q *request) deny(f *fault.Error) bool {
+func (q *request) reject(f *fault.Error) bool {
 	age := q.Config.Age(q.Clock())
 	permanent := f.Kind == fault.NotFound || f.Kind == fault.UnknownCustomer
 	if permanent && age > q.MaxConfigAge {
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -175,7 +175,7 @@
 	admitted, denied := table.Admit(c, q.startTime)
 	q.admitted = admitted
 	if denied != nil {
-		return q.deny(denied)
+		return q.reject(denied)
 	}
 	r.RetryBorrower.Budget.RecordRequest(admitted.Service.Name)
 	if !admitted.Deadline.IsZero() {
