--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -21,11 +21,11 @@
 	if permanent && age > q.MaxConfigAge {
 		f = fault.New(fault.StaleConfig, "the configuration is not known to be current: %s", f.Msg)
 	}
-	return q.refuse(f)
+	return q.respondError(f)
 }
 
 // refuse gives the final answer of the system's own.
-func (q *request) refuse(f *fault.Error) bool {
+func (q *request) respondError(f *fault.Error) bool {
 	status := f.Kind.Answer().Status
 	if q.runs > 0 && promisesNotRun(status) {
 		f = f.WithKind(fault.BackendLost)
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -42,7 +42,7 @@
 	for ctx.Err() == nil {
 		server, f := q.pickServer(ctx)
 		if f != nil && last == nil {
-			return q.refuse(f)
+			return q.respondError(f)
 		}
 		if server == nil {
 			break
@@ -74,13 +74,13 @@
 	case last != nil && !last.verdict.NotRun:
 		return q.forward(last)
 	case ctx.Err() != nil:
-		return q.refuse(q.ended(ctx))
+		return q.respondError(q.ended(ctx))
 	case q.runs > 0:
-		return q.refuse(fault.New(fault.BackendLost, "the backend server's answer was lost"))
+		return q.respondError(fault.New(fault.BackendLost, "the backend server's answer was lost"))
 	case last != nil:
-		return q.refuse(fault.New(fault.Overloaded, "every backend server asked was full"))
+		return q.respondError(fault.New(fault.Overloaded, "every backend server asked was full"))
 	}
-	return q.refuse(fault.New(fault.NoCapacity, "no backend server of %s takes work", q.admitted.Service.Name))
+	return q.respondError(fault.New(fault.NoCapacity, "no backend server of %s takes work", q.admitted.Service.Name))
 }
 
 // pickPlain chooses the backend server with the least expected wait: load seen
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -61,7 +61,7 @@
 			return whole
 		}
 		if s.delivered != nil {
-			return q.refuse(fault.New(fault.CancelledSent, "the caller takes no more: %v", s.delivered))
+			return q.respondError(fault.New(fault.CancelledSent, "the caller takes no more: %v", s.delivered))
 		}
 		last = fault.From(err)
 		if ctx.Err() != nil || !s.resumable() || !q.mayResume(ctx, err) {
@@ -85,7 +85,7 @@
 	case ctx.Err() != nil:
 		f = s.ended(ctx)
 	}
-	return s.refuse(f)
+	return s.respondError(f)
 }
 
 // runHolding runs the request through one chain and gives its memory back, also where
--- a/internal/protocol/relay/panic.go
+++ b/internal/protocol/relay/panic.go
@@ -42,7 +42,7 @@
 	}
 	q.tellPanic("request", cause)
 	q.runs = max(q.runs, q.sends)
-	*whole = q.refuse(fault.New(fault.BackendLost, "a fault inside the router ended the request"))
+	*whole = q.respondError(fault.New(fault.BackendLost, "a fault inside the router ended the request"))
 }
 
 // contain is the same for what watches a run beside its request: the run is ended,
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -170,7 +170,7 @@
 	defer q.contain(&whole)
 	table := r.table(ctx)
 	if table == nil {
-		return q.refuse(fault.New(fault.NotReady, "no configuration yet"))
+		return q.respondError(fault.New(fault.NotReady, "no configuration yet"))
 	}
 	admitted, denied := table.Admit(c, q.startTime)
 	q.admitted = admitted
