--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -113,7 +113,7 @@
 		q.waitingForCapacity = false
 		return parts, hold, nil
 	case ctx.Err() != nil:
-		return nil, nil, q.ended(ctx)
+		return nil, nil, q.contextError(ctx)
 	case verdict == chains.NoChain && len(q.avoid) > 0:
 		// Better an engine that failed once than none.
 		clear(q.avoid)
--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -98,7 +98,7 @@
 
 // ended gives the answer for a request whose time is over, whose caller left, or whose
 // router stops.
-func (q *request) ended(ctx context.Context) *fault.Error {
+func (q *request) contextError(ctx context.Context) *fault.Error {
 	stops := errors.Is(context.Cause(ctx), ErrStopping)
 	switch {
 	case stops && q.runs == 0:
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -74,7 +74,7 @@
 	case last != nil && !last.verdict.NotRun:
 		return q.forward(last)
 	case ctx.Err() != nil:
-		return q.respondError(q.ended(ctx))
+		return q.respondError(q.contextError(ctx))
 	case q.runs > 0:
 		return q.respondError(fault.New(fault.BackendLost, "the backend server's answer was lost"))
 	case last != nil:
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -83,7 +83,7 @@
 	case s.failureResponse != nil && !s.out.head:
 		return s.forward(s.failureResponse)
 	case ctx.Err() != nil:
-		f = s.ended(ctx)
+		f = s.contextError(ctx)
 	}
 	return s.respondError(f)
 }
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -69,7 +69,7 @@
 	v := q.Quarantine.Assess(q.fingerprint())
 	for v.Restriction == quarantine.Undecided {
 		if !wait.For(ctx, evidencePollInterval) {
-			return v, q.ended(ctx)
+			return v, q.contextError(ctx)
 		}
 		v = q.Quarantine.Assess(q.fingerprint())
 	}
