--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -188,7 +188,7 @@
 	if err != nil {
 		return false, false, fault.New(fault.BackendFailed, "%v", err)
 	}
-	if !s.out.head && (read.status < 500 || !s.repeatable()) {
+	if !s.out.head && (read.status < 500 || !s.retryable()) {
 		return true, s.forward(read), nil
 	}
 	s.failureResponse = read
--- a/internal/protocol/relay/repeat.go
+++ b/internal/protocol/relay/repeat.go
@@ -7,7 +7,7 @@
 )
 
 // repeatable tells whether the request may be sent again at all.
-func (q *request) repeatable() bool {
+func (q *request) retryable() bool {
 	if q.runs >= q.admitted.Route.MaxAttempts || q.sends >= maxSends {
 		return false
 	}
@@ -17,7 +17,7 @@
 // mayRepeat takes one repeated send from the budget, if the request may be sent
 // again.
 func (q *request) mayRepeat(ctx context.Context, reason string) bool {
-	if !q.repeatable() {
+	if !q.retryable() {
 		return false
 	}
 	if q.firstSend() {
