--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -53,7 +53,7 @@
 // mayResume decides whether the stream goes on elsewhere.
 func (q *request) mayResume(ctx context.Context, err error) bool {
 	if q.runs == 0 {
-		return q.mayRepeat(ctx, "refused")
+		return q.allowRetry(ctx, "refused")
 	}
 	// An engine that was lost does not count as an attempt, and a stream that
 	// may be resumed is worth more sends than a fresh one.
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -58,7 +58,7 @@
 		if err != nil {
 			reason = "lost"
 		}
-		if !q.mayRepeat(ctx, reason) {
+		if !q.allowRetry(ctx, reason) {
 			break
 		}
 		klog.InfoS("sent again", "request", q.call.Attempt, "reason", reason, "server", server.Incarnation(), "err", err, "sends", q.sends)
--- a/internal/protocol/relay/repeat.go
+++ b/internal/protocol/relay/repeat.go
@@ -16,7 +16,7 @@
 
 // mayRepeat takes one repeated send from the budget, if the request may be sent
 // again.
-func (q *request) mayRepeat(ctx context.Context, reason string) bool {
+func (q *request) allowRetry(ctx context.Context, reason string) bool {
 	if !q.retryable() {
 		return false
 	}
