--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -60,7 +60,7 @@
 	if !q.admitted.Idempotent() || q.sends >= maxSends {
 		return false
 	}
-	if !q.takeRepeat(ctx) {
+	if !q.takeRetryToken(ctx) {
 		if ctx.Err() == nil {
 			klog.InfoS("not resumed: the retry budget is used up", "request", q.call.Attempt, "err", err)
 		}
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -190,7 +190,7 @@
 // mayLeave tells whether a slow try may be given up: another server is there, and a
 // repeated send is granted.
 func (q *request) mayRetryElsewhere(run context.Context) bool {
-	if q.leastCostServer() == nil || !q.takeRepeat(run) {
+	if q.leastCostServer() == nil || !q.takeRetryToken(run) {
 		return false
 	}
 	q.granted = true
--- a/internal/protocol/relay/repeat.go
+++ b/internal/protocol/relay/repeat.go
@@ -23,7 +23,7 @@
 	if q.firstSend() {
 		return ctx.Err() == nil
 	}
-	if !q.takeRepeat(ctx) {
+	if !q.takeRetryToken(ctx) {
 		if ctx.Err() == nil {
 			klog.InfoS("no repeat: the retry budget is used up", "request", q.call.Attempt, "reason", reason)
 		}
@@ -40,7 +40,7 @@
 
 // takeRepeat takes one repeated send from the budget, unless that was done when the
 // try before was given up.
-func (q *request) takeRepeat(ctx context.Context) bool {
+func (q *request) takeRetryToken(ctx context.Context) bool {
 	if q.granted {
 		q.granted = false
 		return true
