--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -51,7 +51,7 @@
 }
 
 // mayResume decides whether the stream goes on elsewhere.
-func (q *request) mayResume(ctx context.Context, err error) bool {
+func (q *request) allowResume(ctx context.Context, err error) bool {
 	if q.runs == 0 {
 		return q.allowRetry(ctx, "refused")
 	}
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -64,7 +64,7 @@
 			return q.respondError(fault.New(fault.CancelledSent, "the caller takes no more: %v", s.delivered))
 		}
 		last = fault.From(err)
-		if ctx.Err() != nil || !s.resumable() || !q.mayResume(ctx, err) {
+		if ctx.Err() != nil || !s.resumable() || !q.allowResume(ctx, err) {
 			return s.respondFailure(ctx, last)
 		}
 		klog.InfoS("stream resumed at another chain", "request", q.call.Attempt, "after", s.lastID, "events", s.events,
