--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -73,7 +73,7 @@
 // acquire chooses a chain and reserves its memory, waiting a moment for room.
 func (s *stream) acquire(ctx context.Context) ([]chains.Stage, *chains.Reservation, *fault.Error) {
 	q := s.request
-	demand := chains.Requirements{Domain: q.FailureDomain, Tokens: s.tokens, MaxEventGap: q.admitted.Route.TargetGap, Avoid: q.avoid, FirstStageIn: s.firstAmong(), Resumed: s.events > 0}
+	demand := chains.Requirements{Domain: q.FailureDomain, Tokens: s.tokens, MaxEventGap: q.admitted.Route.TargetGap, Avoid: q.avoid, FirstStageIn: s.allowedFirstEngines(), Resumed: s.events > 0}
 	if q.excluded.suspect {
 		demand.ExcludeFirstStage = q.excluded.bars
 		demand.FirstStageCost = q.beginCost
@@ -134,7 +134,7 @@
 // the route's attempts: once they are used up, the stream goes on only where it
 // ran before. An engine that was lost is no attempt; one that is only gone from the
 // list leaves, and may serve on for many seconds.
-func (s *stream) firstAmong() map[model.Incarnation]bool {
+func (s *stream) allowedFirstEngines() map[model.Incarnation]bool {
 	alive := map[model.Incarnation]bool{}
 	for inc := range s.ranOn {
 		if !s.Suspects.Lost(inc) {
--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -89,12 +89,12 @@
 	s, _ := half()
 	one, two := model.Incarnation{ID: "one"}, model.Incarnation{ID: "two"}
 	s.ranOn[one] = true
-	assert.Assert(t, s.firstAmong() == nil, "one attempt is left")
+	assert.Assert(t, s.allowedFirstEngines() == nil, "one attempt is left")
 	s.ranOn[two] = true
 	s.Catalog.Remove("one", 1, 0)
-	assert.DeepEqual(t, s.firstAmong(), map[model.Incarnation]bool{one: true, two: true})
+	assert.DeepEqual(t, s.allowedFirstEngines(), map[model.Incarnation]bool{one: true, two: true})
 	s.Suspects.Exited(one)
-	assert.Assert(t, s.firstAmong() == nil)
+	assert.Assert(t, s.allowedFirstEngines() == nil)
 }
 
 // The caller has left when its stream's turn comes. No chain is chosen for it and no
--- a/internal/protocol/relay/lost_test.go
+++ b/internal/protocol/relay/lost_test.go
@@ -47,7 +47,7 @@
 				q := &request{Relay: s.Relay, call: &model.Call{Attempt: "1"}}
 				q.admitted.Route = &model.Route{MaxAttempts: 2}
 				ran := &stream{request: q, ranOn: map[model.Incarnation]bool{lost: true, inc("two"): true}}
-				assert.Equal(t, ran.firstAmong() == nil, c.lost, "a third engine may run it")
+				assert.Equal(t, ran.allowedFirstEngines() == nil, c.lost, "a third engine may run it")
 			})
 		})
 	}
