--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -30,7 +30,7 @@
 
 // size is how many tokens the request will hold: its prompt, and its answer as
 // the caller guesses it or as is usual.
-func (q *request) size() int {
+func (q *request) expectedTokens() int {
 	spec := q.admitted.Service.Engine
 	answer := float64(q.call.AnswerHint)
 	if answer == 0 {
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -45,7 +45,7 @@
 
 // generate runs a request through chains of engines.
 func (q *request) serveStream(ctx context.Context) bool {
-	s := &stream{request: q, tokens: q.size(), ranOn: map[model.Incarnation]bool{}}
+	s := &stream{request: q, tokens: q.expectedTokens(), ranOn: map[model.Incarnation]bool{}}
 	if id, err := strconv.ParseInt(q.call.ResumeAfter, 10, 64); err == nil {
 		s.lastID = id
 		s.hasLast = true
