--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -71,7 +71,7 @@
 }
 
 // acquire chooses a chain and reserves its memory, waiting a moment for room.
-func (s *stream) acquire(ctx context.Context) ([]chains.Stage, *chains.Reservation, *fault.Error) {
+func (s *stream) reserveChain(ctx context.Context) ([]chains.Stage, *chains.Reservation, *fault.Error) {
 	q := s.request
 	demand := chains.Requirements{Domain: q.FailureDomain, Tokens: s.tokens, MaxEventGap: q.admitted.Route.TargetGap, Avoid: q.avoid, FirstStageIn: s.allowedFirstEngines(), Resumed: s.events > 0}
 	if q.excluded.suspect {
--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -56,7 +56,7 @@
 		s.lastEvent = time.Now().Add(-300 * time.Millisecond)
 		began := time.Now()
 		time.AfterFunc(900*time.Millisecond, func() { s.Catalog.Put(holder) })
-		parts, hold, f := s.acquire(t.Context())
+		parts, hold, f := s.reserveChain(t.Context())
 		assert.Assert(t, f == nil, "%v", f)
 		hold.Release()
 		assert.Equal(t, len(parts), 2)
@@ -70,12 +70,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := half()
 		began := time.Now()
-		_, _, f := s.acquire(t.Context())
+		_, _, f := s.reserveChain(t.Context())
 		assert.Equal(t, f.Kind, fault.NoCapacity)
 		assert.Equal(t, time.Since(began), time.Duration(0))
 		s.events = 5
 		s.lastEvent = time.Now()
-		_, _, f = s.acquire(t.Context())
+		_, _, f = s.reserveChain(t.Context())
 		assert.Equal(t, f.Kind, fault.NoCapacity)
 		assert.Assert(t, time.Since(began) >= 2*time.Second && time.Since(began) <= callerGapTimeout+chainPollInterval)
 	})
@@ -108,7 +108,7 @@
 		for _, events := range []int{0, 5} {
 			s.events = events
 			s.lastEvent = time.Now()
-			_, hold, f := s.acquire(ctx)
+			_, hold, f := s.reserveChain(ctx)
 			assert.Assert(t, hold == nil)
 			assert.Assert(t, f != nil)
 			assert.Equal(t, s.Memory.Used(holder.Incarnation()).Streams, 0.0)
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -125,7 +125,7 @@
 		if f != nil {
 			return nil, nil, f
 		}
-		parts, hold, f := s.acquire(ctx)
+		parts, hold, f := s.reserveChain(ctx)
 		if f != nil && v.Restriction != quarantine.TrialOnly {
 			return nil, nil, f
 		}
