--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -168,7 +168,7 @@
 	decided := make(chan struct{})
 	timer := time.AfterFunc(most, func() {
 		defer close(decided)
-		defer q.containSlow()
+		defer q.recoverTimerPanic()
 		for kept := false; !q.mayRetryElsewhere(run); kept = true {
 			if !kept {
 				klog.InfoS("slow try is kept while it may go nowhere else", "request", q.call.Attempt, "server", b.Incarnation(), "ms", most.Milliseconds())
--- a/internal/protocol/relay/panic.go
+++ b/internal/protocol/relay/panic.go
@@ -56,7 +56,7 @@
 }
 
 // containSlow is the same for the timer of a slow try, which then goes on.
-func (q *request) containSlow() {
+func (q *request) recoverTimerPanic() {
 	if cause := recover(); cause != nil {
 		q.tellPanic("slow try", cause)
 	}
