--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -25,7 +25,7 @@
 // each a few layers, and all streams of the lost engine spread over all chains. Moved,
 // they would all wait for the lost engine's twin to read.
 func (w *chainWatch) leaveEngines(lost engineSet, why endReason) {
-	defer w.contain()
+	defer w.recoverPanic()
 	w.mu.Lock()
 	culprit, through := usesAny(w.parts, lost)
 	if w.stopped || w.moving || !through {
--- a/internal/protocol/relay/panic.go
+++ b/internal/protocol/relay/panic.go
@@ -32,7 +32,7 @@
 // The other requests may go on: what requests share changes in short sections under
 // locks that only count, and the search for a chain, where a fault is likeliest, works
 // on what is never changed in place.
-func (q *request) contain(whole *bool) {
+func (q *request) recoverPanic(whole *bool) {
 	cause := recover()
 	if cause == nil {
 		return
@@ -48,7 +48,7 @@
 // contain is the same for what watches a run beside its request: the run is ended,
 // and the stream goes on through another chain. The watch's lock is free by then: what
 // ask and leave call under it gives it back by a deferred call.
-func (w *chainWatch) contain() {
+func (w *chainWatch) recoverPanic() {
 	if cause := recover(); cause != nil {
 		w.q.tellPanic("watch", cause)
 		w.end(runFailure{why: panicked, err: errPanic})
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -167,7 +167,7 @@
 // be broken off, because the answer cannot be completed.
 func (r *Relay) Serve(ctx context.Context, c *model.Call, caller ResponseWriter) (whole bool) {
 	q := &request{Relay: r, call: c, out: &headerTracker{ResponseWriter: caller}, startTime: r.Now(), avoid: map[model.Incarnation]bool{}}
-	defer q.contain(&whole)
+	defer q.recoverPanic(&whole)
 	table := r.table(ctx)
 	if table == nil {
 		return q.respondError(fault.New(fault.NotReady, "no configuration yet"))
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -152,7 +152,7 @@
 
 // onTimer runs when the timer fires.
 func (w *chainWatch) onTimer() {
-	defer w.contain()
+	defer w.recoverPanic()
 	w.mu.Lock()
 	early := w.early
 	news := w.news
