--- a/internal/protocol/relay/panic.go
+++ b/internal/protocol/relay/panic.go
@@ -40,7 +40,7 @@
 	if err, ok := cause.(error); ok && errors.Is(err, http.ErrAbortHandler) {
 		panic(cause) // no fault: the connection is to be aborted
 	}
-	q.tellPanic("request", cause)
+	q.reportPanic("request", cause)
 	q.runs = max(q.runs, q.sends)
 	*whole = q.respondError(fault.New(fault.BackendLost, "a fault inside the router ended the request"))
 }
@@ -50,7 +50,7 @@
 // ask and leave call under it gives it back by a deferred call.
 func (w *chainWatch) recoverPanic() {
 	if cause := recover(); cause != nil {
-		w.q.tellPanic("watch", cause)
+		w.q.reportPanic("watch", cause)
 		w.end(runFailure{why: panicked, err: errPanic})
 	}
 }
@@ -58,13 +58,13 @@
 // containSlow is the same for the timer of a slow try, which then goes on.
 func (q *request) recoverTimerPanic() {
 	if cause := recover(); cause != nil {
-		q.tellPanic("slow try", cause)
+		q.reportPanic("slow try", cause)
 	}
 }
 
 // tellPanic logs and counts a panic. It is called by what recovered it, so that the
 // stack is that of the fault.
-func (q *request) tellPanic(where string, cause any) {
+func (q *request) reportPanic(where string, cause any) {
 	klog.ErrorS(errPanic, "fault in the code", "request", q.call.Attempt, "where", where, "panic", cause, "stack", string(debug.Stack()))
 	if q.OnPanic != nil {
 		q.OnPanic(where)
