--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -61,7 +61,7 @@
 // It is asked before each send, the first as well as repeated ones: a request that ends the
 // servers which run it would else end one with each send, and with each return of its
 // caller, here or at another router.
-func (q *request) standing(ctx context.Context) (quarantine.Assessment, *fault.Error) {
+func (q *request) checkQuarantine(ctx context.Context) (quarantine.Assessment, *fault.Error) {
 	if !q.Quarantine.HasSuspects() {
 		q.excluded = exclusions{}
 		return quarantine.Assessment{}, nil
@@ -121,7 +121,7 @@
 func (s *stream) reservePermitted(ctx context.Context) ([]chains.Stage, *chains.Reservation, *fault.Error) {
 	until := s.Now().Add(callerGapTimeout)
 	for {
-		v, f := s.standing(ctx)
+		v, f := s.checkQuarantine(ctx)
 		if f != nil {
 			return nil, nil, f
 		}
@@ -187,7 +187,7 @@
 
 // pickAlone chooses a server of a plain service for the next try.
 func (q *request) pickServer(ctx context.Context) (*model.BackendServer, *fault.Error) {
-	v, f := q.standing(ctx)
+	v, f := q.checkQuarantine(ctx)
 	if f != nil {
 		return nil, f
 	}
