--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -80,14 +80,14 @@
 		q.excluded.servers = nil
 	}
 	if v.Restriction == quarantine.Quarantined {
-		return v, q.quarantined(v)
+		return v, q.quarantineError(v)
 	}
 	return v, nil
 }
 
 // quarantined is the final answer for a request under which servers end. It says whether
 // this attempt ran.
-func (q *request) quarantined(v quarantine.Assessment) *fault.Error {
+func (q *request) quarantineError(v quarantine.Assessment) *fault.Error {
 	klog.InfoS("request goes to no server", "request", q.call.Attempt, "work", q.fingerprint(), "ends", v.Exits, "runs", q.runs)
 	if q.runs == 0 {
 		return fault.New(fault.Quarantined, "%d backend servers ended under this request; it was not run this time", v.Exits)
