--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -96,7 +96,7 @@
 }
 
 // tryAlone asks for a trial at servers. Where one of them runs another suspect it is barred.
-func (q *request) tryAlone(ctx context.Context, servers []model.Incarnation) permission {
+func (q *request) startTrial(ctx context.Context, servers []model.Incarnation) permission {
 	g := q.RequestTrial(ctx, q.fingerprint(), servers)
 	klog.InfoS("request asks for a trial", "request", q.call.Attempt, "work", q.fingerprint(), "servers", len(servers), "first", servers[0], "granted", g.Granted, "busy", g.BusyServer, "waitMs", g.WaitMS)
 	switch {
@@ -176,7 +176,7 @@
 	if !v.LaterStage {
 		servers = servers[:1]
 	}
-	return s.tryAlone(ctx, servers)
+	return s.startTrial(ctx, servers)
 }
 
 // mayMove tells whether a running stream may be moved to another engine: a request that
@@ -201,7 +201,7 @@
 		case server == nil:
 			return nil, nil
 		}
-		switch q.tryAlone(ctx, []model.Incarnation{server.Incarnation()}) {
+		switch q.startTrial(ctx, []model.Incarnation{server.Incarnation()}) {
 		case runNow:
 			return server, nil
 		case notNow:
