--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -112,7 +112,7 @@
 	return lookAgain
 }
 
-func (q *request) onTrial(ends int) *fault.Error {
+func (q *request) trialError(ends int) *fault.Error {
 	return fault.New(fault.OnTrial, "%d backend servers ended under this request, so it runs alone, and there is no room for that", ends)
 }
 
@@ -142,7 +142,7 @@
 		}
 		// Who has begun to run keeps its place for a while; a new one may come back.
 		if s.runs == 0 || !s.Now().Before(until) || !wait.For(ctx, trialPollInterval) {
-			return nil, nil, s.onTrial(v.Exits)
+			return nil, nil, s.trialError(v.Exits)
 		}
 		clear(s.excluded.servers)
 	}
@@ -197,7 +197,7 @@
 		case server != nil && v.Restriction != quarantine.TrialOnly:
 			return server, nil
 		case server == nil && v.Restriction == quarantine.TrialOnly:
-			return nil, q.onTrial(v.Exits)
+			return nil, q.trialError(v.Exits)
 		case server == nil:
 			return nil, nil
 		}
@@ -205,7 +205,7 @@
 		case runNow:
 			return server, nil
 		case notNow:
-			return nil, q.onTrial(v.Exits)
+			return nil, q.trialError(v.Exits)
 		}
 	}
 }
