--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -130,7 +130,7 @@
 			return nil, nil, f
 		}
 		if f == nil {
-			may := s.mayRunAt(ctx, parts, v)
+			may := s.permissionAt(ctx, parts, v)
 			if may == runNow {
 				return parts, hold, nil
 			}
@@ -161,7 +161,7 @@
 
 // mayRunAt tells whether the stream may run at the engines that were found for it. Finding
 // them may have taken a while, in which more was learnt.
-func (s *stream) mayRunAt(ctx context.Context, parts []chains.Stage, before quarantine.Assessment) permission {
+func (s *stream) permissionAt(ctx context.Context, parts []chains.Stage, before quarantine.Assessment) permission {
 	if !s.Quarantine.HasSuspects() {
 		return runNow
 	}
