--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -75,7 +75,7 @@
 // that cannot be done.
 func (w *chainWatch) routeAround(parts []chains.Stage, lost engineSet) []chains.Stage {
 	q := w.q
-	if !q.admitted.Idempotent() || !q.mayMove() || w.isUnsure() {
+	if !q.admitted.Idempotent() || !q.mayReroute() || w.isUnsure() {
 		return nil
 	}
 	avoid := q.ActiveRuns.silentAmong(engines(parts))
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -181,7 +181,7 @@
 
 // mayMove tells whether a running stream may be moved to another engine: a request that
 // ends engines as a later part of a chain would else end one after the other in one run.
-func (q *request) mayMove() bool {
+func (q *request) mayReroute() bool {
 	return !q.Quarantine.HasSuspects() || q.Quarantine.Assess(q.fingerprint()).Restriction < quarantine.TrialOnly
 }
 
