--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -127,7 +127,7 @@
 	began := q.Now()
 	ans, err := q.roundTrip(run, b)
 	if err != nil {
-		result = resultOf(endReasonOf(run, err), err)
+		result = runResult(endReasonOf(run, err), err)
 		q.recordFailure(b, endReasonOf(run, err), err, q.Now().Sub(began))
 		return nil, err
 	}
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -129,7 +129,7 @@
 	q.sends++
 	ans, err := q.BackendClient.Do(run, first.Address, q.newRequest(send))
 	if err != nil {
-		result = resultOf(endReasonOf(run, err), err)
+		result = runResult(endReasonOf(run, err), err)
 		return false, false, s.handleSendError(run, w, first, err)
 	}
 	defer ans.Body.Close()
@@ -167,7 +167,7 @@
 		return true, true, nil
 	}
 	if s.delivered == nil {
-		result = resultOf(endReasonOf(run, end), end)
+		result = runResult(endReasonOf(run, end), end)
 		s.recordChainLoss(w, endReasonOf(run, end), end)
 	}
 	return false, false, fault.New(fault.BackendLost, "a chain broke off after %d events", s.events)
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -211,7 +211,7 @@
 }
 
 // resultOf tells what the end of a run without a whole answer says of its request.
-func resultOf(why endReason, err error) quarantine.Result {
+func runResult(why endReason, err error) quarantine.Result {
 	if !errors.Is(err, ErrNotSent) && (why == connectionLost || why == engineExited) {
 		return quarantine.ConnectionLost
 	}
@@ -223,7 +223,7 @@
 	if err == nil {
 		return quarantine.Completed
 	}
-	return resultOf(endReasonOf(run, err), err)
+	return runResult(endReasonOf(run, err), err)
 }
 
 // places lists the servers of a chain with their failure domains.
