--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -148,12 +148,12 @@
 	if ans.Status != http.StatusOK || v.Signature == "" {
 		s.Health.RecordOutcome(first.Incarnation(), false)
 		read, err := s.readResponse(ans)
-		result = survivedIf(run, err)
+		result = bufferedResult(run, err)
 		return s.handleFailureResponse(ans, read, err)
 	}
 	if q.admitted.Route.Kind != model.RouteStreaming {
 		read, err := s.readResponse(ans)
-		result = survivedIf(run, err)
+		result = bufferedResult(run, err)
 		return s.forwardSingle(read, err)
 	}
 	s.ranEvents = 0
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -219,7 +219,7 @@
 }
 
 // survivedIf is what a single answer says, which was read whole unless err tells otherwise.
-func survivedIf(run context.Context, err error) quarantine.Result {
+func bufferedResult(run context.Context, err error) quarantine.Result {
 	if err == nil {
 		return quarantine.Completed
 	}
