--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -121,7 +121,7 @@
 	}
 	run, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	record := q.Quarantine.Begin(q.fingerprint, q.excluded.suspect, places(parts)...)
+	record := q.Quarantine.Begin(q.fingerprint, q.excluded.suspect, locations(parts)...)
 	result := quarantine.Inconclusive
 	defer func() { q.confirm(record.End(result)) }()
 	w := q.watch(run, cancel, parts, hold, record)
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -88,7 +88,7 @@
 		err := w.sendReroute(next, avoid)
 		if err == nil {
 			w.hold.Move(next)
-			w.record.Move(places(next))
+			w.record.Move(locations(next))
 			q.Observer.Retry(q.admitted.Service.Name, "repath")
 			return next
 		}
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -227,7 +227,7 @@
 }
 
 // places lists the servers of a chain with their failure domains.
-func places(parts []chains.Stage) []quarantine.Location {
+func locations(parts []chains.Stage) []quarantine.Location {
 	out := make([]quarantine.Location, len(parts))
 	for i, p := range parts {
 		out[i] = quarantine.Location{Server: p.Server.Incarnation(), Domain: p.Server.FailureDomain}
