--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -123,7 +123,7 @@
 	}
 	record := q.Quarantine.Begin(q.fingerprint, q.excluded.suspect, quarantine.Location{Server: b.Incarnation(), Domain: b.FailureDomain})
 	result := quarantine.Inconclusive
-	defer func() { q.confirm(record.End(result)) }()
+	defer func() { q.confirmExits(record.End(result)) }()
 	began := q.Now()
 	ans, err := q.roundTrip(run, b)
 	if err != nil {
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -123,7 +123,7 @@
 	defer cancel(nil)
 	record := q.Quarantine.Begin(q.fingerprint, q.excluded.suspect, locations(parts)...)
 	result := quarantine.Inconclusive
-	defer func() { q.confirm(record.End(result)) }()
+	defer func() { q.confirmExits(record.End(result)) }()
 	w := q.watch(run, cancel, parts, hold, record)
 	defer func() { q.granted = w.stop() || q.granted }()
 	q.sends++
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -238,7 +238,7 @@
 // confirm asks servers at which a suspect broke off whether their processes go on: the
 // request waits for that, and others tell of it late, of a plain service only when a
 // successor registers.
-func (r *Relay) confirm(servers []model.Incarnation) {
+func (r *Relay) confirmExits(servers []model.Incarnation) {
 	for _, server := range servers {
 		if b := r.Catalog.Load().Find(server); b != nil {
 			go r.confirmEnd(b)
