--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -241,12 +241,12 @@
 func (r *Relay) confirmExits(servers []model.Incarnation) {
 	for _, server := range servers {
 		if b := r.Catalog.Load().Find(server); b != nil {
-			go r.confirmEnd(b)
+			go r.confirmExit(b)
 		}
 	}
 }
 
-func (r *Relay) confirmEnd(b *model.BackendServer) {
+func (r *Relay) confirmExit(b *model.BackendServer) {
 	ctx, cancel := context.WithTimeout(context.Background(), listenTimeout)
 	defer cancel()
 	switch err := r.CheckListening(ctx, b.Address); {
