--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -81,7 +81,7 @@
 	for _, b := range gone {
 		klog.InfoS("backend server's process ended", "server", b.Incarnation(), "address", b.Address, "evidence", evidence)
 		r.BackendClient.CloseIdle(b.Address)
-		r.endedUnder(&b)
+		r.recordServerExit(&b)
 		r.HandleEngineExit(b.Incarnation())
 	}
 }
--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -101,7 +101,7 @@
 // notice.
 func (r *Relay) HandleEngineExit(inc model.Incarnation) {
 	if b := r.Catalog.Load().Find(inc); b != nil {
-		r.endedUnder(b) // before its streams are moved: they may not all go anywhere
+		r.recordServerExit(b) // before its streams are moved: they may not all go anywhere
 		r.Suspects.Unreachable(b, "", errExited)
 	}
 	r.Suspects.Exited(inc)
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -253,13 +253,13 @@
 	case err == nil:
 		r.Quarantine.ServerAlive(b.Incarnation())
 	case errors.Is(err, ErrRefused):
-		r.endedUnder(b)
+		r.recordServerExit(b)
 	}
 }
 
 // endedUnder takes in that a server's process ended, which may be the fault of a request.
 // One that was leaving ends as planned.
-func (r *Relay) endedUnder(b *model.BackendServer) {
+func (r *Relay) recordServerExit(b *model.BackendServer) {
 	if !b.Draining {
 		r.Quarantine.ServerExited(b.Incarnation(), b.FailureDomain)
 	}
