--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -76,7 +76,7 @@
 	demand := chains.Requirements{Domain: q.FailureDomain, Tokens: s.tokens, MaxEventGap: q.admitted.Route.TargetGap, Avoid: q.avoid, FirstStageIn: s.allowedFirstEngines(), Resumed: s.events > 0}
 	if q.excluded.suspect {
 		demand.ExcludeFirstStage = q.excluded.bars
-		demand.FirstStageCost = q.beginCost
+		demand.FirstStageCost = q.firstStageCost
 	}
 	var parts []chains.Stage
 	var hold *chains.Reservation
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -41,7 +41,7 @@
 
 // beginCost is what it costs a suspect to begin at an engine: it keeps away from others of
 // its kind, and one that runs alone from engines that have many streams to lose.
-func (q *request) beginCost(engine model.Incarnation, streams float64) time.Duration {
+func (q *request) firstStageCost(engine model.Incarnation, streams float64) time.Duration {
 	company := float64(q.Quarantine.SuspectRuns(engine))
 	if q.excluded.alone {
 		company += streams
