--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -75,7 +75,7 @@
 	q := s.request
 	demand := chains.Requirements{Domain: q.FailureDomain, Tokens: s.tokens, MaxEventGap: q.admitted.Route.TargetGap, Avoid: q.avoid, FirstStageIn: s.allowedFirstEngines(), Resumed: s.events > 0}
 	if q.excluded.suspect {
-		demand.ExcludeFirstStage = q.excluded.bars
+		demand.ExcludeFirstStage = q.excluded.excludes
 		demand.FirstStageCost = q.firstStageCost
 	}
 	var parts []chains.Stage
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -92,7 +92,7 @@
 	for _, allowSuspects := range []bool{false, true} {
 		for _, b := range q.Catalog.Load().Service(q.admitted.Service.Name) {
 			view := q.Health.View(b.Incarnation())
-			if q.avoid[b.Incarnation()] || q.excluded.bars(b) || view.Suspected && !allowSuspects {
+			if q.avoid[b.Incarnation()] || q.excluded.excludes(b) || view.Suspected && !allowSuspects {
 				continue
 			}
 			cost := (1 + float64(view.Active)) * (0.01 + view.Latency.Seconds()) * (1 + 8*view.FailureRate)
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -35,7 +35,7 @@
 	alone, suspect bool
 }
 
-func (b *exclusions) bars(s *model.BackendServer) bool {
+func (b *exclusions) excludes(s *model.BackendServer) bool {
 	return b.servers[s.Incarnation()] || b.domains[s.FailureDomain]
 }
 
