--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -109,7 +109,7 @@
 		q.excluded.servers = map[model.Incarnation]bool{}
 	}
 	q.excluded.servers[g.BusyServer] = true
-	return lookAgain
+	return chooseAgain
 }
 
 func (q *request) trialError(ends int) *fault.Error {
@@ -136,7 +136,7 @@
 			}
 			hold.Release()
 			s.WaitQueue.Notify()
-			if may == lookAgain {
+			if may == chooseAgain {
 				continue
 			}
 		}
@@ -154,7 +154,7 @@
 const (
 	runNow permission = iota
 	// lookAgain asks for other servers, or for another look at the request's standing.
-	lookAgain
+	chooseAgain
 	// notNow says that the request runs somewhere already.
 	notNow
 )
@@ -168,7 +168,7 @@
 	v := s.Quarantine.Assess(s.fingerprint())
 	switch {
 	case v.Restriction != before.Restriction:
-		return lookAgain
+		return chooseAgain
 	case v.Restriction != quarantine.TrialOnly:
 		return runNow
 	}
