--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -30,10 +30,10 @@
 // stream is a request that generates, through one chain after another.
 type stream struct {
 	*request
-	tokens  int
-	lastID  int64 // last event that the caller has
-	hasLast bool
-	events  int
+	tokens      int
+	lastEventID int64 // last event that the caller has
+	hasLast     bool
+	events      int
 	// ranEvents are those of the present run, repeated ones included.
 	ranEvents int
 	// ranOn are the first engines that ran it.
@@ -47,7 +47,7 @@
 func (q *request) serveStream(ctx context.Context) bool {
 	s := &stream{request: q, tokens: q.expectedTokens(), ranOn: map[model.Incarnation]bool{}}
 	if id, err := strconv.ParseInt(q.call.ResumeAfter, 10, 64); err == nil {
-		s.lastID = id
+		s.lastEventID = id
 		s.hasLast = true
 	}
 	var last *fault.Error
@@ -67,7 +67,7 @@
 		if ctx.Err() != nil || !s.resumable() || !q.allowResume(ctx, err) {
 			return s.respondFailure(ctx, last)
 		}
-		klog.InfoS("stream resumed at another chain", "request", q.call.Attempt, "after", s.lastID, "events", s.events,
+		klog.InfoS("stream resumed at another chain", "request", q.call.Attempt, "after", s.lastEventID, "events", s.events,
 			"err", err, "sends", q.sends, "ms", q.Now().Sub(q.startTime).Milliseconds())
 		if q.runs > 0 {
 			wait.For(ctx, reselectDelay)
@@ -117,7 +117,7 @@
 	q.chain = describe(parts)
 	send := platform.Send{Instance: first.ID, Path: path}
 	if s.hasLast {
-		send.ResumeAfter = strconv.FormatInt(s.lastID, 10)
+		send.ResumeAfter = strconv.FormatInt(s.lastEventID, 10)
 	}
 	run, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -206,11 +206,11 @@
 		}
 		w.heard()
 		if ev.hasID {
-			if s.hasLast && ev.id <= s.lastID {
+			if s.hasLast && ev.id <= s.lastEventID {
 				continue
 			}
-			if s.hasLast && ev.id != s.lastID+1 {
-				klog.InfoS("event out of order", "request", q.call.Attempt, "id", ev.id, "last", s.lastID)
+			if s.hasLast && ev.id != s.lastEventID+1 {
+				klog.InfoS("event out of order", "request", q.call.Attempt, "id", ev.id, "last", s.lastEventID)
 				return errOutOfOrder
 			}
 		}
@@ -232,7 +232,7 @@
 		}
 		s.events++
 		if ev.hasID {
-			s.lastID = ev.id
+			s.lastEventID = ev.id
 			s.hasLast = true
 		}
 	}
