--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -30,10 +30,10 @@
 // stream is a request that generates, through one chain after another.
 type stream struct {
 	*request
-	tokens      int
-	lastEventID int64 // last event that the caller has
-	hasLast     bool
-	events      int
+	tokens         int
+	lastEventID    int64 // last event that the caller has
+	hasLastEventID bool
+	events         int
 	// ranEvents are those of the present run, repeated ones included.
 	ranEvents int
 	// ranOn are the first engines that ran it.
@@ -48,7 +48,7 @@
 	s := &stream{request: q, tokens: q.expectedTokens(), ranOn: map[model.Incarnation]bool{}}
 	if id, err := strconv.ParseInt(q.call.ResumeAfter, 10, 64); err == nil {
 		s.lastEventID = id
-		s.hasLast = true
+		s.hasLastEventID = true
 	}
 	var last *fault.Error
 	for {
@@ -98,7 +98,7 @@
 
 // resumable tells whether another engine can go on where the caller is: events
 // without numbers do not tell where that is, and would come twice.
-func (s *stream) resumable() bool { return s.events == 0 || s.hasLast }
+func (s *stream) resumable() bool { return s.events == 0 || s.hasLastEventID }
 
 // keepFirst prefers the failure of an engine to the later lack of a chain.
 func keepFirst(first, then *fault.Error) *fault.Error {
@@ -116,7 +116,7 @@
 	path := hops(parts)
 	q.chain = describe(parts)
 	send := platform.Send{Instance: first.ID, Path: path}
-	if s.hasLast {
+	if s.hasLastEventID {
 		send.ResumeAfter = strconv.FormatInt(s.lastEventID, 10)
 	}
 	run, cancel := context.WithCancelCause(ctx)
@@ -206,10 +206,10 @@
 		}
 		w.heard()
 		if ev.hasID {
-			if s.hasLast && ev.id <= s.lastEventID {
+			if s.hasLastEventID && ev.id <= s.lastEventID {
 				continue
 			}
-			if s.hasLast && ev.id != s.lastEventID+1 {
+			if s.hasLastEventID && ev.id != s.lastEventID+1 {
 				klog.InfoS("event out of order", "request", q.call.Attempt, "id", ev.id, "last", s.lastEventID)
 				return errOutOfOrder
 			}
@@ -233,7 +233,7 @@
 		s.events++
 		if ev.hasID {
 			s.lastEventID = ev.id
-			s.hasLast = true
+			s.hasLastEventID = true
 		}
 	}
 }
