--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -35,7 +35,7 @@
 	hasLastEventID bool
 	events         int
 	// ranEvents are those of the present run, repeated ones included.
-	ranEvents int
+	runEvents int
 	// ranOn are the first engines that ran it.
 	ranOn           map[model.Incarnation]bool
 	lastEvent       time.Time         // when the caller got the last event
@@ -156,7 +156,7 @@
 		result = bufferedResult(run, err)
 		return s.forwardSingle(read, err)
 	}
-	s.ranEvents = 0
+	s.runEvents = 0
 	end := s.forwardEvents(ans, w)
 	if end == io.EOF {
 		result = quarantine.Completed
@@ -214,12 +214,12 @@
 				return errOutOfOrder
 			}
 		}
-		if s.ranEvents == 0 {
+		if s.runEvents == 0 {
 			parts, _ := w.state()
 			s.succeed(parts, w.sentAt)
 			w.record.AnswerStarted()
 		}
-		s.ranEvents++
+		s.runEvents++
 		if !q.out.head {
 			s.writeHeader(ans)
 			q.timeToFirstEvent = q.Now().Sub(q.startTime)
