--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -136,7 +136,7 @@
 // list leaves, and may serve on for many seconds.
 func (s *stream) allowedFirstEngines() map[model.Incarnation]bool {
 	alive := map[model.Incarnation]bool{}
-	for inc := range s.ranOn {
+	for inc := range s.firstEngines {
 		if !s.Suspects.Lost(inc) {
 			alive[inc] = true
 		}
--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -43,7 +43,7 @@
 			Cards: []model.Card{{Name: "fast", MB: 8000, Pace: 2, ReadFactor: 2}},
 		}},
 	}
-	return &stream{request: q, tokens: 100, ranOn: map[model.Incarnation]bool{}}, engine("second", model.LayerRange{From: 6, To: 12})
+	return &stream{request: q, tokens: 100, firstEngines: map[model.Incarnation]bool{}}, engine("second", model.LayerRange{From: 6, To: 12})
 }
 
 // Engines are replaced one after the other, and for a moment nobody holds some
@@ -88,9 +88,9 @@
 func TestLeavingEngineIsStillAnAttempt(t *testing.T) {
 	s, _ := half()
 	one, two := model.Incarnation{ID: "one"}, model.Incarnation{ID: "two"}
-	s.ranOn[one] = true
+	s.firstEngines[one] = true
 	assert.Assert(t, s.allowedFirstEngines() == nil, "one attempt is left")
-	s.ranOn[two] = true
+	s.firstEngines[two] = true
 	s.Catalog.Remove("one", 1, 0)
 	assert.DeepEqual(t, s.allowedFirstEngines(), map[model.Incarnation]bool{one: true, two: true})
 	s.Suspects.Exited(one)
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -37,7 +37,7 @@
 	// ranEvents are those of the present run, repeated ones included.
 	runEvents int
 	// ranOn are the first engines that ran it.
-	ranOn           map[model.Incarnation]bool
+	firstEngines    map[model.Incarnation]bool
 	lastEvent       time.Time         // when the caller got the last event
 	delivered       error             // why the caller could not be written to
 	failureResponse *bufferedResponse // the last engine's own failure
@@ -45,7 +45,7 @@
 
 // generate runs a request through chains of engines.
 func (q *request) serveStream(ctx context.Context) bool {
-	s := &stream{request: q, tokens: q.expectedTokens(), ranOn: map[model.Incarnation]bool{}}
+	s := &stream{request: q, tokens: q.expectedTokens(), firstEngines: map[model.Incarnation]bool{}}
 	if id, err := strconv.ParseInt(q.call.ResumeAfter, 10, 64); err == nil {
 		s.lastEventID = id
 		s.hasLastEventID = true
@@ -144,7 +144,7 @@
 		return false, false, fault.New(fault.Overloaded, "an engine refused with status %d", ans.Status)
 	}
 	q.runs++
-	s.ranOn[first.Incarnation()] = true
+	s.firstEngines[first.Incarnation()] = true
 	if ans.Status != http.StatusOK || v.Signature == "" {
 		s.Health.RecordOutcome(first.Incarnation(), false)
 		read, err := s.readResponse(ans)
@@ -302,7 +302,7 @@
 		return fault.New(fault.NotConnected, "no connection to an engine")
 	}
 	s.runs++
-	s.ranOn[first.Incarnation()] = true
+	s.firstEngines[first.Incarnation()] = true
 	s.recordChainLoss(w, why, err)
 	return fault.New(fault.BackendLost, "an engine was lost before it answered")
 }
--- a/internal/protocol/relay/lost_test.go
+++ b/internal/protocol/relay/lost_test.go
@@ -46,7 +46,7 @@
 				assert.Equal(t, s.Suspects.Lost(lost), c.lost)
 				q := &request{Relay: s.Relay, call: &model.Call{Attempt: "1"}}
 				q.admitted.Route = &model.Route{MaxAttempts: 2}
-				ran := &stream{request: q, ranOn: map[model.Incarnation]bool{lost: true, inc("two"): true}}
+				ran := &stream{request: q, firstEngines: map[model.Incarnation]bool{lost: true, inc("two"): true}}
 				assert.Equal(t, ran.allowedFirstEngines() == nil, c.lost, "a third engine may run it")
 			})
 		})
