--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -97,7 +97,7 @@
 	}
 	most := time.Duration(capacityWaitShare * float64(q.admitted.Route.TargetLatency))
 	if s.events > 0 {
-		most = max(callerGapTimeout-q.Now().Sub(s.lastEvent), 0)
+		most = max(callerGapTimeout-q.Now().Sub(s.lastEventTime), 0)
 	}
 	until := q.Now().Add(most)
 	waiter := admission.Request{Customer: q.admitted.Customer, Priority: -q.admitted.Priority}
--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -53,7 +53,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, holder := half()
 		s.events = 5
-		s.lastEvent = time.Now().Add(-300 * time.Millisecond)
+		s.lastEventTime = time.Now().Add(-300 * time.Millisecond)
 		began := time.Now()
 		time.AfterFunc(900*time.Millisecond, func() { s.Catalog.Put(holder) })
 		parts, hold, f := s.reserveChain(t.Context())
@@ -74,7 +74,7 @@
 		assert.Equal(t, f.Kind, fault.NoCapacity)
 		assert.Equal(t, time.Since(began), time.Duration(0))
 		s.events = 5
-		s.lastEvent = time.Now()
+		s.lastEventTime = time.Now()
 		_, _, f = s.reserveChain(t.Context())
 		assert.Equal(t, f.Kind, fault.NoCapacity)
 		assert.Assert(t, time.Since(began) >= 2*time.Second && time.Since(began) <= callerGapTimeout+chainPollInterval)
@@ -107,7 +107,7 @@
 		leave()
 		for _, events := range []int{0, 5} {
 			s.events = events
-			s.lastEvent = time.Now()
+			s.lastEventTime = time.Now()
 			_, hold, f := s.reserveChain(ctx)
 			assert.Assert(t, hold == nil)
 			assert.Assert(t, f != nil)
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -38,7 +38,7 @@
 	runEvents int
 	// ranOn are the first engines that ran it.
 	firstEngines    map[model.Incarnation]bool
-	lastEvent       time.Time         // when the caller got the last event
+	lastEventTime   time.Time         // when the caller got the last event
 	delivered       error             // why the caller could not be written to
 	failureResponse *bufferedResponse // the last engine's own failure
 }
@@ -241,10 +241,10 @@
 // timeEvent notes the pause before an event.
 func (s *stream) timeEvent() {
 	now := s.Now()
-	if !s.lastEvent.IsZero() {
-		s.longestGap = max(s.longestGap, now.Sub(s.lastEvent))
+	if !s.lastEventTime.IsZero() {
+		s.longestGap = max(s.longestGap, now.Sub(s.lastEventTime))
 	}
-	s.lastEvent = now
+	s.lastEventTime = now
 }
 
 // writeHeader sends the head of the first engine's answer. Streams that are resumed
