--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -39,7 +39,7 @@
 	// ranOn are the first engines that ran it.
 	firstEngines    map[model.Incarnation]bool
 	lastEventTime   time.Time         // when the caller got the last event
-	delivered       error             // why the caller could not be written to
+	writeErr        error             // why the caller could not be written to
 	failureResponse *bufferedResponse // the last engine's own failure
 }
 
@@ -60,8 +60,8 @@
 		if done {
 			return whole
 		}
-		if s.delivered != nil {
-			return q.respondError(fault.New(fault.CancelledSent, "the caller takes no more: %v", s.delivered))
+		if s.writeErr != nil {
+			return q.respondError(fault.New(fault.CancelledSent, "the caller takes no more: %v", s.writeErr))
 		}
 		last = fault.From(err)
 		if ctx.Err() != nil || !s.resumable() || !q.allowResume(ctx, err) {
@@ -166,7 +166,7 @@
 		q.finish("ran", nil, http.StatusOK)
 		return true, true, nil
 	}
-	if s.delivered == nil {
+	if s.writeErr == nil {
 		result = runResult(endReasonOf(run, end), end)
 		s.recordChainLoss(w, endReasonOf(run, end), end)
 	}
@@ -227,7 +227,7 @@
 		}
 		s.timeEvent()
 		if err := q.out.Write(ev.raw); err != nil {
-			s.delivered = err
+			s.writeErr = err
 			return err
 		}
 		s.events++
