--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -56,7 +56,7 @@
 		if f != nil {
 			return s.respondFailure(ctx, keepFirst(last, f))
 		}
-		done, whole, err := s.runHolding(ctx, parts, hold)
+		done, whole, err := s.runReserved(ctx, parts, hold)
 		if done {
 			return whole
 		}
@@ -90,7 +90,7 @@
 
 // runHolding runs the request through one chain and gives its memory back, also where
 // the run panics: the HTTP server recovers, and the memory would stay reserved.
-func (s *stream) runHolding(ctx context.Context, parts []chains.Stage, hold *chains.Reservation) (done, whole bool, err error) {
+func (s *stream) runReserved(ctx context.Context, parts []chains.Stage, hold *chains.Reservation) (done, whole bool, err error) {
 	defer s.WaitQueue.Notify()
 	defer hold.Release()
 	return s.run(ctx, parts, hold)
