--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -54,7 +54,7 @@
 	for {
 		parts, hold, f := s.reservePermitted(ctx)
 		if f != nil {
-			return s.respondFailure(ctx, keepFirst(last, f))
+			return s.respondFailure(ctx, preferFirst(last, f))
 		}
 		done, whole, err := s.runReserved(ctx, parts, hold)
 		if done {
@@ -101,7 +101,7 @@
 func (s *stream) resumable() bool { return s.events == 0 || s.hasLastEventID }
 
 // keepFirst prefers the failure of an engine to the later lack of a chain.
-func keepFirst(first, then *fault.Error) *fault.Error {
+func preferFirst(first, then *fault.Error) *fault.Error {
 	if first != nil && then.Kind == fault.NoCapacity && first.Kind != fault.Internal {
 		return first
 	}
