--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -225,7 +225,7 @@
 			q.timeToFirstEvent = q.Now().Sub(q.startTime)
 			q.Observer.FirstEvent(q.admitted.Service.Name, q.timeToFirstEvent)
 		}
-		s.timeEvent()
+		s.recordEventTime()
 		if err := q.out.Write(ev.raw); err != nil {
 			s.writeErr = err
 			return err
@@ -239,7 +239,7 @@
 }
 
 // timeEvent notes the pause before an event.
-func (s *stream) timeEvent() {
+func (s *stream) recordEventTime() {
 	now := s.Now()
 	if !s.lastEventTime.IsZero() {
 		s.longestGap = max(s.longestGap, now.Sub(s.lastEventTime))
