--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -216,7 +216,7 @@
 		}
 		if s.runEvents == 0 {
 			parts, _ := w.state()
-			s.succeed(parts, w.sentAt)
+			s.recordSuccess(parts, w.sentAt)
 			w.record.AnswerStarted()
 		}
 		s.runEvents++
@@ -257,7 +257,7 @@
 
 // succeed takes in that the engines of a chain did their work, as of when it was
 // sent: an engine that drains finishes what it has and takes nothing new.
-func (s *stream) succeed(parts []chains.Stage, sent time.Time) {
+func (s *stream) recordSuccess(parts []chains.Stage, sent time.Time) {
 	for _, p := range parts {
 		s.Health.ClearSuspicion(p.Server.Incarnation(), sent)
 	}
