--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -114,7 +114,7 @@
 	q := s.request
 	first := parts[0].Server
 	path := hops(parts)
-	q.chain = describe(parts)
+	q.chain = chainString(parts)
 	send := platform.Send{Instance: first.ID, Path: path}
 	if s.hasLastEventID {
 		send.ResumeAfter = strconv.FormatInt(s.lastEventID, 10)
@@ -313,7 +313,7 @@
 // of them.
 func (s *stream) recordChainLoss(w *chainWatch, why endReason, err error) {
 	parts, culprit := w.state()
-	klog.InfoS("chain lost", "request", s.call.Attempt, "work", s.fingerprint(), "why", why, "sent", !errors.Is(err, ErrNotSent), "chain", describe(parts), "culprit", culprit, "err", err, "events", s.events)
+	klog.InfoS("chain lost", "request", s.call.Attempt, "work", s.fingerprint(), "why", why, "sent", !errors.Is(err, ErrNotSent), "chain", chainString(parts), "culprit", culprit, "err", err, "events", s.events)
 	if why == callerLeft || why == deadlineExceeded || why == routerStopping {
 		return
 	}
@@ -334,7 +334,7 @@
 	return out
 }
 
-func describe(parts []chains.Stage) string {
+func chainString(parts []chains.Stage) string {
 	var b strings.Builder
 	for i, p := range parts {
 		if i > 0 {
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -113,7 +113,7 @@
 	defer cancel()
 	began := w.q.Now()
 	err := w.q.Reroute(ctx, next[0].Server, w.q.call.Attempt, hops(next))
-	klog.InfoS("stream rerouted", "request", w.q.call.Attempt, "lost", slices.Collect(maps.Keys(avoid)), "chain", describe(next), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
+	klog.InfoS("stream rerouted", "request", w.q.call.Attempt, "lost", slices.Collect(maps.Keys(avoid)), "chain", chainString(next), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
 	return err
 }
 
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -56,7 +56,7 @@
 	err := w.q.Reroute(ctx, first, w.q.call.Attempt, hops(parts))
 	held = err == nil
 	klog.InfoS("path of an overdue stream checked", "request", w.q.call.Attempt, "pauseMs", a.Pause.Milliseconds(), "overdue", a.OverdueStreams,
-		"candidates", len(a.Candidates), "chain", describe(parts), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
+		"candidates", len(a.Candidates), "chain", chainString(parts), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
 	var refused pathConflict
 	switch {
 	case held:
