--- a/internal/protocol/relay/events.go
+++ b/internal/protocol/relay/events.go
@@ -37,7 +37,7 @@
 // event is valid until the next call.
 func (r *eventReader) next() (event, error) {
 	for {
-		if end := endOfEvent(r.buf[r.pos:]); end > 0 {
+		if end := eventEnd(r.buf[r.pos:]); end > 0 {
 			raw := r.buf[r.pos : r.pos+end]
 			r.pos += end
 			ev := event{raw: raw}
@@ -78,7 +78,7 @@
 
 // endOfEvent is where the first event ends, blank line included; 0 if it is not
 // whole yet.
-func endOfEvent(b []byte) int {
+func eventEnd(b []byte) int {
 	lf := bytes.Index(b, []byte("\n\n"))
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
 	switch {
