--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -78,19 +78,19 @@
 		demand.ExcludeFirstStage = q.excluded.excludes
 		demand.FirstStageCost = q.firstStageCost
 	}
-	var parts []chains.Stage
+	var stages []chains.Stage
 	var hold *chains.Reservation
 	verdict := chains.Found
 	try := func() bool {
 		if ctx.Err() != nil {
 			return false
 		}
-		parts, verdict = q.Chooser.Choose(q.admitted.Service, demand)
+		stages, verdict = q.Chooser.Choose(q.admitted.Service, demand)
 		if verdict == chains.Found {
-			hold = q.Memory.Reserve(parts, s.tokens)
-			q.Chooser.RecordStart(q.admitted.Service.Engine, parts, q.promptTokens())
+			hold = q.Memory.Reserve(stages, s.tokens)
+			q.Chooser.RecordStart(q.admitted.Service.Engine, stages, q.promptTokens())
 			if demand.Resumed {
-				q.Chooser.RecordResume(q.admitted.Service.Engine, parts, s.tokens)
+				q.Chooser.RecordResume(q.admitted.Service.Engine, stages, s.tokens)
 			}
 		}
 		return verdict != chains.CapacityExhausted
@@ -111,7 +111,7 @@
 	switch {
 	case hold != nil:
 		q.waitingForCapacity = false
-		return parts, hold, nil
+		return stages, hold, nil
 	case ctx.Err() != nil:
 		return nil, nil, q.contextError(ctx)
 	case verdict == chains.NoChain && len(q.avoid) > 0:
@@ -119,7 +119,7 @@
 		clear(q.avoid)
 		if try(); hold != nil {
 			q.waitingForCapacity = false
-			return parts, hold, nil
+			return stages, hold, nil
 		}
 	}
 	if verdict == chains.NoChain {
--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -56,10 +56,10 @@
 		s.lastEventTime = time.Now().Add(-300 * time.Millisecond)
 		began := time.Now()
 		time.AfterFunc(900*time.Millisecond, func() { s.Catalog.Put(holder) })
-		parts, hold, f := s.reserveChain(t.Context())
+		stages, hold, f := s.reserveChain(t.Context())
 		assert.Assert(t, f == nil, "%v", f)
 		hold.Release()
-		assert.Equal(t, len(parts), 2)
+		assert.Equal(t, len(stages), 2)
 		assert.Assert(t, time.Since(began) <= 900*time.Millisecond+chainPollInterval)
 	})
 }
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -52,11 +52,11 @@
 	}
 	var last *fault.Error
 	for {
-		parts, hold, f := s.reservePermitted(ctx)
+		stages, hold, f := s.reservePermitted(ctx)
 		if f != nil {
 			return s.respondFailure(ctx, preferFirst(last, f))
 		}
-		done, whole, err := s.runReserved(ctx, parts, hold)
+		done, whole, err := s.runReserved(ctx, stages, hold)
 		if done {
 			return whole
 		}
@@ -90,10 +90,10 @@
 
 // runHolding runs the request through one chain and gives its memory back, also where
 // the run panics: the HTTP server recovers, and the memory would stay reserved.
-func (s *stream) runReserved(ctx context.Context, parts []chains.Stage, hold *chains.Reservation) (done, whole bool, err error) {
+func (s *stream) runReserved(ctx context.Context, stages []chains.Stage, hold *chains.Reservation) (done, whole bool, err error) {
 	defer s.WaitQueue.Notify()
 	defer hold.Release()
-	return s.run(ctx, parts, hold)
+	return s.run(ctx, stages, hold)
 }
 
 // resumable tells whether another engine can go on where the caller is: events
@@ -110,21 +110,21 @@
 
 // run sends the request through one chain and passes its events on. done says
 // that the caller has a final answer; whole that it is complete.
-func (s *stream) run(ctx context.Context, parts []chains.Stage, hold *chains.Reservation) (done, whole bool, err error) {
+func (s *stream) run(ctx context.Context, stages []chains.Stage, hold *chains.Reservation) (done, whole bool, err error) {
 	q := s.request
-	first := parts[0].Server
-	path := hops(parts)
-	q.chain = chainString(parts)
+	first := stages[0].Server
+	path := hops(stages)
+	q.chain = chainString(stages)
 	send := platform.Send{Instance: first.ID, Path: path}
 	if s.hasLastEventID {
 		send.ResumeAfter = strconv.FormatInt(s.lastEventID, 10)
 	}
 	run, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	record := q.Quarantine.Begin(q.fingerprint, q.excluded.suspect, locations(parts)...)
+	record := q.Quarantine.Begin(q.fingerprint, q.excluded.suspect, locations(stages)...)
 	result := quarantine.Inconclusive
 	defer func() { q.confirmExits(record.End(result)) }()
-	w := q.watch(run, cancel, parts, hold, record)
+	w := q.watch(run, cancel, stages, hold, record)
 	defer func() { q.granted = w.stop() || q.granted }()
 	q.sends++
 	ans, err := q.BackendClient.Do(run, first.Address, q.newRequest(send))
@@ -140,7 +140,7 @@
 		return false, false, fault.New(fault.BackendFailed, "an engine answered another request")
 	}
 	if v.NotRun {
-		s.handleRefusal(parts, v, ans.Status)
+		s.handleRefusal(stages, v, ans.Status)
 		return false, false, fault.New(fault.Overloaded, "an engine refused with status %d", ans.Status)
 	}
 	q.runs++
@@ -215,8 +215,8 @@
 			}
 		}
 		if s.runEvents == 0 {
-			parts, _ := w.state()
-			s.recordSuccess(parts, w.sentAt)
+			stages, _ := w.state()
+			s.recordSuccess(stages, w.sentAt)
 			w.record.AnswerStarted()
 		}
 		s.runEvents++
@@ -257,17 +257,17 @@
 
 // succeed takes in that the engines of a chain did their work, as of when it was
 // sent: an engine that drains finishes what it has and takes nothing new.
-func (s *stream) recordSuccess(parts []chains.Stage, sent time.Time) {
-	for _, p := range parts {
+func (s *stream) recordSuccess(stages []chains.Stage, sent time.Time) {
+	for _, p := range stages {
 		s.Health.ClearSuspicion(p.Server.Incarnation(), sent)
 	}
-	s.Health.RecordOutcome(parts[0].Server.Incarnation(), true)
+	s.Health.RecordOutcome(stages[0].Server.Incarnation(), true)
 }
 
 // handleRefusal takes in which engine would not run its part.
-func (s *stream) handleRefusal(parts []chains.Stage, v platform.Verdict, status int) {
-	culprit := parts[0].Server
-	for _, p := range parts {
+func (s *stream) handleRefusal(stages []chains.Stage, v platform.Verdict, status int) {
+	culprit := stages[0].Server
+	for _, p := range stages {
 		if p.Server.Address == v.Culprit {
 			culprit = p.Server
 		}
@@ -312,8 +312,8 @@
 // alone is avoided; else any of the chain may be, and the stream goes on without all
 // of them.
 func (s *stream) recordChainLoss(w *chainWatch, why endReason, err error) {
-	parts, culprit := w.state()
-	klog.InfoS("chain lost", "request", s.call.Attempt, "work", s.fingerprint(), "why", why, "sent", !errors.Is(err, ErrNotSent), "chain", chainString(parts), "culprit", culprit, "err", err, "events", s.events)
+	stages, culprit := w.state()
+	klog.InfoS("chain lost", "request", s.call.Attempt, "work", s.fingerprint(), "why", why, "sent", !errors.Is(err, ErrNotSent), "chain", chainString(stages), "culprit", culprit, "err", err, "events", s.events)
 	if why == callerLeft || why == deadlineExceeded || why == routerStopping {
 		return
 	}
@@ -321,22 +321,22 @@
 		s.avoid[culprit] = true
 		return
 	}
-	for _, p := range parts {
+	for _, p := range stages {
 		s.avoid[p.Server.Incarnation()] = true
 	}
 }
 
-func hops(parts []chains.Stage) []platform.Hop {
-	out := make([]platform.Hop, len(parts))
-	for i, p := range parts {
+func hops(stages []chains.Stage) []platform.Hop {
+	out := make([]platform.Hop, len(stages))
+	for i, p := range stages {
 		out[i] = platform.Hop{Address: p.Server.Address, Layers: p.Layers}
 	}
 	return out
 }
 
-func chainString(parts []chains.Stage) string {
+func chainString(stages []chains.Stage) string {
 	var b strings.Builder
-	for i, p := range parts {
+	for i, p := range stages {
 		if i > 0 {
 			b.WriteByte(' ')
 		}
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -27,18 +27,18 @@
 func (w *chainWatch) leaveEngines(lost engineSet, why endReason) {
 	defer w.recoverPanic()
 	w.mu.Lock()
-	culprit, through := usesAny(w.parts, lost)
+	culprit, through := usesAny(w.stages, lost)
 	if w.stopped || w.moving || !through {
 		w.mu.Unlock()
 		return
 	}
 	w.moving = true
 	w.timer.Stop()
-	parts := w.parts
+	stages := w.stages
 	w.mu.Unlock()
 	var moved []chains.Stage
 	if !w.fresh || !w.takeRetryToken() {
-		moved = w.routeAround(parts, lost)
+		moved = w.routeAround(stages, lost)
 	}
 	switch news, taken := w.finishReroute(moved); {
 	case taken:
@@ -65,7 +65,7 @@
 	if moved == nil {
 		return w.news, false
 	}
-	w.parts = moved
+	w.stages = moved
 	w.progress.Reroute(engines(moved))
 	w.news++
 	return w.news, true
@@ -73,15 +73,15 @@
 
 // routeAround orders the first engine to send the stream around engines; nil if
 // that cannot be done.
-func (w *chainWatch) routeAround(parts []chains.Stage, lost engineSet) []chains.Stage {
+func (w *chainWatch) routeAround(stages []chains.Stage, lost engineSet) []chains.Stage {
 	q := w.q
 	if !q.admitted.Idempotent() || !q.mayReroute() || w.isUnsure() {
 		return nil
 	}
-	avoid := q.ActiveRuns.silentAmong(engines(parts))
+	avoid := q.ActiveRuns.silentAmong(engines(stages))
 	maps.Copy(avoid, lost)
 	for range maxRerouteOrders {
-		next := q.Chooser.Replace(q.admitted.Service, parts, avoid, w.hold.Tokens(), q.admitted.Route.TargetGap)
+		next := q.Chooser.Replace(q.admitted.Service, stages, avoid, w.hold.Tokens(), q.admitted.Route.TargetGap)
 		if next == nil {
 			return nil
 		}
@@ -102,7 +102,7 @@
 			return nil
 		}
 		avoid[server.Incarnation()] = true
-		w.refusedAt(server, parts, err)
+		w.refusedAt(server, stages, err)
 	}
 	return nil
 }
@@ -133,14 +133,14 @@
 	return w.unsure
 }
 
-func uses(parts []chains.Stage, engine model.Incarnation) bool {
-	_, ok := usesAny(parts, engineSet{engine: true})
+func uses(stages []chains.Stage, engine model.Incarnation) bool {
+	_, ok := usesAny(stages, engineSet{engine: true})
 	return ok
 }
 
 // usesAny gives the first engine of a chain that is in a set.
-func usesAny(parts []chains.Stage, set engineSet) (engine model.Incarnation, ok bool) {
-	for _, p := range parts {
+func usesAny(stages []chains.Stage, set engineSet) (engine model.Incarnation, ok bool) {
+	for _, p := range stages {
 		if inc := p.Server.Incarnation(); set[inc] {
 			return inc, true
 		}
--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -42,8 +42,8 @@
 }
 
 // Check asks the engines of a chain that is slow.
-func (p *SlowdownMonitor) Check(parts []chains.Stage, request string, seen, planned time.Duration) {
-	for _, part := range parts {
+func (p *SlowdownMonitor) Check(stages []chains.Stage, request string, seen, planned time.Duration) {
+	for _, part := range stages {
 		if p.pollDue(part.Server.Incarnation()) {
 			go p.poll(part.Server, request, seen, planned)
 		}
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -163,8 +163,8 @@
 		ctx, cancel := context.WithCancelCause(t.Context())
 		defer cancel(nil)
 		engine := s.Catalog.Load().Service("s")[0]
-		parts := []chains.Stage{{Server: engine, Layers: engine.Holds}}
-		w := s.watch(ctx, cancel, parts, s.Memory.Reserve(parts, 1), s.Quarantine.Begin(nil, false))
+		stages := []chains.Stage{{Server: engine, Layers: engine.Holds}}
+		w := s.watch(ctx, cancel, stages, s.Memory.Reserve(stages, 1), s.Quarantine.Begin(nil, false))
 		defer w.stop()
 		<-ctx.Done()
 		synctest.Wait()
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -20,9 +20,9 @@
 )
 
 // eventInterval is the planned time between a stream's events.
-func (q *request) eventInterval(parts []chains.Stage) time.Duration {
+func (q *request) eventInterval(stages []chains.Stage) time.Duration {
 	spec := q.admitted.Service.Engine
-	return q.Chooser.TokenTime(spec, parts) * time.Duration(spec.Stride)
+	return q.Chooser.TokenTime(spec, stages) * time.Duration(spec.Stride)
 }
 
 // assess decides whether a stream whose event is overdue has its path checked.
@@ -48,20 +48,20 @@
 func (w *chainWatch) checkPath(news int, a detector.Assessment) {
 	held := false
 	defer func() { w.progress.CheckFinished(held) }()
-	parts, _ := w.state()
-	first := parts[0].Server
+	stages, _ := w.state()
+	first := stages[0].Server
 	ctx, cancel := context.WithTimeout(w.run, pathCheckTimeout)
 	defer cancel()
 	began := w.q.Now()
-	err := w.q.Reroute(ctx, first, w.q.call.Attempt, hops(parts))
+	err := w.q.Reroute(ctx, first, w.q.call.Attempt, hops(stages))
 	held = err == nil
 	klog.InfoS("path of an overdue stream checked", "request", w.q.call.Attempt, "pauseMs", a.Pause.Milliseconds(), "overdue", a.OverdueStreams,
-		"candidates", len(a.Candidates), "chain", chainString(parts), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
+		"candidates", len(a.Candidates), "chain", chainString(stages), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
 	var refused pathConflict
 	switch {
 	case held:
 	case errors.As(err, &refused):
-		if server := serverAt(parts, refused.address); server != nil {
+		if server := serverAt(stages, refused.address); server != nil {
 			w.failEngine(server, err)
 		}
 	case ctx.Err() != nil && w.run.Err() == nil:
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -102,11 +102,11 @@
 // running is a stream on the chain head, middle, tail with its watch.
 func (s *site) running(t *testing.T, route model.Route) (*chainWatch, context.Context) {
 	snap := s.Catalog.Load()
-	var parts []chains.Stage
+	var stages []chains.Stage
 	for i, id := range []string{"head", "middle", "tail"} {
-		parts = append(parts, chains.Stage{Server: snap.Find(inc(id)), Layers: model.LayerRange{From: 4 * i, To: 4*i + 4}})
+		stages = append(stages, chains.Stage{Server: snap.Find(inc(id)), Layers: model.LayerRange{From: 4 * i, To: 4*i + 4}})
 	}
-	return s.watchedOn(t, route, parts)
+	return s.watchedOn(t, route, stages)
 }
 
 // play gives the streams events for a while.
@@ -121,8 +121,8 @@
 
 func ids(w *chainWatch) []string {
 	var out []string
-	parts, _ := w.state()
-	for _, p := range parts {
+	stages, _ := w.state()
+	for _, p := range stages {
 		out = append(out, p.Server.ID)
 	}
 	return out
@@ -252,12 +252,12 @@
 		synctest.Wait()
 		anew, moved := 0, 0
 		for _, w := range streams {
-			parts, culprit := w.state()
+			stages, culprit := w.state()
 			switch {
 			case context.Cause(w.run) == stalled:
 				assert.Equal(t, culprit, inc("middle"))
 				anew++
-			case parts[1].Server.ID == "middle2":
+			case stages[1].Server.ID == "middle2":
 				moved++
 			}
 		}
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -179,9 +179,9 @@
 		p.Catalog = c
 		p.Report = a.report
 		p.Now = time.Now
-		parts := []chains.Stage{{Server: a.server}}
-		p.Check(parts, "r", time.Second, time.Millisecond)
-		p.Check(parts, "r", time.Second, time.Millisecond)
+		stages := []chains.Stage{{Server: a.server}}
+		p.Check(stages, "r", time.Second, time.Millisecond)
+		p.Check(stages, "r", time.Second, time.Millisecond)
 		synctest.Wait()
 		assert.Equal(t, a.askedTimes(), 1, "many streams through one engine ask once")
 		assert.Equal(t, p.Memory.Slowdown(inc("e")), 3.0)
--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -101,8 +101,8 @@
 			log := logged(t)
 			s := newSite(model.Route{Kind: streaming, MaxAttempts: 2, TargetLatency: time.Second}, true, at.do)
 			if at.full {
-				s.Memory.Reserve(s.parts("one")[:1], 1e9)
-				s.Memory.Reserve(s.parts("two")[1:], 1e9)
+				s.Memory.Reserve(s.stages("one")[:1], 1e9)
+				s.Memory.Reserve(s.stages("two")[1:], 1e9)
 			}
 			ctx, leave := context.WithCancel(t.Context())
 			time.AfterFunc(100*time.Millisecond, leave)
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -125,14 +125,14 @@
 		if f != nil {
 			return nil, nil, f
 		}
-		parts, hold, f := s.reserveChain(ctx)
+		stages, hold, f := s.reserveChain(ctx)
 		if f != nil && v.Restriction != quarantine.TrialOnly {
 			return nil, nil, f
 		}
 		if f == nil {
-			may := s.permissionAt(ctx, parts, v)
+			may := s.permissionAt(ctx, stages, v)
 			if may == runNow {
-				return parts, hold, nil
+				return stages, hold, nil
 			}
 			hold.Release()
 			s.WaitQueue.Notify()
@@ -161,7 +161,7 @@
 
 // mayRunAt tells whether the stream may run at the engines that were found for it. Finding
 // them may have taken a while, in which more was learnt.
-func (s *stream) permissionAt(ctx context.Context, parts []chains.Stage, before quarantine.Assessment) permission {
+func (s *stream) permissionAt(ctx context.Context, stages []chains.Stage, before quarantine.Assessment) permission {
 	if !s.Quarantine.HasSuspects() {
 		return runNow
 	}
@@ -172,7 +172,7 @@
 	case v.Restriction != quarantine.TrialOnly:
 		return runNow
 	}
-	servers := engines(parts)
+	servers := engines(stages)
 	if !v.LaterStage {
 		servers = servers[:1]
 	}
@@ -227,9 +227,9 @@
 }
 
 // places lists the servers of a chain with their failure domains.
-func locations(parts []chains.Stage) []quarantine.Location {
-	out := make([]quarantine.Location, len(parts))
-	for i, p := range parts {
+func locations(stages []chains.Stage) []quarantine.Location {
+	out := make([]quarantine.Location, len(stages))
+	for i, p := range stages {
 		out[i] = quarantine.Location{Server: p.Server.Incarnation(), Domain: p.Server.FailureDomain}
 	}
 	return out
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -51,7 +51,7 @@
 	fresh bool
 
 	mu        sync.Mutex
-	parts     []chains.Stage
+	stages    []chains.Stage
 	timer     *time.Timer
 	hasEvents bool              // an event came
 	early     bool              // the timer is for the path check, not for a silence
@@ -69,12 +69,12 @@
 	paceCount int
 }
 
-func (q *request) watch(run context.Context, cancel context.CancelCauseFunc, parts []chains.Stage, hold *chains.Reservation, record *quarantine.Run) *chainWatch {
-	w := &chainWatch{q: q, run: run, cancel: cancel, parts: parts, hold: hold, record: record, sentAt: q.Now()}
+func (q *request) watch(run context.Context, cancel context.CancelCauseFunc, stages []chains.Stage, hold *chains.Reservation, record *quarantine.Run) *chainWatch {
+	w := &chainWatch{q: q, run: run, cancel: cancel, stages: stages, hold: hold, record: record, sentAt: q.Now()}
 	w.last = !q.admitted.Idempotent() || q.sends+1 >= maxSends
 	w.fresh = !w.last && q.runs+1 < q.admitted.Route.MaxAttempts
-	path := engines(parts)
-	w.progress = q.Detector.Track(path, q.eventInterval(parts), q.admitted.Route.TargetGap)
+	path := engines(stages)
+	w.progress = q.Detector.Track(path, q.eventInterval(stages), q.admitted.Route.TargetGap)
 	w.startTimer()
 	if gone, ended := q.ActiveRuns.add(w, path...); ended {
 		w.end(runFailure{culprit: gone, why: engineExited})
@@ -90,9 +90,9 @@
 	w.timer = time.AfterFunc(firstEventTimeout, w.onTimer)
 }
 
-func engines(parts []chains.Stage) []model.Incarnation {
-	out := make([]model.Incarnation, len(parts))
-	for i, p := range parts {
+func engines(stages []chains.Stage) []model.Incarnation {
+	out := make([]model.Incarnation, len(stages))
+	for i, p := range stages {
 		out[i] = p.Server.Incarnation()
 	}
 	return out
@@ -124,11 +124,11 @@
 		return
 	}
 	seen := now.Sub(w.paceFrom) / speedSampleEvents
-	planned := w.q.eventInterval(w.parts)
+	planned := w.q.eventInterval(w.stages)
 	w.paceFrom = now
 	w.paceCount = 0
 	if float64(seen) > slowChainFactor*float64(planned) {
-		w.q.SlowdownMonitor.Check(w.parts, w.q.call.Attempt, seen, planned)
+		w.q.SlowdownMonitor.Check(w.stages, w.q.call.Attempt, seen, planned)
 	}
 }
 
@@ -147,7 +147,7 @@
 func (w *chainWatch) state() ([]chains.Stage, model.Incarnation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.parts, w.culprit
+	return w.stages, w.culprit
 }
 
 // onTimer runs when the timer fires.
@@ -177,7 +177,7 @@
 	w.quiet++
 	n := w.quiet
 	news := w.news
-	first := w.parts[0].Server
+	first := w.stages[0].Server
 	w.mu.Unlock()
 	report, err := w.q.askReport(first)
 	if w.changed(news) {
@@ -247,8 +247,8 @@
 // blame takes in which engine the chain waits for. The other streams of this
 // router that run through it are moved at once, before they notice.
 func (w *chainWatch) blame(addr string, news, n int) {
-	parts, _ := w.state()
-	if server := serverAt(parts, addr); server != nil {
+	stages, _ := w.state()
+	if server := serverAt(stages, addr); server != nil {
 		w.failEngine(server, nil)
 		return
 	}
@@ -263,8 +263,8 @@
 }
 
 // serverAt is the engine of a chain with an address; nil if there is none.
-func serverAt(parts []chains.Stage, addr string) *model.BackendServer {
-	for _, p := range parts {
+func serverAt(stages []chains.Stage, addr string) *model.BackendServer {
+	for _, p := range stages {
 		if p.Server.Address == addr {
 			return p.Server
 		}
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -33,7 +33,7 @@
 	return s
 }
 
-func (s *site) parts(second string) []chains.Stage {
+func (s *site) stages(second string) []chains.Stage {
 	snap := s.Catalog.Load()
 	return []chains.Stage{
 		{Server: snap.Find(inc("one")), Layers: model.LayerRange{To: 6}},
@@ -43,19 +43,19 @@
 
 // watched is a running stream through "one" and "far" and its watch.
 func (s *site) watched(t *testing.T, route model.Route) (*chainWatch, context.Context) {
-	return s.watchedOn(t, route, s.parts("far"))
+	return s.watchedOn(t, route, s.stages("far"))
 }
 
 // watchedOn is a running stream through some engines and its watch.
-func (s *site) watchedOn(t *testing.T, route model.Route, parts []chains.Stage) (*chainWatch, context.Context) {
+func (s *site) watchedOn(t *testing.T, route model.Route, stages []chains.Stage) (*chainWatch, context.Context) {
 	q := &request{Relay: s.Relay, call: &model.Call{Attempt: "1"}, startTime: time.Now(), avoid: map[model.Incarnation]bool{}}
 	table := s.Config.Load()
 	route.Host = "h"
 	q.admitted.Route = &route
 	q.admitted.Service = table.Service("s")
 	run, cancel := context.WithCancelCause(t.Context())
-	hold := s.Memory.Reserve(parts, 100)
-	w := q.watch(run, cancel, parts, hold, s.Quarantine.Begin(nil, false))
+	hold := s.Memory.Reserve(stages, 100)
+	w := q.watch(run, cancel, stages, hold, s.Quarantine.Begin(nil, false))
 	t.Cleanup(func() {
 		_ = w.stop()
 		hold.Release()
@@ -111,8 +111,8 @@
 		s.HandleEngineExit(inc("far"))
 		time.Sleep(100 * time.Millisecond)
 		assert.NilError(t, run.Err())
-		parts, _ := w.state()
-		assert.Equal(t, parts[1].Server.ID, "spare")
+		stages, _ := w.state()
+		assert.Equal(t, stages[1].Server.ID, "spare")
 	})
 }
 
@@ -174,8 +174,8 @@
 		other.blame("far:1", 0, 1)
 		synctest.Wait()
 		assert.NilError(t, run.Err())
-		parts, _ := other.state()
-		assert.Equal(t, parts[1].Server.ID, "spare", "the other one is moved")
+		stages, _ := other.state()
+		assert.Equal(t, stages[1].Server.ID, "spare", "the other one is moved")
 	})
 }
 
