--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -79,7 +79,7 @@
 		demand.FirstStageCost = q.firstStageCost
 	}
 	var stages []chains.Stage
-	var hold *chains.Reservation
+	var reservation *chains.Reservation
 	verdict := chains.Found
 	try := func() bool {
 		if ctx.Err() != nil {
@@ -87,7 +87,7 @@
 		}
 		stages, verdict = q.Chooser.Choose(q.admitted.Service, demand)
 		if verdict == chains.Found {
-			hold = q.Memory.Reserve(stages, s.tokens)
+			reservation = q.Memory.Reserve(stages, s.tokens)
 			q.Chooser.RecordStart(q.admitted.Service.Engine, stages, q.promptTokens())
 			if demand.Resumed {
 				q.Chooser.RecordResume(q.admitted.Service.Engine, stages, s.tokens)
@@ -104,22 +104,22 @@
 	q.waitingForCapacity = true
 	got := q.WaitQueue.Wait(ctx, waiter, most, try)
 	// Not in the line: there a stream that no chain serves would hold up others.
-	for s.events > 0 && hold == nil && q.Now().Before(until) && wait.For(ctx, chainPollInterval) {
+	for s.events > 0 && reservation == nil && q.Now().Before(until) && wait.For(ctx, chainPollInterval) {
 		clear(q.avoid)
 		try()
 	}
 	switch {
-	case hold != nil:
+	case reservation != nil:
 		q.waitingForCapacity = false
-		return stages, hold, nil
+		return stages, reservation, nil
 	case ctx.Err() != nil:
 		return nil, nil, q.contextError(ctx)
 	case verdict == chains.NoChain && len(q.avoid) > 0:
 		// Better an engine that failed once than none.
 		clear(q.avoid)
-		if try(); hold != nil {
+		if try(); reservation != nil {
 			q.waitingForCapacity = false
-			return stages, hold, nil
+			return stages, reservation, nil
 		}
 	}
 	if verdict == chains.NoChain {
--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -56,9 +56,9 @@
 		s.lastEventTime = time.Now().Add(-300 * time.Millisecond)
 		began := time.Now()
 		time.AfterFunc(900*time.Millisecond, func() { s.Catalog.Put(holder) })
-		stages, hold, f := s.reserveChain(t.Context())
+		stages, reservation, f := s.reserveChain(t.Context())
 		assert.Assert(t, f == nil, "%v", f)
-		hold.Release()
+		reservation.Release()
 		assert.Equal(t, len(stages), 2)
 		assert.Assert(t, time.Since(began) <= 900*time.Millisecond+chainPollInterval)
 	})
@@ -108,8 +108,8 @@
 		for _, events := range []int{0, 5} {
 			s.events = events
 			s.lastEventTime = time.Now()
-			_, hold, f := s.reserveChain(ctx)
-			assert.Assert(t, hold == nil)
+			_, reservation, f := s.reserveChain(ctx)
+			assert.Assert(t, reservation == nil)
 			assert.Assert(t, f != nil)
 			assert.Equal(t, s.Memory.Used(holder.Incarnation()).Streams, 0.0)
 			assert.Equal(t, s.Memory.Recent(holder.Incarnation()).Streams, 0.0)
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -52,11 +52,11 @@
 	}
 	var last *fault.Error
 	for {
-		stages, hold, f := s.reservePermitted(ctx)
+		stages, reservation, f := s.reservePermitted(ctx)
 		if f != nil {
 			return s.respondFailure(ctx, preferFirst(last, f))
 		}
-		done, whole, err := s.runReserved(ctx, stages, hold)
+		done, whole, err := s.runReserved(ctx, stages, reservation)
 		if done {
 			return whole
 		}
@@ -90,10 +90,10 @@
 
 // runHolding runs the request through one chain and gives its memory back, also where
 // the run panics: the HTTP server recovers, and the memory would stay reserved.
-func (s *stream) runReserved(ctx context.Context, stages []chains.Stage, hold *chains.Reservation) (done, whole bool, err error) {
+func (s *stream) runReserved(ctx context.Context, stages []chains.Stage, reservation *chains.Reservation) (done, whole bool, err error) {
 	defer s.WaitQueue.Notify()
-	defer hold.Release()
-	return s.run(ctx, stages, hold)
+	defer reservation.Release()
+	return s.run(ctx, stages, reservation)
 }
 
 // resumable tells whether another engine can go on where the caller is: events
@@ -110,7 +110,7 @@
 
 // run sends the request through one chain and passes its events on. done says
 // that the caller has a final answer; whole that it is complete.
-func (s *stream) run(ctx context.Context, stages []chains.Stage, hold *chains.Reservation) (done, whole bool, err error) {
+func (s *stream) run(ctx context.Context, stages []chains.Stage, reservation *chains.Reservation) (done, whole bool, err error) {
 	q := s.request
 	first := stages[0].Server
 	path := hops(stages)
@@ -124,7 +124,7 @@
 	record := q.Quarantine.Begin(q.fingerprint, q.excluded.suspect, locations(stages)...)
 	result := quarantine.Inconclusive
 	defer func() { q.confirmExits(record.End(result)) }()
-	w := q.watch(run, cancel, stages, hold, record)
+	w := q.watch(run, cancel, stages, reservation, record)
 	defer func() { q.granted = w.stop() || q.granted }()
 	q.sends++
 	ans, err := q.BackendClient.Do(run, first.Address, q.newRequest(send))
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -81,13 +81,13 @@
 	avoid := q.ActiveRuns.silentAmong(engines(stages))
 	maps.Copy(avoid, lost)
 	for range maxRerouteOrders {
-		next := q.Chooser.Replace(q.admitted.Service, stages, avoid, w.hold.Tokens(), q.admitted.Route.TargetGap)
+		next := q.Chooser.Replace(q.admitted.Service, stages, avoid, w.reservation.Tokens(), q.admitted.Route.TargetGap)
 		if next == nil {
 			return nil
 		}
 		err := w.sendReroute(next, avoid)
 		if err == nil {
-			w.hold.Move(next)
+			w.reservation.Move(next)
 			w.record.Move(locations(next))
 			q.Observer.Retry(q.admitted.Service.Name, "repath")
 			return next
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -125,16 +125,16 @@
 		if f != nil {
 			return nil, nil, f
 		}
-		stages, hold, f := s.reserveChain(ctx)
+		stages, reservation, f := s.reserveChain(ctx)
 		if f != nil && v.Restriction != quarantine.TrialOnly {
 			return nil, nil, f
 		}
 		if f == nil {
 			may := s.permissionAt(ctx, stages, v)
 			if may == runNow {
-				return stages, hold, nil
+				return stages, reservation, nil
 			}
-			hold.Release()
+			reservation.Release()
 			s.WaitQueue.Notify()
 			if may == chooseAgain {
 				continue
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -37,12 +37,12 @@
 //
 // Engines wait for a dead part of their chain for longer than callers do.
 type chainWatch struct {
-	q      *request
-	run    context.Context
-	cancel context.CancelCauseFunc
-	hold   *chains.Reservation
-	sentAt time.Time // when the run was sent
-	record *quarantine.Run
+	q           *request
+	run         context.Context
+	cancel      context.CancelCauseFunc
+	reservation *chains.Reservation
+	sentAt      time.Time // when the run was sent
+	record      *quarantine.Run
 	// progress is what the stream's events say of its engines.
 	progress *detector.Stream
 	// last says that no other engine may go on where this run ends.
@@ -69,8 +69,8 @@
 	paceCount int
 }
 
-func (q *request) watch(run context.Context, cancel context.CancelCauseFunc, stages []chains.Stage, hold *chains.Reservation, record *quarantine.Run) *chainWatch {
-	w := &chainWatch{q: q, run: run, cancel: cancel, stages: stages, hold: hold, record: record, sentAt: q.Now()}
+func (q *request) watch(run context.Context, cancel context.CancelCauseFunc, stages []chains.Stage, reservation *chains.Reservation, record *quarantine.Run) *chainWatch {
+	w := &chainWatch{q: q, run: run, cancel: cancel, stages: stages, reservation: reservation, record: record, sentAt: q.Now()}
 	w.last = !q.admitted.Idempotent() || q.sends+1 >= maxSends
 	w.fresh = !w.last && q.runs+1 < q.admitted.Route.MaxAttempts
 	path := engines(stages)
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -54,11 +54,11 @@
 	q.admitted.Route = &route
 	q.admitted.Service = table.Service("s")
 	run, cancel := context.WithCancelCause(t.Context())
-	hold := s.Memory.Reserve(stages, 100)
-	w := q.watch(run, cancel, stages, hold, s.Quarantine.Begin(nil, false))
+	reservation := s.Memory.Reserve(stages, 100)
+	w := q.watch(run, cancel, stages, reservation, s.Quarantine.Begin(nil, false))
 	t.Cleanup(func() {
 		_ = w.stop()
-		hold.Release()
+		reservation.Release()
 	})
 	return w, run
 }
