--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -130,7 +130,7 @@
 func (w *chainWatch) isUnsure() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.unsure
+	return w.unconfirmed
 }
 
 func uses(stages []chains.Stage, engine model.Incarnation) bool {
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -80,5 +80,5 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.unsure = true
+	w.unconfirmed = true
 }
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -50,17 +50,17 @@
 	// fresh says that the route's attempts leave one at another first engine.
 	fresh bool
 
-	mu        sync.Mutex
-	stages    []chains.Stage
-	timer     *time.Timer
-	hasEvents bool              // an event came
-	early     bool              // the timer is for the path check, not for a silence
-	unsure    bool              // an order was not answered and may be carried out later
-	quiet     int               // silences in a row
-	news      int               // counts events and moves, to notice what came meanwhile
-	stopped   bool              // ended here, or over
-	culprit   model.Incarnation // the engine at fault; empty if none was found
-	moving    bool
+	mu          sync.Mutex
+	stages      []chains.Stage
+	timer       *time.Timer
+	hasEvents   bool              // an event came
+	early       bool              // the timer is for the path check, not for a silence
+	unconfirmed bool              // an order was not answered and may be carried out later
+	quiet       int               // silences in a row
+	news        int               // counts events and moves, to notice what came meanwhile
+	stopped     bool              // ended here, or over
+	culprit     model.Incarnation // the engine at fault; empty if none was found
+	moving      bool
 	// granted says that a repeated send was taken from the budget for what follows
 	// this run.
 	granted bool
