--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -75,7 +75,7 @@
 // that cannot be done.
 func (w *chainWatch) routeAround(stages []chains.Stage, lost engineSet) []chains.Stage {
 	q := w.q
-	if !q.admitted.Idempotent() || !q.mayReroute() || w.isUnsure() {
+	if !q.admitted.Idempotent() || !q.mayReroute() || w.hasUnconfirmedOrder() {
 		return nil
 	}
 	avoid := q.ActiveRuns.silentAmong(engines(stages))
@@ -127,7 +127,7 @@
 	w.q.Suspects.Refused(server, w.q.call.Attempt, http.StatusConflict)
 }
 
-func (w *chainWatch) isUnsure() bool {
+func (w *chainWatch) hasUnconfirmedOrder() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.unconfirmed
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -184,7 +184,7 @@
 		other.progress.Reroute([]model.Incarnation{inc("head"), inc("middle2"), inc("tail2")})
 		play([]*chainWatch{other}, 12)
 		synctest.Wait()
-		assert.Assert(t, late.isUnsure())
+		assert.Assert(t, late.hasUnconfirmedOrder())
 		assert.Assert(t, !s.Health.Suspected(inc("head")))
 		assert.NilError(t, run.Err())
 	})
