--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -94,7 +94,7 @@
 		}
 		var refused pathConflict
 		if !errors.As(err, &refused) {
-			w.doubt(err)
+			w.markUnconfirmed(err)
 			return nil
 		}
 		server := serverAt(next, refused.address)
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -65,7 +65,7 @@
 			w.failEngine(server, err)
 		}
 	case ctx.Err() != nil && w.run.Err() == nil:
-		w.doubt(err)
+		w.markUnconfirmed(err)
 		if slices.Contains(a.Candidates, first.Incarnation()) && !w.changed(news) {
 			w.failEngine(first, err)
 		}
@@ -74,7 +74,7 @@
 
 // doubt notes that an order was not answered: it may be carried out after a later one,
 // so the stream gets no other.
-func (w *chainWatch) doubt(err error) {
+func (w *chainWatch) markUnconfirmed(err error) {
 	if errors.Is(err, ErrNotSent) {
 		return
 	}
