--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -56,7 +56,7 @@
 	hasEvents   bool              // an event came
 	early       bool              // the timer is for the path check, not for a silence
 	unconfirmed bool              // an order was not answered and may be carried out later
-	quiet       int               // silences in a row
+	stalls      int               // silences in a row
 	news        int               // counts events and moves, to notice what came meanwhile
 	stopped     bool              // ended here, or over
 	culprit     model.Incarnation // the engine at fault; empty if none was found
@@ -102,7 +102,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.hasEvents = true
-	w.quiet = 0
+	w.stalls = 0
 	w.news++
 	w.early = true
 	next := w.progress.RecordEvent()
@@ -174,8 +174,8 @@
 		w.mu.Unlock()
 		return
 	}
-	w.quiet++
-	n := w.quiet
+	w.stalls++
+	n := w.stalls
 	news := w.news
 	first := w.stages[0].Server
 	w.mu.Unlock()
