--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -67,7 +67,7 @@
 func (w *chainWatch) endIfThrough(lost model.Incarnation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.stopped && !w.moving && uses(w.stages, lost) {
+	if !w.stopped && !w.rerouting && uses(w.stages, lost) {
 		w.endLocked(runFailure{culprit: lost, why: engineExited})
 	}
 }
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -28,11 +28,11 @@
 	defer w.recoverPanic()
 	w.mu.Lock()
 	culprit, through := usesAny(w.stages, lost)
-	if w.stopped || w.moving || !through {
+	if w.stopped || w.rerouting || !through {
 		w.mu.Unlock()
 		return
 	}
-	w.moving = true
+	w.rerouting = true
 	w.timer.Stop()
 	stages := w.stages
 	w.mu.Unlock()
@@ -56,7 +56,7 @@
 func (w *chainWatch) finishReroute(moved []chains.Stage) (news int, taken bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.moving = false
+	w.rerouting = false
 	if w.stopped {
 		return w.news, false
 	}
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -60,7 +60,7 @@
 	news        int               // counts events and moves, to notice what came meanwhile
 	stopped     bool              // ended here, or over
 	culprit     model.Incarnation // the engine at fault; empty if none was found
-	moving      bool
+	rerouting   bool
 	// granted says that a repeated send was taken from the budget for what follows
 	// this run.
 	granted bool
@@ -156,7 +156,7 @@
 	w.mu.Lock()
 	early := w.early
 	news := w.news
-	over := w.stopped || w.moving
+	over := w.stopped || w.rerouting
 	w.mu.Unlock()
 	switch {
 	case over:
@@ -170,7 +170,7 @@
 // handleStall looks into a silence.
 func (w *chainWatch) handleStall() {
 	w.mu.Lock()
-	if w.stopped || w.moving {
+	if w.stopped || w.rerouting {
 		w.mu.Unlock()
 		return
 	}
@@ -232,7 +232,7 @@
 }
 
 func (w *chainWatch) changedLocked(news int) bool {
-	return w.stopped || w.moving || w.news != news
+	return w.stopped || w.rerouting || w.news != news
 }
 
 func stallOf(r model.EngineReport, attempt string) string {
