--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -65,8 +65,8 @@
 	// this run.
 	granted bool
 	// paceFrom is when the events began that are counted in paceCount.
-	paceFrom  time.Time
-	paceCount int
+	sampleStart time.Time
+	paceCount   int
 }
 
 func (q *request) watch(run context.Context, cancel context.CancelCauseFunc, stages []chains.Stage, reservation *chains.Reservation, record *quarantine.Run) *chainWatch {
@@ -116,16 +116,16 @@
 // chain should give them. The caller holds the lock.
 func (w *chainWatch) checkSpeed() {
 	now := w.q.Now()
-	if w.paceFrom.IsZero() {
-		w.paceFrom = now
+	if w.sampleStart.IsZero() {
+		w.sampleStart = now
 		return
 	}
 	if w.paceCount++; w.paceCount < speedSampleEvents {
 		return
 	}
-	seen := now.Sub(w.paceFrom) / speedSampleEvents
+	seen := now.Sub(w.sampleStart) / speedSampleEvents
 	planned := w.q.eventInterval(w.stages)
-	w.paceFrom = now
+	w.sampleStart = now
 	w.paceCount = 0
 	if float64(seen) > slowChainFactor*float64(planned) {
 		w.q.SlowdownMonitor.Check(w.stages, w.q.call.Attempt, seen, planned)
