--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -65,8 +65,8 @@
 	// this run.
 	granted bool
 	// paceFrom is when the events began that are counted in paceCount.
-	sampleStart time.Time
-	paceCount   int
+	sampleStart  time.Time
+	sampleEvents int
 }
 
 func (q *request) watch(run context.Context, cancel context.CancelCauseFunc, stages []chains.Stage, reservation *chains.Reservation, record *quarantine.Run) *chainWatch {
@@ -120,13 +120,13 @@
 		w.sampleStart = now
 		return
 	}
-	if w.paceCount++; w.paceCount < speedSampleEvents {
+	if w.sampleEvents++; w.sampleEvents < speedSampleEvents {
 		return
 	}
 	seen := now.Sub(w.sampleStart) / speedSampleEvents
 	planned := w.q.eventInterval(w.stages)
 	w.sampleStart = now
-	w.paceCount = 0
+	w.sampleEvents = 0
 	if float64(seen) > slowChainFactor*float64(planned) {
 		w.q.SlowdownMonitor.Check(w.stages, w.q.call.Attempt, seen, planned)
 	}
