--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -204,7 +204,7 @@
 		if err != nil {
 			return err
 		}
-		w.heard()
+		w.eventReceived()
 		if ev.hasID {
 			if s.hasLastEventID && ev.id <= s.lastEventID {
 				continue
--- a/internal/protocol/relay/move_test.go
+++ b/internal/protocol/relay/move_test.go
@@ -37,7 +37,7 @@
 		synctest.Wait()
 		stages, _ := w.state()
 		assert.Equal(t, stages[1].Server.ID, "spare")
-		w.heard()
+		w.eventReceived()
 		time.Sleep(finalResponseTimeout)
 		synctest.Wait()
 		assert.NilError(t, run.Err())
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -114,7 +114,7 @@
 	for range events {
 		time.Sleep(eventEvery)
 		for _, w := range streams {
-			w.heard()
+			w.eventReceived()
 		}
 	}
 }
@@ -202,7 +202,7 @@
 		synctest.Wait()
 		assert.Equal(t, engines.counted(), 1)
 		assert.DeepEqual(t, ids(w), []string{"head", "middle", "tail"})
-		w.heard()
+		w.eventReceived()
 		assert.NilError(t, run.Err())
 		for _, id := range []string{"head", "middle", "tail"} {
 			assert.Assert(t, !s.Health.Suspected(inc(id)), id)
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -98,7 +98,7 @@
 	return out
 }
 
-func (w *chainWatch) heard() {
+func (w *chainWatch) eventReceived() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.hasEvents = true
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -80,7 +80,7 @@
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
 		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return nil, errNoConnection })
 		var asked atomic.Pointer[chainWatch]
-		s.Suspects = unreachable{s.prober, func() { asked.Load().heard() }}
+		s.Suspects = unreachable{s.prober, func() { asked.Load().eventReceived() }}
 		w, run := s.watched(t, route)
 		asked.Store(w)
 		time.Sleep(firstEventTimeout + time.Millisecond)
