--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -188,7 +188,7 @@
 		w.endIfUnchanged(news, runFailure{culprit: first.Incarnation(), why: stalled, silences: n, err: err})
 		return
 	}
-	if addr := stallOf(report, w.q.call.Attempt); addr != "" {
+	if addr := stalledAddress(report, w.q.call.Attempt); addr != "" {
 		w.blame(addr, news, n)
 		return
 	}
@@ -235,7 +235,7 @@
 	return w.stopped || w.rerouting || w.news != news
 }
 
-func stallOf(r model.EngineReport, attempt string) string {
+func stalledAddress(r model.EngineReport, attempt string) string {
 	for _, st := range r.Stalled {
 		if st.Attempt == attempt {
 			return st.Address
