--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -189,7 +189,7 @@
 		return
 	}
 	if addr := stalledAddress(report, w.q.call.Attempt); addr != "" {
-		w.blame(addr, news, n)
+		w.handleStalledEngine(addr, news, n)
 		return
 	}
 	if w.q.admitted.Route.Kind != model.RouteStreaming {
@@ -246,7 +246,7 @@
 
 // blame takes in which engine the chain waits for. The other streams of this
 // router that run through it are moved at once, before they notice.
-func (w *chainWatch) blame(addr string, news, n int) {
+func (w *chainWatch) handleStalledEngine(addr string, news, n int) {
 	stages, _ := w.state()
 	if server := serverAt(stages, addr); server != nil {
 		w.failEngine(server, nil)
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -171,7 +171,7 @@
 		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return report(emptyReport), nil })
 		_, run := s.watched(t, route)
 		other, _ := s.watched(t, model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2})
-		other.blame("far:1", 0, 1)
+		other.handleStalledEngine("far:1", 0, 1)
 		synctest.Wait()
 		assert.NilError(t, run.Err())
 		stages, _ := other.state()
