--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -97,7 +97,7 @@
 			w.markUnconfirmed(err)
 			return nil
 		}
-		server := serverAt(next, refused.address)
+		server := engineAt(next, refused.address)
 		if server == nil {
 			return nil
 		}
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -61,7 +61,7 @@
 	switch {
 	case held:
 	case errors.As(err, &refused):
-		if server := serverAt(stages, refused.address); server != nil {
+		if server := engineAt(stages, refused.address); server != nil {
 			w.failEngine(server, err)
 		}
 	case ctx.Err() != nil && w.run.Err() == nil:
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -248,7 +248,7 @@
 // router that run through it are moved at once, before they notice.
 func (w *chainWatch) handleStalledEngine(addr string, news, n int) {
 	stages, _ := w.state()
-	if server := serverAt(stages, addr); server != nil {
+	if server := engineAt(stages, addr); server != nil {
 		w.failEngine(server, nil)
 		return
 	}
@@ -263,7 +263,7 @@
 }
 
 // serverAt is the engine of a chain with an address; nil if there is none.
-func serverAt(stages []chains.Stage, addr string) *model.BackendServer {
+func engineAt(stages []chains.Stage, addr string) *model.BackendServer {
 	for _, p := range stages {
 		if p.Server.Address == addr {
 			return p.Server
