--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -27,7 +27,7 @@
 func (w *chainWatch) leaveEngines(lost engineSet, why endReason) {
 	defer w.recoverPanic()
 	w.mu.Lock()
-	culprit, through := usesAny(w.stages, lost)
+	culprit, through := firstEngineIn(w.stages, lost)
 	if w.stopped || w.rerouting || !through {
 		w.mu.Unlock()
 		return
@@ -134,12 +134,12 @@
 }
 
 func uses(stages []chains.Stage, engine model.Incarnation) bool {
-	_, ok := usesAny(stages, engineSet{engine: true})
+	_, ok := firstEngineIn(stages, engineSet{engine: true})
 	return ok
 }
 
 // usesAny gives the first engine of a chain that is in a set.
-func usesAny(stages []chains.Stage, set engineSet) (engine model.Incarnation, ok bool) {
+func firstEngineIn(stages []chains.Stage, set engineSet) (engine model.Incarnation, ok bool) {
 	for _, p := range stages {
 		if inc := p.Server.Incarnation(); set[inc] {
 			return inc, true
