--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -64,7 +64,7 @@
 // endIfThrough ends a run for an engine whose process has ended, if it still runs through
 // it. The same end may be told again, by another watcher, and the run moved away since;
 // a move under way decides for itself.
-func (w *chainWatch) endIfThrough(lost model.Incarnation) {
+func (w *chainWatch) endIfUses(lost model.Incarnation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.stopped && !w.rerouting && uses(w.stages, lost) {
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -43,9 +43,9 @@
 	switch news, taken := w.finishReroute(moved); {
 	case taken:
 	case why == engineExited && w.last:
-		time.AfterFunc(finalResponseTimeout, func() { w.endIfThrough(culprit) })
+		time.AfterFunc(finalResponseTimeout, func() { w.endIfUses(culprit) })
 	case why == engineExited:
-		w.endIfThrough(culprit)
+		w.endIfUses(culprit)
 	default:
 		w.endIfUnchanged(news, runFailure{culprit: culprit, why: why})
 	}
