--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -102,7 +102,7 @@
 			return nil
 		}
 		avoid[server.Incarnation()] = true
-		w.refusedAt(server, stages, err)
+		w.handleRerouteRefusal(server, stages, err)
 	}
 	return nil
 }
@@ -119,7 +119,7 @@
 
 // refusedAt takes in which engine a path was refused for. One that the stream ran
 // through before is lost to all streams; another one may only be full.
-func (w *chainWatch) refusedAt(server *model.BackendServer, before []chains.Stage, err error) {
+func (w *chainWatch) handleRerouteRefusal(server *model.BackendServer, before []chains.Stage, err error) {
 	if uses(before, server.Incarnation()) {
 		w.failEngine(server, err)
 		return
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -252,21 +252,21 @@
 // could not reach it makes it a suspect here, and a probe succeeds: that the engine
 // answers is no news of its refusal, which stands.
 func TestProbeDoesNotEndARefusal(t *testing.T) {
-	for _, refusedAt := range []time.Duration{-time.Second, 50 * time.Millisecond} {
+	for _, handleRerouteRefusal := range []time.Duration{-time.Second, 50 * time.Millisecond} {
 		probing(t, func(p *Prober, a *asked) {
 			p.Report = func(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
 				time.Sleep(100 * time.Millisecond)
 				return a.report(ctx, b)
 			}
 			hintAt := time.Now().Add(time.Second)
-			time.AfterFunc(time.Second+refusedAt, func() {
+			time.AfterFunc(time.Second+handleRerouteRefusal, func() {
 				p.Health.RecordRefusal(inc("e"), hintAt.Add(drainingEnginePeriod), true)
 			})
 			time.Sleep(time.Second)
 			p.HandlePeerSuspicion(inc("e"))
 			time.Sleep(200 * time.Millisecond)
 			assert.Check(t, a.askedTimes() == 1)
-			assert.Check(t, p.Health.Suspected(inc("e")), "refused %v after the hint", refusedAt)
+			assert.Check(t, p.Health.Suspected(inc("e")), "refused %v after the hint", handleRerouteRefusal)
 		})
 	}
 }
