--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -14,7 +14,7 @@
 )
 
 // askReport reads an engine's own report.
-func (r *Relay) askReport(b *model.BackendServer) (model.EngineReport, error) {
+func (r *Relay) fetchReport(b *model.BackendServer) (model.EngineReport, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	return r.Report(ctx, b)
@@ -94,7 +94,7 @@
 		return
 	}
 	klog.InfoS("backend server's entry is disputed", "server", claim.Incarnation(), "believed", b.Incarnation(), "revision", claim.Revision)
-	if _, err := r.askReport(b); err != nil {
+	if _, err := r.fetchReport(b); err != nil {
 		klog.InfoS("disputed entry: the server's word", "server", b.Incarnation(), "err", err)
 	}
 }
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -179,7 +179,7 @@
 	news := w.news
 	first := w.stages[0].Server
 	w.mu.Unlock()
-	report, err := w.q.askReport(first)
+	report, err := w.q.fetchReport(first)
 	if w.changed(news) {
 		return
 	}
