--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return model.EngineReport{}, err
 	}
-	if err := r.sameIncarnation(b, report); err != nil {
+	if err := r.checkIncarnation(b, report); err != nil {
 		return report, err
 	}
 	// A report that does not tell its start, as its entry does, may be of another one.
@@ -65,7 +65,7 @@
 // sameIncarnation checks that a report is of the incarnation that was asked. One
 // that started again is known by its report before its entry tells; nothing that
 // is planned or believed of the one before holds for it.
-func (r *Relay) sameIncarnation(b *model.BackendServer, report model.EngineReport) error {
+func (r *Relay) checkIncarnation(b *model.BackendServer, report model.EngineReport) error {
 	if b.Born == 0 || report.Born == 0 || report.Born == b.Born {
 		return nil
 	}
