--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -87,10 +87,10 @@
 		return
 	}
 	p.Health.SuspectUntil(b.Incarnation(), p.Now().Add(fullEnginePeriod))
-	go p.whyRefused(b, request, status)
+	go p.classifyRefusal(b, request, status)
 }
 
-func (p *Prober) whyRefused(b *model.BackendServer, request string, status int) {
+func (p *Prober) classifyRefusal(b *model.BackendServer, request string, status int) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	report, err := p.Report(ctx, b)
