--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -78,7 +78,7 @@
 	if !q.admitted.Idempotent() || !q.mayReroute() || w.hasUnconfirmedOrder() {
 		return nil
 	}
-	avoid := q.ActiveRuns.silentAmong(engines(stages))
+	avoid := q.ActiveRuns.recentlyLost(engines(stages))
 	maps.Copy(avoid, lost)
 	for range maxRerouteOrders {
 		next := q.Chooser.Replace(q.admitted.Service, stages, avoid, w.reservation.Tokens(), q.admitted.Route.TargetGap)
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -292,6 +292,6 @@
 		s.HandleEngineExit(inc("middle"))
 		synctest.Wait()
 		assert.DeepEqual(t, ids(w), []string{"head", "middle3", "tail"})
-		assert.Equal(t, len(s.ActiveRuns.silentAmong([]model.Incarnation{inc("middle2")})), 0)
+		assert.Equal(t, len(s.ActiveRuns.recentlyLost([]model.Incarnation{inc("middle2")})), 0)
 	})
 }
--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -139,7 +139,7 @@
 }
 
 // silentAmong lists the servers of a chain that were found silent or ended of late.
-func (r *ActiveRuns) silentAmong(servers []model.Incarnation) engineSet {
+func (r *ActiveRuns) recentlyLost(servers []model.Incarnation) engineSet {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	found := engineSet{}
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -78,7 +78,7 @@
 	w.startTimer()
 	if gone, ended := q.ActiveRuns.add(w, path...); ended {
 		w.end(runFailure{culprit: gone, why: engineExited})
-	} else if silent := q.ActiveRuns.silentAmong(path); len(silent) > 0 {
+	} else if silent := q.ActiveRuns.recentlyLost(path); len(silent) > 0 {
 		go w.leaveEngines(silent, stalled)
 	}
 	return w
