--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -47,12 +47,12 @@
 		if server == nil {
 			break
 		}
-		ans, err := q.attempt(ctx, server)
+		resp, err := q.attempt(ctx, server)
 		switch {
-		case err == nil && !ans.verdict.NotRun && (ans.status < 500 || !q.admitted.Idempotent()):
-			return q.forward(ans)
+		case err == nil && !resp.verdict.NotRun && (resp.status < 500 || !q.admitted.Idempotent()):
+			return q.forward(resp)
 		case err == nil:
-			last = ans
+			last = resp
 		}
 		reason := "failed"
 		if err != nil {
@@ -125,17 +125,17 @@
 	result := quarantine.Inconclusive
 	defer func() { q.confirmExits(record.End(result)) }()
 	began := q.Now()
-	ans, err := q.roundTrip(run, b)
+	resp, err := q.roundTrip(run, b)
 	if err != nil {
 		result = runResult(endReasonOf(run, err), err)
 		q.recordFailure(b, endReasonOf(run, err), err, q.Now().Sub(began))
 		return nil, err
 	}
-	if !ans.verdict.NotRun {
+	if !resp.verdict.NotRun {
 		result = quarantine.Completed
 	}
-	q.recordResponse(b, ans, q.Now().Sub(began))
-	return ans, nil
+	q.recordResponse(b, resp, q.Now().Sub(began))
+	return resp, nil
 }
 
 // exchange sends the call and reads its whole answer. The server's load counts it from
@@ -148,9 +148,9 @@
 			q.Health.Cancel(b.Incarnation())
 		}
 	}()
-	ans, err := q.BackendClient.Do(run, b.Address, q.newRequest(platform.Send{Instance: b.ID}))
+	resp, err := q.BackendClient.Do(run, b.Address, q.newRequest(platform.Send{Instance: b.ID}))
 	if err == nil {
-		read, err = q.readResponse(ans)
+		read, err = q.readResponse(resp)
 	}
 	returns = true
 	return read, err
@@ -219,53 +219,53 @@
 }
 
 // judge takes in what an answer says of its server.
-func (q *request) recordResponse(b *model.BackendServer, ans *bufferedResponse, took time.Duration) {
+func (q *request) recordResponse(b *model.BackendServer, resp *bufferedResponse, took time.Duration) {
 	switch {
-	case ans.verdict.Misdirected:
+	case resp.verdict.Misdirected:
 		q.Health.End(b.Incarnation(), false, 0)
 		until, _ := q.Health.Suspect(b.Incarnation())
 		klog.InfoS("backend server suspected: another one has its address", "request", q.call.Attempt, "server", b.Incarnation(), "until", until)
-	case ans.verdict.NotRun:
+	case resp.verdict.NotRun:
 		q.Health.End(b.Incarnation(), false, 0)
 	default:
 		q.runs++
-		q.Health.End(b.Incarnation(), ans.status < 500, took)
+		q.Health.End(b.Incarnation(), resp.status < 500, took)
 	}
 }
 
 // readWhole reads an answer to its end. An answer that is cut short, or that
 // belongs to another request, is an error.
-func (q *request) readResponse(ans *Response) (*bufferedResponse, error) {
-	defer ans.Body.Close()
-	v := platform.DecodeVerdict(ans.Status, ans.Header)
+func (q *request) readResponse(resp *Response) (*bufferedResponse, error) {
+	defer resp.Body.Close()
+	v := platform.DecodeVerdict(resp.Status, resp.Header)
 	if v.Attempt != "" && v.Attempt != q.call.Attempt {
-		ans.Body.Discard()
+		resp.Body.Discard()
 		return nil, errors.Errorf("answer to another request, %s", v.Attempt)
 	}
-	body, err := io.ReadAll(io.LimitReader(ans.Body, maxBufferedResponse+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedResponse+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "answer cut short")
 	}
 	if len(body) > maxBufferedResponse {
-		ans.Body.Discard()
+		resp.Body.Discard()
 		return nil, errors.Errorf("answer longer than %d bytes", maxBufferedResponse)
 	}
 	if !v.NotRun && v.Signature == "" {
-		return nil, errors.Errorf("answer with status %d has no signature", ans.Status)
+		return nil, errors.Errorf("answer with status %d has no signature", resp.Status)
 	}
-	return &bufferedResponse{status: ans.Status, header: ans.Header, verdict: v, body: body}, nil
+	return &bufferedResponse{status: resp.Status, header: resp.Header, verdict: v, body: body}, nil
 }
 
 // deliver passes a backend server's answer on unchanged.
-func (q *request) forward(ans *bufferedResponse) bool {
+func (q *request) forward(resp *bufferedResponse) bool {
 	h := http.Header{}
-	platform.AnswerHeaders(h, ans.header)
-	q.out.WriteHeader(ans.status, h, int64(len(ans.body)))
-	err := q.out.Write(ans.body)
+	platform.AnswerHeaders(h, resp.header)
+	q.out.WriteHeader(resp.status, h, int64(len(resp.body)))
+	err := q.out.Write(resp.body)
 	outcome := "ran"
 	if err != nil {
 		outcome = "not_delivered"
 	}
-	q.finish(outcome, nil, ans.status)
+	q.finish(outcome, nil, resp.status)
 	return err == nil
 }
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -127,41 +127,41 @@
 	w := q.watch(run, cancel, stages, reservation, record)
 	defer func() { q.granted = w.stop() || q.granted }()
 	q.sends++
-	ans, err := q.BackendClient.Do(run, first.Address, q.newRequest(send))
+	resp, err := q.BackendClient.Do(run, first.Address, q.newRequest(send))
 	if err != nil {
 		result = runResult(endReasonOf(run, err), err)
 		return false, false, s.handleSendError(run, w, first, err)
 	}
-	defer ans.Body.Close()
-	v := platform.DecodeVerdict(ans.Status, ans.Header)
+	defer resp.Body.Close()
+	v := platform.DecodeVerdict(resp.Status, resp.Header)
 	if v.Attempt != "" && v.Attempt != q.call.Attempt {
-		ans.Body.Discard()
+		resp.Body.Discard()
 		q.runs++
 		return false, false, fault.New(fault.BackendFailed, "an engine answered another request")
 	}
 	if v.NotRun {
-		s.handleRefusal(stages, v, ans.Status)
-		return false, false, fault.New(fault.Overloaded, "an engine refused with status %d", ans.Status)
+		s.handleRefusal(stages, v, resp.Status)
+		return false, false, fault.New(fault.Overloaded, "an engine refused with status %d", resp.Status)
 	}
 	q.runs++
 	s.firstEngines[first.Incarnation()] = true
-	if ans.Status != http.StatusOK || v.Signature == "" {
+	if resp.Status != http.StatusOK || v.Signature == "" {
 		s.Health.RecordOutcome(first.Incarnation(), false)
-		read, err := s.readResponse(ans)
+		read, err := s.readResponse(resp)
 		result = bufferedResult(run, err)
-		return s.handleFailureResponse(ans, read, err)
+		return s.handleFailureResponse(resp, read, err)
 	}
 	if q.admitted.Route.Kind != model.RouteStreaming {
-		read, err := s.readResponse(ans)
+		read, err := s.readResponse(resp)
 		result = bufferedResult(run, err)
 		return s.forwardSingle(read, err)
 	}
 	s.runEvents = 0
-	end := s.forwardEvents(ans, w)
+	end := s.forwardEvents(resp, w)
 	if end == io.EOF {
 		result = quarantine.Completed
 		if !q.out.head {
-			s.writeHeader(ans)
+			s.writeHeader(resp)
 		}
 		q.finish("ran", nil, http.StatusOK)
 		return true, true, nil
@@ -184,7 +184,7 @@
 // handleFailureResponse handles an engine's own failure: a stream that has not begun may be
 // tried elsewhere, else the failure is the answer. It is kept, to be the answer also
 // where trying elsewhere comes to nothing.
-func (s *stream) handleFailureResponse(ans *Response, read *bufferedResponse, err error) (done, complete bool, _ error) {
+func (s *stream) handleFailureResponse(resp *Response, read *bufferedResponse, err error) (done, complete bool, _ error) {
 	if err != nil {
 		return false, false, fault.New(fault.BackendFailed, "%v", err)
 	}
@@ -192,13 +192,13 @@
 		return true, s.forward(read), nil
 	}
 	s.failureResponse = read
-	return false, false, fault.New(fault.BackendFailed, "an engine failed with status %d", ans.Status)
+	return false, false, fault.New(fault.BackendFailed, "an engine failed with status %d", resp.Status)
 }
 
 // forwardEvents passes events on until the stream ends; io.EOF is its clean end.
-func (s *stream) forwardEvents(ans *Response, w *chainWatch) error {
+func (s *stream) forwardEvents(resp *Response, w *chainWatch) error {
 	q := s.request
-	reader := eventReader{src: ans.Body}
+	reader := eventReader{src: resp.Body}
 	for {
 		ev, err := reader.next()
 		if err != nil {
@@ -221,7 +221,7 @@
 		}
 		s.runEvents++
 		if !q.out.head {
-			s.writeHeader(ans)
+			s.writeHeader(resp)
 			q.timeToFirstEvent = q.Now().Sub(q.startTime)
 			q.Observer.FirstEvent(q.admitted.Service.Name, q.timeToFirstEvent)
 		}
@@ -249,10 +249,10 @@
 
 // writeHeader sends the head of the first engine's answer. Streams that are resumed
 // keep it, its signature included.
-func (s *stream) writeHeader(ans *Response) {
+func (s *stream) writeHeader(resp *Response) {
 	h := http.Header{}
-	platform.AnswerHeaders(h, ans.Header)
-	s.out.WriteHeader(ans.Status, h, -1)
+	platform.AnswerHeaders(h, resp.Header)
+	s.out.WriteHeader(resp.Status, h, -1)
 }
 
 // succeed takes in that the engines of a chain did their work, as of when it was
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -29,21 +29,21 @@
 // Report reads an engine's own report.
 func (r *Relay) Report(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
 	asked := r.Now()
-	ans, err := r.BackendClient.Do(ctx, b.Address, &Request{Method: http.MethodGet, Target: platform.ReportPath, Host: b.Address, Header: http.Header{}})
+	resp, err := r.BackendClient.Do(ctx, b.Address, &Request{Method: http.MethodGet, Target: platform.ReportPath, Host: b.Address, Header: http.Header{}})
 	if err != nil {
 		return model.EngineReport{}, err
 	}
-	defer ans.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(ans.Body, maxReportBytes+1))
+	defer resp.Body.Close()
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes+1))
 	if err != nil {
 		return model.EngineReport{}, err
 	}
 	if len(raw) > maxReportBytes {
-		ans.Body.Discard()
+		resp.Body.Discard()
 		return model.EngineReport{}, errReportTooLong
 	}
-	if ans.Status != http.StatusOK {
-		return model.EngineReport{}, errors.Errorf("report: status %d", ans.Status)
+	if resp.Status != http.StatusOK {
+		return model.EngineReport{}, errors.Errorf("report: status %d", resp.Status)
 	}
 	report, err := platform.DecodeReport(raw)
 	if err != nil {
@@ -106,15 +106,15 @@
 	if svc == nil || svc.HealthPath == "" {
 		return true, nil
 	}
-	ans, err := r.BackendClient.Do(ctx, b.Address, &Request{Method: http.MethodGet, Target: svc.HealthPath, Host: b.Address, Header: http.Header{}})
+	resp, err := r.BackendClient.Do(ctx, b.Address, &Request{Method: http.MethodGet, Target: svc.HealthPath, Host: b.Address, Header: http.Header{}})
 	if err != nil {
 		return true, err
 	}
-	defer ans.Body.Close()
-	if _, err := io.Copy(io.Discard, ans.Body); err != nil {
-		ans.Body.Discard()
+	defer resp.Body.Close()
+	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		resp.Body.Discard()
 	}
-	return ans.Status == http.StatusOK, nil
+	return resp.Status == http.StatusOK, nil
 }
 
 // pathConflict is the refusal of a path; address names the engine that does not take its
@@ -148,7 +148,7 @@
 
 // sendOrder sends an sendOrder to an engine and gives the status and body of its answer.
 func (r *Relay) sendOrder(ctx context.Context, b *model.BackendServer, body []byte) (status int, answer []byte, err error) {
-	ans, err := r.BackendClient.Do(ctx, b.Address, &Request{
+	resp, err := r.BackendClient.Do(ctx, b.Address, &Request{
 		Method: http.MethodPost,
 		Target: platform.OrderPath,
 		Host:   b.Address,
@@ -158,12 +158,12 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer ans.Body.Close()
-	answer, err = io.ReadAll(io.LimitReader(ans.Body, maxOrderResponseBytes+1))
+	defer resp.Body.Close()
+	answer, err = io.ReadAll(io.LimitReader(resp.Body, maxOrderResponseBytes+1))
 	if err != nil || len(answer) > maxOrderResponseBytes {
-		ans.Body.Discard()
+		resp.Body.Discard()
 	}
-	return ans.Status, answer, nil
+	return resp.Status, answer, nil
 }
 
 // EngineClient gives orders to engines and reads their reports.
