--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -61,7 +61,7 @@
 
 // finish writes the request's line and counts it.
 func (q *request) finish(outcome string, f *fault.Error, status int) {
-	took := q.Now().Sub(q.startTime)
+	elapsed := q.Now().Sub(q.startTime)
 	kind := ""
 	msg := ""
 	if f != nil {
@@ -75,10 +75,10 @@
 	if q.admitted.Service != nil {
 		service = q.admitted.Service.Name
 	}
-	q.Observer.Request(route, service, outcome, kind, took)
+	q.Observer.Request(route, service, outcome, kind, elapsed)
 	klog.InfoS("request ended", "request", q.call.Attempt, "outcome", outcome, "kind", kind, "cause", msg,
 		"status", status, "progress", q.progress(), "route", route, "service", service, "customer", q.admitted.Customer,
-		"ms", took.Milliseconds(), "firstEventMs", q.timeToFirstEvent.Milliseconds(), "longestGapMs", q.longestGap.Milliseconds(), "sends", q.sends, "mayHaveRun", q.runs, "chain", q.chain,
+		"ms", elapsed.Milliseconds(), "firstEventMs", q.timeToFirstEvent.Milliseconds(), "longestGapMs", q.longestGap.Milliseconds(), "sends", q.sends, "mayHaveRun", q.runs, "chain", q.chain,
 		"configVersion", q.admitted.Version, "configAgeMs", q.Config.Age(q.Clock()).Milliseconds())
 }
 
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -198,7 +198,7 @@
 }
 
 // recordFailure takes in that a try gave no answer, and why.
-func (q *request) recordFailure(b *model.BackendServer, why endReason, err error, took time.Duration) {
+func (q *request) recordFailure(b *model.BackendServer, why endReason, err error, elapsed time.Duration) {
 	sent := !errors.Is(err, ErrNotSent)
 	if sent {
 		q.runs++
@@ -206,8 +206,8 @@
 		q.sends--
 		q.unsentAttempts++
 	}
-	klog.InfoS("answer lost", "request", q.call.Attempt, "work", q.fingerprint(), "why", why, "sent", sent, "server", b.Incarnation(), "err", err, "ms", took.Milliseconds())
-	if !why.countsAsFailure(took) {
+	klog.InfoS("answer lost", "request", q.call.Attempt, "work", q.fingerprint(), "why", why, "sent", sent, "server", b.Incarnation(), "err", err, "ms", elapsed.Milliseconds())
+	if !why.countsAsFailure(elapsed) {
 		q.Health.Cancel(b.Incarnation())
 		return
 	}
@@ -219,7 +219,7 @@
 }
 
 // judge takes in what an answer says of its server.
-func (q *request) recordResponse(b *model.BackendServer, resp *bufferedResponse, took time.Duration) {
+func (q *request) recordResponse(b *model.BackendServer, resp *bufferedResponse, elapsed time.Duration) {
 	switch {
 	case resp.verdict.Misdirected:
 		q.Health.End(b.Incarnation(), false, 0)
@@ -229,7 +229,7 @@
 		q.Health.End(b.Incarnation(), false, 0)
 	default:
 		q.runs++
-		q.Health.End(b.Incarnation(), resp.status < 500, took)
+		q.Health.End(b.Incarnation(), resp.status < 500, elapsed)
 	}
 }
 
--- a/internal/protocol/relay/ending.go
+++ b/internal/protocol/relay/ending.go
@@ -56,12 +56,12 @@
 
 // blames tells whether an end speaks against the server. A caller that leaves says
 // nothing of it, nor does a router that stops or a deadline that left it no time.
-func (e endReason) countsAsFailure(took time.Duration) bool {
+func (e endReason) countsAsFailure(elapsed time.Duration) bool {
 	switch e {
 	case callerLeft, routerStopping:
 		return false
 	case deadlineExceeded:
-		return took >= minAttemptTimeout
+		return elapsed >= minAttemptTimeout
 	}
 	return true
 }
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -76,8 +76,8 @@
 
 // Observer counts what happens to requests.
 type Observer interface {
-	Request(route, service, outcome, kind string, took time.Duration)
-	FirstEvent(service string, took time.Duration)
+	Request(route, service, outcome, kind string, elapsed time.Duration)
+	FirstEvent(service string, elapsed time.Duration)
 	Retry(service, reason string)
 }
 
