--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -9,10 +9,10 @@
 // runFailure is why a run is ended, and by whose fault; culprit is empty where that is
 // not known.
 type runFailure struct {
-	culprit  model.Incarnation
-	why      endReason
-	silences int
-	err      error
+	culprit model.Incarnation
+	why     endReason
+	stalls  int
+	err     error
 }
 
 // endIfUnchanged ends a run for what was found out when its news count stood at news. It asks
@@ -31,7 +31,7 @@
 		w.endLocked(v)
 		return
 	}
-	klog.InfoS("run kept: no other engine may go on", "request", w.q.call.Attempt, "why", v.why, "culprit", v.culprit, "silences", v.silences, "begun", w.hasEvents, "budget", !w.last, "err", v.err)
+	klog.InfoS("run kept: no other engine may go on", "request", w.q.call.Attempt, "why", v.why, "culprit", v.culprit, "silences", v.stalls, "begun", w.hasEvents, "budget", !w.last, "err", v.err)
 	if !w.last {
 		w.timer.Reset(nextEventTimeout)
 	}
@@ -76,6 +76,6 @@
 	w.culprit = v.culprit
 	w.stopped = true
 	w.timer.Stop()
-	klog.InfoS("run abandoned", "request", w.q.call.Attempt, "why", v.why, "culprit", v.culprit, "silences", v.silences, "begun", w.hasEvents, "err", v.err)
+	klog.InfoS("run abandoned", "request", w.q.call.Attempt, "why", v.why, "culprit", v.culprit, "silences", v.stalls, "begun", w.hasEvents, "err", v.err)
 	w.cancel(v.why)
 }
