--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -198,7 +198,7 @@
 }
 
 // recordFailure takes in that a try gave no answer, and why.
-func (q *request) recordFailure(b *model.BackendServer, why endReason, err error, elapsed time.Duration) {
+func (q *request) recordFailure(b *model.BackendServer, reason endReason, err error, elapsed time.Duration) {
 	sent := !errors.Is(err, ErrNotSent)
 	if sent {
 		q.runs++
@@ -206,8 +206,8 @@
 		q.sends--
 		q.unsentAttempts++
 	}
-	klog.InfoS("answer lost", "request", q.call.Attempt, "work", q.fingerprint(), "why", why, "sent", sent, "server", b.Incarnation(), "err", err, "ms", elapsed.Milliseconds())
-	if !why.countsAsFailure(elapsed) {
+	klog.InfoS("answer lost", "request", q.call.Attempt, "work", q.fingerprint(), "why", reason, "sent", sent, "server", b.Incarnation(), "err", err, "ms", elapsed.Milliseconds())
+	if !reason.countsAsFailure(elapsed) {
 		q.Health.Cancel(b.Incarnation())
 		return
 	}
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -289,13 +289,13 @@
 
 // handleSendError takes in that an engine gave no answer, and whether the request was sent.
 func (s *stream) handleSendError(run context.Context, w *chainWatch, first *model.BackendServer, err error) *fault.Error {
-	why := endReasonOf(run, err)
+	reason := endReasonOf(run, err)
 	if errors.Is(err, ErrNotSent) {
 		s.sends--
 		s.unsentAttempts++
-		if why != noConnection && !(why == deadlineExceeded && why.countsAsFailure(s.Now().Sub(w.sentAt))) {
-			s.recordChainLoss(w, why, err)
-			return fault.New(fault.NotConnected, "the run was ended before it was sent: %s", why)
+		if reason != noConnection && !(reason == deadlineExceeded && reason.countsAsFailure(s.Now().Sub(w.sentAt))) {
+			s.recordChainLoss(w, reason, err)
+			return fault.New(fault.NotConnected, "the run was ended before it was sent: %s", reason)
 		}
 		s.avoid[first.Incarnation()] = true
 		s.Suspects.Unreachable(first, s.call.Attempt, err)
@@ -303,7 +303,7 @@
 	}
 	s.runs++
 	s.firstEngines[first.Incarnation()] = true
-	s.recordChainLoss(w, why, err)
+	s.recordChainLoss(w, reason, err)
 	return fault.New(fault.BackendLost, "an engine was lost before it answered")
 }
 
@@ -311,10 +311,10 @@
 // The caller's end speaks against no engine. Where an engine was found at fault it
 // alone is avoided; else any of the chain may be, and the stream goes on without all
 // of them.
-func (s *stream) recordChainLoss(w *chainWatch, why endReason, err error) {
+func (s *stream) recordChainLoss(w *chainWatch, reason endReason, err error) {
 	stages, culprit := w.state()
-	klog.InfoS("chain lost", "request", s.call.Attempt, "work", s.fingerprint(), "why", why, "sent", !errors.Is(err, ErrNotSent), "chain", chainString(stages), "culprit", culprit, "err", err, "events", s.events)
-	if why == callerLeft || why == deadlineExceeded || why == routerStopping {
+	klog.InfoS("chain lost", "request", s.call.Attempt, "work", s.fingerprint(), "why", reason, "sent", !errors.Is(err, ErrNotSent), "chain", chainString(stages), "culprit", culprit, "err", err, "events", s.events)
+	if reason == callerLeft || reason == deadlineExceeded || reason == routerStopping {
 		return
 	}
 	if culprit != (model.Incarnation{}) {
--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -10,7 +10,7 @@
 // not known.
 type runFailure struct {
 	culprit model.Incarnation
-	why     endReason
+	reason  endReason
 	stalls  int
 	err     error
 }
@@ -31,7 +31,7 @@
 		w.endLocked(v)
 		return
 	}
-	klog.InfoS("run kept: no other engine may go on", "request", w.q.call.Attempt, "why", v.why, "culprit", v.culprit, "silences", v.stalls, "begun", w.hasEvents, "budget", !w.last, "err", v.err)
+	klog.InfoS("run kept: no other engine may go on", "request", w.q.call.Attempt, "why", v.reason, "culprit", v.culprit, "silences", v.stalls, "begun", w.hasEvents, "budget", !w.last, "err", v.err)
 	if !w.last {
 		w.timer.Reset(nextEventTimeout)
 	}
@@ -68,7 +68,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.stopped && !w.rerouting && uses(w.stages, lost) {
-		w.endLocked(runFailure{culprit: lost, why: engineExited})
+		w.endLocked(runFailure{culprit: lost, reason: engineExited})
 	}
 }
 
@@ -76,6 +76,6 @@
 	w.culprit = v.culprit
 	w.stopped = true
 	w.timer.Stop()
-	klog.InfoS("run abandoned", "request", w.q.call.Attempt, "why", v.why, "culprit", v.culprit, "silences", v.stalls, "begun", w.hasEvents, "err", v.err)
-	w.cancel(v.why)
+	klog.InfoS("run abandoned", "request", w.q.call.Attempt, "why", v.reason, "culprit", v.culprit, "silences", v.stalls, "begun", w.hasEvents, "err", v.err)
+	w.cancel(v.reason)
 }
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -24,7 +24,7 @@
 // A run that may be sent anew is: its tokens are read by the engines of another chain,
 // each a few layers, and all streams of the lost engine spread over all chains. Moved,
 // they would all wait for the lost engine's twin to read.
-func (w *chainWatch) leaveEngines(lost engineSet, why endReason) {
+func (w *chainWatch) leaveEngines(lost engineSet, reason endReason) {
 	defer w.recoverPanic()
 	w.mu.Lock()
 	culprit, through := firstEngineIn(w.stages, lost)
@@ -42,12 +42,12 @@
 	}
 	switch news, taken := w.finishReroute(moved); {
 	case taken:
-	case why == engineExited && w.last:
+	case reason == engineExited && w.last:
 		time.AfterFunc(finalResponseTimeout, func() { w.endIfUses(culprit) })
-	case why == engineExited:
+	case reason == engineExited:
 		w.endIfUses(culprit)
 	default:
-		w.endIfUnchanged(news, runFailure{culprit: culprit, why: why})
+		w.endIfUnchanged(news, runFailure{culprit: culprit, reason: reason})
 	}
 }
 
--- a/internal/protocol/relay/panic.go
+++ b/internal/protocol/relay/panic.go
@@ -51,7 +51,7 @@
 func (w *chainWatch) recoverPanic() {
 	if cause := recover(); cause != nil {
 		w.q.reportPanic("watch", cause)
-		w.end(runFailure{why: panicked, err: errPanic})
+		w.end(runFailure{reason: panicked, err: errPanic})
 	}
 }
 
--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -14,7 +14,7 @@
 type activeRun interface {
 	// leaveEngines takes in that incarnations of servers have ended (engineGone), or are
 	// believed to be at fault.
-	leaveEngines(lost engineSet, why endReason)
+	leaveEngines(lost engineSet, reason endReason)
 }
 
 // engineSet is a set of incarnations.
@@ -71,9 +71,9 @@
 	last   bool // it must not be sent again
 }
 
-func (c *plainRun) leaveEngines(lost engineSet, why endReason) {
+func (c *plainRun) leaveEngines(lost engineSet, reason endReason) {
 	switch {
-	case !lost[c.server] || why != engineExited:
+	case !lost[c.server] || reason != engineExited:
 	case c.last:
 		time.AfterFunc(finalResponseTimeout, func() { c.cancel(engineExited) })
 	default:
@@ -112,18 +112,18 @@
 
 // notifyLoss tells all work in progress that incarnations of servers have ended, or are
 // believed to be at fault.
-func (r *ActiveRuns) notifyLoss(lost engineSet, why endReason) {
+func (r *ActiveRuns) notifyLoss(lost engineSet, reason endReason) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for inc := range lost {
-		if why == engineExited {
+		if reason == engineExited {
 			noteRecent(r.exited, inc)
 		} else {
 			noteRecent(r.unresponsive, inc)
 		}
 	}
 	for w := range r.runs {
-		go w.leaveEngines(lost, why)
+		go w.leaveEngines(lost, reason)
 	}
 }
 
--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -89,7 +89,7 @@
 		progress string
 		do       script
 		full     bool
-		why      string
+		reason   string
 		isSent   string
 	}{
 		{"waiting for room", unsent, true, "", ""},
@@ -111,12 +111,12 @@
 			assert.Equal(t, len(end), 1)
 			assert.Check(t, strings.Contains(end[0], `progress="`+at.progress+`"`), end[0])
 			lost := log.of("chain lost")
-			if at.why == "" {
+			if at.reason == "" {
 				assert.Equal(t, len(lost), 0)
 				return
 			}
 			assert.Equal(t, len(lost), 1)
-			assert.Check(t, strings.Contains(lost[0], `why="`+at.why+`" sent=`+at.isSent), lost[0])
+			assert.Check(t, strings.Contains(lost[0], `why="`+at.reason+`" sent=`+at.isSent), lost[0])
 		})
 	}
 }
@@ -128,9 +128,9 @@
 		return nil, io.ErrUnexpectedEOF
 	}
 	for _, at := range []struct {
-		why   string
-		do    script
-		after func(s *site, leave func())
+		reason string
+		do     script
+		after  func(s *site, leave func())
 	}{
 		{"caller left", hangs, func(_ *site, leave func()) { leave() }},
 		{"deadline", hangs, func(*site, func()) {}},
@@ -151,7 +151,7 @@
 			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, &listener{})
 			lost := log.of("answer lost")
 			assert.Equal(t, len(lost), 1)
-			assert.Check(t, strings.Contains(lost[0], `why="`+at.why+`"`), lost[0])
+			assert.Check(t, strings.Contains(lost[0], `why="`+at.reason+`"`), lost[0])
 		})
 	}
 }
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -211,8 +211,8 @@
 }
 
 // resultOf tells what the end of a run without a whole answer says of its request.
-func runResult(why endReason, err error) quarantine.Result {
-	if !errors.Is(err, ErrNotSent) && (why == connectionLost || why == engineExited) {
+func runResult(reason endReason, err error) quarantine.Result {
+	if !errors.Is(err, ErrNotSent) && (reason == connectionLost || reason == engineExited) {
 		return quarantine.ConnectionLost
 	}
 	return quarantine.Inconclusive
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -77,7 +77,7 @@
 	w.progress = q.Detector.Track(path, q.eventInterval(stages), q.admitted.Route.TargetGap)
 	w.startTimer()
 	if gone, ended := q.ActiveRuns.add(w, path...); ended {
-		w.end(runFailure{culprit: gone, why: engineExited})
+		w.end(runFailure{culprit: gone, reason: engineExited})
 	} else if silent := q.ActiveRuns.recentlyLost(path); len(silent) > 0 {
 		go w.leaveEngines(silent, stalled)
 	}
@@ -185,7 +185,7 @@
 	}
 	if err != nil {
 		w.q.Suspects.Unreachable(first, w.q.call.Attempt, err)
-		w.endIfUnchanged(news, runFailure{culprit: first.Incarnation(), why: stalled, stalls: n, err: err})
+		w.endIfUnchanged(news, runFailure{culprit: first.Incarnation(), reason: stalled, stalls: n, err: err})
 		return
 	}
 	if addr := stalledAddress(report, w.q.call.Attempt); addr != "" {
@@ -199,7 +199,7 @@
 		return
 	}
 	if n >= w.stallLimit() {
-		w.endIfUnchanged(news, runFailure{why: stalled, stalls: n})
+		w.endIfUnchanged(news, runFailure{reason: stalled, stalls: n})
 		return
 	}
 	w.resetTimer(news, nextEventTimeout)
@@ -252,7 +252,7 @@
 		w.failEngine(server, nil)
 		return
 	}
-	w.endIfUnchanged(news, runFailure{why: stalled, stalls: n})
+	w.endIfUnchanged(news, runFailure{reason: stalled, stalls: n})
 }
 
 // failEngine takes in that an engine of the chain does not do its part: all streams of this
