--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -193,7 +193,7 @@
 	if q.leastCostServer() == nil || !q.takeRetryToken(run) {
 		return false
 	}
-	q.granted = true
+	q.retryGranted = true
 	return true
 }
 
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -125,7 +125,7 @@
 	result := quarantine.Inconclusive
 	defer func() { q.confirmExits(record.End(result)) }()
 	w := q.watch(run, cancel, stages, reservation, record)
-	defer func() { q.granted = w.stop() || q.granted }()
+	defer func() { q.retryGranted = w.stop() || q.retryGranted }()
 	q.sends++
 	resp, err := q.BackendClient.Do(run, first.Address, q.newRequest(send))
 	if err != nil {
--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -21,13 +21,13 @@
 // no repeated send is granted, is kept: its end would be a sure loss, while a silent
 // engine may go on; its caller decides how long to wait.
 func (w *chainWatch) endIfUnchanged(news int, v runFailure) {
-	granted := !w.last && w.takeRetryToken()
+	retryGranted := !w.last && w.takeRetryToken()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.changedLocked(news) || w.run.Err() != nil {
 		return
 	}
-	if granted {
+	if retryGranted {
 		w.endLocked(v)
 		return
 	}
@@ -41,14 +41,14 @@
 // granted where the chain speaks again before it is ended.
 func (w *chainWatch) takeRetryToken() bool {
 	w.mu.Lock()
-	granted := w.granted
+	retryGranted := w.retryGranted
 	w.mu.Unlock()
-	if granted || !w.q.RetryBorrower.Take(w.run, w.q.admitted.Service.Name) {
-		return granted
+	if retryGranted || !w.q.RetryBorrower.Take(w.run, w.q.admitted.Service.Name) {
+		return retryGranted
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.granted = true
+	w.retryGranted = true
 	return true
 }
 
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -149,8 +149,8 @@
 	unsentAttempts     int
 	waitingForCapacity bool // for room at the engines
 	// granted says that the next repeated send was taken from the budget already.
-	granted bool
-	avoid   map[model.Incarnation]bool
+	retryGranted bool
+	avoid        map[model.Incarnation]bool
 	// fingerprint is the request's, made when it is first asked for: by the request, or by
 	// whoever tells of a server's end.
 	cachedFingerprint model.Fingerprint
--- a/internal/protocol/relay/repeat.go
+++ b/internal/protocol/relay/repeat.go
@@ -41,8 +41,8 @@
 // takeRepeat takes one repeated send from the budget, unless that was done when the
 // try before was given up.
 func (q *request) takeRetryToken(ctx context.Context) bool {
-	if q.granted {
-		q.granted = false
+	if q.retryGranted {
+		q.retryGranted = false
 		return true
 	}
 	return q.RetryBorrower.Take(ctx, q.admitted.Service.Name)
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -63,7 +63,7 @@
 	rerouting   bool
 	// granted says that a repeated send was taken from the budget for what follows
 	// this run.
-	granted bool
+	retryGranted bool
 	// paceFrom is when the events began that are counted in paceCount.
 	sampleStart  time.Time
 	sampleEvents int
@@ -133,14 +133,14 @@
 }
 
 // stop ends the watch. It tells whether a repeated send was taken from the budget.
-func (w *chainWatch) stop() (granted bool) {
+func (w *chainWatch) stop() (retryGranted bool) {
 	w.q.ActiveRuns.remove(w)
 	w.progress.Close()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stopped = true
 	w.timer.Stop()
-	return w.granted
+	return w.retryGranted
 }
 
 // state gives the chain as it is now and the engine at fault, if one was found.
