--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -36,7 +36,7 @@
 		after = f.After()
 	}
 	q.finish("refused", f, status)
-	if q.out.head {
+	if q.out.headerWritten {
 		return false
 	}
 	h := http.Header{}
@@ -86,7 +86,7 @@
 // it, and whether its caller has something of an answer.
 func (q *request) progress() string {
 	switch {
-	case q.out.head:
+	case q.out.headerWritten:
 		return "begun"
 	case q.sends > 0:
 		return "sent"
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -80,7 +80,7 @@
 // now, as it is ready; else the system's.
 func (s *stream) respondFailure(ctx context.Context, f *fault.Error) bool {
 	switch {
-	case s.failureResponse != nil && !s.out.head:
+	case s.failureResponse != nil && !s.out.headerWritten:
 		return s.forward(s.failureResponse)
 	case ctx.Err() != nil:
 		f = s.contextError(ctx)
@@ -160,7 +160,7 @@
 	end := s.forwardEvents(resp, w)
 	if end == io.EOF {
 		result = quarantine.Completed
-		if !q.out.head {
+		if !q.out.headerWritten {
 			s.writeHeader(resp)
 		}
 		q.finish("ran", nil, http.StatusOK)
@@ -188,7 +188,7 @@
 	if err != nil {
 		return false, false, fault.New(fault.BackendFailed, "%v", err)
 	}
-	if !s.out.head && (read.status < 500 || !s.retryable()) {
+	if !s.out.headerWritten && (read.status < 500 || !s.retryable()) {
 		return true, s.forward(read), nil
 	}
 	s.failureResponse = read
@@ -220,7 +220,7 @@
 			w.record.AnswerStarted()
 		}
 		s.runEvents++
-		if !q.out.head {
+		if !q.out.headerWritten {
 			s.writeHeader(resp)
 			q.timeToFirstEvent = q.Now().Sub(q.startTime)
 			q.Observer.FirstEvent(q.admitted.Service.Name, q.timeToFirstEvent)
--- a/internal/protocol/relay/panic.go
+++ b/internal/protocol/relay/panic.go
@@ -16,11 +16,11 @@
 // headerTracker is a caller that remembers whether it has the head of an answer.
 type headerTracker struct {
 	ResponseWriter
-	head bool
+	headerWritten bool
 }
 
 func (b *headerTracker) WriteHeader(status int, header http.Header, length int64) {
-	b.head = true
+	b.headerWritten = true
 	b.ResponseWriter.WriteHeader(status, header, length)
 }
 
