--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -277,8 +277,8 @@
 		// It is another incarnation, which its report tells, or holds other
 		// layers: reports lag, so only its entry will tell. Each further refusal
 		// doubles the time.
-		until, news := s.Health.Suspect(culprit.Incarnation())
-		if news && culprit.Born != 0 {
+		until, isNew := s.Health.Suspect(culprit.Incarnation())
+		if isNew && culprit.Born != 0 {
 			go s.VerifyIncarnation(*culprit)
 		}
 		klog.InfoS("engine suspected: it does not hold its part", "request", s.call.Attempt, "server", culprit.Incarnation(), "until", until)
--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -69,8 +69,8 @@
 
 // Unreachable implements Suspicions.
 func (p *Prober) Unreachable(b *model.BackendServer, request string, err error) {
-	until, news := p.Health.Suspect(b.Incarnation())
-	if news {
+	until, isNew := p.Health.Suspect(b.Incarnation())
+	if isNew {
 		klog.InfoS("engine suspected", "request", request, "server", b.Incarnation(), "address", b.Address, "err", err, "until", until)
 	}
 	p.addSuspect(b.Incarnation(), true)
