--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -69,9 +69,9 @@
 	if b.Born == 0 || report.Born == 0 || report.Born == b.Born {
 		return nil
 	}
-	news := r.Catalog.ResolveIncarnation(b.Incarnation(), report.Born, report.Holds)
-	klog.InfoS("engine's report is of another start", "server", b.Incarnation(), "address", b.Address, "born", report.Born, "news", len(news.Exited) > 0)
-	r.HandleExits(news.Exited, "its report")
+	conflicts := r.Catalog.ResolveIncarnation(b.Incarnation(), report.Born, report.Holds)
+	klog.InfoS("engine's report is of another start", "server", b.Incarnation(), "address", b.Address, "born", report.Born, "news", len(conflicts.Exited) > 0)
+	r.HandleExits(conflicts.Exited, "its report")
 	return errors.Wrapf(errRestarted, "at %d ms instead of %d", report.Born, b.Born)
 }
 
