--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -20,11 +20,11 @@
 // shows that the chain works. A run that no other engine may go on with, or for which
 // no repeated send is granted, is kept: its end would be a sure loss, while a silent
 // engine may go on; its caller decides how long to wait.
-func (w *chainWatch) endIfUnchanged(news int, v runFailure) {
+func (w *chainWatch) endIfUnchanged(generation int, v runFailure) {
 	retryGranted := !w.last && w.takeRetryToken()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.changedLocked(news) || w.run.Err() != nil {
+	if w.changedLocked(generation) || w.run.Err() != nil {
 		return
 	}
 	if retryGranted {
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -40,35 +40,35 @@
 	if !w.fresh || !w.takeRetryToken() {
 		moved = w.routeAround(stages, lost)
 	}
-	switch news, taken := w.finishReroute(moved); {
+	switch generation, taken := w.finishReroute(moved); {
 	case taken:
 	case reason == engineExited && w.last:
 		time.AfterFunc(finalResponseTimeout, func() { w.endIfUses(culprit) })
 	case reason == engineExited:
 		w.endIfUses(culprit)
 	default:
-		w.endIfUnchanged(news, runFailure{culprit: culprit, reason: reason})
+		w.endIfUnchanged(generation, runFailure{culprit: culprit, reason: reason})
 	}
 }
 
 // finishReroute ends a move: the run goes through other engines now, if there are any.
 // It tells the count of news as of then.
-func (w *chainWatch) finishReroute(moved []chains.Stage) (news int, taken bool) {
+func (w *chainWatch) finishReroute(moved []chains.Stage) (generation int, taken bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.rerouting = false
 	if w.stopped {
-		return w.news, false
+		return w.generation, false
 	}
 	w.early = false
 	w.timer.Reset(reroutedEventTimeout)
 	if moved == nil {
-		return w.news, false
+		return w.generation, false
 	}
 	w.stages = moved
 	w.progress.Reroute(engines(moved))
-	w.news++
-	return w.news, true
+	w.generation++
+	return w.generation, true
 }
 
 // routeAround orders the first engine to send the stream around engines; nil if
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -26,18 +26,18 @@
 }
 
 // assess decides whether a stream whose event is overdue has its path checked.
-func (w *chainWatch) assess(news int) {
+func (w *chainWatch) assess(generation int) {
 	a := w.progress.Assess()
 	if a.ReassessAfter > 0 {
-		w.resetTimer(news, a.ReassessAfter)
+		w.resetTimer(generation, a.ReassessAfter)
 		return
 	}
 	if a.NeedsCheck() {
-		w.checkPath(news, a)
+		w.checkPath(generation, a)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.changedLocked(news) {
+	if !w.changedLocked(generation) {
 		w.early = false
 		w.timer.Reset(max(nextEventTimeout-a.Pause, minStallTimeout))
 	}
@@ -45,7 +45,7 @@
 
 // checkPath orders the first engine to send the stream the way it goes already: it
 // refuses that, and names the engine, where one of them does not take its part.
-func (w *chainWatch) checkPath(news int, a detector.Assessment) {
+func (w *chainWatch) checkPath(generation int, a detector.Assessment) {
 	held := false
 	defer func() { w.progress.CheckFinished(held) }()
 	stages, _ := w.state()
@@ -66,7 +66,7 @@
 		}
 	case ctx.Err() != nil && w.run.Err() == nil:
 		w.markUnconfirmed(err)
-		if slices.Contains(a.Candidates, first.Incarnation()) && !w.changed(news) {
+		if slices.Contains(a.Candidates, first.Incarnation()) && !w.changed(generation) {
 			w.failEngine(first, err)
 		}
 	}
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -57,7 +57,7 @@
 	early       bool              // the timer is for the path check, not for a silence
 	unconfirmed bool              // an order was not answered and may be carried out later
 	stalls      int               // silences in a row
-	news        int               // counts events and moves, to notice what came meanwhile
+	generation  int               // counts events and moves, to notice what came meanwhile
 	stopped     bool              // ended here, or over
 	culprit     model.Incarnation // the engine at fault; empty if none was found
 	rerouting   bool
@@ -103,7 +103,7 @@
 	defer w.mu.Unlock()
 	w.hasEvents = true
 	w.stalls = 0
-	w.news++
+	w.generation++
 	w.early = true
 	next := w.progress.RecordEvent()
 	if !w.stopped {
@@ -155,13 +155,13 @@
 	defer w.recoverPanic()
 	w.mu.Lock()
 	early := w.early
-	news := w.news
+	generation := w.generation
 	over := w.stopped || w.rerouting
 	w.mu.Unlock()
 	switch {
 	case over:
 	case early:
-		w.assess(news)
+		w.assess(generation)
 	default:
 		w.handleStall()
 	}
@@ -176,33 +176,33 @@
 	}
 	w.stalls++
 	n := w.stalls
-	news := w.news
+	generation := w.generation
 	first := w.stages[0].Server
 	w.mu.Unlock()
 	report, err := w.q.fetchReport(first)
-	if w.changed(news) {
+	if w.changed(generation) {
 		return
 	}
 	if err != nil {
 		w.q.Suspects.Unreachable(first, w.q.call.Attempt, err)
-		w.endIfUnchanged(news, runFailure{culprit: first.Incarnation(), reason: stalled, stalls: n, err: err})
+		w.endIfUnchanged(generation, runFailure{culprit: first.Incarnation(), reason: stalled, stalls: n, err: err})
 		return
 	}
 	if addr := stalledAddress(report, w.q.call.Attempt); addr != "" {
-		w.handleStalledEngine(addr, news, n)
+		w.handleStalledEngine(addr, generation, n)
 		return
 	}
 	if w.q.admitted.Route.Kind != model.RouteStreaming {
 		// The answer comes in one piece. Nothing before it is no silence; its engines
 		// are asked less and less often.
-		w.resetTimer(news, time.Duration(n)*nextEventTimeout)
+		w.resetTimer(generation, time.Duration(n)*nextEventTimeout)
 		return
 	}
 	if n >= w.stallLimit() {
-		w.endIfUnchanged(news, runFailure{reason: stalled, stalls: n})
+		w.endIfUnchanged(generation, runFailure{reason: stalled, stalls: n})
 		return
 	}
-	w.resetTimer(news, nextEventTimeout)
+	w.resetTimer(generation, nextEventTimeout)
 }
 
 // stallLimit is how many silences in a row the run is allowed.
@@ -215,24 +215,24 @@
 	return maxStalls - 1
 }
 
-func (w *chainWatch) resetTimer(news int, after time.Duration) {
+func (w *chainWatch) resetTimer(generation int, after time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.changedLocked(news) {
+	if !w.changedLocked(generation) {
 		w.timer.Reset(after)
 	}
 }
 
 // changed tells whether an event came, or the chain was moved or has ended,
 // meanwhile: what was found out is about the chain as it was before.
-func (w *chainWatch) changed(news int) bool {
+func (w *chainWatch) changed(generation int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.changedLocked(news)
+	return w.changedLocked(generation)
 }
 
-func (w *chainWatch) changedLocked(news int) bool {
-	return w.stopped || w.rerouting || w.news != news
+func (w *chainWatch) changedLocked(generation int) bool {
+	return w.stopped || w.rerouting || w.generation != generation
 }
 
 func stalledAddress(r model.EngineReport, attempt string) string {
@@ -246,13 +246,13 @@
 
 // blame takes in which engine the chain waits for. The other streams of this
 // router that run through it are moved at once, before they notice.
-func (w *chainWatch) handleStalledEngine(addr string, news, n int) {
+func (w *chainWatch) handleStalledEngine(addr string, generation, n int) {
 	stages, _ := w.state()
 	if server := engineAt(stages, addr); server != nil {
 		w.failEngine(server, nil)
 		return
 	}
-	w.endIfUnchanged(news, runFailure{reason: stalled, stalls: n})
+	w.endIfUnchanged(generation, runFailure{reason: stalled, stalls: n})
 }
 
 // failEngine takes in that an engine of the chain does not do its part: all streams of this
