--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -38,10 +38,10 @@
 // dispatch sends a call to one backend server of a plain service, and to others
 // while that is allowed and helps.
 func (q *request) servePlain(ctx context.Context) bool {
-	var last *bufferedResponse
+	var lastFailure *bufferedResponse
 	for ctx.Err() == nil {
 		server, f := q.pickServer(ctx)
-		if f != nil && last == nil {
+		if f != nil && lastFailure == nil {
 			return q.respondError(f)
 		}
 		if server == nil {
@@ -52,7 +52,7 @@
 		case err == nil && !resp.verdict.NotRun && (resp.status < 500 || !q.admitted.Idempotent()):
 			return q.forward(resp)
 		case err == nil:
-			last = resp
+			lastFailure = resp
 		}
 		reason := "failed"
 		if err != nil {
@@ -63,21 +63,21 @@
 		}
 		klog.InfoS("sent again", "request", q.call.Attempt, "reason", reason, "server", server.Incarnation(), "err", err, "sends", q.sends)
 	}
-	return q.respondFailure(ctx, last)
+	return q.respondFailure(ctx, lastFailure)
 }
 
 // respondFailure answers with the last failure of a backend server where one came, also when
 // the time is over by now: it is ready. A refusal of a backend server becomes the
 // system's own.
-func (q *request) respondFailure(ctx context.Context, last *bufferedResponse) bool {
+func (q *request) respondFailure(ctx context.Context, lastFailure *bufferedResponse) bool {
 	switch {
-	case last != nil && !last.verdict.NotRun:
-		return q.forward(last)
+	case lastFailure != nil && !lastFailure.verdict.NotRun:
+		return q.forward(lastFailure)
 	case ctx.Err() != nil:
 		return q.respondError(q.contextError(ctx))
 	case q.runs > 0:
 		return q.respondError(fault.New(fault.BackendLost, "the backend server's answer was lost"))
-	case last != nil:
+	case lastFailure != nil:
 		return q.respondError(fault.New(fault.Overloaded, "every backend server asked was full"))
 	}
 	return q.respondError(fault.New(fault.NoCapacity, "no backend server of %s takes work", q.admitted.Service.Name))
