--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -50,11 +50,11 @@
 		s.lastEventID = id
 		s.hasLastEventID = true
 	}
-	var last *fault.Error
+	var lastErr *fault.Error
 	for {
 		stages, reservation, f := s.reservePermitted(ctx)
 		if f != nil {
-			return s.respondFailure(ctx, preferFirst(last, f))
+			return s.respondFailure(ctx, preferFirst(lastErr, f))
 		}
 		done, whole, err := s.runReserved(ctx, stages, reservation)
 		if done {
@@ -63,9 +63,9 @@
 		if s.writeErr != nil {
 			return q.respondError(fault.New(fault.CancelledSent, "the caller takes no more: %v", s.writeErr))
 		}
-		last = fault.From(err)
+		lastErr = fault.From(err)
 		if ctx.Err() != nil || !s.resumable() || !q.allowResume(ctx, err) {
-			return s.respondFailure(ctx, last)
+			return s.respondFailure(ctx, lastErr)
 		}
 		klog.InfoS("stream resumed at another chain", "request", q.call.Attempt, "after", s.lastEventID, "events", s.events,
 			"err", err, "sends", q.sends, "ms", q.Now().Sub(q.startTime).Milliseconds())
