--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -21,7 +21,7 @@
 // no repeated send is granted, is kept: its end would be a sure loss, while a silent
 // engine may go on; its caller decides how long to wait.
 func (w *chainWatch) endIfUnchanged(generation int, v runFailure) {
-	retryGranted := !w.last && w.takeRetryToken()
+	retryGranted := !w.final && w.takeRetryToken()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.changedLocked(generation) || w.run.Err() != nil {
@@ -31,8 +31,8 @@
 		w.endLocked(v)
 		return
 	}
-	klog.InfoS("run kept: no other engine may go on", "request", w.q.call.Attempt, "why", v.reason, "culprit", v.culprit, "silences", v.stalls, "begun", w.hasEvents, "budget", !w.last, "err", v.err)
-	if !w.last {
+	klog.InfoS("run kept: no other engine may go on", "request", w.q.call.Attempt, "why", v.reason, "culprit", v.culprit, "silences", v.stalls, "begun", w.hasEvents, "budget", !w.final, "err", v.err)
+	if !w.final {
 		w.timer.Reset(nextEventTimeout)
 	}
 }
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -42,7 +42,7 @@
 	}
 	switch generation, taken := w.finishReroute(moved); {
 	case taken:
-	case reason == engineExited && w.last:
+	case reason == engineExited && w.final:
 		time.AfterFunc(finalResponseTimeout, func() { w.endIfUses(culprit) })
 	case reason == engineExited:
 		w.endIfUses(culprit)
--- a/internal/protocol/relay/move_test.go
+++ b/internal/protocol/relay/move_test.go
@@ -30,7 +30,7 @@
 			return report(emptyReport), nil
 		})
 		w, run := s.watched(t, route)
-		w.last = true // as on the last send that a request has
+		w.final = true // as on the last send that a request has
 		s.HandleEngineExit(inc("far"))
 		time.Sleep(10 * time.Millisecond)
 		s.HandleEngineExit(inc("far"))
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -217,7 +217,7 @@
 		engines := &pathEngines{}
 		s := threeParts(engines.do)
 		w, run := s.running(t, movable)
-		w.last = true // so that the run is kept
+		w.final = true // so that the run is kept
 		play([]*chainWatch{w}, 20)
 		engines.answerWith(unanswered)
 		time.Sleep(resumable.TargetGap)
--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -68,13 +68,13 @@
 type plainRun struct {
 	server model.Incarnation
 	cancel context.CancelCauseFunc
-	last   bool // it must not be sent again
+	final  bool // it must not be sent again
 }
 
 func (c *plainRun) leaveEngines(lost engineSet, reason endReason) {
 	switch {
 	case !lost[c.server] || reason != engineExited:
-	case c.last:
+	case c.final:
 		time.AfterFunc(finalResponseTimeout, func() { c.cancel(engineExited) })
 	default:
 		c.cancel(engineExited)
@@ -84,9 +84,9 @@
 // track ends a call when the server's process has ended. Where the server fell
 // silent its connection would tell only at the caller's deadline, too late for a
 // request that may be sent again.
-func (r *ActiveRuns) track(ctx context.Context, server model.Incarnation, last bool) (run context.Context, cancel context.CancelCauseFunc, stop func()) {
+func (r *ActiveRuns) track(ctx context.Context, server model.Incarnation, final bool) (run context.Context, cancel context.CancelCauseFunc, stop func()) {
 	run, cancel = context.WithCancelCause(ctx)
-	c := &plainRun{server: server, cancel: cancel, last: last}
+	c := &plainRun{server: server, cancel: cancel, final: final}
 	if _, ended := r.add(c, server); ended {
 		cancel(engineExited)
 	}
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -46,7 +46,7 @@
 	// progress is what the stream's events say of its engines.
 	progress *detector.Stream
 	// last says that no other engine may go on where this run ends.
-	last bool
+	final bool
 	// fresh says that the route's attempts leave one at another first engine.
 	fresh bool
 
@@ -71,8 +71,8 @@
 
 func (q *request) watch(run context.Context, cancel context.CancelCauseFunc, stages []chains.Stage, reservation *chains.Reservation, record *quarantine.Run) *chainWatch {
 	w := &chainWatch{q: q, run: run, cancel: cancel, stages: stages, reservation: reservation, record: record, sentAt: q.Now()}
-	w.last = !q.admitted.Idempotent() || q.sends+1 >= maxSends
-	w.fresh = !w.last && q.runs+1 < q.admitted.Route.MaxAttempts
+	w.final = !q.admitted.Idempotent() || q.sends+1 >= maxSends
+	w.fresh = !w.final && q.runs+1 < q.admitted.Route.MaxAttempts
 	path := engines(stages)
 	w.progress = q.Detector.Track(path, q.eventInterval(stages), q.admitted.Route.TargetGap)
 	w.startTimer()
