--- a/internal/protocol/relay/events_test.go
+++ b/internal/protocol/relay/events_test.go
@@ -65,12 +65,12 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		lines := rapid.SliceOfN(rapid.StringMatching(`[a-z: ]{0,12}`), 0, 30).Draw(rt, "lines")
 		stream := strings.Join(lines, "\n") + "\n\n"
-		whole, _, err := readAll(strings.NewReader(stream))
+		complete, _, err := readAll(strings.NewReader(stream))
 		assert.Equal(rt, err, io.EOF)
-		assert.Equal(rt, strings.TrimRight(strings.Join(whole, ""), "\n"), strings.TrimRight(stream, "\n"))
+		assert.Equal(rt, strings.TrimRight(strings.Join(complete, ""), "\n"), strings.TrimRight(stream, "\n"))
 		pieces, _, err := readAll(iotest.OneByteReader(strings.NewReader(stream)))
 		assert.Equal(rt, err, io.EOF)
-		assert.DeepEqual(rt, pieces, whole)
+		assert.DeepEqual(rt, pieces, complete)
 	})
 }
 
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -56,9 +56,9 @@
 		if f != nil {
 			return s.respondFailure(ctx, preferFirst(lastErr, f))
 		}
-		done, whole, err := s.runReserved(ctx, stages, reservation)
+		done, complete, err := s.runReserved(ctx, stages, reservation)
 		if done {
-			return whole
+			return complete
 		}
 		if s.writeErr != nil {
 			return q.respondError(fault.New(fault.CancelledSent, "the caller takes no more: %v", s.writeErr))
@@ -90,7 +90,7 @@
 
 // runHolding runs the request through one chain and gives its memory back, also where
 // the run panics: the HTTP server recovers, and the memory would stay reserved.
-func (s *stream) runReserved(ctx context.Context, stages []chains.Stage, reservation *chains.Reservation) (done, whole bool, err error) {
+func (s *stream) runReserved(ctx context.Context, stages []chains.Stage, reservation *chains.Reservation) (done, complete bool, err error) {
 	defer s.WaitQueue.Notify()
 	defer reservation.Release()
 	return s.run(ctx, stages, reservation)
@@ -110,7 +110,7 @@
 
 // run sends the request through one chain and passes its events on. done says
 // that the caller has a final answer; whole that it is complete.
-func (s *stream) run(ctx context.Context, stages []chains.Stage, reservation *chains.Reservation) (done, whole bool, err error) {
+func (s *stream) run(ctx context.Context, stages []chains.Stage, reservation *chains.Reservation) (done, complete bool, err error) {
 	q := s.request
 	first := stages[0].Server
 	path := hops(stages)
--- a/internal/protocol/relay/panic.go
+++ b/internal/protocol/relay/panic.go
@@ -32,7 +32,7 @@
 // The other requests may go on: what requests share changes in short sections under
 // locks that only count, and the search for a chain, where a fault is likeliest, works
 // on what is never changed in place.
-func (q *request) recoverPanic(whole *bool) {
+func (q *request) recoverPanic(complete *bool) {
 	cause := recover()
 	if cause == nil {
 		return
@@ -42,7 +42,7 @@
 	}
 	q.reportPanic("request", cause)
 	q.runs = max(q.runs, q.sends)
-	*whole = q.respondError(fault.New(fault.BackendLost, "a fault inside the router ended the request"))
+	*complete = q.respondError(fault.New(fault.BackendLost, "a fault inside the router ended the request"))
 }
 
 // contain is the same for what watches a run beside its request: the run is ended,
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -89,8 +89,8 @@
 	r := withService(backends, observer)
 	for range 2 {
 		out := &answered{}
-		whole := r.Serve(t.Context(), &model.Call{Attempt: "a1"}, out)
-		assert.Assert(t, whole)
+		complete := r.Serve(t.Context(), &model.Call{Attempt: "a1"}, out)
+		assert.Assert(t, complete)
 		assert.Equal(t, out.status, http.StatusBadGateway)
 	}
 	klog.Flush()
@@ -128,8 +128,8 @@
 func TestPanicInsideAnAnswer(t *testing.T) {
 	observer := &counted{}
 	r := withService(wellServed{}, observer)
-	whole := r.Serve(t.Context(), &model.Call{Attempt: "a1"}, &breaksOff{})
-	assert.Assert(t, !whole)
+	complete := r.Serve(t.Context(), &model.Call{Attempt: "a1"}, &breaksOff{})
+	assert.Assert(t, !complete)
 	assert.Equal(t, observer.panics, 1)
 }
 
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -165,9 +165,9 @@
 
 // Serve answers one request. whole is false where the caller's connection must
 // be broken off, because the answer cannot be completed.
-func (r *Relay) Serve(ctx context.Context, c *model.Call, caller ResponseWriter) (whole bool) {
+func (r *Relay) Serve(ctx context.Context, c *model.Call, caller ResponseWriter) (complete bool) {
 	q := &request{Relay: r, call: c, out: &headerTracker{ResponseWriter: caller}, startTime: r.Now(), avoid: map[model.Incarnation]bool{}}
-	defer q.recoverPanic(&whole)
+	defer q.recoverPanic(&complete)
 	table := r.table(ctx)
 	if table == nil {
 		return q.respondError(fault.New(fault.NotReady, "no configuration yet"))
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -170,8 +170,8 @@
 				return nil, errNoConnection
 			})
 			out := &listener{}
-			whole := s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out)
-			assert.Assert(t, whole)
+			complete := s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out)
+			assert.Assert(t, complete)
 			assert.Check(t, out.status == http.StatusServiceUnavailable, "%s: %d", kind, out.status)
 			assert.Check(t, out.header.Get("Retry-After") != "", "%s", kind)
 			s.suspects(t)
@@ -194,8 +194,8 @@
 				return nil, ctx.Err()
 			})
 			out := &listener{}
-			whole := s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out)
-			assert.Assert(t, whole)
+			complete := s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out)
+			assert.Assert(t, complete)
 			assert.Check(t, out.status == http.StatusBadGateway, "%s: %d", kind, out.status)
 			s.suspects(t)
 			assert.Equal(t, s.seen.repeats, 0)
@@ -232,8 +232,8 @@
 			panic("unexpected")
 		})
 		out := &listener{}
-		whole := s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out)
-		assert.Assert(t, whole)
+		complete := s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out)
+		assert.Assert(t, complete)
 		assert.Equal(t, out.status, http.StatusBadGateway)
 		assert.Equal(t, s.streams(), 0.0)
 	})
