--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -133,7 +133,7 @@
 	p.probe(inc)
 }
 
-func (p *Prober) addSuspect(inc model.Incarnation, own bool) {
+func (p *Prober) addSuspect(inc model.Incarnation, local bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, ok := p.suspects[inc]
@@ -141,7 +141,7 @@
 		s = &suspect{since: p.Now()}
 		p.suspects[inc] = s
 	}
-	s.local = s.local || own
+	s.local = s.local || local
 }
 
 // Run probes until ctx ends.
@@ -220,11 +220,11 @@
 		klog.InfoS("suspected engine answers", "server", b.Incarnation(), "after", p.Now().Sub(s.since), "trusted", trusted)
 		return
 	}
-	own := s.local
+	local := s.local
 	p.mu.Unlock()
 	until := p.Now().Add(failedProbePeriod)
 	p.Health.SuspectUntil(b.Incarnation(), until)
-	if own {
+	if local {
 		p.AnnounceSuspect(b.Incarnation(), until)
 	}
 }
