--- a/internal/protocol/relay/ending.go
+++ b/internal/protocol/relay/ending.go
@@ -32,11 +32,11 @@
 // endingOf tells why a run ended with err. What cancelled its context comes first:
 // the broken connection is only its effect.
 func endReasonOf(run context.Context, err error) endReason {
-	var own endReason
+	var reason endReason
 	cause := context.Cause(run)
 	switch {
-	case errors.As(cause, &own):
-		return own
+	case errors.As(cause, &reason):
+		return reason
 	case errors.Is(cause, context.DeadlineExceeded) || deadlinePassed(run):
 		return deadlineExceeded
 	case cause != nil:
