--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -60,7 +60,7 @@
 	if w.stopped {
 		return w.generation, false
 	}
-	w.early = false
+	w.pathCheckDue = false
 	w.timer.Reset(reroutedEventTimeout)
 	if moved == nil {
 		return w.generation, false
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -38,7 +38,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.changedLocked(generation) {
-		w.early = false
+		w.pathCheckDue = false
 		w.timer.Reset(max(nextEventTimeout-a.Pause, minStallTimeout))
 	}
 }
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -50,17 +50,17 @@
 	// fresh says that the route's attempts leave one at another first engine.
 	fresh bool
 
-	mu          sync.Mutex
-	stages      []chains.Stage
-	timer       *time.Timer
-	hasEvents   bool              // an event came
-	early       bool              // the timer is for the path check, not for a silence
-	unconfirmed bool              // an order was not answered and may be carried out later
-	stalls      int               // silences in a row
-	generation  int               // counts events and moves, to notice what came meanwhile
-	stopped     bool              // ended here, or over
-	culprit     model.Incarnation // the engine at fault; empty if none was found
-	rerouting   bool
+	mu           sync.Mutex
+	stages       []chains.Stage
+	timer        *time.Timer
+	hasEvents    bool              // an event came
+	pathCheckDue bool              // the timer is for the path check, not for a silence
+	unconfirmed  bool              // an order was not answered and may be carried out later
+	stalls       int               // silences in a row
+	generation   int               // counts events and moves, to notice what came meanwhile
+	stopped      bool              // ended here, or over
+	culprit      model.Incarnation // the engine at fault; empty if none was found
+	rerouting    bool
 	// granted says that a repeated send was taken from the budget for what follows
 	// this run.
 	retryGranted bool
@@ -104,7 +104,7 @@
 	w.hasEvents = true
 	w.stalls = 0
 	w.generation++
-	w.early = true
+	w.pathCheckDue = true
 	next := w.progress.RecordEvent()
 	if !w.stopped {
 		w.timer.Reset(next)
@@ -154,13 +154,13 @@
 func (w *chainWatch) onTimer() {
 	defer w.recoverPanic()
 	w.mu.Lock()
-	early := w.early
+	pathCheckDue := w.pathCheckDue
 	generation := w.generation
 	over := w.stopped || w.rerouting
 	w.mu.Unlock()
 	switch {
 	case over:
-	case early:
+	case pathCheckDue:
 		w.assess(generation)
 	default:
 		w.handleStall()
