--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -37,7 +37,7 @@
 	stages := w.stages
 	w.mu.Unlock()
 	var moved []chains.Stage
-	if !w.fresh || !w.takeRetryToken() {
+	if !w.restartable || !w.takeRetryToken() {
 		moved = w.routeAround(stages, lost)
 	}
 	switch generation, taken := w.finishReroute(moved); {
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -48,7 +48,7 @@
 	// last says that no other engine may go on where this run ends.
 	final bool
 	// fresh says that the route's attempts leave one at another first engine.
-	fresh bool
+	restartable bool
 
 	mu           sync.Mutex
 	stages       []chains.Stage
@@ -72,7 +72,7 @@
 func (q *request) watch(run context.Context, cancel context.CancelCauseFunc, stages []chains.Stage, reservation *chains.Reservation, record *quarantine.Run) *chainWatch {
 	w := &chainWatch{q: q, run: run, cancel: cancel, stages: stages, reservation: reservation, record: record, sentAt: q.Now()}
 	w.final = !q.admitted.Idempotent() || q.sends+1 >= maxSends
-	w.fresh = !w.final && q.runs+1 < q.admitted.Route.MaxAttempts
+	w.restartable = !w.final && q.runs+1 < q.admitted.Route.MaxAttempts
 	path := engines(stages)
 	w.progress = q.Detector.Track(path, q.eventInterval(stages), q.admitted.Route.TargetGap)
 	w.startTimer()
