--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -41,7 +41,7 @@
 
 // add adds work that was given to some servers. It tells which of them has ended
 // meanwhile, if one has: whoever told of the end told only the work that was there.
-func (r *ActiveRuns) add(w activeRun, servers ...model.Incarnation) (gone model.Incarnation, ended bool) {
+func (r *ActiveRuns) add(w activeRun, servers ...model.Incarnation) (server model.Incarnation, ended bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs[w] = true
