--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -41,7 +41,7 @@
 
 // add adds work that was given to some servers. It tells which of them has ended
 // meanwhile, if one has: whoever told of the end told only the work that was there.
-func (r *ActiveRuns) add(w activeRun, servers ...model.Incarnation) (server model.Incarnation, ended bool) {
+func (r *ActiveRuns) add(w activeRun, servers ...model.Incarnation) (server model.Incarnation, found bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs[w] = true
@@ -87,7 +87,7 @@
 func (r *ActiveRuns) track(ctx context.Context, server model.Incarnation, final bool) (run context.Context, cancel context.CancelCauseFunc, stop func()) {
 	run, cancel = context.WithCancelCause(ctx)
 	c := &plainRun{server: server, cancel: cancel, final: final}
-	if _, ended := r.add(c, server); ended {
+	if _, found := r.add(c, server); found {
 		cancel(engineExited)
 	}
 	return run, cancel, func() {
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -76,7 +76,7 @@
 	path := engines(stages)
 	w.progress = q.Detector.Track(path, q.eventInterval(stages), q.admitted.Route.TargetGap)
 	w.startTimer()
-	if gone, ended := q.ActiveRuns.add(w, path...); ended {
+	if gone, found := q.ActiveRuns.add(w, path...); found {
 		w.end(runFailure{culprit: gone, reason: engineExited})
 	} else if silent := q.ActiveRuns.recentlyLost(path); len(silent) > 0 {
 		go w.leaveEngines(silent, stalled)
