--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -77,8 +77,8 @@
 
 // HandleExits takes in that incarnations of engines have surely ended, as others have
 // their place.
-func (r *Relay) HandleExits(gone []model.BackendServer, evidence string) {
-	for _, b := range gone {
+func (r *Relay) HandleExits(exited []model.BackendServer, evidence string) {
+	for _, b := range exited {
 		klog.InfoS("backend server's process ended", "server", b.Incarnation(), "address", b.Address, "evidence", evidence)
 		r.BackendClient.CloseIdle(b.Address)
 		r.recordServerExit(&b)
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -76,8 +76,8 @@
 	path := engines(stages)
 	w.progress = q.Detector.Track(path, q.eventInterval(stages), q.admitted.Route.TargetGap)
 	w.startTimer()
-	if gone, found := q.ActiveRuns.add(w, path...); found {
-		w.end(runFailure{culprit: gone, reason: engineExited})
+	if exited, found := q.ActiveRuns.add(w, path...); found {
+		w.end(runFailure{culprit: exited, reason: engineExited})
 	} else if silent := q.ActiveRuns.recentlyLost(path); len(silent) > 0 {
 		go w.leaveEngines(silent, stalled)
 	}
