--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -129,13 +129,13 @@
 
 // noteRecent remembers that something was told of a server just now, and forgets what
 // was told before rememberGone.
-func noteRecent(told map[model.Incarnation]time.Time, server model.Incarnation) {
-	for inc, at := range told {
+func noteRecent(records map[model.Incarnation]time.Time, server model.Incarnation) {
+	for inc, at := range records {
 		if time.Since(at) >= lossRetention {
-			delete(told, inc)
+			delete(records, inc)
 		}
 	}
-	told[server] = time.Now()
+	records[server] = time.Now()
 }
 
 // silentAmong lists the servers of a chain that were found silent or ended of late.
@@ -144,8 +144,8 @@
 	defer r.mu.Unlock()
 	found := engineSet{}
 	for _, inc := range servers {
-		for _, told := range []map[model.Incarnation]time.Time{r.exited, r.unresponsive} {
-			if at, ok := told[inc]; ok && time.Since(at) < lossRetention {
+		for _, records := range []map[model.Incarnation]time.Time{r.exited, r.unresponsive} {
+			if at, ok := records[inc]; ok && time.Since(at) < lossRetention {
 				found[inc] = true
 			}
 		}
