--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -40,8 +40,8 @@
 	if !w.restartable || !w.takeRetryToken() {
 		moved = w.routeAround(stages, lost)
 	}
-	switch generation, taken := w.finishReroute(moved); {
-	case taken:
+	switch generation, rerouted := w.finishReroute(moved); {
+	case rerouted:
 	case reason == engineExited && w.final:
 		time.AfterFunc(finalResponseTimeout, func() { w.endIfUses(culprit) })
 	case reason == engineExited:
@@ -53,7 +53,7 @@
 
 // finishReroute ends a move: the run goes through other engines now, if there are any.
 // It tells the count of news as of then.
-func (w *chainWatch) finishReroute(moved []chains.Stage) (generation int, taken bool) {
+func (w *chainWatch) finishReroute(moved []chains.Stage) (generation int, rerouted bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.rerouting = false
