--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -102,7 +102,7 @@
 	until := q.Now().Add(maxWait)
 	waiter := admission.Request{Customer: q.admitted.Customer, Priority: -q.admitted.Priority}
 	q.waitingForCapacity = true
-	got := q.WaitQueue.Wait(ctx, waiter, maxWait, try)
+	gotCapacity := q.WaitQueue.Wait(ctx, waiter, maxWait, try)
 	// Not in the line: there a stream that no chain serves would hold up others.
 	for s.events > 0 && reservation == nil && q.Now().Before(until) && wait.For(ctx, chainPollInterval) {
 		clear(q.avoid)
@@ -125,7 +125,7 @@
 	if verdict == chains.NoChain {
 		return nil, nil, fault.New(fault.NoCapacity, "the engines in reach do not hold all layers: %s", q.Chooser.ExplainNoChain(q.admitted.Service, demand))
 	}
-	f := fault.New(fault.Overloaded, "no chain has room: %d wait, waited %v, admitted %t, short of %s", q.WaitQueue.Len(), maxWait, got,
+	f := fault.New(fault.Overloaded, "no chain has room: %d wait, waited %v, admitted %t, short of %s", q.WaitQueue.Len(), maxWait, gotCapacity,
 		q.Chooser.ExhaustedResource(q.admitted.Service, demand))
 	return nil, nil, f
 }
