--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -80,20 +80,20 @@
 	}
 	var stages []chains.Stage
 	var reservation *chains.Reservation
-	verdict := chains.Found
+	result := chains.Found
 	try := func() bool {
 		if ctx.Err() != nil {
 			return false
 		}
-		stages, verdict = q.Chooser.Choose(q.admitted.Service, demand)
-		if verdict == chains.Found {
+		stages, result = q.Chooser.Choose(q.admitted.Service, demand)
+		if result == chains.Found {
 			reservation = q.Memory.Reserve(stages, s.tokens)
 			q.Chooser.RecordStart(q.admitted.Service.Engine, stages, q.promptTokens())
 			if demand.Resumed {
 				q.Chooser.RecordResume(q.admitted.Service.Engine, stages, s.tokens)
 			}
 		}
-		return verdict != chains.CapacityExhausted
+		return result != chains.CapacityExhausted
 	}
 	maxWait := time.Duration(capacityWaitShare * float64(q.admitted.Route.TargetLatency))
 	if s.events > 0 {
@@ -114,7 +114,7 @@
 		return stages, reservation, nil
 	case ctx.Err() != nil:
 		return nil, nil, q.contextError(ctx)
-	case verdict == chains.NoChain && len(q.avoid) > 0:
+	case result == chains.NoChain && len(q.avoid) > 0:
 		// Better an engine that failed once than none.
 		clear(q.avoid)
 		if try(); reservation != nil {
@@ -122,7 +122,7 @@
 			return stages, reservation, nil
 		}
 	}
-	if verdict == chains.NoChain {
+	if result == chains.NoChain {
 		return nil, nil, fault.New(fault.NoCapacity, "the engines in reach do not hold all layers: %s", q.Chooser.ExplainNoChain(q.admitted.Service, demand))
 	}
 	f := fault.New(fault.Overloaded, "no chain has room: %d wait, waited %v, admitted %t, short of %s", q.WaitQueue.Len(), maxWait, gotCapacity,
