--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -163,17 +163,17 @@
 // waits for a decision under way.
 func (q *request) cancelIfSlow(run context.Context, cancel context.CancelCauseFunc, b *model.BackendServer) (stop func()) {
 	usual := q.Health.View(b.Incarnation()).Latency
-	most := max(slowAttemptFactor*usual, q.admitted.Route.TargetLatency, minAttemptTimeout)
+	timeout := max(slowAttemptFactor*usual, q.admitted.Route.TargetLatency, minAttemptTimeout)
 	run, quit := context.WithCancel(run)
 	decided := make(chan struct{})
-	timer := time.AfterFunc(most, func() {
+	timer := time.AfterFunc(timeout, func() {
 		defer close(decided)
 		defer q.recoverTimerPanic()
 		for kept := false; !q.mayRetryElsewhere(run); kept = true {
 			if !kept {
-				klog.InfoS("slow try is kept while it may go nowhere else", "request", q.call.Attempt, "server", b.Incarnation(), "ms", most.Milliseconds())
+				klog.InfoS("slow try is kept while it may go nowhere else", "request", q.call.Attempt, "server", b.Incarnation(), "ms", timeout.Milliseconds())
 			}
-			if !wait.For(run, most) {
+			if !wait.For(run, timeout) {
 				return
 			}
 		}
