--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -162,8 +162,8 @@
 // would stay with a server that is silent though another one may answer by then. stop
 // waits for a decision under way.
 func (q *request) cancelIfSlow(run context.Context, cancel context.CancelCauseFunc, b *model.BackendServer) (stop func()) {
-	usual := q.Health.View(b.Incarnation()).Latency
-	timeout := max(slowAttemptFactor*usual, q.admitted.Route.TargetLatency, minAttemptTimeout)
+	usualLatency := q.Health.View(b.Incarnation()).Latency
+	timeout := max(slowAttemptFactor*usualLatency, q.admitted.Route.TargetLatency, minAttemptTimeout)
 	run, quit := context.WithCancel(run)
 	decided := make(chan struct{})
 	timer := time.AfterFunc(timeout, func() {
