--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -130,13 +130,13 @@
 			return nil, nil, f
 		}
 		if f == nil {
-			may := s.permissionAt(ctx, stages, v)
-			if may == runNow {
+			perm := s.permissionAt(ctx, stages, v)
+			if perm == runNow {
 				return stages, reservation, nil
 			}
 			reservation.Release()
 			s.WaitQueue.Notify()
-			if may == chooseAgain {
+			if perm == chooseAgain {
 				continue
 			}
 		}
