--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -42,11 +42,11 @@
 // beginCost is what it costs a suspect to begin at an engine: it keeps away from others of
 // its kind, and one that runs alone from engines that have many streams to lose.
 func (q *request) firstStageCost(engine model.Incarnation, streams float64) time.Duration {
-	company := float64(q.Quarantine.SuspectRuns(engine))
+	load := float64(q.Quarantine.SuspectRuns(engine))
 	if q.excluded.alone {
-		company += streams
+		load += streams
 	}
-	return time.Duration(company * float64(suspectCost))
+	return time.Duration(load * float64(suspectCost))
 }
 
 // work names what the request asks for, which its attempts have in common.
