--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -101,11 +101,11 @@
 func (s *stream) resumable() bool { return s.events == 0 || s.hasLastEventID }
 
 // keepFirst prefers the failure of an engine to the later lack of a chain.
-func preferFirst(first, then *fault.Error) *fault.Error {
-	if first != nil && then.Kind == fault.NoCapacity && first.Kind != fault.Internal {
+func preferFirst(first, later *fault.Error) *fault.Error {
+	if first != nil && later.Kind == fault.NoCapacity && first.Kind != fault.Internal {
 		return first
 	}
-	return then
+	return later
 }
 
 // run sends the request through one chain and passes its events on. done says
