--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -131,14 +131,14 @@
 	if err != nil {
 		return err
 	}
-	status, answer, err := r.sendOrder(ctx, first, body)
+	status, respBody, err := r.sendOrder(ctx, first, body)
 	switch {
 	case err != nil:
 		return err
 	case status == http.StatusOK || status == http.StatusAccepted:
 		return nil
 	case status == http.StatusConflict:
-		return pathConflict{address: platform.DecodeConflict(answer)}
+		return pathConflict{address: platform.DecodeConflict(respBody)}
 	}
 	return errors.Errorf("repath answered with status %d", status)
 }
@@ -147,7 +147,7 @@
 const maxOrderResponseBytes = 64 << 10
 
 // sendOrder sends an sendOrder to an engine and gives the status and body of its answer.
-func (r *Relay) sendOrder(ctx context.Context, b *model.BackendServer, body []byte) (status int, answer []byte, err error) {
+func (r *Relay) sendOrder(ctx context.Context, b *model.BackendServer, body []byte) (status int, respBody []byte, err error) {
 	resp, err := r.BackendClient.Do(ctx, b.Address, &Request{
 		Method: http.MethodPost,
 		Target: platform.OrderPath,
@@ -159,11 +159,11 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	answer, err = io.ReadAll(io.LimitReader(resp.Body, maxOrderResponseBytes+1))
-	if err != nil || len(answer) > maxOrderResponseBytes {
+	respBody, err = io.ReadAll(io.LimitReader(resp.Body, maxOrderResponseBytes+1))
+	if err != nil || len(respBody) > maxOrderResponseBytes {
 		resp.Body.Discard()
 	}
-	return resp.Status, answer, nil
+	return resp.Status, respBody, nil
 }
 
 // EngineClient gives orders to engines and reads their reports.
