--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -32,15 +32,15 @@
 // the caller guesses it or as is usual.
 func (q *request) expectedTokens() int {
 	spec := q.admitted.Service.Engine
-	answer := float64(q.call.AnswerHint)
-	if answer == 0 {
-		answer = float64(spec.UsualAnswer)
+	responseTokens := float64(q.call.AnswerHint)
+	if responseTokens == 0 {
+		responseTokens = float64(spec.UsualAnswer)
 	}
-	answer *= responseTokenMargin
+	responseTokens *= responseTokenMargin
 	if q.call.MaxAnswer > 0 {
-		answer = min(answer, float64(q.call.MaxAnswer))
+		responseTokens = min(responseTokens, float64(q.call.MaxAnswer))
 	}
-	return q.promptTokens() + int(answer)
+	return q.promptTokens() + int(responseTokens)
 }
 
 func (q *request) promptTokens() int {
