--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -277,7 +277,7 @@
 // news and says nothing of it: only what is asked afterwards may end the suspicion.
 func TestProbeDoesNotEndANewerSuspicion(t *testing.T) {
 	const answerTime = 100 * time.Millisecond
-	for name, news := range map[string]func(h *catalog.Health){
+	for name, newSuspicion := range map[string]func(h *catalog.Health){
 		"suspected here":   func(h *catalog.Health) { h.Suspect(inc("e")) },
 		"longer suspected": func(h *catalog.Health) { h.SuspectUntil(inc("e"), time.Now().Add(2*failedProbePeriod)) },
 	} {
@@ -290,7 +290,7 @@
 				time.Sleep(probeInterval / 4)
 				p.HandlePeerSuspicion(inc("e"))
 				time.Sleep(answerTime / 2)
-				news(p.Health)
+				newSuspicion(p.Health)
 				time.Sleep(answerTime)
 				assert.Check(t, a.askedTimes() == 1)
 				assert.Check(t, p.Health.Suspected(inc("e")))
