--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -258,8 +258,8 @@
 // succeed takes in that the engines of a chain did their work, as of when it was
 // sent: an engine that drains finishes what it has and takes nothing new.
 func (s *stream) recordSuccess(stages []chains.Stage, sent time.Time) {
-	for _, p := range stages {
-		s.Health.ClearSuspicion(p.Server.Incarnation(), sent)
+	for _, stage := range stages {
+		s.Health.ClearSuspicion(stage.Server.Incarnation(), sent)
 	}
 	s.Health.RecordOutcome(stages[0].Server.Incarnation(), true)
 }
@@ -267,9 +267,9 @@
 // handleRefusal takes in which engine would not run its part.
 func (s *stream) handleRefusal(stages []chains.Stage, v platform.Verdict, status int) {
 	culprit := stages[0].Server
-	for _, p := range stages {
-		if p.Server.Address == v.Culprit {
-			culprit = p.Server
+	for _, stage := range stages {
+		if stage.Server.Address == v.Culprit {
+			culprit = stage.Server
 		}
 	}
 	s.avoid[culprit.Incarnation()] = true
@@ -321,27 +321,27 @@
 		s.avoid[culprit] = true
 		return
 	}
-	for _, p := range stages {
-		s.avoid[p.Server.Incarnation()] = true
+	for _, stage := range stages {
+		s.avoid[stage.Server.Incarnation()] = true
 	}
 }
 
 func hops(stages []chains.Stage) []platform.Hop {
 	out := make([]platform.Hop, len(stages))
-	for i, p := range stages {
-		out[i] = platform.Hop{Address: p.Server.Address, Layers: p.Layers}
+	for i, stage := range stages {
+		out[i] = platform.Hop{Address: stage.Server.Address, Layers: stage.Layers}
 	}
 	return out
 }
 
 func chainString(stages []chains.Stage) string {
 	var b strings.Builder
-	for i, p := range stages {
+	for i, stage := range stages {
 		if i > 0 {
 			b.WriteByte(' ')
 		}
-		b.WriteString(p.Server.ID)
-		b.WriteString(p.Layers.String())
+		b.WriteString(stage.Server.ID)
+		b.WriteString(stage.Layers.String())
 	}
 	return b.String()
 }
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -140,8 +140,8 @@
 
 // usesAny gives the first engine of a chain that is in a set.
 func firstEngineIn(stages []chains.Stage, set engineSet) (engine model.Incarnation, ok bool) {
-	for _, p := range stages {
-		if inc := p.Server.Incarnation(); set[inc] {
+	for _, stage := range stages {
+		if inc := stage.Server.Incarnation(); set[inc] {
 			return inc, true
 		}
 	}
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -229,8 +229,8 @@
 // places lists the servers of a chain with their failure domains.
 func locations(stages []chains.Stage) []quarantine.Location {
 	out := make([]quarantine.Location, len(stages))
-	for i, p := range stages {
-		out[i] = quarantine.Location{Server: p.Server.Incarnation(), Domain: p.Server.FailureDomain}
+	for i, stage := range stages {
+		out[i] = quarantine.Location{Server: stage.Server.Incarnation(), Domain: stage.Server.FailureDomain}
 	}
 	return out
 }
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -92,8 +92,8 @@
 
 func engines(stages []chains.Stage) []model.Incarnation {
 	out := make([]model.Incarnation, len(stages))
-	for i, p := range stages {
-		out[i] = p.Server.Incarnation()
+	for i, stage := range stages {
+		out[i] = stage.Server.Incarnation()
 	}
 	return out
 }
@@ -264,9 +264,9 @@
 
 // serverAt is the engine of a chain with an address; nil if there is none.
 func engineAt(stages []chains.Stage, addr string) *model.BackendServer {
-	for _, p := range stages {
-		if p.Server.Address == addr {
-			return p.Server
+	for _, stage := range stages {
+		if stage.Server.Address == addr {
+			return stage.Server
 		}
 	}
 	return nil
