--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -43,9 +43,9 @@
 
 // Check asks the engines of a chain that is slow.
 func (p *SlowdownMonitor) Check(stages []chains.Stage, request string, seen, planned time.Duration) {
-	for _, part := range stages {
-		if p.pollDue(part.Server.Incarnation()) {
-			go p.poll(part.Server, request, seen, planned)
+	for _, stage := range stages {
+		if p.pollDue(stage.Server.Incarnation()) {
+			go p.poll(stage.Server, request, seen, planned)
 		}
 	}
 }
