--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -32,7 +32,7 @@
 	servers map[model.Incarnation]bool
 	domains map[string]bool
 	// alone says that the request runs alone, suspect that others of its kind keep away.
-	alone, suspect bool
+	trialOnly, suspect bool
 }
 
 func (b *exclusions) excludes(s *model.BackendServer) bool {
@@ -43,7 +43,7 @@
 // its kind, and one that runs alone from engines that have many streams to lose.
 func (q *request) firstStageCost(engine model.Incarnation, streams float64) time.Duration {
 	load := float64(q.Quarantine.SuspectRuns(engine))
-	if q.excluded.alone {
+	if q.excluded.trialOnly {
 		load += streams
 	}
 	return time.Duration(load * float64(suspectCost))
@@ -74,9 +74,9 @@
 		v = q.Quarantine.Assess(q.fingerprint())
 	}
 	q.excluded.suspect = v.Restriction != quarantine.Unrestricted
-	q.excluded.alone = v.Restriction == quarantine.TrialOnly
+	q.excluded.trialOnly = v.Restriction == quarantine.TrialOnly
 	q.excluded.domains = v.AvoidDomains
-	if !q.excluded.alone {
+	if !q.excluded.trialOnly {
 		q.excluded.servers = nil
 	}
 	if v.Restriction == quarantine.Quarantined {
