--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -73,10 +73,10 @@
 // acquire chooses a chain and reserves its memory, waiting a moment for room.
 func (s *stream) reserveChain(ctx context.Context) ([]chains.Stage, *chains.Reservation, *fault.Error) {
 	q := s.request
-	demand := chains.Requirements{Domain: q.FailureDomain, Tokens: s.tokens, MaxEventGap: q.admitted.Route.TargetGap, Avoid: q.avoid, FirstStageIn: s.allowedFirstEngines(), Resumed: s.events > 0}
+	requirements := chains.Requirements{Domain: q.FailureDomain, Tokens: s.tokens, MaxEventGap: q.admitted.Route.TargetGap, Avoid: q.avoid, FirstStageIn: s.allowedFirstEngines(), Resumed: s.events > 0}
 	if q.excluded.suspect {
-		demand.ExcludeFirstStage = q.excluded.excludes
-		demand.FirstStageCost = q.firstStageCost
+		requirements.ExcludeFirstStage = q.excluded.excludes
+		requirements.FirstStageCost = q.firstStageCost
 	}
 	var stages []chains.Stage
 	var reservation *chains.Reservation
@@ -85,11 +85,11 @@
 		if ctx.Err() != nil {
 			return false
 		}
-		stages, result = q.Chooser.Choose(q.admitted.Service, demand)
+		stages, result = q.Chooser.Choose(q.admitted.Service, requirements)
 		if result == chains.Found {
 			reservation = q.Memory.Reserve(stages, s.tokens)
 			q.Chooser.RecordStart(q.admitted.Service.Engine, stages, q.promptTokens())
-			if demand.Resumed {
+			if requirements.Resumed {
 				q.Chooser.RecordResume(q.admitted.Service.Engine, stages, s.tokens)
 			}
 		}
@@ -123,10 +123,10 @@
 		}
 	}
 	if result == chains.NoChain {
-		return nil, nil, fault.New(fault.NoCapacity, "the engines in reach do not hold all layers: %s", q.Chooser.ExplainNoChain(q.admitted.Service, demand))
+		return nil, nil, fault.New(fault.NoCapacity, "the engines in reach do not hold all layers: %s", q.Chooser.ExplainNoChain(q.admitted.Service, requirements))
 	}
 	f := fault.New(fault.Overloaded, "no chain has room: %d wait, waited %v, admitted %t, short of %s", q.WaitQueue.Len(), maxWait, gotCapacity,
-		q.Chooser.ExhaustedResource(q.admitted.Service, demand))
+		q.Chooser.ExhaustedResource(q.admitted.Service, requirements))
 	return nil, nil, f
 }
 
