--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -92,12 +92,12 @@
 			q.Observer.Retry(q.admitted.Service.Name, "repath")
 			return next
 		}
-		var refused pathConflict
-		if !errors.As(err, &refused) {
+		var conflict pathConflict
+		if !errors.As(err, &conflict) {
 			w.markUnconfirmed(err)
 			return nil
 		}
-		server := engineAt(next, refused.address)
+		server := engineAt(next, conflict.address)
 		if server == nil {
 			return nil
 		}
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -57,11 +57,11 @@
 	held = err == nil
 	klog.InfoS("path of an overdue stream checked", "request", w.q.call.Attempt, "pauseMs", a.Pause.Milliseconds(), "overdue", a.OverdueStreams,
 		"candidates", len(a.Candidates), "chain", chainString(stages), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
-	var refused pathConflict
+	var conflict pathConflict
 	switch {
 	case held:
-	case errors.As(err, &refused):
-		if server := engineAt(stages, refused.address); server != nil {
+	case errors.As(err, &conflict):
+		if server := engineAt(stages, conflict.address); server != nil {
 			w.failEngine(server, err)
 		}
 	case ctx.Err() != nil && w.run.Err() == nil:
