--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -27,8 +27,8 @@
 func (w *chainWatch) leaveEngines(lost engineSet, reason endReason) {
 	defer w.recoverPanic()
 	w.mu.Lock()
-	culprit, through := firstEngineIn(w.stages, lost)
-	if w.stopped || w.rerouting || !through {
+	culprit, found := firstEngineIn(w.stages, lost)
+	if w.stopped || w.rerouting || !found {
 		w.mu.Unlock()
 		return
 	}
