--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -20,7 +20,7 @@
 // shows that the chain works. A run that no other engine may go on with, or for which
 // no repeated send is granted, is kept: its end would be a sure loss, while a silent
 // engine may go on; its caller decides how long to wait.
-func (w *chainWatch) endIfUnchanged(generation int, v runFailure) {
+func (w *chainWatch) endIfUnchanged(generation int, f runFailure) {
 	retryGranted := !w.final && w.takeRetryToken()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -28,10 +28,10 @@
 		return
 	}
 	if retryGranted {
-		w.endLocked(v)
+		w.endLocked(f)
 		return
 	}
-	klog.InfoS("run kept: no other engine may go on", "request", w.q.call.Attempt, "why", v.reason, "culprit", v.culprit, "silences", v.stalls, "begun", w.hasEvents, "budget", !w.final, "err", v.err)
+	klog.InfoS("run kept: no other engine may go on", "request", w.q.call.Attempt, "why", f.reason, "culprit", f.culprit, "silences", f.stalls, "begun", w.hasEvents, "budget", !w.final, "err", f.err)
 	if !w.final {
 		w.timer.Reset(nextEventTimeout)
 	}
@@ -53,11 +53,11 @@
 }
 
 // end ends a run that is not over yet.
-func (w *chainWatch) end(v runFailure) {
+func (w *chainWatch) end(f runFailure) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.stopped {
-		w.endLocked(v)
+		w.endLocked(f)
 	}
 }
 
@@ -72,10 +72,10 @@
 	}
 }
 
-func (w *chainWatch) endLocked(v runFailure) {
-	w.culprit = v.culprit
+func (w *chainWatch) endLocked(f runFailure) {
+	w.culprit = f.culprit
 	w.stopped = true
 	w.timer.Stop()
-	klog.InfoS("run abandoned", "request", w.q.call.Attempt, "why", v.reason, "culprit", v.culprit, "silences", v.stalls, "begun", w.hasEvents, "err", v.err)
-	w.cancel(v.reason)
+	klog.InfoS("run abandoned", "request", w.q.call.Attempt, "why", f.reason, "culprit", f.culprit, "silences", f.stalls, "begun", w.hasEvents, "err", f.err)
+	w.cancel(f.reason)
 }
