--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -78,8 +78,8 @@
 	w.startTimer()
 	if exited, found := q.ActiveRuns.add(w, path...); found {
 		w.end(runFailure{culprit: exited, reason: engineExited})
-	} else if silent := q.ActiveRuns.recentlyLost(path); len(silent) > 0 {
-		go w.leaveEngines(silent, stalled)
+	} else if lost := q.ActiveRuns.recentlyLost(path); len(lost) > 0 {
+		go w.leaveEngines(lost, stalled)
 	}
 	return w
 }
