--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -103,14 +103,14 @@
 	if !full {
 		well, err = p.Healthy(ctx, b)
 	}
-	pause := fullEnginePeriod
+	period := fullEnginePeriod
 	switch {
 	case !well:
-		pause = drainingEnginePeriod
+		period = drainingEnginePeriod
 	case !full:
-		pause = p.Health.NextSuspicionPeriod(b.Incarnation())
+		period = p.Health.NextSuspicionPeriod(b.Incarnation())
 	}
-	until := p.Now().Add(pause)
+	until := p.Now().Add(period)
 	p.Health.RecordRefusal(b.Incarnation(), until, !full)
 	p.AnnounceRefusal(b.Incarnation(), until)
 	klog.InfoS("engine refuses", "request", request, "server", b.Incarnation(), "address", b.Address, "status", status, "full", full, "well", well, "err", err,
