--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -99,13 +99,13 @@
 		return
 	}
 	full := report.Queued > 0 || report.UsedTokenLayers > fullMemoryShare*report.TotalTokenLayers
-	well := true
+	healthy := true
 	if !full {
-		well, err = p.Healthy(ctx, b)
+		healthy, err = p.Healthy(ctx, b)
 	}
 	period := fullEnginePeriod
 	switch {
-	case !well:
+	case !healthy:
 		period = drainingEnginePeriod
 	case !full:
 		period = p.Health.NextSuspicionPeriod(b.Incarnation())
@@ -113,7 +113,7 @@
 	until := p.Now().Add(period)
 	p.Health.RecordRefusal(b.Incarnation(), until, !full)
 	p.AnnounceRefusal(b.Incarnation(), until)
-	klog.InfoS("engine refuses", "request", request, "server", b.Incarnation(), "address", b.Address, "status", status, "full", full, "well", well, "err", err,
+	klog.InfoS("engine refuses", "request", request, "server", b.Incarnation(), "address", b.Address, "status", status, "full", full, "well", healthy, "err", err,
 		"usedTokenLayers", report.UsedTokenLayers, "totalTokenLayers", report.TotalTokenLayers, "queued", report.Queued, "until", until)
 }
 
