--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -264,12 +264,12 @@
 func (p *Prober) Responded(inc model.Incarnation, asked time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	noted, ok := p.exited[inc]
-	if !ok || !asked.After(noted) {
+	recordedAt, ok := p.exited[inc]
+	if !ok || !asked.After(recordedAt) {
 		return
 	}
 	delete(p.exited, inc)
-	klog.InfoS("engine taken for ended answers", "server", inc, "after", p.Now().Sub(noted))
+	klog.InfoS("engine taken for ended answers", "server", inc, "after", p.Now().Sub(recordedAt))
 }
 
 // recordExit remembers an engine's end. The caller holds the lock.
