--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -188,17 +188,17 @@
 	}
 	s.probing = true
 	p.mu.Unlock()
-	asked := p.Now()
+	requestedAt := p.Now()
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		defer cancel()
 		_, err := p.Report(ctx, b)
-		p.handleProbeResult(b, asked, err)
+		p.handleProbeResult(b, requestedAt, err)
 	}()
 }
 
 // handleProbeResult takes in how an engine answered what it was asked at some time.
-func (p *Prober) handleProbeResult(b *model.BackendServer, asked time.Time, err error) {
+func (p *Prober) handleProbeResult(b *model.BackendServer, requestedAt time.Time, err error) {
 	p.mu.Lock()
 	s := p.suspects[b.Incarnation()]
 	if s == nil {
@@ -216,7 +216,7 @@
 		delete(p.suspects, b.Incarnation())
 		p.lastSuccess[b.Incarnation()] = p.Now()
 		p.mu.Unlock()
-		trusted := p.Health.RecordProbeSuccess(b.Incarnation(), asked)
+		trusted := p.Health.RecordProbeSuccess(b.Incarnation(), requestedAt)
 		klog.InfoS("suspected engine answers", "server", b.Incarnation(), "after", p.Now().Sub(s.since), "trusted", trusted)
 		return
 	}
@@ -261,11 +261,11 @@
 // ended still, an engine that answers counts as no attempt, so that a request runs at
 // one engine more than its route allows, and plans do without it. Both times are
 // compared under the lock, so that no answer from before takes back newer news.
-func (p *Prober) Responded(inc model.Incarnation, asked time.Time) {
+func (p *Prober) Responded(inc model.Incarnation, requestedAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	recordedAt, ok := p.exited[inc]
-	if !ok || !asked.After(recordedAt) {
+	if !ok || !requestedAt.After(recordedAt) {
 		return
 	}
 	delete(p.exited, inc)
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -91,7 +91,7 @@
 	Exited(engine model.Incarnation)
 	// Responded takes in that this incarnation answered what it was asked at some
 	// time.
-	Responded(engine model.Incarnation, asked time.Time)
+	Responded(engine model.Incarnation, requestedAt time.Time)
 	// Lost tells whether an engine's process ended or has long been silent.
 	Lost(engine model.Incarnation) bool
 }
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -28,7 +28,7 @@
 
 // Report reads an engine's own report.
 func (r *Relay) Report(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
-	asked := r.Now()
+	requestedAt := r.Now()
 	resp, err := r.BackendClient.Do(ctx, b.Address, &Request{Method: http.MethodGet, Target: platform.ReportPath, Host: b.Address, Header: http.Header{}})
 	if err != nil {
 		return model.EngineReport{}, err
@@ -54,7 +54,7 @@
 	}
 	// A report that does not tell its start, as its entry does, may be of another one.
 	if report.Born == b.Born {
-		r.Suspects.Responded(b.Incarnation(), asked)
+		r.Suspects.Responded(b.Incarnation(), requestedAt)
 	}
 	return report, nil
 }
