--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -112,8 +112,8 @@
 	return chooseAgain
 }
 
-func (q *request) trialError(ends int) *fault.Error {
-	return fault.New(fault.OnTrial, "%d backend servers ended under this request, so it runs alone, and there is no room for that", ends)
+func (q *request) trialError(exits int) *fault.Error {
+	return fault.New(fault.OnTrial, "%d backend servers ended under this request, so it runs alone, and there is no room for that", exits)
 }
 
 // reservePermitted finds engines for the stream's next run and reserves its memory. A suspect gets
