--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -42,10 +42,10 @@
 }
 
 // Check asks the engines of a chain that is slow.
-func (p *SlowdownMonitor) Check(stages []chains.Stage, request string, seen, planned time.Duration) {
+func (p *SlowdownMonitor) Check(stages []chains.Stage, request string, actual, planned time.Duration) {
 	for _, stage := range stages {
 		if p.pollDue(stage.Server.Incarnation()) {
-			go p.poll(stage.Server, request, seen, planned)
+			go p.poll(stage.Server, request, actual, planned)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	return true
 }
 
-func (p *SlowdownMonitor) poll(b *model.BackendServer, request string, seen, planned time.Duration) {
+func (p *SlowdownMonitor) poll(b *model.BackendServer, request string, actual, planned time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	report, err := p.Report(ctx, b)
@@ -93,6 +93,6 @@
 	klog.InfoS("engine's report", "request", request, "server", b.Incarnation(), "usedTokenLayers", report.UsedTokenLayers, "totalTokenLayers", report.TotalTokenLayers,
 		"countedTokenLayers", used.TokenLayers, "countedStreams", used.Streams, "reading", used.PrefillLoad, "inFlight", report.Active, "queued", report.Queued, "slowdown", report.Slowdown)
 	if p.Memory.SetSlowdown(b.Incarnation(), report.Slowdown) {
-		klog.InfoS("engine's slowdown", "request", request, "server", b.Incarnation(), "factor", report.Slowdown, "eventGap", seen, "planned", planned)
+		klog.InfoS("engine's slowdown", "request", request, "server", b.Incarnation(), "factor", report.Slowdown, "eventGap", actual, "planned", planned)
 	}
 }
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -123,12 +123,12 @@
 	if w.sampleEvents++; w.sampleEvents < speedSampleEvents {
 		return
 	}
-	seen := now.Sub(w.sampleStart) / speedSampleEvents
+	actual := now.Sub(w.sampleStart) / speedSampleEvents
 	planned := w.q.eventInterval(w.stages)
 	w.sampleStart = now
 	w.sampleEvents = 0
-	if float64(seen) > slowChainFactor*float64(planned) {
-		w.q.SlowdownMonitor.Check(w.stages, w.q.call.Attempt, seen, planned)
+	if float64(actual) > slowChainFactor*float64(planned) {
+		w.q.SlowdownMonitor.Check(w.stages, w.q.call.Attempt, actual, planned)
 	}
 }
 
