--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -36,11 +36,11 @@
 	w.timer.Stop()
 	stages := w.stages
 	w.mu.Unlock()
-	var moved []chains.Stage
+	var newStages []chains.Stage
 	if !w.restartable || !w.takeRetryToken() {
-		moved = w.routeAround(stages, lost)
+		newStages = w.routeAround(stages, lost)
 	}
-	switch generation, rerouted := w.finishReroute(moved); {
+	switch generation, rerouted := w.finishReroute(newStages); {
 	case rerouted:
 	case reason == engineExited && w.final:
 		time.AfterFunc(finalResponseTimeout, func() { w.endIfUses(culprit) })
@@ -53,7 +53,7 @@
 
 // finishReroute ends a move: the run goes through other engines now, if there are any.
 // It tells the count of news as of then.
-func (w *chainWatch) finishReroute(moved []chains.Stage) (generation int, rerouted bool) {
+func (w *chainWatch) finishReroute(newStages []chains.Stage) (generation int, rerouted bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.rerouting = false
@@ -62,11 +62,11 @@
 	}
 	w.pathCheckDue = false
 	w.timer.Reset(reroutedEventTimeout)
-	if moved == nil {
+	if newStages == nil {
 		return w.generation, false
 	}
-	w.stages = moved
-	w.progress.Reroute(engines(moved))
+	w.stages = newStages
+	w.progress.Reroute(engines(newStages))
 	w.generation++
 	return w.generation, true
 }
