--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -169,8 +169,8 @@
 	timer := time.AfterFunc(timeout, func() {
 		defer close(decided)
 		defer q.recoverTimerPanic()
-		for kept := false; !q.mayRetryElsewhere(run); kept = true {
-			if !kept {
+		for logged := false; !q.mayRetryElsewhere(run); logged = true {
+			if !logged {
 				klog.InfoS("slow try is kept while it may go nowhere else", "request", q.call.Attempt, "server", b.Incarnation(), "ms", timeout.Milliseconds())
 			}
 			if !wait.For(run, timeout) {
