--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -142,9 +142,9 @@
 // here on; whoever takes in how it ended takes it off again, and a panic does so here.
 func (q *request) roundTrip(run context.Context, b *model.BackendServer) (read *bufferedResponse, err error) {
 	q.Health.Begin(b.Incarnation())
-	returns := false
+	returned := false
 	defer func() {
-		if !returns {
+		if !returned {
 			q.Health.Cancel(b.Incarnation())
 		}
 	}()
@@ -152,7 +152,7 @@
 	if err == nil {
 		read, err = q.readResponse(resp)
 	}
-	returns = true
+	returned = true
 	return read, err
 }
 
