--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -99,11 +99,11 @@
 // ended gives the answer for a request whose time is over, whose caller left, or whose
 // router stops.
 func (q *request) contextError(ctx context.Context) *fault.Error {
-	stops := errors.Is(context.Cause(ctx), ErrStopping)
+	stopping := errors.Is(context.Cause(ctx), ErrStopping)
 	switch {
-	case stops && q.runs == 0:
+	case stopping && q.runs == 0:
 		return fault.New(fault.Leaving, "the router stops, and nothing was sent")
-	case stops:
+	case stopping:
 		return fault.New(fault.BackendLost, "the router stops before the answer came")
 	case errors.Is(ctx.Err(), context.Canceled) && q.runs == 0:
 		return fault.New(fault.CancelledUnsent, "the caller left before anything was sent")
