--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -31,9 +31,9 @@
 		f = f.WithKind(fault.BackendLost)
 		status = f.Kind.Answer().Status
 	}
-	after := time.Duration(0)
+	retryAfter := time.Duration(0)
 	if promisesNotRun(status) {
-		after = f.After()
+		retryAfter = f.After()
 	}
 	q.finish("refused", f, status)
 	if q.out.headerWritten {
@@ -41,7 +41,7 @@
 	}
 	h := http.Header{}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	platform.EncodeRefusal(h, q.call.Attempt, after)
+	platform.EncodeRefusal(h, q.call.Attempt, retryAfter)
 	body := []byte(f.Error() + "\n")
 	q.out.WriteHeader(status, h, int64(len(body)))
 	if err := q.out.Write(body); err != nil {
