--- a/internal/protocol/relay/panic.go
+++ b/internal/protocol/relay/panic.go
@@ -19,9 +19,9 @@
 	headerWritten bool
 }
 
-func (b *headerTracker) WriteHeader(status int, header http.Header, length int64) {
-	b.headerWritten = true
-	b.ResponseWriter.WriteHeader(status, header, length)
+func (t *headerTracker) WriteHeader(status int, header http.Header, length int64) {
+	t.headerWritten = true
+	t.ResponseWriter.WriteHeader(status, header, length)
 }
 
 // contain, deferred, ends a request whose code panicked: its caller is told that the
