--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -35,8 +35,8 @@
 	trialOnly, suspect bool
 }
 
-func (b *exclusions) excludes(s *model.BackendServer) bool {
-	return b.servers[s.Incarnation()] || b.domains[s.FailureDomain]
+func (e *exclusions) excludes(s *model.BackendServer) bool {
+	return e.servers[s.Incarnation()] || e.domains[s.FailureDomain]
 }
 
 // beginCost is what it costs a suspect to begin at an engine: it keeps away from others of
