--- a/internal/protocol/relay/ending.go
+++ b/internal/protocol/relay/ending.go
@@ -12,15 +12,15 @@
 type endReason string
 
 const (
-	callerLeft       endReason = "caller left"
-	deadlineExceeded endReason = "deadline"
-	stalled          endReason = "silence"
-	engineExited     endReason = "engine gone"
-	tooSlow          endReason = "slower than usual"
-	noConnection     endReason = "no connection"
-	connectionLost   endReason = "broken off"
-	panicked         endReason = "fault in the code"
-	routerStopping   endReason = "router stops"
+	callerDisconnected endReason = "caller left"
+	deadlineExceeded   endReason = "deadline"
+	stalled            endReason = "silence"
+	engineExited       endReason = "engine gone"
+	tooSlow            endReason = "slower than usual"
+	noConnection       endReason = "no connection"
+	connectionLost     endReason = "broken off"
+	panicked           endReason = "fault in the code"
+	routerStopping     endReason = "router stops"
 )
 
 // ErrStopping is the cause with which a request's context ends where its router stops
@@ -40,7 +40,7 @@
 	case errors.Is(cause, context.DeadlineExceeded) || deadlinePassed(run):
 		return deadlineExceeded
 	case cause != nil:
-		return callerLeft
+		return callerDisconnected
 	case errors.Is(err, ErrNotSent):
 		return noConnection
 	}
@@ -58,7 +58,7 @@
 // nothing of it, nor does a router that stops or a deadline that left it no time.
 func (e endReason) countsAsFailure(elapsed time.Duration) bool {
 	switch e {
-	case callerLeft, routerStopping:
+	case callerDisconnected, routerStopping:
 		return false
 	case deadlineExceeded:
 		return elapsed >= minAttemptTimeout
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -314,7 +314,7 @@
 func (s *stream) recordChainLoss(w *chainWatch, reason endReason, err error) {
 	stages, culprit := w.state()
 	klog.InfoS("chain lost", "request", s.call.Attempt, "work", s.fingerprint(), "why", reason, "sent", !errors.Is(err, ErrNotSent), "chain", chainString(stages), "culprit", culprit, "err", err, "events", s.events)
-	if reason == callerLeft || reason == deadlineExceeded || reason == routerStopping {
+	if reason == callerDisconnected || reason == deadlineExceeded || reason == routerStopping {
 		return
 	}
 	if culprit != (model.Incarnation{}) {
