--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -46,20 +46,20 @@
 // checkPath orders the first engine to send the stream the way it goes already: it
 // refuses that, and names the engine, where one of them does not take its part.
 func (w *chainWatch) checkPath(generation int, a detector.Assessment) {
-	held := false
-	defer func() { w.progress.CheckFinished(held) }()
+	confirmed := false
+	defer func() { w.progress.CheckFinished(confirmed) }()
 	stages, _ := w.state()
 	first := stages[0].Server
 	ctx, cancel := context.WithTimeout(w.run, pathCheckTimeout)
 	defer cancel()
 	began := w.q.Now()
 	err := w.q.Reroute(ctx, first, w.q.call.Attempt, hops(stages))
-	held = err == nil
+	confirmed = err == nil
 	klog.InfoS("path of an overdue stream checked", "request", w.q.call.Attempt, "pauseMs", a.Pause.Milliseconds(), "overdue", a.OverdueStreams,
 		"candidates", len(a.Candidates), "chain", chainString(stages), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
 	var conflict pathConflict
 	switch {
-	case held:
+	case confirmed:
 	case errors.As(err, &conflict):
 		if server := engineAt(stages, conflict.address); server != nil {
 			w.failEngine(server, err)
