--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -42,57 +42,57 @@
 }
 
 // Check asks the engines of a chain that is slow.
-func (p *SlowdownMonitor) Check(stages []chains.Stage, request string, actual, planned time.Duration) {
+func (m *SlowdownMonitor) Check(stages []chains.Stage, request string, actual, planned time.Duration) {
 	for _, stage := range stages {
-		if p.pollDue(stage.Server.Incarnation()) {
-			go p.poll(stage.Server, request, actual, planned)
+		if m.pollDue(stage.Server.Incarnation()) {
+			go m.poll(stage.Server, request, actual, planned)
 		}
 	}
 }
 
 // Recheck asks the engines that were slow when they were last asked.
-func (p *SlowdownMonitor) Recheck() {
-	for _, inc := range p.Memory.SlowEngines() {
-		b := p.Catalog.Load().Find(inc)
+func (m *SlowdownMonitor) Recheck() {
+	for _, inc := range m.Memory.SlowEngines() {
+		b := m.Catalog.Load().Find(inc)
 		if b == nil {
-			p.Memory.RemoveSlowdown(inc)
+			m.Memory.RemoveSlowdown(inc)
 			continue
 		}
-		if p.pollDue(inc) {
-			go p.poll(b, "", 0, 0)
+		if m.pollDue(inc) {
+			go m.poll(b, "", 0, 0)
 		}
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for inc, at := range p.lastPolled {
-		if p.Now().Sub(at) > slowdownPollInterval {
-			delete(p.lastPolled, inc)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for inc, at := range m.lastPolled {
+		if m.Now().Sub(at) > slowdownPollInterval {
+			delete(m.lastPolled, inc)
 		}
 	}
 }
 
-func (p *SlowdownMonitor) pollDue(inc model.Incarnation) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if at, ok := p.lastPolled[inc]; ok && p.Now().Sub(at) < slowdownPollInterval {
+func (m *SlowdownMonitor) pollDue(inc model.Incarnation) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if at, ok := m.lastPolled[inc]; ok && m.Now().Sub(at) < slowdownPollInterval {
 		return false
 	}
-	p.lastPolled[inc] = p.Now()
+	m.lastPolled[inc] = m.Now()
 	return true
 }
 
-func (p *SlowdownMonitor) poll(b *model.BackendServer, request string, actual, planned time.Duration) {
+func (m *SlowdownMonitor) poll(b *model.BackendServer, request string, actual, planned time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	report, err := p.Report(ctx, b)
+	report, err := m.Report(ctx, b)
 	if err != nil {
 		klog.V(1).InfoS("engine did not tell its pace", "server", b.Incarnation(), "err", err)
 		return
 	}
-	used := p.Memory.Used(b.Incarnation())
+	used := m.Memory.Used(b.Incarnation())
 	klog.InfoS("engine's report", "request", request, "server", b.Incarnation(), "usedTokenLayers", report.UsedTokenLayers, "totalTokenLayers", report.TotalTokenLayers,
 		"countedTokenLayers", used.TokenLayers, "countedStreams", used.Streams, "reading", used.PrefillLoad, "inFlight", report.Active, "queued", report.Queued, "slowdown", report.Slowdown)
-	if p.Memory.SetSlowdown(b.Incarnation(), report.Slowdown) {
+	if m.Memory.SetSlowdown(b.Incarnation(), report.Slowdown) {
 		klog.InfoS("engine's slowdown", "request", request, "server", b.Incarnation(), "factor", report.Slowdown, "eventGap", actual, "planned", planned)
 	}
 }
