--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -81,7 +81,7 @@
 	var stages []chains.Stage
 	var reservation *chains.Reservation
 	result := chains.Found
-	try := func() bool {
+	reserve := func() bool {
 		if ctx.Err() != nil {
 			return false
 		}
@@ -102,11 +102,11 @@
 	until := q.Now().Add(maxWait)
 	waiter := admission.Request{Customer: q.admitted.Customer, Priority: -q.admitted.Priority}
 	q.waitingForCapacity = true
-	gotCapacity := q.WaitQueue.Wait(ctx, waiter, maxWait, try)
+	gotCapacity := q.WaitQueue.Wait(ctx, waiter, maxWait, reserve)
 	// Not in the line: there a stream that no chain serves would hold up others.
 	for s.events > 0 && reservation == nil && q.Now().Before(until) && wait.For(ctx, chainPollInterval) {
 		clear(q.avoid)
-		try()
+		reserve()
 	}
 	switch {
 	case reservation != nil:
@@ -117,7 +117,7 @@
 	case result == chains.NoChain && len(q.avoid) > 0:
 		// Better an engine that failed once than none.
 		clear(q.avoid)
-		if try(); reservation != nil {
+		if reserve(); reservation != nil {
 			q.waitingForCapacity = false
 			return stages, reservation, nil
 		}
