--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -17,20 +17,20 @@
 
 // fakeEngine is an engine that answers reports, or does not.
 type fakeEngine struct {
-	mu     sync.Mutex
-	dead   bool
-	slow   float64
-	asked  int
-	told   int // suspicions passed on to peers
-	load   model.EngineReport
-	ill    bool
-	server *model.BackendServer
+	mu       sync.Mutex
+	dead     bool
+	slow     float64
+	requests int
+	told     int // suspicions passed on to peers
+	load     model.EngineReport
+	ill      bool
+	server   *model.BackendServer
 }
 
 func (a *fakeEngine) report(context.Context, *model.BackendServer) (model.EngineReport, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.asked++
+	a.requests++
 	if a.dead {
 		return model.EngineReport{}, errors.New("no answer")
 	}
@@ -56,7 +56,7 @@
 func (a *fakeEngine) askedTimes() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.asked
+	return a.requests
 }
 
 func (a *fakeEngine) set(dead bool) {
