--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -17,14 +17,14 @@
 
 // fakeEngine is an engine that answers reports, or does not.
 type fakeEngine struct {
-	mu       sync.Mutex
-	dead     bool
-	slow     float64
-	requests int
-	told     int // suspicions passed on to peers
-	load     model.EngineReport
-	ill      bool
-	server   *model.BackendServer
+	mu        sync.Mutex
+	dead      bool
+	slow      float64
+	requests  int
+	announced int // suspicions passed on to peers
+	load      model.EngineReport
+	ill       bool
+	server    *model.BackendServer
 }
 
 func (a *fakeEngine) report(context.Context, *model.BackendServer) (model.EngineReport, error) {
@@ -44,13 +44,13 @@
 func (a *fakeEngine) tell(model.Incarnation, time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.told++
+	a.announced++
 }
 
 func (a *fakeEngine) toldTimes() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.told
+	return a.announced
 }
 
 func (a *fakeEngine) askedTimes() int {
