--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -41,7 +41,7 @@
 
 func (a *fakeEngine) healthy(context.Context, *model.BackendServer) (bool, error) { return !a.ill, nil }
 
-func (a *fakeEngine) tell(model.Incarnation, time.Time) {
+func (a *fakeEngine) announce(model.Incarnation, time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.announced++
@@ -77,8 +77,8 @@
 		p.Catalog = catalog.New(time.Now)
 		p.Catalog.Put(*a.server)
 		p.Report = a.report
-		p.AnnounceSuspect = a.tell
-		p.AnnounceRefusal = a.tell
+		p.AnnounceSuspect = a.announce
+		p.AnnounceRefusal = a.announce
 		p.Healthy = a.healthy
 		ctx, stop := context.WithCancel(context.Background())
 		var done sync.WaitGroup
