--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -47,7 +47,7 @@
 	a.announced++
 }
 
-func (a *fakeEngine) toldTimes() int {
+func (a *fakeEngine) announcementCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.announced
@@ -99,7 +99,7 @@
 			time.Sleep(250 * time.Millisecond)
 			assert.Assert(t, p.Health.Suspected(inc("e")))
 		}
-		assert.Assert(t, a.toldTimes() > 2, "peers are told as long as it lasts")
+		assert.Assert(t, a.announcementCount() > 2, "peers are told as long as it lasts")
 		a.set(false)
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, !p.Health.Suspected(inc("e")))
@@ -149,7 +149,7 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 		assert.Equal(t, a.askedTimes(), 1)
-		assert.Equal(t, a.toldTimes(), 0, "what a peer told is not passed on as one's own")
+		assert.Equal(t, a.announcementCount(), 0, "what a peer told is not passed on as one's own")
 		p.HandlePeerSuspicion(inc("unknown"))
 	})
 }
@@ -212,7 +212,7 @@
 		time.Sleep(7 * time.Second)
 		assert.Assert(t, p.Health.Suspected(inc("e")))
 		assert.Equal(t, a.askedTimes(), 1, "one stream's refusal is looked into, not each")
-		assert.Equal(t, a.toldTimes(), 1)
+		assert.Equal(t, a.announcementCount(), 1)
 		time.Sleep(time.Second)
 		assert.Assert(t, !p.Health.Suspected(inc("e")))
 	})
