--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -53,7 +53,7 @@
 	return a.announced
 }
 
-func (a *fakeEngine) askedTimes() int {
+func (a *fakeEngine) reportRequests() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.requests
@@ -148,7 +148,7 @@
 			p.HandlePeerSuspicion(inc("e"))
 			time.Sleep(250 * time.Millisecond)
 		}
-		assert.Equal(t, a.askedTimes(), 1)
+		assert.Equal(t, a.reportRequests(), 1)
 		assert.Equal(t, a.announcementCount(), 0, "what a peer told is not passed on as one's own")
 		p.HandlePeerSuspicion(inc("unknown"))
 	})
@@ -161,9 +161,9 @@
 		time.Sleep(time.Second)
 		p.Catalog.Remove("e", 2, 0)
 		time.Sleep(time.Second)
-		before := a.askedTimes()
+		before := a.reportRequests()
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, a.askedTimes(), before)
+		assert.Equal(t, a.reportRequests(), before)
 	})
 }
 
@@ -183,7 +183,7 @@
 		p.Check(stages, "r", time.Second, time.Millisecond)
 		p.Check(stages, "r", time.Second, time.Millisecond)
 		synctest.Wait()
-		assert.Equal(t, a.askedTimes(), 1, "many streams through one engine ask once")
+		assert.Equal(t, a.reportRequests(), 1, "many streams through one engine ask once")
 		assert.Equal(t, p.Memory.Slowdown(inc("e")), 3.0)
 		a.mu.Lock()
 		a.slow = 1
@@ -195,7 +195,7 @@
 		time.Sleep(slowdownPollInterval)
 		p.Recheck()
 		synctest.Wait()
-		assert.Equal(t, a.askedTimes(), 2)
+		assert.Equal(t, a.reportRequests(), 2)
 	})
 }
 
@@ -211,7 +211,7 @@
 		}
 		time.Sleep(7 * time.Second)
 		assert.Assert(t, p.Health.Suspected(inc("e")))
-		assert.Equal(t, a.askedTimes(), 1, "one stream's refusal is looked into, not each")
+		assert.Equal(t, a.reportRequests(), 1, "one stream's refusal is looked into, not each")
 		assert.Equal(t, a.announcementCount(), 1)
 		time.Sleep(time.Second)
 		assert.Assert(t, !p.Health.Suspected(inc("e")))
@@ -265,7 +265,7 @@
 			time.Sleep(time.Second)
 			p.HandlePeerSuspicion(inc("e"))
 			time.Sleep(200 * time.Millisecond)
-			assert.Check(t, a.askedTimes() == 1)
+			assert.Check(t, a.reportRequests() == 1)
 			assert.Check(t, p.Health.Suspected(inc("e")), "refused %v after the hint", handleRerouteRefusal)
 		})
 	}
@@ -292,7 +292,7 @@
 				time.Sleep(answerTime / 2)
 				newSuspicion(p.Health)
 				time.Sleep(answerTime)
-				assert.Check(t, a.askedTimes() == 1)
+				assert.Check(t, a.reportRequests() == 1)
 				assert.Check(t, p.Health.Suspected(inc("e")))
 				time.Sleep(2 * failedProbePeriod)
 				assert.Check(t, !p.Health.Suspected(inc("e")))
