--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -59,7 +59,7 @@
 	return a.requests
 }
 
-func (a *fakeEngine) set(dead bool) {
+func (a *fakeEngine) setDead(dead bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.dead = dead
@@ -93,14 +93,14 @@
 // does not answer, however long that is, and work again once it does.
 func TestDeadEngineStaysSuspectedUntilItAnswers(t *testing.T) {
 	probing(t, func(p *Prober, a *fakeEngine) {
-		a.set(true)
+		a.setDead(true)
 		p.Unreachable(a.server, "r", nil)
 		for range 40 {
 			time.Sleep(250 * time.Millisecond)
 			assert.Assert(t, p.Health.Suspected(inc("e")))
 		}
 		assert.Assert(t, a.announcementCount() > 2, "peers are told as long as it lasts")
-		a.set(false)
+		a.setDead(false)
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, !p.Health.Suspected(inc("e")))
 	})
@@ -125,13 +125,13 @@
 		p.Unreachable(a.server, "r", nil)
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, !p.Lost(inc("e")), "it answers")
-		a.set(true)
+		a.setDead(true)
 		p.Unreachable(a.server, "r", nil)
 		time.Sleep(700 * time.Millisecond)
 		assert.Assert(t, !p.Lost(inc("e")))
 		time.Sleep(time.Second)
 		assert.Assert(t, p.Lost(inc("e")))
-		a.set(false)
+		a.setDead(false)
 		time.Sleep(time.Second)
 		assert.Assert(t, !p.Lost(inc("e")))
 	})
@@ -156,7 +156,7 @@
 
 func TestGoneEngineIsForgotten(t *testing.T) {
 	probing(t, func(p *Prober, a *fakeEngine) {
-		a.set(true)
+		a.setDead(true)
 		p.Unreachable(a.server, "r", nil)
 		time.Sleep(time.Second)
 		p.Catalog.Remove("e", 2, 0)
