--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -23,7 +23,7 @@
 	requests  int
 	announced int // suspicions passed on to peers
 	load      model.EngineReport
-	ill       bool
+	unhealthy bool
 	server    *model.BackendServer
 }
 
@@ -39,7 +39,9 @@
 	return out, nil
 }
 
-func (a *fakeEngine) healthy(context.Context, *model.BackendServer) (bool, error) { return !a.ill, nil }
+func (a *fakeEngine) healthy(context.Context, *model.BackendServer) (bool, error) {
+	return !a.unhealthy, nil
+}
 
 func (a *fakeEngine) announce(model.Incarnation, time.Time) {
 	a.mu.Lock()
@@ -204,7 +206,7 @@
 // are told, so that each of their streams need not find out by itself.
 func TestLeavingEngineIsLeftAlone(t *testing.T) {
 	probing(t, func(p *Prober, a *fakeEngine) {
-		a.ill = true
+		a.unhealthy = true
 		a.load = model.EngineReport{UsedTokenLayers: 10, TotalTokenLayers: 100}
 		for range 20 {
 			p.Refused(a.server, "r", 503)
