--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -69,8 +69,8 @@
 
 func inc(id string) model.Incarnation { return model.Incarnation{ID: id} }
 
-// probing runs a prober over one engine in virtual time.
-func probing(t *testing.T, f func(p *Prober, a *fakeEngine)) {
+// runProber runs a prober over one engine in virtual time.
+func runProber(t *testing.T, f func(p *Prober, a *fakeEngine)) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &fakeEngine{server: &model.BackendServer{ID: "e", Service: "s", Address: "1:1", Revision: 1}}
 		p := NewProber()
@@ -94,7 +94,7 @@
 // An engine dies and comes back under the same id. It gets nothing while it
 // does not answer, however long that is, and work again once it does.
 func TestDeadEngineStaysSuspectedUntilItAnswers(t *testing.T) {
-	probing(t, func(p *Prober, a *fakeEngine) {
+	runProber(t, func(p *Prober, a *fakeEngine) {
 		a.setDead(true)
 		p.Unreachable(a.server, "r", nil)
 		for range 40 {
@@ -111,7 +111,7 @@
 // A chain waited for an engine that answers its reports. The suspicion lasts
 // its first second all the same: the engine did not do its work.
 func TestAnsweringEngineIsSuspectedForAWhile(t *testing.T) {
-	probing(t, func(p *Prober, a *fakeEngine) {
+	runProber(t, func(p *Prober, a *fakeEngine) {
 		p.Unreachable(a.server, "r", nil)
 		time.Sleep(800 * time.Millisecond)
 		assert.Assert(t, p.Health.Suspected(inc("e")))
@@ -123,7 +123,7 @@
 // An engine falls silent. After three probes without an answer it counts as lost,
 // whatever its entry says; one that answers, or refuses work, does not.
 func TestSilentEngineIsLost(t *testing.T) {
-	probing(t, func(p *Prober, a *fakeEngine) {
+	runProber(t, func(p *Prober, a *fakeEngine) {
 		p.Unreachable(a.server, "r", nil)
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, !p.Lost(inc("e")), "it answers")
@@ -142,7 +142,7 @@
 // A peer cut off from an engine suspects it. Here it answers: it keeps getting
 // work, and the peer's next words about it are not worth a probe each.
 func TestPeersSuspicionIsChecked(t *testing.T) {
-	probing(t, func(p *Prober, a *fakeEngine) {
+	runProber(t, func(p *Prober, a *fakeEngine) {
 		p.HandlePeerSuspicion(inc("e"))
 		time.Sleep(50 * time.Millisecond)
 		assert.Assert(t, !p.Health.Suspected(inc("e")))
@@ -157,7 +157,7 @@
 }
 
 func TestGoneEngineIsForgotten(t *testing.T) {
-	probing(t, func(p *Prober, a *fakeEngine) {
+	runProber(t, func(p *Prober, a *fakeEngine) {
 		a.setDead(true)
 		p.Unreachable(a.server, "r", nil)
 		time.Sleep(time.Second)
@@ -205,7 +205,7 @@
 // ill. Probes must not bring it back; it gets nothing for seconds, and the peers
 // are told, so that each of their streams need not find out by itself.
 func TestLeavingEngineIsLeftAlone(t *testing.T) {
-	probing(t, func(p *Prober, a *fakeEngine) {
+	runProber(t, func(p *Prober, a *fakeEngine) {
 		a.unhealthy = true
 		a.load = model.EngineReport{UsedTokenLayers: 10, TotalTokenLayers: 100}
 		for range 20 {
@@ -223,7 +223,7 @@
 // An engine is short of token memory and refuses. A stream ends there soon: it is
 // left alone for a moment only, however often that comes.
 func TestFullEngineIsLeftForAMoment(t *testing.T) {
-	probing(t, func(p *Prober, a *fakeEngine) {
+	runProber(t, func(p *Prober, a *fakeEngine) {
 		a.load = model.EngineReport{UsedTokenLayers: 99, TotalTokenLayers: 100}
 		for range 5 {
 			p.Refused(a.server, "r", 503)
@@ -238,7 +238,7 @@
 // An engine refuses, is well and has room: it gives its layers up. Each further
 // refusal doubles the time in which it gets nothing.
 func TestRefusalsDoubleTheSuspicion(t *testing.T) {
-	probing(t, func(p *Prober, a *fakeEngine) {
+	runProber(t, func(p *Prober, a *fakeEngine) {
 		a.load = model.EngineReport{TotalTokenLayers: 100}
 		for _, lasts := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
 			p.Refused(a.server, "r", 503)
@@ -255,7 +255,7 @@
 // answers is no news of its refusal, which stands.
 func TestProbeDoesNotEndARefusal(t *testing.T) {
 	for _, handleRerouteRefusal := range []time.Duration{-time.Second, 50 * time.Millisecond} {
-		probing(t, func(p *Prober, a *fakeEngine) {
+		runProber(t, func(p *Prober, a *fakeEngine) {
 			p.Report = func(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
 				time.Sleep(100 * time.Millisecond)
 				return a.report(ctx, b)
@@ -284,7 +284,7 @@
 		"longer suspected": func(h *catalog.Health) { h.SuspectUntil(inc("e"), time.Now().Add(2*failedProbePeriod)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			probing(t, func(p *Prober, a *fakeEngine) {
+			runProber(t, func(p *Prober, a *fakeEngine) {
 				p.Report = func(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
 					time.Sleep(answerTime)
 					return a.report(ctx, b)
