--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -29,13 +29,13 @@
 
 func (f *faulty) CloseIdle(string) {}
 
-// counted counts what an observer is told.
-type counted struct{ requests, panics int }
+// panicObserver counts what an observer is told.
+type panicObserver struct{ requests, panics int }
 
-func (c *counted) Request(string, string, string, string, time.Duration) { c.requests++ }
-func (c *counted) FirstEvent(string, time.Duration)                      {}
-func (c *counted) Retry(string, string)                                  {}
-func (c *counted) panicked(string)                                       { c.panics++ }
+func (c *panicObserver) Request(string, string, string, string, time.Duration) { c.requests++ }
+func (c *panicObserver) FirstEvent(string, time.Duration)                      {}
+func (c *panicObserver) Retry(string, string)                                  {}
+func (c *panicObserver) panicked(string)                                       { c.panics++ }
 
 // answered is a caller that takes the answer down.
 type answered struct {
@@ -56,7 +56,7 @@
 }
 
 // withService is a relay with one plain service and one server of it.
-func withService(backends BackendClient, observer *counted) *Relay {
+func withService(backends BackendClient, observer *panicObserver) *Relay {
 	s, _ := half()
 	r := s.Relay
 	r.BackendClient = backends
@@ -84,7 +84,7 @@
 	klog.LogToStderr(false)
 	klog.SetOutput(&log)
 	defer klog.LogToStderr(true)
-	observer := &counted{}
+	observer := &panicObserver{}
 	backends := &faulty{}
 	r := withService(backends, observer)
 	for range 2 {
@@ -126,7 +126,7 @@
 // belong to no request, so the connection is broken off and the caller sees that the
 // answer is not whole.
 func TestPanicInsideAnAnswer(t *testing.T) {
-	observer := &counted{}
+	observer := &panicObserver{}
 	r := withService(wellServed{}, observer)
 	complete := r.Serve(t.Context(), &model.Call{Attempt: "a1"}, &breaksOff{})
 	assert.Assert(t, !complete)
@@ -135,7 +135,7 @@
 
 // The caller's connection is aborted on purpose: that is no fault, and is passed on.
 func TestAbortIsPassedOn(t *testing.T) {
-	observer := &counted{}
+	observer := &panicObserver{}
 	r := withService(aborting{}, observer)
 	defer func() {
 		err, _ := recover().(error)
@@ -154,7 +154,7 @@
 // the process goes on.
 func TestPanicBesideAStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		observer := &counted{}
+		observer := &panicObserver{}
 		s, _ := half()
 		s.Relay.BackendClient = &faulty{}
 		s.Relay.Observer = observer
