--- a/internal/protocol/relay/health_test.go
+++ b/internal/protocol/relay/health_test.go
@@ -14,7 +14,7 @@
 // less than its share until the router is started again.
 func TestPanicEndsTheLoadItCounted(t *testing.T) {
 	r := withService(&faulty{}, &panicObserver{})
-	out := &answered{}
+	out := &responseRecorder{}
 	assert.Assert(t, r.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Path: "/"}, out))
 	assert.Equal(t, out.status, http.StatusBadGateway)
 	assert.Equal(t, r.Health.View(model.Incarnation{ID: "n"}).Active, 0)
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -37,20 +37,20 @@
 func (c *panicObserver) Retry(string, string)                                  {}
 func (c *panicObserver) panicked(string)                                       { c.panics++ }
 
-// answered is a caller that takes the answer down.
-type answered struct {
+// responseRecorder is a caller that takes the answer down.
+type responseRecorder struct {
 	status int
 	header http.Header
 	body   bytes.Buffer
 	cut    error // what writing gives from now on
 }
 
-func (a *answered) WriteHeader(status int, header http.Header, _ int64) {
+func (a *responseRecorder) WriteHeader(status int, header http.Header, _ int64) {
 	a.status = status
 	a.header = header
 }
 
-func (a *answered) Write(p []byte) error {
+func (a *responseRecorder) Write(p []byte) error {
 	a.body.Write(p)
 	return a.cut
 }
@@ -88,7 +88,7 @@
 	backends := &faulty{}
 	r := withService(backends, observer)
 	for range 2 {
-		out := &answered{}
+		out := &responseRecorder{}
 		complete := r.Serve(t.Context(), &model.Call{Attempt: "a1"}, out)
 		assert.Assert(t, complete)
 		assert.Equal(t, out.status, http.StatusBadGateway)
@@ -103,7 +103,7 @@
 }
 
 // breaksOff is a caller whose own code panics once the answer has begun.
-type breaksOff struct{ answered }
+type breaksOff struct{ responseRecorder }
 
 func (b *breaksOff) Write([]byte) error { panic("fault in the code") }
 
@@ -142,7 +142,7 @@
 		assert.Assert(t, errors.Is(err, http.ErrAbortHandler))
 		assert.Equal(t, observer.panics, 0)
 	}()
-	r.Serve(t.Context(), &model.Call{Attempt: "a1"}, &answered{})
+	r.Serve(t.Context(), &model.Call{Attempt: "a1"}, &responseRecorder{})
 }
 
 type aborting struct{ wellServed }
