--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -39,10 +39,10 @@
 
 // responseRecorder is a caller that takes the answer down.
 type responseRecorder struct {
-	status int
-	header http.Header
-	body   bytes.Buffer
-	cut    error // what writing gives from now on
+	status   int
+	header   http.Header
+	body     bytes.Buffer
+	writeErr error // what writing gives from now on
 }
 
 func (a *responseRecorder) WriteHeader(status int, header http.Header, _ int64) {
@@ -52,7 +52,7 @@
 
 func (a *responseRecorder) Write(p []byte) error {
 	a.body.Write(p)
-	return a.cut
+	return a.writeErr
 }
 
 // withService is a relay with one plain service and one server of it.
