--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -35,7 +35,7 @@
 func (c *panicObserver) Request(string, string, string, string, time.Duration) { c.requests++ }
 func (c *panicObserver) FirstEvent(string, time.Duration)                      {}
 func (c *panicObserver) Retry(string, string)                                  {}
-func (c *panicObserver) panicked(string)                                       { c.panics++ }
+func (c *panicObserver) recordPanic(string)                                    { c.panics++ }
 
 // responseRecorder is a caller that takes the answer down.
 type responseRecorder struct {
@@ -61,7 +61,7 @@
 	r := s.Relay
 	r.BackendClient = backends
 	r.Observer = observer
-	r.OnPanic = observer.panicked
+	r.OnPanic = observer.recordPanic
 	r.ActiveRuns = NewActiveRuns()
 	r.Config = &routes.ActiveConfig{}
 	r.Config.Apply(&model.RouteConfig{
@@ -158,7 +158,7 @@
 		s, _ := half()
 		s.Relay.BackendClient = &faulty{}
 		s.Relay.Observer = observer
-		s.Relay.OnPanic = observer.panicked
+		s.Relay.OnPanic = observer.recordPanic
 		s.Relay.ActiveRuns = NewActiveRuns()
 		ctx, cancel := context.WithCancelCause(t.Context())
 		defer cancel(nil)
