--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -23,11 +23,11 @@
 // pathEngines answers orders as engines do: a path through a silent engine is refused,
 // and the refusal names the first of them.
 type pathEngines struct {
-	mu      sync.Mutex
-	silent  []string // addresses
-	orders  int
-	refused int
-	answer  func(ctx context.Context) // runs before each answer to an order; may be nil
+	mu           sync.Mutex
+	unresponsive []string // addresses
+	orders       int
+	refused      int
+	answer       func(ctx context.Context) // runs before each answer to an order; may be nil
 }
 
 func (p *pathEngines) do(ctx context.Context, _ string, r *Request) (*Response, error) {
@@ -46,7 +46,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.orders++
-	for _, addr := range p.silent {
+	for _, addr := range p.unresponsive {
 		if strings.Contains(string(r.Body), addr+"=") {
 			p.refused++
 			return signed(http.StatusConflict, strings.NewReader(`{"address":"`+addr+`"}`)), nil
@@ -75,7 +75,7 @@
 func (p *pathEngines) silence(addrs ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.silent = addrs
+	p.unresponsive = addrs
 }
 
 // threeParts gives a site whose chains have three parts, with two holders of each.
