--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -23,11 +23,11 @@
 // pathEngines answers orders as engines do: a path through a silent engine is refused,
 // and the refusal names the first of them.
 type pathEngines struct {
-	mu           sync.Mutex
-	unresponsive []string // addresses
-	orders       int
-	refused      int
-	answer       func(ctx context.Context) // runs before each answer to an order; may be nil
+	mu             sync.Mutex
+	unresponsive   []string // addresses
+	orders         int
+	refused        int
+	beforeResponse func(ctx context.Context) // runs before each answer to an order; may be nil
 }
 
 func (p *pathEngines) do(ctx context.Context, _ string, r *Request) (*Response, error) {
@@ -35,7 +35,7 @@
 		return report(emptyReport), nil
 	}
 	p.mu.Lock()
-	answer := p.answer
+	answer := p.beforeResponse
 	p.mu.Unlock()
 	if answer != nil {
 		answer(ctx)
@@ -59,7 +59,7 @@
 func (p *pathEngines) answerWith(answer func(ctx context.Context)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.answer = answer
+	p.beforeResponse = answer
 }
 
 // unanswered leaves an order without an answer.
@@ -132,7 +132,7 @@
 // leave both within half of the pause that their route allows, with few refused orders.
 func TestTwoSilentEnginesOfOneChain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := &pathEngines{answer: func(context.Context) { time.Sleep(2 * time.Millisecond) }}
+		engines := &pathEngines{beforeResponse: func(context.Context) { time.Sleep(2 * time.Millisecond) }}
 		s := threeParts(engines.do)
 		var streams []*chainWatch
 		for range 90 {
