--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -55,8 +55,8 @@
 	return signed(http.StatusOK, strings.NewReader("")), nil
 }
 
-// answerWith sets what runs before each answer to an order.
-func (p *pathEngines) answerWith(answer func(ctx context.Context)) {
+// setBeforeResponse sets what runs before each answer to an order.
+func (p *pathEngines) setBeforeResponse(answer func(ctx context.Context)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.beforeResponse = answer
@@ -160,7 +160,7 @@
 		one, run := s.running(t, resumable)
 		two, other := s.running(t, resumable)
 		play([]*chainWatch{one, two}, 20)
-		engines.answerWith(unanswered)
+		engines.setBeforeResponse(unanswered)
 		time.Sleep(resumable.TargetGap)
 		synctest.Wait()
 		assert.Equal(t, context.Cause(run), stalled)
@@ -179,7 +179,7 @@
 		late, _ := s.running(t, resumable)
 		other, run := s.running(t, resumable)
 		play([]*chainWatch{late, other}, 20)
-		engines.answerWith(unanswered)
+		engines.setBeforeResponse(unanswered)
 		// The other stream shares only the first engine with the late one.
 		other.progress.Reroute([]model.Incarnation{inc("head"), inc("middle2"), inc("tail2")})
 		play([]*chainWatch{other}, 12)
@@ -219,9 +219,9 @@
 		w, run := s.running(t, movable)
 		w.final = true // so that the run is kept
 		play([]*chainWatch{w}, 20)
-		engines.answerWith(unanswered)
+		engines.setBeforeResponse(unanswered)
 		time.Sleep(resumable.TargetGap)
-		engines.answerWith(nil)
+		engines.setBeforeResponse(nil)
 		before := engines.counted()
 		s.HandleEngineExit(inc("middle"))
 		synctest.Wait()
