--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -62,8 +62,8 @@
 	p.beforeResponse = answer
 }
 
-// unanswered leaves an order without an answer.
-func unanswered(ctx context.Context) { <-ctx.Done() }
+// neverRespond leaves an order without an answer.
+func neverRespond(ctx context.Context) { <-ctx.Done() }
 
 // counted tells how many orders were answered.
 func (p *pathEngines) counted() int {
@@ -160,7 +160,7 @@
 		one, run := s.running(t, resumable)
 		two, other := s.running(t, resumable)
 		play([]*chainWatch{one, two}, 20)
-		engines.setBeforeResponse(unanswered)
+		engines.setBeforeResponse(neverRespond)
 		time.Sleep(resumable.TargetGap)
 		synctest.Wait()
 		assert.Equal(t, context.Cause(run), stalled)
@@ -179,7 +179,7 @@
 		late, _ := s.running(t, resumable)
 		other, run := s.running(t, resumable)
 		play([]*chainWatch{late, other}, 20)
-		engines.setBeforeResponse(unanswered)
+		engines.setBeforeResponse(neverRespond)
 		// The other stream shares only the first engine with the late one.
 		other.progress.Reroute([]model.Incarnation{inc("head"), inc("middle2"), inc("tail2")})
 		play([]*chainWatch{other}, 12)
@@ -219,7 +219,7 @@
 		w, run := s.running(t, movable)
 		w.final = true // so that the run is kept
 		play([]*chainWatch{w}, 20)
-		engines.setBeforeResponse(unanswered)
+		engines.setBeforeResponse(neverRespond)
 		time.Sleep(resumable.TargetGap)
 		engines.setBeforeResponse(nil)
 		before := engines.counted()
