--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -65,8 +65,8 @@
 // neverRespond leaves an order without an answer.
 func neverRespond(ctx context.Context) { <-ctx.Done() }
 
-// counted tells how many orders were answered.
-func (p *pathEngines) counted() int {
+// answeredOrders tells how many orders were answered.
+func (p *pathEngines) answeredOrders() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.orders
@@ -200,7 +200,7 @@
 		play([]*chainWatch{w}, 20)
 		time.Sleep(200 * time.Millisecond)
 		synctest.Wait()
-		assert.Equal(t, engines.counted(), 1)
+		assert.Equal(t, engines.answeredOrders(), 1)
 		assert.DeepEqual(t, ids(w), []string{"head", "middle", "tail"})
 		w.eventReceived()
 		assert.NilError(t, run.Err())
@@ -222,10 +222,10 @@
 		engines.setBeforeResponse(neverRespond)
 		time.Sleep(resumable.TargetGap)
 		engines.setBeforeResponse(nil)
-		before := engines.counted()
+		before := engines.answeredOrders()
 		s.HandleEngineExit(inc("middle"))
 		synctest.Wait()
-		assert.Equal(t, engines.counted(), before)
+		assert.Equal(t, engines.answeredOrders(), before)
 		assert.DeepEqual(t, ids(w), []string{"head", "middle", "tail"})
 		time.Sleep(finalResponseTimeout)
 		synctest.Wait()
