--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -72,7 +72,7 @@
 	return p.orders
 }
 
-func (p *pathEngines) silence(addrs ...string) {
+func (p *pathEngines) setUnresponsive(addrs ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.unresponsive = addrs
@@ -140,7 +140,7 @@
 			streams = append(streams, w)
 		}
 		play(streams, 20)
-		engines.silence("middle:1", "tail:1")
+		engines.setUnresponsive("middle:1", "tail:1")
 		time.Sleep(resumable.TargetGap / 2)
 		synctest.Wait()
 		for _, w := range streams {
@@ -247,7 +247,7 @@
 			streams = append(streams, w)
 		}
 		play(streams, 40)
-		engines.silence("middle:1")
+		engines.setUnresponsive("middle:1")
 		time.Sleep(resumable.TargetGap / 2)
 		synctest.Wait()
 		anew, moved := 0, 0
@@ -288,7 +288,7 @@
 		s.Catalog.Put(model.BackendServer{ID: "middle3", Service: "s", Address: "middle3:1", FailureDomain: "a", Card: "fast", Holds: model.LayerRange{From: 4, To: 8}, Slots: 200, Revision: 2})
 		w, _ := s.running(t, movable)
 		play([]*chainWatch{w}, 20)
-		engines.silence("middle:1", "middle2:1")
+		engines.setUnresponsive("middle:1", "middle2:1")
 		s.HandleEngineExit(inc("middle"))
 		synctest.Wait()
 		assert.DeepEqual(t, ids(w), []string{"head", "middle3", "tail"})
