--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -99,8 +99,8 @@
 var resumable = model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2, TargetGap: 300 * time.Millisecond}
 var movable = model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 1, TargetGap: 300 * time.Millisecond}
 
-// running is a stream on the chain head, middle, tail with its watch.
-func (s *site) running(t *testing.T, route model.Route) (*chainWatch, context.Context) {
+// startStream is a stream on the chain head, middle, tail with its watch.
+func (s *site) startStream(t *testing.T, route model.Route) (*chainWatch, context.Context) {
 	snap := s.Catalog.Load()
 	var stages []chains.Stage
 	for i, id := range []string{"head", "middle", "tail"} {
@@ -136,7 +136,7 @@
 		s := threeParts(engines.do)
 		var streams []*chainWatch
 		for range 90 {
-			w, _ := s.running(t, movable)
+			w, _ := s.startStream(t, movable)
 			streams = append(streams, w)
 		}
 		play(streams, 20)
@@ -157,8 +157,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		engines := &pathEngines{}
 		s := threeParts(engines.do)
-		one, run := s.running(t, resumable)
-		two, other := s.running(t, resumable)
+		one, run := s.startStream(t, resumable)
+		two, other := s.startStream(t, resumable)
 		play([]*chainWatch{one, two}, 20)
 		engines.setBeforeResponse(neverRespond)
 		time.Sleep(resumable.TargetGap)
@@ -176,8 +176,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		engines := &pathEngines{}
 		s := threeParts(engines.do)
-		late, _ := s.running(t, resumable)
-		other, run := s.running(t, resumable)
+		late, _ := s.startStream(t, resumable)
+		other, run := s.startStream(t, resumable)
 		play([]*chainWatch{late, other}, 20)
 		engines.setBeforeResponse(neverRespond)
 		// The other stream shares only the first engine with the late one.
@@ -196,7 +196,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		engines := &pathEngines{}
 		s := threeParts(engines.do)
-		w, run := s.running(t, movable)
+		w, run := s.startStream(t, movable)
 		play([]*chainWatch{w}, 20)
 		time.Sleep(200 * time.Millisecond)
 		synctest.Wait()
@@ -216,7 +216,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		engines := &pathEngines{}
 		s := threeParts(engines.do)
-		w, run := s.running(t, movable)
+		w, run := s.startStream(t, movable)
 		w.final = true // so that the run is kept
 		play([]*chainWatch{w}, 20)
 		engines.setBeforeResponse(neverRespond)
@@ -243,7 +243,7 @@
 		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, budget, time.Second, func() int { return 1 }, time.Now)
 		var streams []*chainWatch
 		for range 90 {
-			w, _ := s.running(t, resumable)
+			w, _ := s.startStream(t, resumable)
 			streams = append(streams, w)
 		}
 		play(streams, 40)
@@ -273,7 +273,7 @@
 		engines := &pathEngines{}
 		s := threeParts(engines.do)
 		s.ActiveRuns.notifyLoss(engineSet{inc("middle"): true}, stalled)
-		w, _ := s.running(t, movable)
+		w, _ := s.startStream(t, movable)
 		synctest.Wait()
 		assert.DeepEqual(t, ids(w), []string{"head", "middle2", "tail"})
 	})
@@ -286,7 +286,7 @@
 		engines := &pathEngines{}
 		s := threeParts(engines.do)
 		s.Catalog.Put(model.BackendServer{ID: "middle3", Service: "s", Address: "middle3:1", FailureDomain: "a", Card: "fast", Holds: model.LayerRange{From: 4, To: 8}, Slots: 200, Revision: 2})
-		w, _ := s.running(t, movable)
+		w, _ := s.startStream(t, movable)
 		play([]*chainWatch{w}, 20)
 		engines.setUnresponsive("middle:1", "middle2:1")
 		s.HandleEngineExit(inc("middle"))
