--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -109,8 +109,8 @@
 	return s.watchedOn(t, route, stages)
 }
 
-// play gives the streams events for a while.
-func play(streams []*chainWatch, events int) {
+// sendEvents gives the streams events for a while.
+func sendEvents(streams []*chainWatch, events int) {
 	for range events {
 		time.Sleep(eventEvery)
 		for _, w := range streams {
@@ -139,7 +139,7 @@
 			w, _ := s.startStream(t, movable)
 			streams = append(streams, w)
 		}
-		play(streams, 20)
+		sendEvents(streams, 20)
 		engines.setUnresponsive("middle:1", "tail:1")
 		time.Sleep(resumable.TargetGap / 2)
 		synctest.Wait()
@@ -159,7 +159,7 @@
 		s := threeParts(engines.do)
 		one, run := s.startStream(t, resumable)
 		two, other := s.startStream(t, resumable)
-		play([]*chainWatch{one, two}, 20)
+		sendEvents([]*chainWatch{one, two}, 20)
 		engines.setBeforeResponse(neverRespond)
 		time.Sleep(resumable.TargetGap)
 		synctest.Wait()
@@ -178,11 +178,11 @@
 		s := threeParts(engines.do)
 		late, _ := s.startStream(t, resumable)
 		other, run := s.startStream(t, resumable)
-		play([]*chainWatch{late, other}, 20)
+		sendEvents([]*chainWatch{late, other}, 20)
 		engines.setBeforeResponse(neverRespond)
 		// The other stream shares only the first engine with the late one.
 		other.progress.Reroute([]model.Incarnation{inc("head"), inc("middle2"), inc("tail2")})
-		play([]*chainWatch{other}, 12)
+		sendEvents([]*chainWatch{other}, 12)
 		synctest.Wait()
 		assert.Assert(t, late.hasUnconfirmedOrder())
 		assert.Assert(t, !s.Health.Suspected(inc("head")))
@@ -197,7 +197,7 @@
 		engines := &pathEngines{}
 		s := threeParts(engines.do)
 		w, run := s.startStream(t, movable)
-		play([]*chainWatch{w}, 20)
+		sendEvents([]*chainWatch{w}, 20)
 		time.Sleep(200 * time.Millisecond)
 		synctest.Wait()
 		assert.Equal(t, engines.answeredOrders(), 1)
@@ -218,7 +218,7 @@
 		s := threeParts(engines.do)
 		w, run := s.startStream(t, movable)
 		w.final = true // so that the run is kept
-		play([]*chainWatch{w}, 20)
+		sendEvents([]*chainWatch{w}, 20)
 		engines.setBeforeResponse(neverRespond)
 		time.Sleep(resumable.TargetGap)
 		engines.setBeforeResponse(nil)
@@ -246,7 +246,7 @@
 			w, _ := s.startStream(t, resumable)
 			streams = append(streams, w)
 		}
-		play(streams, 40)
+		sendEvents(streams, 40)
 		engines.setUnresponsive("middle:1")
 		time.Sleep(resumable.TargetGap / 2)
 		synctest.Wait()
@@ -287,7 +287,7 @@
 		s := threeParts(engines.do)
 		s.Catalog.Put(model.BackendServer{ID: "middle3", Service: "s", Address: "middle3:1", FailureDomain: "a", Card: "fast", Holds: model.LayerRange{From: 4, To: 8}, Slots: 200, Revision: 2})
 		w, _ := s.startStream(t, movable)
-		play([]*chainWatch{w}, 20)
+		sendEvents([]*chainWatch{w}, 20)
 		engines.setUnresponsive("middle:1", "middle2:1")
 		s.HandleEngineExit(inc("middle"))
 		synctest.Wait()
