--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-func ids(w *chainWatch) []string {
+func serverIDs(w *chainWatch) []string {
 	var out []string
 	stages, _ := w.state()
 	for _, p := range stages {
@@ -144,7 +144,7 @@
 		time.Sleep(resumable.TargetGap / 2)
 		synctest.Wait()
 		for _, w := range streams {
-			assert.DeepEqual(t, ids(w), []string{"head", "middle2", "tail2"})
+			assert.DeepEqual(t, serverIDs(w), []string{"head", "middle2", "tail2"})
 			assert.NilError(t, w.run.Err())
 		}
 		assert.Assert(t, engines.refused <= 2*len(streams), "%d of %d orders refused", engines.refused, engines.orders)
@@ -201,7 +201,7 @@
 		time.Sleep(200 * time.Millisecond)
 		synctest.Wait()
 		assert.Equal(t, engines.answeredOrders(), 1)
-		assert.DeepEqual(t, ids(w), []string{"head", "middle", "tail"})
+		assert.DeepEqual(t, serverIDs(w), []string{"head", "middle", "tail"})
 		w.eventReceived()
 		assert.NilError(t, run.Err())
 		for _, id := range []string{"head", "middle", "tail"} {
@@ -226,7 +226,7 @@
 		s.HandleEngineExit(inc("middle"))
 		synctest.Wait()
 		assert.Equal(t, engines.answeredOrders(), before)
-		assert.DeepEqual(t, ids(w), []string{"head", "middle", "tail"})
+		assert.DeepEqual(t, serverIDs(w), []string{"head", "middle", "tail"})
 		time.Sleep(finalResponseTimeout)
 		synctest.Wait()
 		assert.Equal(t, context.Cause(run), engineExited)
@@ -275,7 +275,7 @@
 		s.ActiveRuns.notifyLoss(engineSet{inc("middle"): true}, stalled)
 		w, _ := s.startStream(t, movable)
 		synctest.Wait()
-		assert.DeepEqual(t, ids(w), []string{"head", "middle2", "tail"})
+		assert.DeepEqual(t, serverIDs(w), []string{"head", "middle2", "tail"})
 	})
 }
 
@@ -291,7 +291,7 @@
 		engines.setUnresponsive("middle:1", "middle2:1")
 		s.HandleEngineExit(inc("middle"))
 		synctest.Wait()
-		assert.DeepEqual(t, ids(w), []string{"head", "middle3", "tail"})
+		assert.DeepEqual(t, serverIDs(w), []string{"head", "middle3", "tail"})
 		assert.Equal(t, len(s.ActiveRuns.recentlyLost([]model.Incarnation{inc("middle2")})), 0)
 	})
 }
