--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -34,16 +34,16 @@
 
 func (s script) CloseIdle(string) {}
 
-// observed counts repeated sends.
-type observed struct {
+// retryCounter counts repeated sends.
+type retryCounter struct {
 	mu      sync.Mutex
 	repeats int
 }
 
-func (o *observed) Request(_, _, _, _ string, _ time.Duration) {}
-func (o *observed) FirstEvent(string, time.Duration)           {}
+func (o *retryCounter) Request(_, _, _, _ string, _ time.Duration) {}
+func (o *retryCounter) FirstEvent(string, time.Duration)           {}
 
-func (o *observed) Retry(_, _ string) {
+func (o *retryCounter) Retry(_, _ string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.repeats++
@@ -77,7 +77,7 @@
 type site struct {
 	*Relay
 	prober *Prober
-	seen   *observed
+	seen   *retryCounter
 }
 
 func newSite(route model.Route, generates bool, do script) *site {
@@ -105,7 +105,7 @@
 	prober.Health = health
 	prober.Catalog = c
 	prober.AnnounceSuspect = func(model.Incarnation, time.Time) {}
-	seen := &observed{}
+	seen := &retryCounter{}
 	rel := &Relay{
 		Config: current, Catalog: c, Health: health, Memory: memory,
 		Chooser:       &chains.Chooser{Catalog: c, Health: health, Usage: memory, Interconnect: chains.NewInterconnect(time.Now), RouterCount: func() int { return 1 }},
