--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -37,7 +37,7 @@
 // retryCounter counts repeated sends.
 type retryCounter struct {
 	mu      sync.Mutex
-	repeats int
+	retries int
 }
 
 func (o *retryCounter) Request(_, _, _, _ string, _ time.Duration) {}
@@ -46,7 +46,7 @@
 func (o *retryCounter) Retry(_, _ string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.repeats++
+	o.retries++
 }
 
 // heardBody is an answer's body that comes as its reader does.
@@ -175,7 +175,7 @@
 			assert.Check(t, out.status == http.StatusServiceUnavailable, "%s: %d", kind, out.status)
 			assert.Check(t, out.header.Get("Retry-After") != "", "%s", kind)
 			s.suspects(t)
-			assert.Equal(t, s.seen.repeats, 0)
+			assert.Equal(t, s.seen.retries, 0)
 			assert.Equal(t, s.streams(), 0.0)
 		})
 	}
@@ -198,7 +198,7 @@
 			assert.Assert(t, complete)
 			assert.Check(t, out.status == http.StatusBadGateway, "%s: %d", kind, out.status)
 			s.suspects(t)
-			assert.Equal(t, s.seen.repeats, 0)
+			assert.Equal(t, s.seen.retries, 0)
 			assert.Equal(t, s.streams(), 0.0)
 		})
 	}
@@ -219,7 +219,7 @@
 			assert.Assert(t, s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 			assert.Equal(t, out.status, http.StatusInternalServerError)
 			assert.Equal(t, out.body.String(), "the server's words")
-			assert.Equal(t, s.seen.repeats, 0)
+			assert.Equal(t, s.seen.retries, 0)
 		})
 	}
 }
@@ -254,7 +254,7 @@
 		out := &listener{}
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.status, http.StatusOK)
-		assert.Equal(t, s.seen.repeats, 1)
+		assert.Equal(t, s.seen.retries, 1)
 	})
 }
 
@@ -273,7 +273,7 @@
 			assert.Equal(t, out.status, http.StatusInternalServerError)
 			assert.Equal(t, out.body.String(), "failed")
 			assert.Equal(t, sends, 1)
-			assert.Equal(t, s.seen.repeats, 0)
+			assert.Equal(t, s.seen.retries, 0)
 		})
 	}
 }
@@ -293,7 +293,7 @@
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.status, http.StatusOK)
 		assert.Equal(t, out.body.String(), "late")
-		assert.Equal(t, s.seen.repeats, 0)
+		assert.Equal(t, s.seen.retries, 0)
 	})
 }
 
@@ -316,7 +316,7 @@
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.body.String(), "in time")
 		assert.Equal(t, time.Since(began), time.Second)
-		assert.Equal(t, s.seen.repeats, 1)
+		assert.Equal(t, s.seen.retries, 1)
 	})
 }
 
@@ -337,7 +337,7 @@
 		out := &listener{}
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.body.String(), "all of it")
-		assert.Equal(t, s.seen.repeats, 0)
+		assert.Equal(t, s.seen.retries, 0)
 	})
 }
 
