--- a/internal/protocol/relay/repeat_test.go
+++ b/internal/protocol/relay/repeat_test.go
@@ -35,7 +35,7 @@
 		time.AfterFunc(2*time.Second, func() {
 			assert.Check(t, !s.RetryBorrower.Budget.Take("s"))
 		})
-		out := &listener{}
+		out := &recordingWriter{}
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.status, http.StatusOK, "after %v", time.Since(began))
 		assert.Equal(t, s.seen.retries, 1)
@@ -56,7 +56,7 @@
 				return signed(http.StatusOK, strings.NewReader("id: 1\ndata: a\n\n")), nil
 			})
 			s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 0, time.Second, func() int { return 1 }, time.Now)
-			out := &listener{}
+			out := &recordingWriter{}
 			assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 			assert.Equal(t, out.status, http.StatusOK, "generates %t: %s", generates, out.body.String())
 		})
@@ -81,7 +81,7 @@
 		})
 		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 2, time.Second, func() int { return 1 }, time.Now)
 		time.Sleep(2 * time.Second) // until the slack, one send, may be spent
-		out := &listener{}
+		out := &recordingWriter{}
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.status, http.StatusInternalServerError)
 		assert.Equal(t, s.seen.retries, 1)
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -55,19 +55,19 @@
 func (heardBody) Discard() {}
 func (heardBody) Close()   {}
 
-// listener is a caller that keeps what it is told.
-type listener struct {
+// recordingWriter is a caller that keeps what it is told.
+type recordingWriter struct {
 	status int
 	header http.Header
 	body   strings.Builder
 }
 
-func (l *listener) WriteHeader(status int, header http.Header, _ int64) {
+func (l *recordingWriter) WriteHeader(status int, header http.Header, _ int64) {
 	l.status = status
 	l.header = header
 }
 
-func (l *listener) Write(p []byte) error {
+func (l *recordingWriter) Write(p []byte) error {
 	l.body.Write(p)
 	return nil
 }
@@ -169,7 +169,7 @@
 				leave()
 				return nil, errNoConnection
 			})
-			out := &listener{}
+			out := &recordingWriter{}
 			complete := s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out)
 			assert.Assert(t, complete)
 			assert.Check(t, out.status == http.StatusServiceUnavailable, "%s: %d", kind, out.status)
@@ -193,7 +193,7 @@
 				<-ctx.Done()
 				return nil, ctx.Err()
 			})
-			out := &listener{}
+			out := &recordingWriter{}
 			complete := s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out)
 			assert.Assert(t, complete)
 			assert.Check(t, out.status == http.StatusBadGateway, "%s: %d", kind, out.status)
@@ -215,7 +215,7 @@
 				leave()
 				return signed(http.StatusInternalServerError, strings.NewReader("the server's words")), nil
 			})
-			out := &listener{}
+			out := &recordingWriter{}
 			assert.Assert(t, s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 			assert.Equal(t, out.status, http.StatusInternalServerError)
 			assert.Equal(t, out.body.String(), "the server's words")
@@ -231,7 +231,7 @@
 		s := newSite(model.Route{Kind: streaming, MaxAttempts: 1, TargetLatency: time.Second}, true, func(context.Context, string, *Request) (*Response, error) {
 			panic("unexpected")
 		})
-		out := &listener{}
+		out := &recordingWriter{}
 		complete := s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out)
 		assert.Assert(t, complete)
 		assert.Equal(t, out.status, http.StatusBadGateway)
@@ -251,7 +251,7 @@
 			return signed(http.StatusOK, strings.NewReader("id: 1\ndata: a\n\n")), nil
 		})
 		time.Sleep(2 * time.Second) // until the slack may be spent
-		out := &listener{}
+		out := &recordingWriter{}
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.status, http.StatusOK)
 		assert.Equal(t, s.seen.retries, 1)
@@ -268,7 +268,7 @@
 				sends++
 				return signed(http.StatusInternalServerError, strings.NewReader("failed")), nil
 			})
-			out := &listener{}
+			out := &recordingWriter{}
 			assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 			assert.Equal(t, out.status, http.StatusInternalServerError)
 			assert.Equal(t, out.body.String(), "failed")
@@ -289,7 +289,7 @@
 			return signed(http.StatusOK, strings.NewReader("late")), nil
 		})
 		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 100, time.Hour, func() int { return 1 }, time.Now)
-		out := &listener{}
+		out := &recordingWriter{}
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.status, http.StatusOK)
 		assert.Equal(t, out.body.String(), "late")
@@ -311,7 +311,7 @@
 			return signed(http.StatusOK, strings.NewReader("in time")), nil
 		})
 		time.Sleep(2 * time.Second) // until the slack may be spent
-		out := &listener{}
+		out := &recordingWriter{}
 		began := time.Now()
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.body.String(), "in time")
@@ -334,7 +334,7 @@
 			return signed(http.StatusOK, strings.NewReader("all of it")), nil
 		})
 		time.Sleep(2 * time.Second) // until the slack may be spent
-		out := &listener{}
+		out := &recordingWriter{}
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.body.String(), "all of it")
 		assert.Equal(t, s.seen.retries, 0)
@@ -358,7 +358,7 @@
 				s.HandleEngineExit(inc("one"))
 				s.HandleEngineExit(inc("two"))
 			})
-			out := &listener{}
+			out := &recordingWriter{}
 			assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 			assert.Equal(t, out.status, http.StatusOK)
 			assert.Equal(t, out.body.String(), "id: 1\ndata: last words\n\n")
--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -106,7 +106,7 @@
 			}
 			ctx, leave := context.WithCancel(t.Context())
 			time.AfterFunc(100*time.Millisecond, leave)
-			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/", MaxAnswer: 5}, &listener{})
+			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/", MaxAnswer: 5}, &recordingWriter{})
 			end := log.of("request ended")
 			assert.Equal(t, len(end), 1)
 			assert.Check(t, strings.Contains(end[0], `progress="`+at.progress+`"`), end[0])
@@ -148,7 +148,7 @@
 			ctx, leave := context.WithCancel(t.Context())
 			defer leave()
 			time.AfterFunc(time.Second, func() { at.after(s, leave) })
-			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, &listener{})
+			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, &recordingWriter{})
 			lost := log.of("answer lost")
 			assert.Equal(t, len(lost), 1)
 			assert.Check(t, strings.Contains(lost[0], `why="`+at.reason+`"`), lost[0])
