--- a/internal/protocol/relay/repeat_test.go
+++ b/internal/protocol/relay/repeat_test.go
@@ -38,7 +38,7 @@
 		out := &recordingWriter{}
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.status, http.StatusOK, "after %v", time.Since(began))
-		assert.Equal(t, s.seen.retries, 1)
+		assert.Equal(t, s.observer.retries, 1)
 	})
 }
 
@@ -84,6 +84,6 @@
 		out := &recordingWriter{}
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.status, http.StatusInternalServerError)
-		assert.Equal(t, s.seen.retries, 1)
+		assert.Equal(t, s.observer.retries, 1)
 	})
 }
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -76,8 +76,8 @@
 // each of them holds all layers; else the service is plain.
 type site struct {
 	*Relay
-	prober *Prober
-	seen   *retryCounter
+	prober   *Prober
+	observer *retryCounter
 }
 
 func newSite(route model.Route, generates bool, do script) *site {
@@ -125,7 +125,7 @@
 	rel.SlowdownMonitor.Catalog = c
 	rel.SlowdownMonitor.Report = rel.Report
 	rel.SlowdownMonitor.Now = time.Now
-	return &site{Relay: rel, prober: prober, seen: seen}
+	return &site{Relay: rel, prober: prober, observer: seen}
 }
 
 // streams is how many streams hold memory of an engine.
@@ -175,7 +175,7 @@
 			assert.Check(t, out.status == http.StatusServiceUnavailable, "%s: %d", kind, out.status)
 			assert.Check(t, out.header.Get("Retry-After") != "", "%s", kind)
 			s.suspects(t)
-			assert.Equal(t, s.seen.retries, 0)
+			assert.Equal(t, s.observer.retries, 0)
 			assert.Equal(t, s.streams(), 0.0)
 		})
 	}
@@ -198,7 +198,7 @@
 			assert.Assert(t, complete)
 			assert.Check(t, out.status == http.StatusBadGateway, "%s: %d", kind, out.status)
 			s.suspects(t)
-			assert.Equal(t, s.seen.retries, 0)
+			assert.Equal(t, s.observer.retries, 0)
 			assert.Equal(t, s.streams(), 0.0)
 		})
 	}
@@ -219,7 +219,7 @@
 			assert.Assert(t, s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 			assert.Equal(t, out.status, http.StatusInternalServerError)
 			assert.Equal(t, out.body.String(), "the server's words")
-			assert.Equal(t, s.seen.retries, 0)
+			assert.Equal(t, s.observer.retries, 0)
 		})
 	}
 }
@@ -254,7 +254,7 @@
 		out := &recordingWriter{}
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.status, http.StatusOK)
-		assert.Equal(t, s.seen.retries, 1)
+		assert.Equal(t, s.observer.retries, 1)
 	})
 }
 
@@ -273,7 +273,7 @@
 			assert.Equal(t, out.status, http.StatusInternalServerError)
 			assert.Equal(t, out.body.String(), "failed")
 			assert.Equal(t, sends, 1)
-			assert.Equal(t, s.seen.retries, 0)
+			assert.Equal(t, s.observer.retries, 0)
 		})
 	}
 }
@@ -293,7 +293,7 @@
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.status, http.StatusOK)
 		assert.Equal(t, out.body.String(), "late")
-		assert.Equal(t, s.seen.retries, 0)
+		assert.Equal(t, s.observer.retries, 0)
 	})
 }
 
@@ -316,7 +316,7 @@
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.body.String(), "in time")
 		assert.Equal(t, time.Since(began), time.Second)
-		assert.Equal(t, s.seen.retries, 1)
+		assert.Equal(t, s.observer.retries, 1)
 	})
 }
 
@@ -337,7 +337,7 @@
 		out := &recordingWriter{}
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 		assert.Equal(t, out.body.String(), "all of it")
-		assert.Equal(t, s.seen.retries, 0)
+		assert.Equal(t, s.observer.retries, 0)
 	})
 }
 
