--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -128,8 +128,8 @@
 	return &site{Relay: rel, prober: prober, observer: seen}
 }
 
-// streams is how many streams hold memory of an engine.
-func (s *site) streams() float64 {
+// streamCount is how many streamCount hold memory of an engine.
+func (s *site) streamCount() float64 {
 	return s.Memory.Used(inc("one")).Streams + s.Memory.Used(inc("two")).Streams
 }
 
@@ -176,7 +176,7 @@
 			assert.Check(t, out.header.Get("Retry-After") != "", "%s", kind)
 			s.suspects(t)
 			assert.Equal(t, s.observer.retries, 0)
-			assert.Equal(t, s.streams(), 0.0)
+			assert.Equal(t, s.streamCount(), 0.0)
 		})
 	}
 }
@@ -199,7 +199,7 @@
 			assert.Check(t, out.status == http.StatusBadGateway, "%s: %d", kind, out.status)
 			s.suspects(t)
 			assert.Equal(t, s.observer.retries, 0)
-			assert.Equal(t, s.streams(), 0.0)
+			assert.Equal(t, s.streamCount(), 0.0)
 		})
 	}
 }
@@ -235,7 +235,7 @@
 		complete := s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out)
 		assert.Assert(t, complete)
 		assert.Equal(t, out.status, http.StatusBadGateway)
-		assert.Equal(t, s.streams(), 0.0)
+		assert.Equal(t, s.streamCount(), 0.0)
 	})
 }
 
