--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -133,7 +133,7 @@
 	return s.Memory.Used(inc("one")).Streams + s.Memory.Used(inc("two")).Streams
 }
 
-func (s *site) suspects(t *testing.T) {
+func (s *site) assertNoEvidence(t *testing.T) {
 	for _, id := range []string{"one", "two"} {
 		view := s.Health.View(inc(id))
 		assert.Check(t, !view.Suspected, "%s is suspected", id)
@@ -174,7 +174,7 @@
 			assert.Assert(t, complete)
 			assert.Check(t, out.status == http.StatusServiceUnavailable, "%s: %d", kind, out.status)
 			assert.Check(t, out.header.Get("Retry-After") != "", "%s", kind)
-			s.suspects(t)
+			s.assertNoEvidence(t)
 			assert.Equal(t, s.observer.retries, 0)
 			assert.Equal(t, s.streamCount(), 0.0)
 		})
@@ -197,7 +197,7 @@
 			complete := s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out)
 			assert.Assert(t, complete)
 			assert.Check(t, out.status == http.StatusBadGateway, "%s: %d", kind, out.status)
-			s.suspects(t)
+			s.assertNoEvidence(t)
 			assert.Equal(t, s.observer.retries, 0)
 			assert.Equal(t, s.streamCount(), 0.0)
 		})
