--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -18,20 +18,20 @@
 	"github.com/skylarkwood/skylarkwood/internal/wait"
 )
 
-// lines keeps what is logged.
-type lines struct {
+// logBuffer keeps what is logged.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
 // of gives the lines with a message.
-func (l *lines) of(msg string) []string {
+func (l *logBuffer) of(msg string) []string {
 	klog.Flush()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,8 +44,8 @@
 	return out
 }
 
-func logged(t *testing.T) *lines {
-	l := &lines{}
+func logged(t *testing.T) *logBuffer {
+	l := &logBuffer{}
 	klog.LogToStderr(false)
 	klog.SetOutput(l)
 	t.Cleanup(func() {
