--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -30,8 +30,8 @@
 	return l.buf.Write(p)
 }
 
-// of gives the lines with a message.
-func (l *logBuffer) of(msg string) []string {
+// linesWith gives the lines with a message.
+func (l *logBuffer) linesWith(msg string) []string {
 	klog.Flush()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,10 +107,10 @@
 			ctx, leave := context.WithCancel(t.Context())
 			time.AfterFunc(100*time.Millisecond, leave)
 			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/", MaxAnswer: 5}, &recordingWriter{})
-			end := log.of("request ended")
+			end := log.linesWith("request ended")
 			assert.Equal(t, len(end), 1)
 			assert.Check(t, strings.Contains(end[0], `progress="`+at.progress+`"`), end[0])
-			lost := log.of("chain lost")
+			lost := log.linesWith("chain lost")
 			if at.reason == "" {
 				assert.Equal(t, len(lost), 0)
 				return
@@ -149,7 +149,7 @@
 			defer leave()
 			time.AfterFunc(time.Second, func() { at.after(s, leave) })
 			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, &recordingWriter{})
-			lost := log.of("answer lost")
+			lost := log.linesWith("answer lost")
 			assert.Equal(t, len(lost), 1)
 			assert.Check(t, strings.Contains(lost[0], `why="`+at.reason+`"`), lost[0])
 		})
