--- a/internal/protocol/relay/lost_test.go
+++ b/internal/protocol/relay/lost_test.go
@@ -34,7 +34,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := newSite(model.Route{MaxAttempts: 2}, true, func(context.Context, string, *Request) (*Response, error) {
 					time.Sleep(answerTime)
-					return report(c.answer), nil
+					return reportResponse(c.answer), nil
 				})
 				b := *s.Catalog.Load().ByID("one")
 				b.Born = lost.Born
--- a/internal/protocol/relay/move_test.go
+++ b/internal/protocol/relay/move_test.go
@@ -27,7 +27,7 @@
 			if r.Target == platform.OrderPath && orders.Add(1) == 1 {
 				return signed(http.StatusConflict, strings.NewReader("")), nil
 			}
-			return report(emptyReport), nil
+			return reportResponse(emptyReport), nil
 		})
 		w, run := s.watched(t, route)
 		w.final = true // as on the last send that a request has
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -32,7 +32,7 @@
 
 func (p *pathEngines) do(ctx context.Context, _ string, r *Request) (*Response, error) {
 	if r.Target != platform.OrderPath {
-		return report(emptyReport), nil
+		return reportResponse(emptyReport), nil
 	}
 	p.mu.Lock()
 	answer := p.beforeResponse
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -71,7 +71,7 @@
 
 func (u unreachable) Unreachable(*model.BackendServer, string, error) { u.told() }
 
-func report(body string) *Response { return signed(http.StatusOK, strings.NewReader(body)) }
+func reportResponse(body string) *Response { return signed(http.StatusOK, strings.NewReader(body)) }
 
 // The first engine does not tell what a silent chain waits for. While that is noted
 // an event comes: the chain works, and must not be ended for a silence that is over.
@@ -98,12 +98,12 @@
 		var asked atomic.Int64
 		s := chained(route, func(_ context.Context, _ string, r *Request) (*Response, error) {
 			if r.Target != platform.ReportPath {
-				return report(""), nil
+				return reportResponse(""), nil
 			}
 			if asked.Add(1) == 2 {
 				time.Sleep(100 * time.Millisecond)
 			}
-			return report(emptyReport), nil
+			return reportResponse(emptyReport), nil
 		})
 		w, run := s.watched(t, route)
 		time.Sleep(firstEventTimeout + nextEventTimeout + 50*time.Millisecond) // amid the second question
@@ -146,7 +146,7 @@
 			route := model.Route{Kind: streaming, MaxAttempts: 2}
 			s := chained(route, func(context.Context, string, *Request) (*Response, error) {
 				if answers {
-					return report(emptyReport), nil
+					return reportResponse(emptyReport), nil
 				}
 				return nil, errNoConnection
 			})
@@ -168,7 +168,7 @@
 func TestStreamThatCannotGoOnIsNotEndedForAnothersView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return report(emptyReport), nil })
+		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
 		_, run := s.watched(t, route)
 		other, _ := s.watched(t, model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2})
 		other.handleStalledEngine("far:1", 0, 1)
@@ -185,7 +185,7 @@
 func TestRunHearsOfAnEngineThatJustEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return report(emptyReport), nil })
+		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
 		s.HandleEngineExit(inc("far"))
 		_, run := s.watched(t, route)
 		assert.Equal(t, context.Cause(run), engineExited)
@@ -198,7 +198,7 @@
 func TestSilentChainIsKeptWhereNoRepeatIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return report(emptyReport), nil })
+		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
 		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 100, time.Hour, func() int { return 1 }, time.Now)
 		_, run := s.watched(t, route)
 		time.Sleep(5 * time.Second)
