--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -66,10 +66,10 @@
 // unreachable calls back when an engine is reported.
 type unreachable struct {
 	*Prober
-	told func()
+	onReport func()
 }
 
-func (u unreachable) Unreachable(*model.BackendServer, string, error) { u.told() }
+func (u unreachable) Unreachable(*model.BackendServer, string, error) { u.onReport() }
 
 func reportResponse(body string) *Response { return signed(http.StatusOK, strings.NewReader(body)) }
 
