--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -63,13 +63,13 @@
 	return w, run
 }
 
-// unreachable calls back when an engine is reported.
-type unreachable struct {
+// unreachableHook calls back when an engine is reported.
+type unreachableHook struct {
 	*Prober
 	onReport func()
 }
 
-func (u unreachable) Unreachable(*model.BackendServer, string, error) { u.onReport() }
+func (u unreachableHook) Unreachable(*model.BackendServer, string, error) { u.onReport() }
 
 func reportResponse(body string) *Response { return signed(http.StatusOK, strings.NewReader(body)) }
 
@@ -80,7 +80,7 @@
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
 		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return nil, errNoConnection })
 		var asked atomic.Pointer[chainWatch]
-		s.Suspects = unreachable{s.prober, func() { asked.Load().eventReceived() }}
+		s.Suspects = unreachableHook{s.prober, func() { asked.Load().eventReceived() }}
 		w, run := s.watched(t, route)
 		asked.Store(w)
 		time.Sleep(firstEventTimeout + time.Millisecond)
