--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -266,24 +266,24 @@
 
 // handleRefusal takes in which engine would not run its part.
 func (s *stream) handleRefusal(stages []chains.Stage, v platform.Verdict, status int) {
-	culprit := stages[0].Server
+	refusing := stages[0].Server
 	for _, stage := range stages {
 		if stage.Server.Address == v.Culprit {
-			culprit = stage.Server
+			refusing = stage.Server
 		}
 	}
-	s.avoid[culprit.Incarnation()] = true
+	s.avoid[refusing.Incarnation()] = true
 	if v.Misdirected {
 		// It is another incarnation, which its report tells, or holds other
 		// layers: reports lag, so only its entry will tell. Each further refusal
 		// doubles the time.
-		until, isNew := s.Health.Suspect(culprit.Incarnation())
-		if isNew && culprit.Born != 0 {
-			go s.VerifyIncarnation(*culprit)
+		until, isNew := s.Health.Suspect(refusing.Incarnation())
+		if isNew && refusing.Born != 0 {
+			go s.VerifyIncarnation(*refusing)
 		}
-		klog.InfoS("engine suspected: it does not hold its part", "request", s.call.Attempt, "server", culprit.Incarnation(), "until", until)
+		klog.InfoS("engine suspected: it does not hold its part", "request", s.call.Attempt, "server", refusing.Incarnation(), "until", until)
 	} else {
-		s.Suspects.Refused(culprit, s.call.Attempt, status)
+		s.Suspects.Refused(refusing, s.call.Attempt, status)
 	}
 }
 
