--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -312,13 +312,13 @@
 // alone is avoided; else any of the chain may be, and the stream goes on without all
 // of them.
 func (s *stream) recordChainLoss(w *chainWatch, reason endReason, err error) {
-	stages, culprit := w.state()
-	klog.InfoS("chain lost", "request", s.call.Attempt, "work", s.fingerprint(), "why", reason, "sent", !errors.Is(err, ErrNotSent), "chain", chainString(stages), "culprit", culprit, "err", err, "events", s.events)
+	stages, failedEngine := w.state()
+	klog.InfoS("chain lost", "request", s.call.Attempt, "work", s.fingerprint(), "why", reason, "sent", !errors.Is(err, ErrNotSent), "chain", chainString(stages), "culprit", failedEngine, "err", err, "events", s.events)
 	if reason == callerDisconnected || reason == deadlineExceeded || reason == routerStopping {
 		return
 	}
-	if culprit != (model.Incarnation{}) {
-		s.avoid[culprit] = true
+	if failedEngine != (model.Incarnation{}) {
+		s.avoid[failedEngine] = true
 		return
 	}
 	for _, stage := range stages {
--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -9,10 +9,10 @@
 // runFailure is why a run is ended, and by whose fault; culprit is empty where that is
 // not known.
 type runFailure struct {
-	culprit model.Incarnation
-	reason  endReason
-	stalls  int
-	err     error
+	failedEngine model.Incarnation
+	reason       endReason
+	stalls       int
+	err          error
 }
 
 // endIfUnchanged ends a run for what was found out when its news count stood at news. It asks
@@ -31,7 +31,7 @@
 		w.endLocked(f)
 		return
 	}
-	klog.InfoS("run kept: no other engine may go on", "request", w.q.call.Attempt, "why", f.reason, "culprit", f.culprit, "silences", f.stalls, "begun", w.hasEvents, "budget", !w.final, "err", f.err)
+	klog.InfoS("run kept: no other engine may go on", "request", w.q.call.Attempt, "why", f.reason, "culprit", f.failedEngine, "silences", f.stalls, "begun", w.hasEvents, "budget", !w.final, "err", f.err)
 	if !w.final {
 		w.timer.Reset(nextEventTimeout)
 	}
@@ -68,14 +68,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.stopped && !w.rerouting && uses(w.stages, lost) {
-		w.endLocked(runFailure{culprit: lost, reason: engineExited})
+		w.endLocked(runFailure{failedEngine: lost, reason: engineExited})
 	}
 }
 
 func (w *chainWatch) endLocked(f runFailure) {
-	w.culprit = f.culprit
+	w.failedEngine = f.failedEngine
 	w.stopped = true
 	w.timer.Stop()
-	klog.InfoS("run abandoned", "request", w.q.call.Attempt, "why", f.reason, "culprit", f.culprit, "silences", f.stalls, "begun", w.hasEvents, "err", f.err)
+	klog.InfoS("run abandoned", "request", w.q.call.Attempt, "why", f.reason, "culprit", f.failedEngine, "silences", f.stalls, "begun", w.hasEvents, "err", f.err)
 	w.cancel(f.reason)
 }
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -27,7 +27,7 @@
 func (w *chainWatch) leaveEngines(lost engineSet, reason endReason) {
 	defer w.recoverPanic()
 	w.mu.Lock()
-	culprit, found := firstEngineIn(w.stages, lost)
+	failedEngine, found := firstEngineIn(w.stages, lost)
 	if w.stopped || w.rerouting || !found {
 		w.mu.Unlock()
 		return
@@ -43,11 +43,11 @@
 	switch generation, rerouted := w.finishReroute(newStages); {
 	case rerouted:
 	case reason == engineExited && w.final:
-		time.AfterFunc(finalResponseTimeout, func() { w.endIfUses(culprit) })
+		time.AfterFunc(finalResponseTimeout, func() { w.endIfUses(failedEngine) })
 	case reason == engineExited:
-		w.endIfUses(culprit)
+		w.endIfUses(failedEngine)
 	default:
-		w.endIfUnchanged(generation, runFailure{culprit: culprit, reason: reason})
+		w.endIfUnchanged(generation, runFailure{failedEngine: failedEngine, reason: reason})
 	}
 }
 
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -252,10 +252,10 @@
 		synctest.Wait()
 		anew, moved := 0, 0
 		for _, w := range streams {
-			stages, culprit := w.state()
+			stages, failedEngine := w.state()
 			switch {
 			case context.Cause(w.run) == stalled:
-				assert.Equal(t, culprit, inc("middle"))
+				assert.Equal(t, failedEngine, inc("middle"))
 				anew++
 			case stages[1].Server.ID == "middle2":
 				moved++
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -59,7 +59,7 @@
 	stalls       int               // silences in a row
 	generation   int               // counts events and moves, to notice what came meanwhile
 	stopped      bool              // ended here, or over
-	culprit      model.Incarnation // the engine at fault; empty if none was found
+	failedEngine model.Incarnation // the engine at fault; empty if none was found
 	rerouting    bool
 	// granted says that a repeated send was taken from the budget for what follows
 	// this run.
@@ -77,7 +77,7 @@
 	w.progress = q.Detector.Track(path, q.eventInterval(stages), q.admitted.Route.TargetGap)
 	w.startTimer()
 	if exited, found := q.ActiveRuns.add(w, path...); found {
-		w.end(runFailure{culprit: exited, reason: engineExited})
+		w.end(runFailure{failedEngine: exited, reason: engineExited})
 	} else if lost := q.ActiveRuns.recentlyLost(path); len(lost) > 0 {
 		go w.leaveEngines(lost, stalled)
 	}
@@ -147,7 +147,7 @@
 func (w *chainWatch) state() ([]chains.Stage, model.Incarnation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.stages, w.culprit
+	return w.stages, w.failedEngine
 }
 
 // onTimer runs when the timer fires.
@@ -185,7 +185,7 @@
 	}
 	if err != nil {
 		w.q.Suspects.Unreachable(first, w.q.call.Attempt, err)
-		w.endIfUnchanged(generation, runFailure{culprit: first.Incarnation(), reason: stalled, stalls: n, err: err})
+		w.endIfUnchanged(generation, runFailure{failedEngine: first.Incarnation(), reason: stalled, stalls: n, err: err})
 		return
 	}
 	if addr := stalledAddress(report, w.q.call.Attempt); addr != "" {
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -130,8 +130,8 @@
 		synctest.Wait()
 		_ = w.stop()
 		time.Sleep(100 * time.Millisecond)
-		_, culprit := w.state()
-		assert.Equal(t, culprit, model.Incarnation{})
+		_, failedEngine := w.state()
+		assert.Equal(t, failedEngine, model.Incarnation{})
 		assert.NilError(t, run.Err())
 	})
 }
