--- a/internal/protocol/relay/lost_test.go
+++ b/internal/protocol/relay/lost_test.go
@@ -21,20 +21,20 @@
 	const same, other, untold = `{"born":100}`, `{"born":200}`, `{}`
 	lost := model.Incarnation{ID: "one", Born: 100}
 	for name, c := range map[string]struct {
-		asked  time.Duration // after the news of the end
-		answer string
-		lost   bool
+		asked    time.Duration // after the news of the end
+		response string
+		lost     bool
 	}{
-		"asked after":              {asked: time.Millisecond, answer: same, lost: false},
-		"asked before":             {asked: -answerTime / 2, answer: same, lost: true},
-		"another incarnation":      {asked: time.Millisecond, answer: other, lost: true},
-		"it does not tell its own": {asked: time.Millisecond, answer: untold, lost: true},
+		"asked after":              {asked: time.Millisecond, response: same, lost: false},
+		"asked before":             {asked: -answerTime / 2, response: same, lost: true},
+		"another incarnation":      {asked: time.Millisecond, response: other, lost: true},
+		"it does not tell its own": {asked: time.Millisecond, response: untold, lost: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newSite(model.Route{MaxAttempts: 2}, true, func(context.Context, string, *Request) (*Response, error) {
 					time.Sleep(answerTime)
-					return reportResponse(c.answer), nil
+					return reportResponse(c.response), nil
 				})
 				b := *s.Catalog.Load().ByID("one")
 				b.Born = lost.Born
@@ -42,7 +42,7 @@
 				time.AfterFunc(answerTime, func() { s.Suspects.Exited(lost) })
 				time.Sleep(answerTime + c.asked)
 				_, err := s.Report(t.Context(), &b)
-				assert.Equal(t, err != nil, c.answer == other, "%v", err)
+				assert.Equal(t, err != nil, c.response == other, "%v", err)
 				assert.Equal(t, s.Suspects.Lost(lost), c.lost)
 				q := &request{Relay: s.Relay, call: &model.Call{Attempt: "1"}}
 				q.admitted.Route = &model.Route{MaxAttempts: 2}
