--- a/internal/protocol/relay/lost_test.go
+++ b/internal/protocol/relay/lost_test.go
@@ -21,14 +21,14 @@
 	const same, other, untold = `{"born":100}`, `{"born":200}`, `{}`
 	lost := model.Incarnation{ID: "one", Born: 100}
 	for name, c := range map[string]struct {
-		asked    time.Duration // after the news of the end
-		response string
-		lost     bool
+		requestOffset time.Duration // after the news of the end
+		response      string
+		lost          bool
 	}{
-		"asked after":              {asked: time.Millisecond, response: same, lost: false},
-		"asked before":             {asked: -answerTime / 2, response: same, lost: true},
-		"another incarnation":      {asked: time.Millisecond, response: other, lost: true},
-		"it does not tell its own": {asked: time.Millisecond, response: untold, lost: true},
+		"asked after":              {requestOffset: time.Millisecond, response: same, lost: false},
+		"asked before":             {requestOffset: -answerTime / 2, response: same, lost: true},
+		"another incarnation":      {requestOffset: time.Millisecond, response: other, lost: true},
+		"it does not tell its own": {requestOffset: time.Millisecond, response: untold, lost: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -40,7 +40,7 @@
 				b.Born = lost.Born
 				s.Catalog.Put(b)
 				time.AfterFunc(answerTime, func() { s.Suspects.Exited(lost) })
-				time.Sleep(answerTime + c.asked)
+				time.Sleep(answerTime + c.requestOffset)
 				_, err := s.Report(t.Context(), &b)
 				assert.Equal(t, err != nil, c.response == other, "%v", err)
 				assert.Equal(t, s.Suspects.Lost(lost), c.lost)
