--- a/internal/protocol/relay/lost_test.go
+++ b/internal/protocol/relay/lost_test.go
@@ -17,7 +17,7 @@
 // that was asked for after the news of the end is newer than that news, and only one
 // of the same incarnation says anything of it.
 func TestEngineThatAnswersIsNoLongerLost(t *testing.T) {
-	const answerTime = 100 * time.Millisecond
+	const responseTime = 100 * time.Millisecond
 	const same, other, untold = `{"born":100}`, `{"born":200}`, `{}`
 	lost := model.Incarnation{ID: "one", Born: 100}
 	for name, c := range map[string]struct {
@@ -26,21 +26,21 @@
 		lost          bool
 	}{
 		"asked after":              {requestOffset: time.Millisecond, response: same, lost: false},
-		"asked before":             {requestOffset: -answerTime / 2, response: same, lost: true},
+		"asked before":             {requestOffset: -responseTime / 2, response: same, lost: true},
 		"another incarnation":      {requestOffset: time.Millisecond, response: other, lost: true},
 		"it does not tell its own": {requestOffset: time.Millisecond, response: untold, lost: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newSite(model.Route{MaxAttempts: 2}, true, func(context.Context, string, *Request) (*Response, error) {
-					time.Sleep(answerTime)
+					time.Sleep(responseTime)
 					return reportResponse(c.response), nil
 				})
 				b := *s.Catalog.Load().ByID("one")
 				b.Born = lost.Born
 				s.Catalog.Put(b)
-				time.AfterFunc(answerTime, func() { s.Suspects.Exited(lost) })
-				time.Sleep(answerTime + c.requestOffset)
+				time.AfterFunc(responseTime, func() { s.Suspects.Exited(lost) })
+				time.Sleep(responseTime + c.requestOffset)
 				_, err := s.Report(t.Context(), &b)
 				assert.Equal(t, err != nil, c.response == other, "%v", err)
 				assert.Equal(t, s.Suspects.Lost(lost), c.lost)
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -278,7 +278,7 @@
 // stream is refused its part, or a peer's word comes. The answer is older than that
 // news and says nothing of it: only what is asked afterwards may end the suspicion.
 func TestProbeDoesNotEndANewerSuspicion(t *testing.T) {
-	const answerTime = 100 * time.Millisecond
+	const responseTime = 100 * time.Millisecond
 	for name, newSuspicion := range map[string]func(h *catalog.Health){
 		"suspected here":   func(h *catalog.Health) { h.Suspect(inc("e")) },
 		"longer suspected": func(h *catalog.Health) { h.SuspectUntil(inc("e"), time.Now().Add(2*failedProbePeriod)) },
@@ -286,14 +286,14 @@
 		t.Run(name, func(t *testing.T) {
 			runProber(t, func(p *Prober, a *fakeEngine) {
 				p.Report = func(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
-					time.Sleep(answerTime)
+					time.Sleep(responseTime)
 					return a.report(ctx, b)
 				}
 				time.Sleep(probeInterval / 4)
 				p.HandlePeerSuspicion(inc("e"))
-				time.Sleep(answerTime / 2)
+				time.Sleep(responseTime / 2)
 				newSuspicion(p.Health)
-				time.Sleep(answerTime)
+				time.Sleep(responseTime)
 				assert.Check(t, a.reportRequests() == 1)
 				assert.Check(t, p.Health.Suspected(inc("e")))
 				time.Sleep(2 * failedProbePeriod)
