--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -35,10 +35,10 @@
 		return reportResponse(emptyReport), nil
 	}
 	p.mu.Lock()
-	answer := p.beforeResponse
+	hook := p.beforeResponse
 	p.mu.Unlock()
-	if answer != nil {
-		answer(ctx)
+	if hook != nil {
+		hook(ctx)
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
@@ -56,10 +56,10 @@
 }
 
 // setBeforeResponse sets what runs before each answer to an order.
-func (p *pathEngines) setBeforeResponse(answer func(ctx context.Context)) {
+func (p *pathEngines) setBeforeResponse(hook func(ctx context.Context)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.beforeResponse = answer
+	p.beforeResponse = hook
 }
 
 // neverRespond leaves an order without an answer.
