--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -250,19 +250,19 @@
 		engines.setUnresponsive("middle:1")
 		time.Sleep(resumable.TargetGap / 2)
 		synctest.Wait()
-		anew, moved := 0, 0
+		restarted, moved := 0, 0
 		for _, w := range streams {
 			stages, failedEngine := w.state()
 			switch {
 			case context.Cause(w.run) == stalled:
 				assert.Equal(t, failedEngine, inc("middle"))
-				anew++
+				restarted++
 			case stages[1].Server.ID == "middle2":
 				moved++
 			}
 		}
-		assert.Assert(t, anew <= budget && anew >= budget*8/10, "%d sent anew", anew)
-		assert.Equal(t, anew+moved, len(streams))
+		assert.Assert(t, restarted <= budget && restarted >= budget*8/10, "%d sent anew", restarted)
+		assert.Equal(t, restarted+moved, len(streams))
 	})
 }
 
