--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -250,7 +250,7 @@
 		engines.setUnresponsive("middle:1")
 		time.Sleep(resumable.TargetGap / 2)
 		synctest.Wait()
-		restarted, moved := 0, 0
+		restarted, rerouted := 0, 0
 		for _, w := range streams {
 			stages, failedEngine := w.state()
 			switch {
@@ -258,11 +258,11 @@
 				assert.Equal(t, failedEngine, inc("middle"))
 				restarted++
 			case stages[1].Server.ID == "middle2":
-				moved++
+				rerouted++
 			}
 		}
 		assert.Assert(t, restarted <= budget && restarted >= budget*8/10, "%d sent anew", restarted)
-		assert.Equal(t, restarted+moved, len(streams))
+		assert.Equal(t, restarted+rerouted, len(streams))
 	})
 }
 
