--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -240,9 +240,9 @@
 func TestRefusalsDoubleTheSuspicion(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
 		a.load = model.EngineReport{TotalTokenLayers: 100}
-		for _, lasts := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
+		for _, period := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
 			p.Refused(a.server, "r", 503)
-			time.Sleep(lasts - 10*time.Millisecond)
+			time.Sleep(period - 10*time.Millisecond)
 			assert.Assert(t, p.Health.Suspected(inc("e")))
 			time.Sleep(20 * time.Millisecond)
 			assert.Assert(t, !p.Health.Suspected(inc("e")))
