--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -79,10 +79,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
 		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return nil, errNoConnection })
-		var asked atomic.Pointer[chainWatch]
-		s.Suspects = unreachableHook{s.prober, func() { asked.Load().eventReceived() }}
+		var watch atomic.Pointer[chainWatch]
+		s.Suspects = unreachableHook{s.prober, func() { watch.Load().eventReceived() }}
 		w, run := s.watched(t, route)
-		asked.Store(w)
+		watch.Store(w)
 		time.Sleep(firstEventTimeout + time.Millisecond)
 		synctest.Wait()
 		assert.NilError(t, run.Err())
