--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -95,19 +95,19 @@
 func TestMovedChainIsNotEndedForTheOldOnesSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 1}
-		var asked atomic.Int64
+		var reportRequests atomic.Int64
 		s := chained(route, func(_ context.Context, _ string, r *Request) (*Response, error) {
 			if r.Target != platform.ReportPath {
 				return reportResponse(""), nil
 			}
-			if asked.Add(1) == 2 {
+			if reportRequests.Add(1) == 2 {
 				time.Sleep(100 * time.Millisecond)
 			}
 			return reportResponse(emptyReport), nil
 		})
 		w, run := s.watched(t, route)
 		time.Sleep(firstEventTimeout + nextEventTimeout + 50*time.Millisecond) // amid the second question
-		assert.Equal(t, asked.Load(), int64(2))
+		assert.Equal(t, reportRequests.Load(), int64(2))
 		s.HandleEngineExit(inc("far"))
 		time.Sleep(100 * time.Millisecond)
 		assert.NilError(t, run.Err())
