--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -141,11 +141,11 @@
 // other engine may go on with it; its caller decides how long to wait. It is ended
 // once the process of one of its engines has.
 func TestStreamThatCannotGoOnIsNotEndedForSilence(t *testing.T) {
-	for _, answers := range []bool{true, false} {
+	for _, responds := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			route := model.Route{Kind: streaming, MaxAttempts: 2}
 			s := chained(route, func(context.Context, string, *Request) (*Response, error) {
-				if answers {
+				if responds {
 					return reportResponse(emptyReport), nil
 				}
 				return nil, errNoConnection
