--- a/internal/protocol/relay/repeat_test.go
+++ b/internal/protocol/relay/repeat_test.go
@@ -46,10 +46,10 @@
 // repeated sends is used up. The request is offered to the other one all the same: it
 // has not been sent yet, so that send repeats nothing.
 func TestFirstSendNeedsNoBudget(t *testing.T) {
-	for _, generates := range []bool{false, true} {
+	for _, isEngine := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			tries := 0
-			s := newSite(model.Route{Kind: streaming, MaxAttempts: 2, TargetLatency: time.Second}, generates, func(context.Context, string, *Request) (*Response, error) {
+			s := newSite(model.Route{Kind: streaming, MaxAttempts: 2, TargetLatency: time.Second}, isEngine, func(context.Context, string, *Request) (*Response, error) {
 				if tries++; tries == 1 {
 					return nil, errNoConnection
 				}
@@ -58,7 +58,7 @@
 			s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 0, time.Second, func() int { return 1 }, time.Now)
 			out := &recordingWriter{}
 			assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
-			assert.Equal(t, out.status, http.StatusOK, "generates %t: %s", generates, out.body.String())
+			assert.Equal(t, out.status, http.StatusOK, "generates %t: %s", isEngine, out.body.String())
 		})
 	}
 }
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -80,13 +80,13 @@
 	observer *retryCounter
 }
 
-func newSite(route model.Route, generates bool, do script) *site {
+func newSite(route model.Route, isEngine bool, do script) *site {
 	spec := &model.EngineSpec{
 		Layers: 12, LayerMB: 100, KVTokenBytes: 1e6, StepTime: time.Millisecond, ReadRate: 1e5, Stride: 1,
 		Cards: []model.Card{{Name: "fast", MB: 80000, Pace: 2, ReadFactor: 2}},
 	}
 	svc := model.Service{Name: "s"}
-	if generates {
+	if isEngine {
 		svc.Engine = spec
 	}
 	route.Name, route.Host, route.Prefix = "r", "h", "/"
@@ -208,10 +208,10 @@
 // closes its sending side. It is delivered: the answer is ready, and another one in
 // its place would tell the caller less.
 func TestReadyAnswerIsDelivered(t *testing.T) {
-	for _, generates := range []bool{false, true} {
+	for _, isEngine := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, leave := context.WithCancel(t.Context())
-			s := newSite(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, generates, func(context.Context, string, *Request) (*Response, error) {
+			s := newSite(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, isEngine, func(context.Context, string, *Request) (*Response, error) {
 				leave()
 				return signed(http.StatusInternalServerError, strings.NewReader("the server's words")), nil
 			})
