--- a/internal/protocol/relay/repeat_test.go
+++ b/internal/protocol/relay/repeat_test.go
@@ -48,9 +48,9 @@
 func TestFirstSendNeedsNoBudget(t *testing.T) {
 	for _, isEngine := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			tries := 0
+			attempts := 0
 			s := newSite(model.Route{Kind: streaming, MaxAttempts: 2, TargetLatency: time.Second}, isEngine, func(context.Context, string, *Request) (*Response, error) {
-				if tries++; tries == 1 {
+				if attempts++; attempts == 1 {
 					return nil, errNoConnection
 				}
 				return signed(http.StatusOK, strings.NewReader("id: 1\ndata: a\n\n")), nil
@@ -68,12 +68,12 @@
 // after it uses what was granted, the last one that the budget had.
 func TestGrantIsKeptUntilItIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tries := 0
+		attempts := 0
 		s := newSite(model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 3, TargetLatency: time.Second}, true, func(ctx context.Context, _ string, r *Request) (*Response, error) {
 			if r.Target == platform.ReportPath {
 				return nil, errNoConnection
 			}
-			if tries++; tries == 1 {
+			if attempts++; attempts == 1 {
 				<-ctx.Done()
 				return nil, errNoConnection
 			}
