--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -20,7 +20,7 @@
 
 // half is a stream at a router that knows only engines of the first six layers
 // of twelve; holder is the engine of the others.
-func half() (s *stream, holder model.BackendServer) {
+func newIncompleteStream() (s *stream, holder model.BackendServer) {
 	c := catalog.New(time.Now)
 	engine := func(id string, held model.LayerRange) model.BackendServer {
 		return model.BackendServer{ID: id, Service: "s", Address: id + ":1", FailureDomain: "a", Card: "fast", Holds: held, Slots: 9}
@@ -51,7 +51,7 @@
 // replacement is loaded in 0.9 s, and its caller waits two seconds for an event.
 func TestInterruptedStreamWaitsForLayers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, holder := half()
+		s, holder := newIncompleteStream()
 		s.events = 5
 		s.lastEventTime = time.Now().Add(-300 * time.Millisecond)
 		began := time.Now()
@@ -68,7 +68,7 @@
 // request that has not begun is refused at once.
 func TestMissingLayersEndTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := half()
+		s, _ := newIncompleteStream()
 		began := time.Now()
 		_, _, f := s.reserveChain(t.Context())
 		assert.Equal(t, f.Kind, fault.NoCapacity)
@@ -86,7 +86,7 @@
 // serves on. A third engine would be one too many, so the stream goes on only where
 // it ran before; once the process has ended, another may take its place.
 func TestLeavingEngineIsStillAnAttempt(t *testing.T) {
-	s, _ := half()
+	s, _ := newIncompleteStream()
 	one, two := model.Incarnation{ID: "one"}, model.Incarnation{ID: "two"}
 	s.firstEngines[one] = true
 	assert.Assert(t, s.allowedFirstEngines() == nil, "one attempt is left")
@@ -101,7 +101,7 @@
 // memory is reserved: others would wait for room that nobody uses.
 func TestNoChainForWhoLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, holder := half()
+		s, holder := newIncompleteStream()
 		s.Catalog.Put(holder)
 		ctx, leave := context.WithCancel(t.Context())
 		leave()
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -57,7 +57,7 @@
 
 // withService is a relay with one plain service and one server of it.
 func withService(backends BackendClient, observer *panicObserver) *Relay {
-	s, _ := half()
+	s, _ := newIncompleteStream()
 	r := s.Relay
 	r.BackendClient = backends
 	r.Observer = observer
@@ -155,7 +155,7 @@
 func TestPanicBesideAStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		observer := &panicObserver{}
-		s, _ := half()
+		s, _ := newIncompleteStream()
 		s.Relay.BackendClient = &faulty{}
 		s.Relay.Observer = observer
 		s.Relay.OnPanic = observer.recordPanic
