--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -20,14 +20,14 @@
 )
 
 // faulty is a connection to backend servers whose code panics.
-type faulty struct{ sent int }
+type panickingClient struct{ sent int }
 
-func (f *faulty) Do(context.Context, string, *Request) (*Response, error) {
+func (f *panickingClient) Do(context.Context, string, *Request) (*Response, error) {
 	f.sent++
 	panic("fault in the code")
 }
 
-func (f *faulty) CloseIdle(string) {}
+func (f *panickingClient) CloseIdle(string) {}
 
 // panicObserver counts what an observer is told.
 type panicObserver struct{ requests, panics int }
@@ -85,7 +85,7 @@
 	klog.SetOutput(&log)
 	defer klog.LogToStderr(true)
 	observer := &panicObserver{}
-	backends := &faulty{}
+	backends := &panickingClient{}
 	r := withService(backends, observer)
 	for range 2 {
 		out := &responseRecorder{}
@@ -156,7 +156,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		observer := &panicObserver{}
 		s, _ := newIncompleteStream()
-		s.Relay.BackendClient = &faulty{}
+		s.Relay.BackendClient = &panickingClient{}
 		s.Relay.Observer = observer
 		s.Relay.OnPanic = observer.recordPanic
 		s.Relay.ActiveRuns = NewActiveRuns()
