--- a/internal/protocol/relay/health_test.go
+++ b/internal/protocol/relay/health_test.go
@@ -13,7 +13,7 @@
 // here must not count it for ever: it would look busier by one with each fault, and get
 // less than its share until the router is started again.
 func TestPanicEndsTheLoadItCounted(t *testing.T) {
-	r := withService(&panickingClient{}, &panicObserver{})
+	r := newPlainRelay(&panickingClient{}, &panicObserver{})
 	out := &responseRecorder{}
 	assert.Assert(t, r.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Path: "/"}, out))
 	assert.Equal(t, out.status, http.StatusBadGateway)
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -56,7 +56,7 @@
 }
 
 // withService is a relay with one plain service and one server of it.
-func withService(backends BackendClient, observer *panicObserver) *Relay {
+func newPlainRelay(backends BackendClient, observer *panicObserver) *Relay {
 	s, _ := newIncompleteStream()
 	r := s.Relay
 	r.BackendClient = backends
@@ -86,7 +86,7 @@
 	defer klog.LogToStderr(true)
 	observer := &panicObserver{}
 	backends := &panickingClient{}
-	r := withService(backends, observer)
+	r := newPlainRelay(backends, observer)
 	for range 2 {
 		out := &responseRecorder{}
 		complete := r.Serve(t.Context(), &model.Call{Attempt: "a1"}, out)
@@ -127,7 +127,7 @@
 // answer is not whole.
 func TestPanicInsideAnAnswer(t *testing.T) {
 	observer := &panicObserver{}
-	r := withService(wellServed{}, observer)
+	r := newPlainRelay(wellServed{}, observer)
 	complete := r.Serve(t.Context(), &model.Call{Attempt: "a1"}, &breaksOff{})
 	assert.Assert(t, !complete)
 	assert.Equal(t, observer.panics, 1)
@@ -136,7 +136,7 @@
 // The caller's connection is aborted on purpose: that is no fault, and is passed on.
 func TestAbortIsPassedOn(t *testing.T) {
 	observer := &panicObserver{}
-	r := withService(aborting{}, observer)
+	r := newPlainRelay(aborting{}, observer)
 	defer func() {
 		err, _ := recover().(error)
 		assert.Assert(t, errors.Is(err, http.ErrAbortHandler))
