--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -103,9 +103,9 @@
 }
 
 // breaksOff is a caller whose own code panics once the answer has begun.
-type breaksOff struct{ responseRecorder }
+type panickingWriter struct{ responseRecorder }
 
-func (b *breaksOff) Write([]byte) error { panic("fault in the code") }
+func (b *panickingWriter) Write([]byte) error { panic("fault in the code") }
 
 // plainAnswer is a backend server's whole answer.
 type plainAnswer struct{ strings.Reader }
@@ -128,7 +128,7 @@
 func TestPanicInsideAnAnswer(t *testing.T) {
 	observer := &panicObserver{}
 	r := newPlainRelay(wellServed{}, observer)
-	complete := r.Serve(t.Context(), &model.Call{Attempt: "a1"}, &breaksOff{})
+	complete := r.Serve(t.Context(), &model.Call{Attempt: "a1"}, &panickingWriter{})
 	assert.Assert(t, !complete)
 	assert.Equal(t, observer.panics, 1)
 }
