--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -108,16 +108,16 @@
 func (b *panickingWriter) Write([]byte) error { panic("fault in the code") }
 
 // plainAnswer is a backend server's whole answer.
-type plainAnswer struct{ strings.Reader }
+type stringBody struct{ strings.Reader }
 
-func (p *plainAnswer) Discard() {}
-func (p *plainAnswer) Close()   {}
+func (p *stringBody) Discard() {}
+func (p *stringBody) Close()   {}
 
 type wellServed struct{}
 
 func (wellServed) Do(context.Context, string, *Request) (*Response, error) {
 	h := http.Header{"Response-Signature": {"s"}}
-	return &Response{Status: http.StatusOK, Header: h, Body: &plainAnswer{*strings.NewReader("body")}}, nil
+	return &Response{Status: http.StatusOK, Header: h, Body: &stringBody{*strings.NewReader("body")}}, nil
 }
 
 func (wellServed) CloseIdle(string) {}
