--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -113,21 +113,21 @@
 func (p *stringBody) Discard() {}
 func (p *stringBody) Close()   {}
 
-type wellServed struct{}
+type okClient struct{}
 
-func (wellServed) Do(context.Context, string, *Request) (*Response, error) {
+func (okClient) Do(context.Context, string, *Request) (*Response, error) {
 	h := http.Header{"Response-Signature": {"s"}}
 	return &Response{Status: http.StatusOK, Header: h, Body: &stringBody{*strings.NewReader("body")}}, nil
 }
 
-func (wellServed) CloseIdle(string) {}
+func (okClient) CloseIdle(string) {}
 
 // The same once the caller has the head of an answer. Another answer behind it would
 // belong to no request, so the connection is broken off and the caller sees that the
 // answer is not whole.
 func TestPanicInsideAnAnswer(t *testing.T) {
 	observer := &panicObserver{}
-	r := newPlainRelay(wellServed{}, observer)
+	r := newPlainRelay(okClient{}, observer)
 	complete := r.Serve(t.Context(), &model.Call{Attempt: "a1"}, &panickingWriter{})
 	assert.Assert(t, !complete)
 	assert.Equal(t, observer.panics, 1)
@@ -145,7 +145,7 @@
 	r.Serve(t.Context(), &model.Call{Attempt: "a1"}, &responseRecorder{})
 }
 
-type aborting struct{ wellServed }
+type aborting struct{ okClient }
 
 func (aborting) Do(context.Context, string, *Request) (*Response, error) { panic(http.ErrAbortHandler) }
 
