--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -136,7 +136,7 @@
 // The caller's connection is aborted on purpose: that is no fault, and is passed on.
 func TestAbortIsPassedOn(t *testing.T) {
 	observer := &panicObserver{}
-	r := newPlainRelay(aborting{}, observer)
+	r := newPlainRelay(abortingClient{}, observer)
 	defer func() {
 		err, _ := recover().(error)
 		assert.Assert(t, errors.Is(err, http.ErrAbortHandler))
@@ -145,9 +145,11 @@
 	r.Serve(t.Context(), &model.Call{Attempt: "a1"}, &responseRecorder{})
 }
 
-type aborting struct{ okClient }
+type abortingClient struct{ okClient }
 
-func (aborting) Do(context.Context, string, *Request) (*Response, error) { panic(http.ErrAbortHandler) }
+func (abortingClient) Do(context.Context, string, *Request) (*Response, error) {
+	panic(http.ErrAbortHandler)
+}
 
 // A chain is silent and the code panics as its engines are asked. Only that run ends,
 // as if the chain had been found at fault; the stream is looked after elsewhere, and
