--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -18,7 +18,7 @@
 )
 
 // eventEvery is the time between the events of the streams here.
-const eventEvery = 30 * time.Millisecond
+const testEventInterval = 30 * time.Millisecond
 
 // pathEngines answers orders as engines do: a path through a silent engine is refused,
 // and the refusal names the first of them.
@@ -112,7 +112,7 @@
 // sendEvents gives the streams events for a while.
 func sendEvents(streams []*chainWatch, events int) {
 	for range events {
-		time.Sleep(eventEvery)
+		time.Sleep(testEventInterval)
 		for _, w := range streams {
 			w.eventReceived()
 		}
