--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -22,7 +22,7 @@
 
 // pathEngines answers orders as engines do: a path through a silent engine is refused,
 // and the refusal names the first of them.
-type pathEngines struct {
+type fakeEngines struct {
 	mu             sync.Mutex
 	unresponsive   []string // addresses
 	orders         int
@@ -30,7 +30,7 @@
 	beforeResponse func(ctx context.Context) // runs before each answer to an order; may be nil
 }
 
-func (p *pathEngines) do(ctx context.Context, _ string, r *Request) (*Response, error) {
+func (p *fakeEngines) do(ctx context.Context, _ string, r *Request) (*Response, error) {
 	if r.Target != platform.OrderPath {
 		return reportResponse(emptyReport), nil
 	}
@@ -56,7 +56,7 @@
 }
 
 // setBeforeResponse sets what runs before each answer to an order.
-func (p *pathEngines) setBeforeResponse(hook func(ctx context.Context)) {
+func (p *fakeEngines) setBeforeResponse(hook func(ctx context.Context)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.beforeResponse = hook
@@ -66,13 +66,13 @@
 func neverRespond(ctx context.Context) { <-ctx.Done() }
 
 // answeredOrders tells how many orders were answered.
-func (p *pathEngines) answeredOrders() int {
+func (p *fakeEngines) answeredOrders() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.orders
 }
 
-func (p *pathEngines) setUnresponsive(addrs ...string) {
+func (p *fakeEngines) setUnresponsive(addrs ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.unresponsive = addrs
@@ -132,7 +132,7 @@
 // leave both within half of the pause that their route allows, with few refused orders.
 func TestTwoSilentEnginesOfOneChain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := &pathEngines{beforeResponse: func(context.Context) { time.Sleep(2 * time.Millisecond) }}
+		engines := &fakeEngines{beforeResponse: func(context.Context) { time.Sleep(2 * time.Millisecond) }}
 		s := threeParts(engines.do)
 		var streams []*chainWatch
 		for range 90 {
@@ -155,7 +155,7 @@
 // not answered, so the streams begin anew at other engines.
 func TestSilentFirstEngineEndsTheRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := &pathEngines{}
+		engines := &fakeEngines{}
 		s := threeParts(engines.do)
 		one, run := s.startStream(t, resumable)
 		two, other := s.startStream(t, resumable)
@@ -174,7 +174,7 @@
 // stream leaves it.
 func TestUnansweredCheckAccusesNoWorkingEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := &pathEngines{}
+		engines := &fakeEngines{}
 		s := threeParts(engines.do)
 		late, _ := s.startStream(t, resumable)
 		other, run := s.startStream(t, resumable)
@@ -194,7 +194,7 @@
 // suspected.
 func TestPathThatHoldsIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := &pathEngines{}
+		engines := &fakeEngines{}
 		s := threeParts(engines.do)
 		w, run := s.startStream(t, movable)
 		sendEvents([]*chainWatch{w}, 20)
@@ -214,7 +214,7 @@
 // stream back to the path it had, so the stream gets no other order.
 func TestUnansweredOrderIsTheLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := &pathEngines{}
+		engines := &fakeEngines{}
 		s := threeParts(engines.do)
 		w, run := s.startStream(t, movable)
 		w.final = true // so that the run is kept
@@ -238,7 +238,7 @@
 func TestStreamsOfASilentEngineAreSentAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const budget = 30
-		engines := &pathEngines{}
+		engines := &fakeEngines{}
 		s := threeParts(engines.do)
 		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, budget, time.Second, func() int { return 1 }, time.Now)
 		var streams []*chainWatch
@@ -270,7 +270,7 @@
 // and does not wait for its first event.
 func TestRunHearsOfAnEngineJustFoundSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := &pathEngines{}
+		engines := &fakeEngines{}
 		s := threeParts(engines.do)
 		s.ActiveRuns.notifyLoss(engineSet{inc("middle"): true}, stalled)
 		w, _ := s.startStream(t, movable)
@@ -283,7 +283,7 @@
 // full one is not taken for silent: other streams stay there.
 func TestFullEngineIsNotTakenForSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := &pathEngines{}
+		engines := &fakeEngines{}
 		s := threeParts(engines.do)
 		s.Catalog.Put(model.BackendServer{ID: "middle3", Service: "s", Address: "middle3:1", FailureDomain: "a", Card: "fast", Holds: model.LayerRange{From: 4, To: 8}, Slots: 200, Revision: 2})
 		w, _ := s.startStream(t, movable)
