--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -79,7 +79,7 @@
 }
 
 // threeParts gives a site whose chains have three parts, with two holders of each.
-func threeParts(do script) *site {
+func newThreeStageFixture(do script) *site {
 	s := newSite(resumable, true, do)
 	s.prober.Report = s.Report
 	s.prober.Healthy = func(context.Context, *model.BackendServer) (bool, error) { return true, nil }
@@ -133,7 +133,7 @@
 func TestTwoSilentEnginesOfOneChain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{beforeResponse: func(context.Context) { time.Sleep(2 * time.Millisecond) }}
-		s := threeParts(engines.do)
+		s := newThreeStageFixture(engines.do)
 		var streams []*chainWatch
 		for range 90 {
 			w, _ := s.startStream(t, movable)
@@ -156,7 +156,7 @@
 func TestSilentFirstEngineEndsTheRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
-		s := threeParts(engines.do)
+		s := newThreeStageFixture(engines.do)
 		one, run := s.startStream(t, resumable)
 		two, other := s.startStream(t, resumable)
 		sendEvents([]*chainWatch{one, two}, 20)
@@ -175,7 +175,7 @@
 func TestUnansweredCheckAccusesNoWorkingEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
-		s := threeParts(engines.do)
+		s := newThreeStageFixture(engines.do)
 		late, _ := s.startStream(t, resumable)
 		other, run := s.startStream(t, resumable)
 		sendEvents([]*chainWatch{late, other}, 20)
@@ -195,7 +195,7 @@
 func TestPathThatHoldsIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
-		s := threeParts(engines.do)
+		s := newThreeStageFixture(engines.do)
 		w, run := s.startStream(t, movable)
 		sendEvents([]*chainWatch{w}, 20)
 		time.Sleep(200 * time.Millisecond)
@@ -215,7 +215,7 @@
 func TestUnansweredOrderIsTheLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
-		s := threeParts(engines.do)
+		s := newThreeStageFixture(engines.do)
 		w, run := s.startStream(t, movable)
 		w.final = true // so that the run is kept
 		sendEvents([]*chainWatch{w}, 20)
@@ -239,7 +239,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const budget = 30
 		engines := &fakeEngines{}
-		s := threeParts(engines.do)
+		s := newThreeStageFixture(engines.do)
 		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, budget, time.Second, func() int { return 1 }, time.Now)
 		var streams []*chainWatch
 		for range 90 {
@@ -271,7 +271,7 @@
 func TestRunHearsOfAnEngineJustFoundSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
-		s := threeParts(engines.do)
+		s := newThreeStageFixture(engines.do)
 		s.ActiveRuns.notifyLoss(engineSet{inc("middle"): true}, stalled)
 		w, _ := s.startStream(t, movable)
 		synctest.Wait()
@@ -284,7 +284,7 @@
 func TestFullEngineIsNotTakenForSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
-		s := threeParts(engines.do)
+		s := newThreeStageFixture(engines.do)
 		s.Catalog.Put(model.BackendServer{ID: "middle3", Service: "s", Address: "middle3:1", FailureDomain: "a", Card: "fast", Holds: model.LayerRange{From: 4, To: 8}, Slots: 200, Revision: 2})
 		w, _ := s.startStream(t, movable)
 		sendEvents([]*chainWatch{w}, 20)
