--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -79,7 +79,7 @@
 }
 
 // threeParts gives a site whose chains have three parts, with two holders of each.
-func newThreeStageFixture(do script) *site {
+func newThreeStageFixture(do fakeBackend) *site {
 	s := newSite(resumable, true, do)
 	s.prober.Report = s.Report
 	s.prober.Healthy = func(context.Context, *model.BackendServer) (bool, error) { return true, nil }
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -26,13 +26,13 @@
 )
 
 // script is the backend servers: what they do with a request.
-type script func(ctx context.Context, addr string, r *Request) (*Response, error)
+type fakeBackend func(ctx context.Context, addr string, r *Request) (*Response, error)
 
-func (s script) Do(ctx context.Context, addr string, r *Request) (*Response, error) {
+func (s fakeBackend) Do(ctx context.Context, addr string, r *Request) (*Response, error) {
 	return s(ctx, addr, r)
 }
 
-func (s script) CloseIdle(string) {}
+func (s fakeBackend) CloseIdle(string) {}
 
 // retryCounter counts repeated sends.
 type retryCounter struct {
@@ -80,7 +80,7 @@
 	observer *retryCounter
 }
 
-func newSite(route model.Route, isEngine bool, do script) *site {
+func newSite(route model.Route, isEngine bool, do fakeBackend) *site {
 	spec := &model.EngineSpec{
 		Layers: 12, LayerMB: 100, KVTokenBytes: 1e6, StepTime: time.Millisecond, ReadRate: 1e5, Stride: 1,
 		Cards: []model.Card{{Name: "fast", MB: 80000, Pace: 2, ReadFactor: 2}},
--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -87,7 +87,7 @@
 	}
 	for _, at := range []struct {
 		progress string
-		do       script
+		do       fakeBackend
 		full     bool
 		reason   string
 		isSent   string
@@ -129,7 +129,7 @@
 	}
 	for _, at := range []struct {
 		reason string
-		do     script
+		do     fakeBackend
 		after  func(s *site, leave func())
 	}{
 		{"caller left", hangs, func(_ *site, leave func()) { leave() }},
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -21,7 +21,7 @@
 
 // chained gives a site whose chains run through two engines, "one" then "far", with
 // "spare" to take the place of far.
-func chained(route model.Route, do script) *site {
+func chained(route model.Route, do fakeBackend) *site {
 	s := newSite(route, true, do)
 	s.Catalog.Remove("two", 1, 0)
 	put := func(id string, held model.LayerRange) {
