--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -50,10 +50,10 @@
 }
 
 // heardBody is an answer's body that comes as its reader does.
-type heardBody struct{ io.Reader }
+type fakeBody struct{ io.Reader }
 
-func (heardBody) Discard() {}
-func (heardBody) Close()   {}
+func (fakeBody) Discard() {}
+func (fakeBody) Close()   {}
 
 // recordingWriter is a caller that keeps what it is told.
 type recordingWriter struct {
@@ -146,7 +146,7 @@
 func signed(status int, body io.Reader) *Response {
 	h := http.Header{}
 	h.Set("Response-Signature", "sig")
-	return &Response{Status: status, Header: h, Body: heardBody{body}}
+	return &Response{Status: status, Header: h, Body: fakeBody{body}}
 }
 
 var errNoConnection = errors.Wrap(ErrNotSent, "the connection was closed")
