--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -79,7 +79,7 @@
 }
 
 // threeParts gives a site whose chains have three parts, with two holders of each.
-func newThreeStageFixture(do fakeBackend) *site {
+func newThreeStageFixture(do fakeBackend) *fixture {
 	s := newSite(resumable, true, do)
 	s.prober.Report = s.Report
 	s.prober.Healthy = func(context.Context, *model.BackendServer) (bool, error) { return true, nil }
@@ -100,7 +100,7 @@
 var movable = model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 1, TargetGap: 300 * time.Millisecond}
 
 // startStream is a stream on the chain head, middle, tail with its watch.
-func (s *site) startStream(t *testing.T, route model.Route) (*chainWatch, context.Context) {
+func (s *fixture) startStream(t *testing.T, route model.Route) (*chainWatch, context.Context) {
 	snap := s.Catalog.Load()
 	var stages []chains.Stage
 	for i, id := range []string{"head", "middle", "tail"} {
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -74,13 +74,13 @@
 
 // site is a relay before two backend servers, "one" and "two". Where it generates
 // each of them holds all layers; else the service is plain.
-type site struct {
+type fixture struct {
 	*Relay
 	prober   *Prober
 	observer *retryCounter
 }
 
-func newSite(route model.Route, isEngine bool, do fakeBackend) *site {
+func newSite(route model.Route, isEngine bool, do fakeBackend) *fixture {
 	spec := &model.EngineSpec{
 		Layers: 12, LayerMB: 100, KVTokenBytes: 1e6, StepTime: time.Millisecond, ReadRate: 1e5, Stride: 1,
 		Cards: []model.Card{{Name: "fast", MB: 80000, Pace: 2, ReadFactor: 2}},
@@ -125,15 +125,15 @@
 	rel.SlowdownMonitor.Catalog = c
 	rel.SlowdownMonitor.Report = rel.Report
 	rel.SlowdownMonitor.Now = time.Now
-	return &site{Relay: rel, prober: prober, observer: seen}
+	return &fixture{Relay: rel, prober: prober, observer: seen}
 }
 
 // streamCount is how many streamCount hold memory of an engine.
-func (s *site) streamCount() float64 {
+func (s *fixture) streamCount() float64 {
 	return s.Memory.Used(inc("one")).Streams + s.Memory.Used(inc("two")).Streams
 }
 
-func (s *site) assertNoEvidence(t *testing.T) {
+func (s *fixture) assertNoEvidence(t *testing.T) {
 	for _, id := range []string{"one", "two"} {
 		view := s.Health.View(inc(id))
 		assert.Check(t, !view.Suspected, "%s is suspected", id)
--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -130,16 +130,16 @@
 	for _, at := range []struct {
 		reason string
 		do     fakeBackend
-		after  func(s *site, leave func())
+		after  func(s *fixture, leave func())
 	}{
-		{"caller left", hangs, func(_ *site, leave func()) { leave() }},
-		{"deadline", hangs, func(*site, func()) {}},
-		{"engine gone", hangs, func(s *site, _ func()) { s.HandleEngineExit(inc("one")) }},
-		{"no connection", func(context.Context, string, *Request) (*Response, error) { return nil, errNoConnection }, func(*site, func()) {}},
+		{"caller left", hangs, func(_ *fixture, leave func()) { leave() }},
+		{"deadline", hangs, func(*fixture, func()) {}},
+		{"engine gone", hangs, func(s *fixture, _ func()) { s.HandleEngineExit(inc("one")) }},
+		{"no connection", func(context.Context, string, *Request) (*Response, error) { return nil, errNoConnection }, func(*fixture, func()) {}},
 		{"broken off", func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 			wait.For(ctx, 10*time.Millisecond)
 			return nil, io.ErrUnexpectedEOF
-		}, func(*site, func()) {}},
+		}, func(*fixture, func()) {}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			log := logged(t)
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -21,7 +21,7 @@
 
 // chained gives a site whose chains run through two engines, "one" then "far", with
 // "spare" to take the place of far.
-func chained(route model.Route, do fakeBackend) *site {
+func chained(route model.Route, do fakeBackend) *fixture {
 	s := newSite(route, true, do)
 	s.Catalog.Remove("two", 1, 0)
 	put := func(id string, held model.LayerRange) {
@@ -33,7 +33,7 @@
 	return s
 }
 
-func (s *site) stages(second string) []chains.Stage {
+func (s *fixture) stages(second string) []chains.Stage {
 	snap := s.Catalog.Load()
 	return []chains.Stage{
 		{Server: snap.Find(inc("one")), Layers: model.LayerRange{To: 6}},
@@ -42,12 +42,12 @@
 }
 
 // watched is a running stream through "one" and "far" and its watch.
-func (s *site) watched(t *testing.T, route model.Route) (*chainWatch, context.Context) {
+func (s *fixture) watched(t *testing.T, route model.Route) (*chainWatch, context.Context) {
 	return s.watchedOn(t, route, s.stages("far"))
 }
 
 // watchedOn is a running stream through some engines and its watch.
-func (s *site) watchedOn(t *testing.T, route model.Route, stages []chains.Stage) (*chainWatch, context.Context) {
+func (s *fixture) watchedOn(t *testing.T, route model.Route, stages []chains.Stage) (*chainWatch, context.Context) {
 	q := &request{Relay: s.Relay, call: &model.Call{Attempt: "1"}, startTime: time.Now(), avoid: map[model.Incarnation]bool{}}
 	table := s.Config.Load()
 	route.Host = "h"
