--- a/internal/protocol/relay/lost_test.go
+++ b/internal/protocol/relay/lost_test.go
@@ -32,7 +32,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newSite(model.Route{MaxAttempts: 2}, true, func(context.Context, string, *Request) (*Response, error) {
+				s := newFixture(model.Route{MaxAttempts: 2}, true, func(context.Context, string, *Request) (*Response, error) {
 					time.Sleep(responseTime)
 					return reportResponse(c.response), nil
 				})
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -80,7 +80,7 @@
 
 // threeParts gives a site whose chains have three parts, with two holders of each.
 func newThreeStageFixture(do fakeBackend) *fixture {
-	s := newSite(resumable, true, do)
+	s := newFixture(resumable, true, do)
 	s.prober.Report = s.Report
 	s.prober.Healthy = func(context.Context, *model.BackendServer) (bool, error) { return true, nil }
 	s.prober.AnnounceRefusal = func(model.Incarnation, time.Time) {}
--- a/internal/protocol/relay/repeat_test.go
+++ b/internal/protocol/relay/repeat_test.go
@@ -22,7 +22,7 @@
 func TestSlowTryGoesElsewhereOnceItMay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := ""
-		s := newSite(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second, Timeout: time.Minute}, false, func(ctx context.Context, addr string, _ *Request) (*Response, error) {
+		s := newFixture(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second, Timeout: time.Minute}, false, func(ctx context.Context, addr string, _ *Request) (*Response, error) {
 			if slow == "" || slow == addr {
 				slow = addr
 				<-ctx.Done()
@@ -49,7 +49,7 @@
 	for _, isEngine := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			attempts := 0
-			s := newSite(model.Route{Kind: streaming, MaxAttempts: 2, TargetLatency: time.Second}, isEngine, func(context.Context, string, *Request) (*Response, error) {
+			s := newFixture(model.Route{Kind: streaming, MaxAttempts: 2, TargetLatency: time.Second}, isEngine, func(context.Context, string, *Request) (*Response, error) {
 				if attempts++; attempts == 1 {
 					return nil, errNoConnection
 				}
@@ -69,7 +69,7 @@
 func TestGrantIsKeptUntilItIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		attempts := 0
-		s := newSite(model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 3, TargetLatency: time.Second}, true, func(ctx context.Context, _ string, r *Request) (*Response, error) {
+		s := newFixture(model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 3, TargetLatency: time.Second}, true, func(ctx context.Context, _ string, r *Request) (*Response, error) {
 			if r.Target == platform.ReportPath {
 				return nil, errNoConnection
 			}
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -80,7 +80,7 @@
 	observer *retryCounter
 }
 
-func newSite(route model.Route, isEngine bool, do fakeBackend) *fixture {
+func newFixture(route model.Route, isEngine bool, do fakeBackend) *fixture {
 	spec := &model.EngineSpec{
 		Layers: 12, LayerMB: 100, KVTokenBytes: 1e6, StepTime: time.Millisecond, ReadRate: 1e5, Stride: 1,
 		Cards: []model.Card{{Name: "fast", MB: 80000, Pace: 2, ReadFactor: 2}},
@@ -165,7 +165,7 @@
 	for _, kind := range []model.RouteKind{idempotent, notRepeatable, streaming} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, leave := context.WithCancel(t.Context())
-			s := newSite(model.Route{Kind: kind, MaxAttempts: 2, TargetLatency: time.Second}, kind == streaming, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
+			s := newFixture(model.Route{Kind: kind, MaxAttempts: 2, TargetLatency: time.Second}, kind == streaming, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 				leave()
 				return nil, errNoConnection
 			})
@@ -188,7 +188,7 @@
 	for _, kind := range []model.RouteKind{idempotent, notRepeatable, streaming} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, leave := context.WithCancel(t.Context())
-			s := newSite(model.Route{Kind: kind, MaxAttempts: 2, TargetLatency: time.Second}, kind == streaming, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
+			s := newFixture(model.Route{Kind: kind, MaxAttempts: 2, TargetLatency: time.Second}, kind == streaming, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 				leave()
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -211,7 +211,7 @@
 	for _, isEngine := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, leave := context.WithCancel(t.Context())
-			s := newSite(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, isEngine, func(context.Context, string, *Request) (*Response, error) {
+			s := newFixture(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, isEngine, func(context.Context, string, *Request) (*Response, error) {
 				leave()
 				return signed(http.StatusInternalServerError, strings.NewReader("the server's words")), nil
 			})
@@ -228,7 +228,7 @@
 // its stream reserved at the engines.
 func TestPanicGivesMemoryBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(model.Route{Kind: streaming, MaxAttempts: 1, TargetLatency: time.Second}, true, func(context.Context, string, *Request) (*Response, error) {
+		s := newFixture(model.Route{Kind: streaming, MaxAttempts: 1, TargetLatency: time.Second}, true, func(context.Context, string, *Request) (*Response, error) {
 			panic("unexpected")
 		})
 		out := &recordingWriter{}
@@ -244,7 +244,7 @@
 func TestRepeatAfterAFailureIsTakenOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sends := 0
-		s := newSite(model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2, TargetLatency: time.Second}, true, func(context.Context, string, *Request) (*Response, error) {
+		s := newFixture(model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2, TargetLatency: time.Second}, true, func(context.Context, string, *Request) (*Response, error) {
 			if sends++; sends == 1 {
 				return signed(http.StatusInternalServerError, strings.NewReader("failed")), nil
 			}
@@ -264,7 +264,7 @@
 	for _, attempts := range []int{1, 2} {
 		synctest.Test(t, func(t *testing.T) {
 			sends := 0
-			s := newSite(model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: attempts, TargetLatency: time.Second}, true, func(context.Context, string, *Request) (*Response, error) {
+			s := newFixture(model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: attempts, TargetLatency: time.Second}, true, func(context.Context, string, *Request) (*Response, error) {
 				sends++
 				return signed(http.StatusInternalServerError, strings.NewReader("failed")), nil
 			})
@@ -282,7 +282,7 @@
 // request may go nowhere else, so it stays where it is and gets its answer.
 func TestSlowTryIsKeptWhereNoRepeatIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, false, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
+		s := newFixture(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, false, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 			if !wait.For(ctx, 3*time.Second) {
 				return nil, ctx.Err()
 			}
@@ -302,7 +302,7 @@
 func TestSlowTryIsRepeatedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := ""
-		s := newSite(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, false, func(ctx context.Context, addr string, _ *Request) (*Response, error) {
+		s := newFixture(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, false, func(ctx context.Context, addr string, _ *Request) (*Response, error) {
 			if slow == "" || slow == addr {
 				slow = addr
 				<-ctx.Done()
@@ -324,7 +324,7 @@
 // seconds. Nothing before it is no silence.
 func TestAnswerInOnePieceIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, true, func(ctx context.Context, _ string, r *Request) (*Response, error) {
+		s := newFixture(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, true, func(ctx context.Context, _ string, r *Request) (*Response, error) {
 			if r.Target == platform.ReportPath {
 				return signed(http.StatusOK, strings.NewReader("{}")), nil
 			}
@@ -348,7 +348,7 @@
 func TestLastAnswerOfAServerIsDelivered(t *testing.T) {
 	for _, kind := range []model.RouteKind{notRepeatable, streaming} {
 		synctest.Test(t, func(t *testing.T) {
-			s := newSite(model.Route{Kind: kind, MaxAttempts: 2, TargetLatency: time.Second}, kind == streaming, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
+			s := newFixture(model.Route{Kind: kind, MaxAttempts: 2, TargetLatency: time.Second}, kind == streaming, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 				if !wait.For(ctx, 50*time.Millisecond) {
 					return nil, ctx.Err()
 				}
--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -99,7 +99,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			log := logged(t)
-			s := newSite(model.Route{Kind: streaming, MaxAttempts: 2, TargetLatency: time.Second}, true, at.do)
+			s := newFixture(model.Route{Kind: streaming, MaxAttempts: 2, TargetLatency: time.Second}, true, at.do)
 			if at.full {
 				s.Memory.Reserve(s.stages("one")[:1], 1e9)
 				s.Memory.Reserve(s.stages("two")[1:], 1e9)
@@ -143,7 +143,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			log := logged(t)
-			s := newSite(model.Route{Kind: notRepeatable, MaxAttempts: 1, Timeout: 2 * time.Second}, false, at.do)
+			s := newFixture(model.Route{Kind: notRepeatable, MaxAttempts: 1, Timeout: 2 * time.Second}, false, at.do)
 			s.Catalog.Remove("two", 1, 0)
 			ctx, leave := context.WithCancel(t.Context())
 			defer leave()
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -22,7 +22,7 @@
 // chained gives a site whose chains run through two engines, "one" then "far", with
 // "spare" to take the place of far.
 func chained(route model.Route, do fakeBackend) *fixture {
-	s := newSite(route, true, do)
+	s := newFixture(route, true, do)
 	s.Catalog.Remove("two", 1, 0)
 	put := func(id string, held model.LayerRange) {
 		s.Catalog.Put(model.BackendServer{ID: id, Service: "s", Address: id + ":1", FailureDomain: "a", Card: "fast", Holds: held, Slots: 9, Revision: 2})
