--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -169,8 +169,8 @@
 	timer := time.AfterFunc(timeout, func() {
 		defer close(decided)
 		defer q.recoverTimerPanic()
-		for logged := false; !q.mayRetryElsewhere(run); logged = true {
-			if !logged {
+		for captureLog := false; !q.mayRetryElsewhere(run); captureLog = true {
+			if !captureLog {
 				klog.InfoS("slow try is kept while it may go nowhere else", "request", q.call.Attempt, "server", b.Incarnation(), "ms", timeout.Milliseconds())
 			}
 			if !wait.For(run, timeout) {
--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -44,7 +44,7 @@
 	return out
 }
 
-func logged(t *testing.T) *logBuffer {
+func captureLog(t *testing.T) *logBuffer {
 	l := &logBuffer{}
 	klog.LogToStderr(false)
 	klog.SetOutput(l)
@@ -98,7 +98,7 @@
 		{"begun", begun, false, "caller left", "true"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			log := logged(t)
+			log := captureLog(t)
 			s := newFixture(model.Route{Kind: streaming, MaxAttempts: 2, TargetLatency: time.Second}, true, at.do)
 			if at.full {
 				s.Memory.Reserve(s.stages("one")[:1], 1e9)
@@ -142,7 +142,7 @@
 		}, func(*fixture, func()) {}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			log := logged(t)
+			log := captureLog(t)
 			s := newFixture(model.Route{Kind: notRepeatable, MaxAttempts: 1, Timeout: 2 * time.Second}, false, at.do)
 			s.Catalog.Remove("two", 1, 0)
 			ctx, leave := context.WithCancel(t.Context())
