--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -56,12 +56,12 @@
 }
 
 // dripping is a stream that gives one event and then nothing until its context ends.
-type dripping struct {
+type stalledBody struct {
 	ctx  context.Context
 	read bool
 }
 
-func (d *dripping) Read(p []byte) (int, error) {
+func (d *stalledBody) Read(p []byte) (int, error) {
 	if !d.read {
 		d.read = true
 		return copy(p, "id: 1\ndata: a\n\n"), nil
@@ -83,7 +83,7 @@
 		return nil, errNoConnection
 	}
 	begun := func(ctx context.Context, _ string, _ *Request) (*Response, error) {
-		return signed(http.StatusOK, &dripping{ctx: ctx}), nil
+		return signed(http.StatusOK, &stalledBody{ctx: ctx}), nil
 	}
 	for _, at := range []struct {
 		progress string
