--- a/internal/protocol/relay/report_test.go
+++ b/internal/protocol/relay/report_test.go
@@ -13,20 +13,20 @@
 )
 
 // unending is an engine whose answers never end.
-type unending struct {
+type endlessEngine struct {
 	read      int
 	discarded bool
 }
 
-func (e *unending) Do(context.Context, string, *Request) (*Response, error) {
+func (e *endlessEngine) Do(context.Context, string, *Request) (*Response, error) {
 	return &Response{Status: http.StatusOK, Header: http.Header{}, Body: e}, nil
 }
 
-func (e *unending) CloseIdle(string) {}
-func (e *unending) Close()           {}
-func (e *unending) Discard()         { e.discarded = true }
+func (e *endlessEngine) CloseIdle(string) {}
+func (e *endlessEngine) Close()           {}
+func (e *endlessEngine) Discard()         { e.discarded = true }
 
-func (e *unending) Read(p []byte) (int, error) {
+func (e *endlessEngine) Read(p []byte) (int, error) {
 	if e.read > 16*maxReportBytes {
 		return 0, io.ErrUnexpectedEOF // what reads on would read on for ever
 	}
@@ -39,7 +39,7 @@
 // more than a small router has memory for, and the process would be killed. The
 // connection serves nothing else.
 func TestEndlessReport(t *testing.T) {
-	engine := &unending{}
+	engine := &endlessEngine{}
 	r := &Relay{BackendClient: engine, Now: time.Now}
 	_, err := r.Report(t.Context(), &model.BackendServer{})
 	assert.ErrorIs(t, err, errReportTooLong)
