--- a/internal/protocol/relay/events_test.go
+++ b/internal/protocol/relay/events_test.go
@@ -47,13 +47,13 @@
 }
 
 func TestEndlessEventIsRefused(t *testing.T) {
-	_, _, err := readAll(io.LimitReader(endless{}, 3*maxEventBytes))
+	_, _, err := readAll(io.LimitReader(endlessReader{}, 3*maxEventBytes))
 	assert.Equal(t, err, errEventTooLong)
 }
 
-type endless struct{}
+type endlessReader struct{}
 
-func (endless) Read(p []byte) (int, error) {
+func (endlessReader) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = 'x'
 	}
