--- a/internal/protocol/relay/move_test.go
+++ b/internal/protocol/relay/move_test.go
@@ -23,7 +23,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
 		var orders atomic.Int64
-		s := chained(route, func(_ context.Context, _ string, r *Request) (*Response, error) {
+		s := newTwoStageFixture(route, func(_ context.Context, _ string, r *Request) (*Response, error) {
 			if r.Target == platform.OrderPath && orders.Add(1) == 1 {
 				return signed(http.StatusConflict, strings.NewReader("")), nil
 			}
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -21,7 +21,7 @@
 
 // chained gives a site whose chains run through two engines, "one" then "far", with
 // "spare" to take the place of far.
-func chained(route model.Route, do fakeBackend) *fixture {
+func newTwoStageFixture(route model.Route, do fakeBackend) *fixture {
 	s := newFixture(route, true, do)
 	s.Catalog.Remove("two", 1, 0)
 	put := func(id string, held model.LayerRange) {
@@ -78,7 +78,7 @@
 func TestChainThatSpeaksAgainIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return nil, errNoConnection })
+		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return nil, errNoConnection })
 		var watch atomic.Pointer[chainWatch]
 		s.Suspects = unreachableHook{s.prober, func() { watch.Load().eventReceived() }}
 		w, run := s.watched(t, route)
@@ -96,7 +96,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 1}
 		var reportRequests atomic.Int64
-		s := chained(route, func(_ context.Context, _ string, r *Request) (*Response, error) {
+		s := newTwoStageFixture(route, func(_ context.Context, _ string, r *Request) (*Response, error) {
 			if r.Target != platform.ReportPath {
 				return reportResponse(""), nil
 			}
@@ -121,7 +121,7 @@
 func TestFinishedStreamIsNotGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Response, error) {
+		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) {
 			time.Sleep(50 * time.Millisecond)
 			return signed(http.StatusNotFound, strings.NewReader("")), nil
 		})
@@ -144,7 +144,7 @@
 	for _, responds := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			route := model.Route{Kind: streaming, MaxAttempts: 2}
-			s := chained(route, func(context.Context, string, *Request) (*Response, error) {
+			s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) {
 				if responds {
 					return reportResponse(emptyReport), nil
 				}
@@ -168,7 +168,7 @@
 func TestStreamThatCannotGoOnIsNotEndedForAnothersView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
+		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
 		_, run := s.watched(t, route)
 		other, _ := s.watched(t, model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2})
 		other.handleStalledEngine("far:1", 0, 1)
@@ -185,7 +185,7 @@
 func TestRunHearsOfAnEngineThatJustEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
+		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
 		s.HandleEngineExit(inc("far"))
 		_, run := s.watched(t, route)
 		assert.Equal(t, context.Cause(run), engineExited)
@@ -198,7 +198,7 @@
 func TestSilentChainIsKeptWhereNoRepeatIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
+		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
 		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 100, time.Hour, func() int { return 1 }, time.Now)
 		_, run := s.watched(t, route)
 		time.Sleep(5 * time.Second)
