--- a/internal/protocol/relay/move_test.go
+++ b/internal/protocol/relay/move_test.go
@@ -29,7 +29,7 @@
 			}
 			return reportResponse(emptyReport), nil
 		})
-		w, run := s.watched(t, route)
+		w, run := s.startTwoStageStream(t, route)
 		w.final = true // as on the last send that a request has
 		s.HandleEngineExit(inc("far"))
 		time.Sleep(10 * time.Millisecond)
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -42,7 +42,7 @@
 }
 
 // watched is a running stream through "one" and "far" and its watch.
-func (s *fixture) watched(t *testing.T, route model.Route) (*chainWatch, context.Context) {
+func (s *fixture) startTwoStageStream(t *testing.T, route model.Route) (*chainWatch, context.Context) {
 	return s.watchedOn(t, route, s.stages("far"))
 }
 
@@ -81,7 +81,7 @@
 		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return nil, errNoConnection })
 		var watch atomic.Pointer[chainWatch]
 		s.Suspects = unreachableHook{s.prober, func() { watch.Load().eventReceived() }}
-		w, run := s.watched(t, route)
+		w, run := s.startTwoStageStream(t, route)
 		watch.Store(w)
 		time.Sleep(firstEventTimeout + time.Millisecond)
 		synctest.Wait()
@@ -105,7 +105,7 @@
 			}
 			return reportResponse(emptyReport), nil
 		})
-		w, run := s.watched(t, route)
+		w, run := s.startTwoStageStream(t, route)
 		time.Sleep(firstEventTimeout + nextEventTimeout + 50*time.Millisecond) // amid the second question
 		assert.Equal(t, reportRequests.Load(), int64(2))
 		s.HandleEngineExit(inc("far"))
@@ -125,7 +125,7 @@
 			time.Sleep(50 * time.Millisecond)
 			return signed(http.StatusNotFound, strings.NewReader("")), nil
 		})
-		w, run := s.watched(t, route)
+		w, run := s.startTwoStageStream(t, route)
 		s.HandleEngineExit(inc("far"))
 		synctest.Wait()
 		_ = w.stop()
@@ -150,7 +150,7 @@
 				}
 				return nil, errNoConnection
 			})
-			_, run := s.watched(t, route)
+			_, run := s.startTwoStageStream(t, route)
 			time.Sleep(5 * time.Second)
 			synctest.Wait()
 			assert.NilError(t, run.Err())
@@ -169,8 +169,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, MaxAttempts: 2}
 		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
-		_, run := s.watched(t, route)
-		other, _ := s.watched(t, model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2})
+		_, run := s.startTwoStageStream(t, route)
+		other, _ := s.startTwoStageStream(t, model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2})
 		other.handleStalledEngine("far:1", 0, 1)
 		synctest.Wait()
 		assert.NilError(t, run.Err())
@@ -187,7 +187,7 @@
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
 		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
 		s.HandleEngineExit(inc("far"))
-		_, run := s.watched(t, route)
+		_, run := s.startTwoStageStream(t, route)
 		assert.Equal(t, context.Cause(run), engineExited)
 	})
 }
@@ -200,7 +200,7 @@
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
 		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
 		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 100, time.Hour, func() int { return 1 }, time.Now)
-		_, run := s.watched(t, route)
+		_, run := s.startTwoStageStream(t, route)
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		assert.NilError(t, run.Err())
