--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -106,7 +106,7 @@
 	for i, id := range []string{"head", "middle", "tail"} {
 		stages = append(stages, chains.Stage{Server: snap.Find(inc(id)), Layers: model.LayerRange{From: 4 * i, To: 4*i + 4}})
 	}
-	return s.watchedOn(t, route, stages)
+	return s.startStreamOn(t, route, stages)
 }
 
 // sendEvents gives the streams events for a while.
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -43,11 +43,11 @@
 
 // watched is a running stream through "one" and "far" and its watch.
 func (s *fixture) startTwoStageStream(t *testing.T, route model.Route) (*chainWatch, context.Context) {
-	return s.watchedOn(t, route, s.stages("far"))
+	return s.startStreamOn(t, route, s.stages("far"))
 }
 
 // watchedOn is a running stream through some engines and its watch.
-func (s *fixture) watchedOn(t *testing.T, route model.Route, stages []chains.Stage) (*chainWatch, context.Context) {
+func (s *fixture) startStreamOn(t *testing.T, route model.Route, stages []chains.Stage) (*chainWatch, context.Context) {
 	q := &request{Relay: s.Relay, call: &model.Call{Attempt: "1"}, startTime: time.Now(), avoid: map[model.Incarnation]bool{}}
 	table := s.Config.Load()
 	route.Host = "h"
