--- a/internal/protocol/relay/repeat_test.go
+++ b/internal/protocol/relay/repeat_test.go
@@ -51,7 +51,7 @@
 			attempts := 0
 			s := newFixture(model.Route{Kind: streaming, MaxAttempts: 2, TargetLatency: time.Second}, isEngine, func(context.Context, string, *Request) (*Response, error) {
 				if attempts++; attempts == 1 {
-					return nil, errNoConnection
+					return nil, errNotConnected
 				}
 				return signed(http.StatusOK, strings.NewReader("id: 1\ndata: a\n\n")), nil
 			})
@@ -71,11 +71,11 @@
 		attempts := 0
 		s := newFixture(model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 3, TargetLatency: time.Second}, true, func(ctx context.Context, _ string, r *Request) (*Response, error) {
 			if r.Target == platform.ReportPath {
-				return nil, errNoConnection
+				return nil, errNotConnected
 			}
 			if attempts++; attempts == 1 {
 				<-ctx.Done()
-				return nil, errNoConnection
+				return nil, errNotConnected
 			}
 			return signed(http.StatusInternalServerError, strings.NewReader("failed")), nil
 		})
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -149,7 +149,7 @@
 	return &Response{Status: status, Header: h, Body: fakeBody{body}}
 }
 
-var errNoConnection = errors.Wrap(ErrNotSent, "the connection was closed")
+var errNotConnected = errors.Wrap(ErrNotSent, "the connection was closed")
 
 const (
 	idempotent    = model.RouteIdempotent
@@ -167,7 +167,7 @@
 			ctx, leave := context.WithCancel(t.Context())
 			s := newFixture(model.Route{Kind: kind, MaxAttempts: 2, TargetLatency: time.Second}, kind == streaming, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 				leave()
-				return nil, errNoConnection
+				return nil, errNotConnected
 			})
 			out := &recordingWriter{}
 			complete := s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out)
--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -80,7 +80,7 @@
 	}
 	unsent := func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 		<-ctx.Done()
-		return nil, errNoConnection
+		return nil, errNotConnected
 	}
 	begun := func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 		return signed(http.StatusOK, &stalledBody{ctx: ctx}), nil
@@ -135,7 +135,7 @@
 		{"caller left", hangs, func(_ *fixture, leave func()) { leave() }},
 		{"deadline", hangs, func(*fixture, func()) {}},
 		{"engine gone", hangs, func(s *fixture, _ func()) { s.HandleEngineExit(inc("one")) }},
-		{"no connection", func(context.Context, string, *Request) (*Response, error) { return nil, errNoConnection }, func(*fixture, func()) {}},
+		{"no connection", func(context.Context, string, *Request) (*Response, error) { return nil, errNotConnected }, func(*fixture, func()) {}},
 		{"broken off", func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 			wait.For(ctx, 10*time.Millisecond)
 			return nil, io.ErrUnexpectedEOF
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -78,7 +78,7 @@
 func TestChainThatSpeaksAgainIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return nil, errNoConnection })
+		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return nil, errNotConnected })
 		var watch atomic.Pointer[chainWatch]
 		s.Suspects = unreachableHook{s.prober, func() { watch.Load().eventReceived() }}
 		w, run := s.startTwoStageStream(t, route)
@@ -148,7 +148,7 @@
 				if responds {
 					return reportResponse(emptyReport), nil
 				}
-				return nil, errNoConnection
+				return nil, errNotConnected
 			})
 			_, run := s.startTwoStageStream(t, route)
 			time.Sleep(5 * time.Second)
