--- a/internal/protocol/relay/lost_test.go
+++ b/internal/protocol/relay/lost_test.go
@@ -18,7 +18,7 @@
 // of the same incarnation says anything of it.
 func TestEngineThatAnswersIsNoLongerLost(t *testing.T) {
 	const responseTime = 100 * time.Millisecond
-	const same, other, untold = `{"born":100}`, `{"born":200}`, `{}`
+	const same, other, unknown = `{"born":100}`, `{"born":200}`, `{}`
 	lost := model.Incarnation{ID: "one", Born: 100}
 	for name, c := range map[string]struct {
 		requestOffset time.Duration // after the news of the end
@@ -28,7 +28,7 @@
 		"asked after":              {requestOffset: time.Millisecond, response: same, lost: false},
 		"asked before":             {requestOffset: -responseTime / 2, response: same, lost: true},
 		"another incarnation":      {requestOffset: time.Millisecond, response: other, lost: true},
-		"it does not tell its own": {requestOffset: time.Millisecond, response: untold, lost: true},
+		"it does not tell its own": {requestOffset: time.Millisecond, response: unknown, lost: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
