--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -103,8 +103,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, holder := newIncompleteStream()
 		s.Catalog.Put(holder)
-		ctx, leave := context.WithCancel(t.Context())
-		leave()
+		ctx, disconnect := context.WithCancel(t.Context())
+		disconnect()
 		for _, events := range []int{0, 5} {
 			s.events = events
 			s.lastEventTime = time.Now()
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -164,9 +164,9 @@
 func TestWhoLeavesBeforeTheSendIsNoEvidence(t *testing.T) {
 	for _, kind := range []model.RouteKind{idempotent, notRepeatable, streaming} {
 		synctest.Test(t, func(t *testing.T) {
-			ctx, leave := context.WithCancel(t.Context())
+			ctx, disconnect := context.WithCancel(t.Context())
 			s := newFixture(model.Route{Kind: kind, MaxAttempts: 2, TargetLatency: time.Second}, kind == streaming, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
-				leave()
+				disconnect()
 				return nil, errNotConnected
 			})
 			out := &recordingWriter{}
@@ -187,9 +187,9 @@
 func TestWhoLeavesDuringTheRunIsNoEvidence(t *testing.T) {
 	for _, kind := range []model.RouteKind{idempotent, notRepeatable, streaming} {
 		synctest.Test(t, func(t *testing.T) {
-			ctx, leave := context.WithCancel(t.Context())
+			ctx, disconnect := context.WithCancel(t.Context())
 			s := newFixture(model.Route{Kind: kind, MaxAttempts: 2, TargetLatency: time.Second}, kind == streaming, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
-				leave()
+				disconnect()
 				<-ctx.Done()
 				return nil, ctx.Err()
 			})
@@ -210,9 +210,9 @@
 func TestReadyAnswerIsDelivered(t *testing.T) {
 	for _, isEngine := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			ctx, leave := context.WithCancel(t.Context())
+			ctx, disconnect := context.WithCancel(t.Context())
 			s := newFixture(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, isEngine, func(context.Context, string, *Request) (*Response, error) {
-				leave()
+				disconnect()
 				return signed(http.StatusInternalServerError, strings.NewReader("the server's words")), nil
 			})
 			out := &recordingWriter{}
--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -104,8 +104,8 @@
 				s.Memory.Reserve(s.stages("one")[:1], 1e9)
 				s.Memory.Reserve(s.stages("two")[1:], 1e9)
 			}
-			ctx, leave := context.WithCancel(t.Context())
-			time.AfterFunc(100*time.Millisecond, leave)
+			ctx, disconnect := context.WithCancel(t.Context())
+			time.AfterFunc(100*time.Millisecond, disconnect)
 			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/", MaxAnswer: 5}, &recordingWriter{})
 			end := log.linesWith("request ended")
 			assert.Equal(t, len(end), 1)
@@ -130,9 +130,9 @@
 	for _, at := range []struct {
 		reason string
 		do     fakeBackend
-		after  func(s *fixture, leave func())
+		after  func(s *fixture, disconnect func())
 	}{
-		{"caller left", hangs, func(_ *fixture, leave func()) { leave() }},
+		{"caller left", hangs, func(_ *fixture, disconnect func()) { disconnect() }},
 		{"deadline", hangs, func(*fixture, func()) {}},
 		{"engine gone", hangs, func(s *fixture, _ func()) { s.HandleEngineExit(inc("one")) }},
 		{"no connection", func(context.Context, string, *Request) (*Response, error) { return nil, errNotConnected }, func(*fixture, func()) {}},
@@ -145,9 +145,9 @@
 			log := captureLog(t)
 			s := newFixture(model.Route{Kind: notRepeatable, MaxAttempts: 1, Timeout: 2 * time.Second}, false, at.do)
 			s.Catalog.Remove("two", 1, 0)
-			ctx, leave := context.WithCancel(t.Context())
-			defer leave()
-			time.AfterFunc(time.Second, func() { at.after(s, leave) })
+			ctx, disconnect := context.WithCancel(t.Context())
+			defer disconnect()
+			time.AfterFunc(time.Second, func() { at.after(s, disconnect) })
 			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, &recordingWriter{})
 			lost := log.linesWith("answer lost")
 			assert.Equal(t, len(lost), 1)
