--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -49,7 +49,7 @@
 // Engines are replaced one after the other, and for a moment nobody holds some
 // layers. A stream that had its last event 0.3 s ago is not broken off: the
 // replacement is loaded in 0.9 s, and its caller waits two seconds for an event.
-func TestInterruptedStreamWaitsForLayers(t *testing.T) {
+func TestInterruptedStreamWaitsForMissingLayers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, holder := newIncompleteStream()
 		s.events = 5
@@ -66,7 +66,7 @@
 
 // Nobody comes. The stream is given up when its caller has left, not later; a
 // request that has not begun is refused at once.
-func TestMissingLayersEndTheWait(t *testing.T) {
+func TestWaitForMissingLayersIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newIncompleteStream()
 		began := time.Now()
@@ -85,7 +85,7 @@
 // was lost each time. Then the first of them leaves: its entry is removed, and it
 // serves on. A third engine would be one too many, so the stream goes on only where
 // it ran before; once the process has ended, another may take its place.
-func TestLeavingEngineIsStillAnAttempt(t *testing.T) {
+func TestDrainingEngineStillCountsAsAttempt(t *testing.T) {
 	s, _ := newIncompleteStream()
 	one, two := model.Incarnation{ID: "one"}, model.Incarnation{ID: "two"}
 	s.firstEngines[one] = true
@@ -99,7 +99,7 @@
 
 // The caller has left when its stream's turn comes. No chain is chosen for it and no
 // memory is reserved: others would wait for room that nobody uses.
-func TestNoChainForWhoLeft(t *testing.T) {
+func TestNoChainIsReservedAfterCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, holder := newIncompleteStream()
 		s.Catalog.Put(holder)
--- a/internal/protocol/relay/events_test.go
+++ b/internal/protocol/relay/events_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestEventsAreCutAtBlankLines(t *testing.T) {
+func TestEventsAreSplitAtBlankLines(t *testing.T) {
 	const stream = "id: 1\ndata: a\n\nweight-versions: 3\nid: 2\ndata: b\n\nid:3\r\ndata: c\r\n\r\n"
 	events, ids, err := readAll(iotest.OneByteReader(strings.NewReader(stream)))
 	assert.Equal(t, err, io.EOF)
@@ -36,7 +36,7 @@
 // An engine crashes in the middle of an event. What it left of it must not
 // reach the caller: the next engine sends that event whole, and the caller
 // would get a piece of it twice.
-func TestHalfAnEventIsNotPassedOn(t *testing.T) {
+func TestPartialEventIsNotReturned(t *testing.T) {
 	events, _, err := readAll(strings.NewReader("id: 1\ndata: a\n\nid: 2\nda"))
 	assert.Equal(t, err, errTruncatedEvent)
 	assert.Equal(t, len(events), 1)
@@ -46,7 +46,7 @@
 	assert.Equal(t, len(events), 1)
 }
 
-func TestEndlessEventIsRefused(t *testing.T) {
+func TestEndlessEventReturnsError(t *testing.T) {
 	_, _, err := readAll(io.LimitReader(endlessReader{}, 3*maxEventBytes))
 	assert.Equal(t, err, errEventTooLong)
 }
@@ -61,7 +61,7 @@
 }
 
 // However the network cuts a stream into pieces, the events are the same.
-func TestEventsDoNotDependOnPieces(t *testing.T) {
+func TestEventsDoNotDependOnReadSizes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		lines := rapid.SliceOfN(rapid.StringMatching(`[a-z: ]{0,12}`), 0, 30).Draw(rt, "lines")
 		stream := strings.Join(lines, "\n") + "\n\n"
--- a/internal/protocol/relay/lost_test.go
+++ b/internal/protocol/relay/lost_test.go
@@ -16,7 +16,7 @@
 // answers a report, but it stays lost for a minute and is no attempt. Only an answer
 // that was asked for after the news of the end is newer than that news, and only one
 // of the same incarnation says anything of it.
-func TestEngineThatAnswersIsNoLongerLost(t *testing.T) {
+func TestRespondingEngineIsNoLongerLost(t *testing.T) {
 	const responseTime = 100 * time.Millisecond
 	const same, other, unknown = `{"born":100}`, `{"born":200}`, `{}`
 	lost := model.Incarnation{ID: "one", Born: 100}
--- a/internal/protocol/relay/move_test.go
+++ b/internal/protocol/relay/move_test.go
@@ -19,7 +19,7 @@
 // replaces the engine fails, and the run's end is set for a moment later. The news
 // comes again, from another watcher, and now the engine is replaced. The chain works,
 // and must not be ended for an engine that it has left.
-func TestMovedRunIsNotEndedForTheEngineItLeft(t *testing.T) {
+func TestReroutedRunIgnoresExitOfFormerEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
 		var orders atomic.Int64
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -79,7 +79,7 @@
 // nobody knows whether it ran (502), and gets no closed connection; the log has the
 // stack at the usual verbosity, and the end is counted. The next request is served
 // as before.
-func TestPanicInARequest(t *testing.T) {
+func TestPanicDuringSendReturnsBadGateway(t *testing.T) {
 	var log bytes.Buffer
 	klog.LogToStderr(false)
 	klog.SetOutput(&log)
@@ -125,7 +125,7 @@
 // The same once the caller has the head of an answer. Another answer behind it would
 // belong to no request, so the connection is broken off and the caller sees that the
 // answer is not whole.
-func TestPanicInsideAnAnswer(t *testing.T) {
+func TestPanicAfterHeaderAbortsConnection(t *testing.T) {
 	observer := &panicObserver{}
 	r := newPlainRelay(okClient{}, observer)
 	complete := r.Serve(t.Context(), &model.Call{Attempt: "a1"}, &panickingWriter{})
@@ -134,7 +134,7 @@
 }
 
 // The caller's connection is aborted on purpose: that is no fault, and is passed on.
-func TestAbortIsPassedOn(t *testing.T) {
+func TestAbortHandlerPanicIsPropagated(t *testing.T) {
 	observer := &panicObserver{}
 	r := newPlainRelay(abortingClient{}, observer)
 	defer func() {
@@ -154,7 +154,7 @@
 // A chain is silent and the code panics as its engines are asked. Only that run ends,
 // as if the chain had been found at fault; the stream is looked after elsewhere, and
 // the process goes on.
-func TestPanicBesideAStream(t *testing.T) {
+func TestPanicInWatchEndsOnlyItsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		observer := &panicObserver{}
 		s, _ := newIncompleteStream()
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -130,7 +130,7 @@
 
 // Two engines of one chain fall silent at one moment, with 90 streams on it: all streams
 // leave both within half of the pause that their route allows, with few refused orders.
-func TestTwoSilentEnginesOfOneChain(t *testing.T) {
+func TestTwoUnresponsiveEnginesOfOneChainAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{beforeResponse: func(context.Context) { time.Sleep(2 * time.Millisecond) }}
 		s := newThreeStageFixture(engines.do)
@@ -153,7 +153,7 @@
 
 // The first engine of a chain and a later one fall silent together. The path check is
 // not answered, so the streams begin anew at other engines.
-func TestSilentFirstEngineEndsTheRun(t *testing.T) {
+func TestUnresponsiveFirstEngineEndsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
 		s := newThreeStageFixture(engines.do)
@@ -172,7 +172,7 @@
 // A stream is late, and the check of its path is not answered, while other streams through
 // its first engine go on: a link lost both. The engine is not suspected, and no other
 // stream leaves it.
-func TestUnansweredCheckAccusesNoWorkingEngine(t *testing.T) {
+func TestUnansweredPathCheckDoesNotSuspectWorkingEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
 		s := newThreeStageFixture(engines.do)
@@ -192,7 +192,7 @@
 
 // A stream is late though its path holds. It stays where it is, and no engine is
 // suspected.
-func TestPathThatHoldsIsKept(t *testing.T) {
+func TestConfirmedPathIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
 		s := newThreeStageFixture(engines.do)
@@ -212,7 +212,7 @@
 
 // An order is not answered. Its engine may carry it out after a later one and bring the
 // stream back to the path it had, so the stream gets no other order.
-func TestUnansweredOrderIsTheLast(t *testing.T) {
+func TestNoOrderIsSentAfterUnansweredOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
 		s := newThreeStageFixture(engines.do)
@@ -235,7 +235,7 @@
 
 // An engine that many streams run through falls silent. Moved, all would wait for its
 // twin to read their tokens; they are sent anew, while the budget for that lasts.
-func TestStreamsOfASilentEngineAreSentAnew(t *testing.T) {
+func TestStreamsOfUnresponsiveEngineRestartWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const budget = 30
 		engines := &fakeEngines{}
@@ -268,7 +268,7 @@
 
 // A chain is chosen while one of its engines is found silent. The run leaves it at once
 // and does not wait for its first event.
-func TestRunHearsOfAnEngineJustFoundSilent(t *testing.T) {
+func TestNewRunLeavesRecentlyUnresponsiveEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
 		s := newThreeStageFixture(engines.do)
@@ -281,7 +281,7 @@
 
 // A path is refused for an engine that is full. Another holder takes the part, and the
 // full one is not taken for silent: other streams stay there.
-func TestFullEngineIsNotTakenForSilent(t *testing.T) {
+func TestFullEngineIsNotMarkedUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
 		s := newThreeStageFixture(engines.do)
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -93,7 +93,7 @@
 
 // An engine dies and comes back under the same id. It gets nothing while it
 // does not answer, however long that is, and work again once it does.
-func TestDeadEngineStaysSuspectedUntilItAnswers(t *testing.T) {
+func TestDeadEngineStaysSuspectedUntilItResponds(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
 		a.setDead(true)
 		p.Unreachable(a.server, "r", nil)
@@ -110,7 +110,7 @@
 
 // A chain waited for an engine that answers its reports. The suspicion lasts
 // its first second all the same: the engine did not do its work.
-func TestAnsweringEngineIsSuspectedForAWhile(t *testing.T) {
+func TestRespondingEngineStaysSuspectedForFirstPeriod(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
 		p.Unreachable(a.server, "r", nil)
 		time.Sleep(800 * time.Millisecond)
@@ -122,7 +122,7 @@
 
 // An engine falls silent. After three probes without an answer it counts as lost,
 // whatever its entry says; one that answers, or refuses work, does not.
-func TestSilentEngineIsLost(t *testing.T) {
+func TestUnresponsiveEngineIsLostAfterTimeout(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
 		p.Unreachable(a.server, "r", nil)
 		time.Sleep(2 * time.Second)
@@ -141,7 +141,7 @@
 
 // A peer cut off from an engine suspects it. Here it answers: it keeps getting
 // work, and the peer's next words about it are not worth a probe each.
-func TestPeersSuspicionIsChecked(t *testing.T) {
+func TestPeerSuspicionIsProbed(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
 		p.HandlePeerSuspicion(inc("e"))
 		time.Sleep(50 * time.Millisecond)
@@ -156,7 +156,7 @@
 	})
 }
 
-func TestGoneEngineIsForgotten(t *testing.T) {
+func TestRemovedEngineIsNotProbed(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
 		a.setDead(true)
 		p.Unreachable(a.server, "r", nil)
@@ -171,7 +171,7 @@
 
 // A chain is slow. Its engine says that it runs three times slower; it is asked
 // again each second, and forgotten when it is well.
-func TestSlowEngineIsAskedUntilItIsWell(t *testing.T) {
+func TestSlowEngineIsPolledUntilItRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &fakeEngine{slow: 3, server: &model.BackendServer{ID: "e", Service: "s", Address: "1:1", Revision: 1}}
 		c := catalog.New(time.Now)
@@ -204,7 +204,7 @@
 // An engine drains: it refuses new work, answers its reports, and calls itself
 // ill. Probes must not bring it back; it gets nothing for seconds, and the peers
 // are told, so that each of their streams need not find out by itself.
-func TestLeavingEngineIsLeftAlone(t *testing.T) {
+func TestDrainingEngineGetsNoRequests(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
 		a.unhealthy = true
 		a.load = model.EngineReport{UsedTokenLayers: 10, TotalTokenLayers: 100}
@@ -222,7 +222,7 @@
 
 // An engine is short of token memory and refuses. A stream ends there soon: it is
 // left alone for a moment only, however often that comes.
-func TestFullEngineIsLeftForAMoment(t *testing.T) {
+func TestFullEngineIsSuspectedBriefly(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
 		a.load = model.EngineReport{UsedTokenLayers: 99, TotalTokenLayers: 100}
 		for range 5 {
@@ -237,7 +237,7 @@
 
 // An engine refuses, is well and has room: it gives its layers up. Each further
 // refusal doubles the time in which it gets nothing.
-func TestRefusalsDoubleTheSuspicion(t *testing.T) {
+func TestRepeatedRefusalsDoubleSuspicionPeriod(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
 		a.load = model.EngineReport{TotalTokenLayers: 100}
 		for _, period := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
@@ -253,7 +253,7 @@
 // An engine refuses work, as it drains, and answers reports all the same. A peer that
 // could not reach it makes it a suspect here, and a probe succeeds: that the engine
 // answers is no news of its refusal, which stands.
-func TestProbeDoesNotEndARefusal(t *testing.T) {
+func TestProbeDoesNotClearRefusal(t *testing.T) {
 	for _, handleRerouteRefusal := range []time.Duration{-time.Second, 50 * time.Millisecond} {
 		runProber(t, func(p *Prober, a *fakeEngine) {
 			p.Report = func(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
@@ -277,7 +277,7 @@
 // refused or lost there. A report is asked of it; while the answer is under way a
 // stream is refused its part, or a peer's word comes. The answer is older than that
 // news and says nothing of it: only what is asked afterwards may end the suspicion.
-func TestProbeDoesNotEndANewerSuspicion(t *testing.T) {
+func TestProbeDoesNotClearNewerSuspicion(t *testing.T) {
 	const responseTime = 100 * time.Millisecond
 	for name, newSuspicion := range map[string]func(h *catalog.Health){
 		"suspected here":   func(h *catalog.Health) { h.Suspect(inc("e")) },
--- a/internal/protocol/relay/repeat_test.go
+++ b/internal/protocol/relay/repeat_test.go
@@ -19,7 +19,7 @@
 // is used up. Later there is budget again and another server is well, yet the request
 // stays with the silent one until its time is over: it was decided once that it may go
 // nowhere else.
-func TestSlowTryGoesElsewhereOnceItMay(t *testing.T) {
+func TestSlowAttemptIsRetriedOnceBudgetAllows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := ""
 		s := newFixture(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second, Timeout: time.Minute}, false, func(ctx context.Context, addr string, _ *Request) (*Response, error) {
@@ -45,7 +45,7 @@
 // The first server takes no connection, nothing goes out to it, and the budget for
 // repeated sends is used up. The request is offered to the other one all the same: it
 // has not been sent yet, so that send repeats nothing.
-func TestFirstSendNeedsNoBudget(t *testing.T) {
+func TestFirstSendNeedsNoRetryToken(t *testing.T) {
 	for _, isEngine := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			attempts := 0
@@ -66,7 +66,7 @@
 // A run falls silent, a repeated send is granted for what follows it, and it ends before
 // anything was sent: what follows needs no grant. The next engine fails, and the send
 // after it uses what was granted, the last one that the budget had.
-func TestGrantIsKeptUntilItIsUsed(t *testing.T) {
+func TestRetryTokenIsKeptUntilUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		attempts := 0
 		s := newFixture(model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 3, TargetLatency: time.Second}, true, func(ctx context.Context, _ string, r *Request) (*Response, error) {
--- a/internal/protocol/relay/report_test.go
+++ b/internal/protocol/relay/report_test.go
@@ -38,7 +38,7 @@
 // is bounded: in the quarter of a second that a report may take, a fast link brings
 // more than a small router has memory for, and the process would be killed. The
 // connection serves nothing else.
-func TestEndlessReport(t *testing.T) {
+func TestEndlessReportReturnsError(t *testing.T) {
 	engine := &endlessEngine{}
 	r := &Relay{BackendClient: engine, Now: time.Now}
 	_, err := r.Report(t.Context(), &model.BackendServer{})
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -105,13 +105,13 @@
 	prober.Health = health
 	prober.Catalog = c
 	prober.AnnounceSuspect = func(model.Incarnation, time.Time) {}
-	seen := &retryCounter{}
+	observer := &retryCounter{}
 	rel := &Relay{
 		Config: current, Catalog: c, Health: health, Memory: memory,
 		Chooser:       &chains.Chooser{Catalog: c, Health: health, Usage: memory, Interconnect: chains.NewInterconnect(time.Now), RouterCount: func() int { return 1 }},
 		WaitQueue:     admission.NewWaitQueue(),
 		RetryBorrower: &limits.RetryBorrower{Budget: limits.NewSharedRetryBudget(0, 100, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
-		BackendClient: do, Observer: seen, ActiveRuns: NewActiveRuns(), Suspects: prober, FailureDomain: "a",
+		BackendClient: do, Observer: observer, ActiveRuns: NewActiveRuns(), Suspects: prober, FailureDomain: "a",
 		Detector: detector.New(time.Now),
 		Clock:    func() time.Duration { return 0 }, Now: time.Now, MaxConfigAge: time.Hour,
 		Quarantine: quarantine.New(func() time.Duration { return time.Since(began) }),
@@ -125,7 +125,7 @@
 	rel.SlowdownMonitor.Catalog = c
 	rel.SlowdownMonitor.Report = rel.Report
 	rel.SlowdownMonitor.Now = time.Now
-	return &fixture{Relay: rel, prober: prober, observer: seen}
+	return &fixture{Relay: rel, prober: prober, observer: observer}
 }
 
 // streamCount is how many streamCount hold memory of an engine.
@@ -161,7 +161,7 @@
 // was sent. The server is no worse for it: it is not suspected, here or at peers, and
 // no failure is counted. A caller that only closed its sending side still listens,
 // and is told that its request did not run and when to come back.
-func TestWhoLeavesBeforeTheSendIsNoEvidence(t *testing.T) {
+func TestDisconnectBeforeSendDoesNotSuspectServer(t *testing.T) {
 	for _, kind := range []model.RouteKind{idempotent, notRepeatable, streaming} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, disconnect := context.WithCancel(t.Context())
@@ -184,7 +184,7 @@
 // The caller leaves while its request runs. The server did not fail: work that its
 // caller gave up says nothing of it. A caller that only closed its sending side still
 // listens, and is told that its answer is lost, not that its request was wrong.
-func TestWhoLeavesDuringTheRunIsNoEvidence(t *testing.T) {
+func TestDisconnectDuringRunDoesNotSuspectServer(t *testing.T) {
 	for _, kind := range []model.RouteKind{idempotent, notRepeatable, streaming} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, disconnect := context.WithCancel(t.Context())
@@ -207,7 +207,7 @@
 // A backend server's own failure has come whole as the time is over or the caller
 // closes its sending side. It is delivered: the answer is ready, and another one in
 // its place would tell the caller less.
-func TestReadyAnswerIsDelivered(t *testing.T) {
+func TestFailureResponseIsForwardedAfterDisconnect(t *testing.T) {
 	for _, isEngine := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, disconnect := context.WithCancel(t.Context())
@@ -226,7 +226,7 @@
 
 // A handler that fails unexpectedly takes its request with it, not the memory that
 // its stream reserved at the engines.
-func TestPanicGivesMemoryBack(t *testing.T) {
+func TestPanicReleasesReservedMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFixture(model.Route{Kind: streaming, MaxAttempts: 1, TargetLatency: time.Second}, true, func(context.Context, string, *Request) (*Response, error) {
 			panic("unexpected")
@@ -241,7 +241,7 @@
 
 // An engine fails a stream that has not begun, and the stream is sent to another one.
 // That is one repeated send, and takes one from the budget.
-func TestRepeatAfterAFailureIsTakenOnce(t *testing.T) {
+func TestRetryAfterFailureTakesOneToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sends := 0
 		s := newFixture(model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2, TargetLatency: time.Second}, true, func(context.Context, string, *Request) (*Response, error) {
@@ -260,7 +260,7 @@
 
 // The same, with the budget used up or the attempts: the engine's failure is the
 // answer, as it came.
-func TestFailureIsDeliveredWhereNoRepeatIsLeft(t *testing.T) {
+func TestFailureIsForwardedWithoutRetries(t *testing.T) {
 	for _, attempts := range []int{1, 2} {
 		synctest.Test(t, func(t *testing.T) {
 			sends := 0
@@ -280,7 +280,7 @@
 
 // A server is slower than usual, and the budget for repeated sends is used up. The
 // request may go nowhere else, so it stays where it is and gets its answer.
-func TestSlowTryIsKeptWhereNoRepeatIsLeft(t *testing.T) {
+func TestSlowAttemptContinuesWithoutRetryToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFixture(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, false, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 			if !wait.For(ctx, 3*time.Second) {
@@ -299,7 +299,7 @@
 
 // The same with a repeat left: another server answers in time, and one repeat is
 // taken.
-func TestSlowTryIsRepeatedElsewhere(t *testing.T) {
+func TestSlowAttemptIsRetriedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := ""
 		s := newFixture(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, false, func(ctx context.Context, addr string, _ *Request) (*Response, error) {
@@ -322,7 +322,7 @@
 
 // An answer that is no stream comes in one piece when all of it is made, after many
 // seconds. Nothing before it is no silence.
-func TestAnswerInOnePieceIsWaitedFor(t *testing.T) {
+func TestSingleResponseIsNotAStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFixture(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, true, func(ctx context.Context, _ string, r *Request) (*Response, error) {
 			if r.Target == platform.ReportPath {
@@ -345,7 +345,7 @@
 // answer, which lies in the socket of a busy router. A request that must not be sent
 // again has nothing but this answer: it is waited for a moment. One that may be sent
 // again is, at once.
-func TestLastAnswerOfAServerIsDelivered(t *testing.T) {
+func TestFinalResponseOfExitedServerIsForwarded(t *testing.T) {
 	for _, kind := range []model.RouteKind{notRepeatable, streaming} {
 		synctest.Test(t, func(t *testing.T) {
 			s := newFixture(model.Route{Kind: kind, MaxAttempts: 2, TargetLatency: time.Second}, kind == streaming, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -73,7 +73,7 @@
 // A caller leaves, or its time ends. Whoever reads the log learns how far the request
 // was: only one that was sent cost an engine's work, and only one that was begun had
 // something of its answer.
-func TestEndTellsHowFarTheRequestWas(t *testing.T) {
+func TestRequestLogContainsProgress(t *testing.T) {
 	sent := func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 		<-ctx.Done()
 		return nil, io.ErrUnexpectedEOF
@@ -122,7 +122,7 @@
 }
 
 // Each way in which a run at a plain server ends has its own word in one line.
-func TestLostAnswerTellsWhy(t *testing.T) {
+func TestFailedAttemptLogContainsReason(t *testing.T) {
 	hangs := func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 		<-ctx.Done()
 		return nil, io.ErrUnexpectedEOF
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -75,7 +75,7 @@
 
 // The first engine does not tell what a silent chain waits for. While that is noted
 // an event comes: the chain works, and must not be ended for a silence that is over.
-func TestChainThatSpeaksAgainIsNotEnded(t *testing.T) {
+func TestChainWithNewEventIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
 		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return nil, errNotConnected })
@@ -92,7 +92,7 @@
 // A chain is silent and its first engine is asked. Meanwhile a part of the chain is
 // found to have ended and is replaced, which the engine takes as an order. The answer
 // to the question is about the chain as it was: it must not end the new one.
-func TestMovedChainIsNotEndedForTheOldOnesSilence(t *testing.T) {
+func TestReroutedChainIsNotEndedForEarlierStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 1}
 		var reportRequests atomic.Int64
@@ -118,7 +118,7 @@
 
 // A stream ends whole while an engine of it is replaced and the order is refused.
 // There is nothing left to give up.
-func TestFinishedStreamIsNotGivenUp(t *testing.T) {
+func TestFinishedStreamIsNotAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
 		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) {
@@ -140,7 +140,7 @@
 // the first engine does not even answer. Ended, the stream is lost for sure, as no
 // other engine may go on with it; its caller decides how long to wait. It is ended
 // once the process of one of its engines has.
-func TestStreamThatCannotGoOnIsNotEndedForSilence(t *testing.T) {
+func TestNonResumableStreamIsNotEndedForStall(t *testing.T) {
 	for _, responds := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			route := model.Route{Kind: streaming, MaxAttempts: 2}
@@ -165,7 +165,7 @@
 // Another stream finds an engine at fault that this one runs through as well. This
 // one must not run twice, so it cannot leave: the other's view, from another engine
 // of other links, is no reason to lose it.
-func TestStreamThatCannotGoOnIsNotEndedForAnothersView(t *testing.T) {
+func TestNonResumableStreamIgnoresReportsOfOtherStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, MaxAttempts: 2}
 		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
@@ -182,7 +182,7 @@
 // An engine's process ends right after a chain through it was chosen, before the run
 // is among those that are told. The run must hear of it all the same: nothing would
 // come of it, and its caller would wait until the silence shows.
-func TestRunHearsOfAnEngineThatJustEnded(t *testing.T) {
+func TestNewRunEndsIfItsEngineJustExited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
 		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
@@ -195,7 +195,7 @@
 // A chain is silent, its engines answer and name nobody, and the budget for repeated
 // sends is used up. Ended, the stream would be broken off; kept, it may go on. Once
 // there is budget again the run abandoned.
-func TestSilentChainIsKeptWhereNoRepeatIsLeft(t *testing.T) {
+func TestStalledChainContinuesWithoutRetryToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
 		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
