--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -17,17 +17,18 @@
 )
 
 const (
-	// bufferedAnswer is the largest answer that is read whole before it is
-	// passed on, so that a truncated one is never begun.
+	// maxBufferedResponse is the size in bytes up to which a response is buffered
+	// completely before it is forwarded, so that a truncated one is not forwarded.
 	maxBufferedResponse = 1 << 20
-	// slowAttemptFactor is how many times the usual latency an idempotent request waits
-	// at one server before another is tried; at least the route's target.
+	// slowAttemptFactor times the usual latency of a server is how long an idempotent
+	// request waits there before another server is tried, but at least the route's
+	// target latency.
 	slowAttemptFactor = 5
-	// leastTry is the shortest time that a try at one server gets.
+	// minAttemptTimeout is the shortest time allowed for an attempt at one server.
 	minAttemptTimeout = 150 * time.Millisecond
 )
 
-// bufferedResponse is an answer with all of its body.
+// bufferedResponse is a response with its complete body.
 type bufferedResponse struct {
 	status  int
 	header  http.Header
@@ -35,8 +36,8 @@
 	body    []byte
 }
 
-// dispatch sends a call to one backend server of a plain service, and to others
-// while that is allowed and helps.
+// servePlain sends the request to a backend server of a plain service and retries at
+// others as far as the route and the retry budget allow.
 func (q *request) servePlain(ctx context.Context) bool {
 	var lastFailure *bufferedResponse
 	for ctx.Err() == nil {
@@ -61,14 +62,14 @@
 		if !q.allowRetry(ctx, reason) {
 			break
 		}
-		klog.InfoS("sent again", "request", q.call.Attempt, "reason", reason, "server", server.Incarnation(), "err", err, "sends", q.sends)
+		klog.InfoS("request retried", "request", q.call.Attempt, "reason", reason, "server", server.Incarnation(), "err", err, "sends", q.sends)
 	}
 	return q.respondFailure(ctx, lastFailure)
 }
 
-// respondFailure answers with the last failure of a backend server where one came, also when
-// the time is over by now: it is ready. A refusal of a backend server becomes the
-// system's own.
+// respondFailure ends a request that is not retried. A failure response of a backend
+// server is forwarded even after the deadline, as it is available. A refusal by a
+// backend server is replaced by the router's own error.
 func (q *request) respondFailure(ctx context.Context, lastFailure *bufferedResponse) bool {
 	switch {
 	case lastFailure != nil && !lastFailure.verdict.NotRun:
@@ -76,16 +77,17 @@
 	case ctx.Err() != nil:
 		return q.respondError(q.contextError(ctx))
 	case q.runs > 0:
-		return q.respondError(fault.New(fault.BackendLost, "the backend server's answer was lost"))
+		return q.respondError(fault.New(fault.BackendLost, "no complete response was received from the backend server"))
 	case lastFailure != nil:
-		return q.respondError(fault.New(fault.Overloaded, "every backend server asked was full"))
+		return q.respondError(fault.New(fault.Overloaded, "every backend server tried refused the request"))
 	}
-	return q.respondError(fault.New(fault.NoCapacity, "no backend server of %s takes work", q.admitted.Service.Name))
+	return q.respondError(fault.New(fault.NoCapacity, "no backend server of %s accepts requests", q.admitted.Service.Name))
 }
 
-// pickPlain chooses the backend server with the least expected wait: load seen
-// from here, latency, failures, and a little for another failure domain. Where
-// all are suspected the suspicion is likelier wrong than all of them down.
+// leastCostServer returns the backend server with the lowest expected wait, or nil.
+// The cost combines this router's load there, latency, failure rate and a small charge
+// for another failure domain. Suspected servers are considered only if all others are
+// excluded, as a suspicion of every server is probably wrong.
 func (q *request) leastCostServer() *model.BackendServer {
 	var best *model.BackendServer
 	var lowest float64
@@ -111,7 +113,7 @@
 	return nil
 }
 
-// attempt sends the call to one server and reads its whole answer.
+// attempt sends the request to one server and reads the complete response.
 func (q *request) attempt(ctx context.Context, b *model.BackendServer) (*bufferedResponse, error) {
 	run, cancel, stop := q.ActiveRuns.track(ctx, b.Incarnation(), !q.admitted.Idempotent())
 	defer stop()
@@ -138,8 +140,9 @@
 	return resp, nil
 }
 
-// exchange sends the call and reads its whole answer. The server's load counts it from
-// here on; whoever takes in how it ended takes it off again, and a panic does so here.
+// roundTrip sends the request and reads the complete response. It counts the request
+// as active at the server; the caller ends that count when it records the outcome. On a
+// panic roundTrip ends it itself.
 func (q *request) roundTrip(run context.Context, b *model.BackendServer) (read *bufferedResponse, err error) {
 	q.Health.Begin(b.Incarnation())
 	returned := false
@@ -156,11 +159,10 @@
 	return read, err
 }
 
-// giveUpIfSlow ends a try that takes much longer than usual, once another server is
-// there and a repeated send is granted. Ended before, a request that may go nowhere
-// else would be lost though its server is still at work on it; asked about only once, it
-// would stay with a server that is silent though another one may answer by then. stop
-// waits for a decision under way.
+// cancelIfSlow cancels an attempt that takes much longer than usual, once another
+// server is available and a retry token is granted. Until then the attempt goes on and
+// the conditions are checked repeatedly. The returned stop function waits for a decision
+// in progress.
 func (q *request) cancelIfSlow(run context.Context, cancel context.CancelCauseFunc, b *model.BackendServer) (stop func()) {
 	usualLatency := q.Health.View(b.Incarnation()).Latency
 	timeout := max(slowAttemptFactor*usualLatency, q.admitted.Route.TargetLatency, minAttemptTimeout)
@@ -171,7 +173,7 @@
 		defer q.recoverTimerPanic()
 		for captureLog := false; !q.mayRetryElsewhere(run); captureLog = true {
 			if !captureLog {
-				klog.InfoS("slow try is kept while it may go nowhere else", "request", q.call.Attempt, "server", b.Incarnation(), "ms", timeout.Milliseconds())
+				klog.InfoS("slow attempt continues: no other server or no retry token available", "request", q.call.Attempt, "server", b.Incarnation(), "ms", timeout.Milliseconds())
 			}
 			if !wait.For(run, timeout) {
 				return
@@ -187,8 +189,8 @@
 	}
 }
 
-// mayLeave tells whether a slow try may be given up: another server is there, and a
-// repeated send is granted.
+// mayRetryElsewhere returns whether another server is available and a retry token was
+// granted, which it then keeps for the next send.
 func (q *request) mayRetryElsewhere(run context.Context) bool {
 	if q.leastCostServer() == nil || !q.takeRetryToken(run) {
 		return false
@@ -197,7 +199,7 @@
 	return true
 }
 
-// recordFailure takes in that a try gave no answer, and why.
+// recordFailure records that an attempt ended without a response.
 func (q *request) recordFailure(b *model.BackendServer, reason endReason, err error, elapsed time.Duration) {
 	sent := !errors.Is(err, ErrNotSent)
 	if sent {
@@ -206,7 +208,7 @@
 		q.sends--
 		q.unsentAttempts++
 	}
-	klog.InfoS("answer lost", "request", q.call.Attempt, "work", q.fingerprint(), "why", reason, "sent", sent, "server", b.Incarnation(), "err", err, "ms", elapsed.Milliseconds())
+	klog.InfoS("attempt failed", "request", q.call.Attempt, "work", q.fingerprint(), "why", reason, "sent", sent, "server", b.Incarnation(), "err", err, "ms", elapsed.Milliseconds())
 	if !reason.countsAsFailure(elapsed) {
 		q.Health.Cancel(b.Incarnation())
 		return
@@ -214,17 +216,17 @@
 	q.Health.End(b.Incarnation(), false, 0)
 	if !sent {
 		until, _ := q.Health.Suspect(b.Incarnation())
-		klog.InfoS("backend server suspected: no connection", "request", q.call.Attempt, "server", b.Incarnation(), "until", until)
+		klog.InfoS("backend server suspected: connection failed", "request", q.call.Attempt, "server", b.Incarnation(), "until", until)
 	}
 }
 
-// judge takes in what an answer says of its server.
+// recordResponse updates the server's health from its response.
 func (q *request) recordResponse(b *model.BackendServer, resp *bufferedResponse, elapsed time.Duration) {
 	switch {
 	case resp.verdict.Misdirected:
 		q.Health.End(b.Incarnation(), false, 0)
 		until, _ := q.Health.Suspect(b.Incarnation())
-		klog.InfoS("backend server suspected: another one has its address", "request", q.call.Attempt, "server", b.Incarnation(), "until", until)
+		klog.InfoS("backend server suspected: another server responded at its address", "request", q.call.Attempt, "server", b.Incarnation(), "until", until)
 	case resp.verdict.NotRun:
 		q.Health.End(b.Incarnation(), false, 0)
 	default:
@@ -233,30 +235,31 @@
 	}
 }
 
-// readWhole reads an answer to its end. An answer that is cut short, or that
-// belongs to another request, is an error.
+// readResponse reads a response completely. It returns an error if the response is
+// truncated, too large, unsigned or belongs to another request.
 func (q *request) readResponse(resp *Response) (*bufferedResponse, error) {
 	defer resp.Body.Close()
 	v := platform.DecodeVerdict(resp.Status, resp.Header)
 	if v.Attempt != "" && v.Attempt != q.call.Attempt {
 		resp.Body.Discard()
-		return nil, errors.Errorf("answer to another request, %s", v.Attempt)
+		return nil, errors.Errorf("response belongs to another request %s", v.Attempt)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedResponse+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "answer cut short")
+		return nil, errors.Wrap(err, "response truncated")
 	}
 	if len(body) > maxBufferedResponse {
 		resp.Body.Discard()
-		return nil, errors.Errorf("answer longer than %d bytes", maxBufferedResponse)
+		return nil, errors.Errorf("response exceeds %d bytes", maxBufferedResponse)
 	}
 	if !v.NotRun && v.Signature == "" {
-		return nil, errors.Errorf("answer with status %d has no signature", resp.Status)
+		return nil, errors.Errorf("response with status %d has no signature", resp.Status)
 	}
 	return &bufferedResponse{status: resp.Status, header: resp.Header, verdict: v, body: body}, nil
 }
 
-// deliver passes a backend server's answer on unchanged.
+// forward writes a backend server's response to the caller. It returns false if the
+// response could not be written.
 func (q *request) forward(resp *bufferedResponse) bool {
 	h := http.Header{}
 	platform.AnswerHeaders(h, resp.header)
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -19,31 +19,30 @@
 	"github.com/skylarkwood/skylarkwood/platform"
 )
 
-// regroupWait is how long an interrupted stream waits before another chain is chosen.
-// Engines that fail together are told of one after the other; chosen at once, the chain
-// would run through the next of them.
+// reselectDelay is the delay before another chain is chosen for an interrupted stream.
+// When engines fail together, their failures are reported one after the other.
 const reselectDelay = 10 * time.Millisecond
 
-// errOutOfOrder says that an engine left an event out.
-var errOutOfOrder = errors.New("event out of order")
+// errOutOfOrder reports that an engine skipped an event.
+var errOutOfOrder = errors.New("event id out of sequence")
 
-// stream is a request that generates, through one chain after another.
+// stream is a request to a service of engines. It runs on one chain after another.
 type stream struct {
 	*request
 	tokens         int
-	lastEventID    int64 // last event that the caller has
+	lastEventID    int64 // last event that the caller received
 	hasLastEventID bool
 	events         int
-	// ranEvents are those of the present run, repeated ones included.
+	// runEvents counts the events of the current run, including repeated ones.
 	runEvents int
-	// ranOn are the first engines that ran it.
+	// firstEngines are the engines that ran the first stage so far.
 	firstEngines    map[model.Incarnation]bool
-	lastEventTime   time.Time         // when the caller got the last event
-	writeErr        error             // why the caller could not be written to
-	failureResponse *bufferedResponse // the last engine's own failure
+	lastEventTime   time.Time         // when the last event was written to the caller
+	writeErr        error             // error of writing to the caller
+	failureResponse *bufferedResponse // the last engine's own failure response
 }
 
-// generate runs a request through chains of engines.
+// serveStream runs a request on chains of engines until one completes it.
 func (q *request) serveStream(ctx context.Context) bool {
 	s := &stream{request: q, tokens: q.expectedTokens(), firstEngines: map[model.Incarnation]bool{}}
 	if id, err := strconv.ParseInt(q.call.ResumeAfter, 10, 64); err == nil {
@@ -61,13 +60,13 @@
 			return complete
 		}
 		if s.writeErr != nil {
-			return q.respondError(fault.New(fault.CancelledSent, "the caller takes no more: %v", s.writeErr))
+			return q.respondError(fault.New(fault.CancelledSent, "writing to the caller failed: %v", s.writeErr))
 		}
 		lastErr = fault.From(err)
 		if ctx.Err() != nil || !s.resumable() || !q.allowResume(ctx, err) {
 			return s.respondFailure(ctx, lastErr)
 		}
-		klog.InfoS("stream resumed at another chain", "request", q.call.Attempt, "after", s.lastEventID, "events", s.events,
+		klog.InfoS("resuming stream on another chain", "request", q.call.Attempt, "after", s.lastEventID, "events", s.events,
 			"err", err, "sends", q.sends, "ms", q.Now().Sub(q.startTime).Milliseconds())
 		if q.runs > 0 {
 			wait.For(ctx, reselectDelay)
@@ -75,9 +74,8 @@
 	}
 }
 
-// respondFailure gives the final answer of a stream that goes on nowhere: an engine's own
-// failure where one came whole and nothing was begun, also when the time is over by
-// now, as it is ready; else the system's.
+// respondFailure ends a stream that is not resumed. An engine's own failure response is
+// forwarded even after the deadline, if no response has begun.
 func (s *stream) respondFailure(ctx context.Context, f *fault.Error) bool {
 	switch {
 	case s.failureResponse != nil && !s.out.headerWritten:
@@ -88,19 +86,19 @@
 	return s.respondError(f)
 }
 
-// runHolding runs the request through one chain and gives its memory back, also where
-// the run panics: the HTTP server recovers, and the memory would stay reserved.
+// runReserved runs the request on one chain and releases its token memory, also if the
+// run panics.
 func (s *stream) runReserved(ctx context.Context, stages []chains.Stage, reservation *chains.Reservation) (done, complete bool, err error) {
 	defer s.WaitQueue.Notify()
 	defer reservation.Release()
 	return s.run(ctx, stages, reservation)
 }
 
-// resumable tells whether another engine can go on where the caller is: events
-// without numbers do not tell where that is, and would come twice.
+// resumable returns whether another chain can continue the stream. Without event IDs the
+// position of the caller is unknown, and events would be repeated.
 func (s *stream) resumable() bool { return s.events == 0 || s.hasLastEventID }
 
-// keepFirst prefers the failure of an engine to the later lack of a chain.
+// preferFirst returns an engine's earlier failure rather than a later lack of chains.
 func preferFirst(first, later *fault.Error) *fault.Error {
 	if first != nil && later.Kind == fault.NoCapacity && first.Kind != fault.Internal {
 		return first
@@ -108,8 +106,8 @@
 	return later
 }
 
-// run sends the request through one chain and passes its events on. done says
-// that the caller has a final answer; whole that it is complete.
+// run sends the request to one chain and forwards its events. done is set if the caller
+// has its final response, complete if that response is complete.
 func (s *stream) run(ctx context.Context, stages []chains.Stage, reservation *chains.Reservation) (done, complete bool, err error) {
 	q := s.request
 	first := stages[0].Server
@@ -137,11 +135,11 @@
 	if v.Attempt != "" && v.Attempt != q.call.Attempt {
 		resp.Body.Discard()
 		q.runs++
-		return false, false, fault.New(fault.BackendFailed, "an engine answered another request")
+		return false, false, fault.New(fault.BackendFailed, "an engine's response belongs to another request")
 	}
 	if v.NotRun {
 		s.handleRefusal(stages, v, resp.Status)
-		return false, false, fault.New(fault.Overloaded, "an engine refused with status %d", resp.Status)
+		return false, false, fault.New(fault.Overloaded, "an engine refused the request with status %d", resp.Status)
 	}
 	q.runs++
 	s.firstEngines[first.Incarnation()] = true
@@ -170,10 +168,10 @@
 		result = runResult(endReasonOf(run, end), end)
 		s.recordChainLoss(w, endReasonOf(run, end), end)
 	}
-	return false, false, fault.New(fault.BackendLost, "a chain broke off after %d events", s.events)
+	return false, false, fault.New(fault.BackendLost, "a chain failed after %d events", s.events)
 }
 
-// forwardSingle passes on an answer that is not a stream of events.
+// forwardSingle forwards a response that is not an event stream.
 func (s *stream) forwardSingle(read *bufferedResponse, err error) (done, complete bool, _ error) {
 	if err != nil {
 		return false, false, fault.New(fault.BackendLost, "%v", err)
@@ -181,9 +179,9 @@
 	return true, s.forward(read), nil
 }
 
-// handleFailureResponse handles an engine's own failure: a stream that has not begun may be
-// tried elsewhere, else the failure is the answer. It is kept, to be the answer also
-// where trying elsewhere comes to nothing.
+// handleFailureResponse handles an engine's own failure response. A stream that has not
+// begun may be retried; the response is kept and forwarded if the retries fail. Otherwise
+// it is forwarded now.
 func (s *stream) handleFailureResponse(resp *Response, read *bufferedResponse, err error) (done, complete bool, _ error) {
 	if err != nil {
 		return false, false, fault.New(fault.BackendFailed, "%v", err)
@@ -195,7 +193,8 @@
 	return false, false, fault.New(fault.BackendFailed, "an engine failed with status %d", resp.Status)
 }
 
-// forwardEvents passes events on until the stream ends; io.EOF is its clean end.
+// forwardEvents forwards events until the stream ends. It returns io.EOF if the stream
+// ended normally.
 func (s *stream) forwardEvents(resp *Response, w *chainWatch) error {
 	q := s.request
 	reader := eventReader{src: resp.Body}
@@ -210,7 +209,7 @@
 				continue
 			}
 			if s.hasLastEventID && ev.id != s.lastEventID+1 {
-				klog.InfoS("event out of order", "request", q.call.Attempt, "id", ev.id, "last", s.lastEventID)
+				klog.InfoS("event id out of sequence", "request", q.call.Attempt, "id", ev.id, "last", s.lastEventID)
 				return errOutOfOrder
 			}
 		}
@@ -238,7 +237,7 @@
 	}
 }
 
-// timeEvent notes the pause before an event.
+// recordEventTime updates the longest gap between events.
 func (s *stream) recordEventTime() {
 	now := s.Now()
 	if !s.lastEventTime.IsZero() {
@@ -247,16 +246,16 @@
 	s.lastEventTime = now
 }
 
-// writeHeader sends the head of the first engine's answer. Streams that are resumed
-// keep it, its signature included.
+// writeHeader sends the header of the first engine's response. A resumed stream keeps it,
+// including its signature.
 func (s *stream) writeHeader(resp *Response) {
 	h := http.Header{}
 	platform.AnswerHeaders(h, resp.Header)
 	s.out.WriteHeader(resp.Status, h, -1)
 }
 
-// succeed takes in that the engines of a chain did their work, as of when it was
-// sent: an engine that drains finishes what it has and takes nothing new.
+// recordSuccess clears the suspicion of the chain's engines. It counts as of the time of
+// sending, because an engine that drains completes what it has and refuses new requests.
 func (s *stream) recordSuccess(stages []chains.Stage, sent time.Time) {
 	for _, stage := range stages {
 		s.Health.ClearSuspicion(stage.Server.Incarnation(), sent)
@@ -264,7 +263,7 @@
 	s.Health.RecordOutcome(stages[0].Server.Incarnation(), true)
 }
 
-// handleRefusal takes in which engine would not run its part.
+// handleRefusal records which engine refused to run its stage.
 func (s *stream) handleRefusal(stages []chains.Stage, v platform.Verdict, status int) {
 	refusing := stages[0].Server
 	for _, stage := range stages {
@@ -274,20 +273,20 @@
 	}
 	s.avoid[refusing.Incarnation()] = true
 	if v.Misdirected {
-		// It is another incarnation, which its report tells, or holds other
-		// layers: reports lag, so only its entry will tell. Each further refusal
-		// doubles the time.
+		// The engine is another incarnation, which its report shows, or holds other
+		// layers, which only its registry entry shows because reports lag.
 		until, isNew := s.Health.Suspect(refusing.Incarnation())
 		if isNew && refusing.Born != 0 {
 			go s.VerifyIncarnation(*refusing)
 		}
-		klog.InfoS("engine suspected: it does not hold its part", "request", s.call.Attempt, "server", refusing.Incarnation(), "until", until)
+		klog.InfoS("engine suspected: it does not hold the layers of its stage", "request", s.call.Attempt, "server", refusing.Incarnation(), "until", until)
 	} else {
 		s.Suspects.Refused(refusing, s.call.Attempt, status)
 	}
 }
 
-// handleSendError takes in that an engine gave no answer, and whether the request was sent.
+// handleSendError records that an engine sent no response, and returns the error. It
+// distinguishes whether the request was sent.
 func (s *stream) handleSendError(run context.Context, w *chainWatch, first *model.BackendServer, err error) *fault.Error {
 	reason := endReasonOf(run, err)
 	if errors.Is(err, ErrNotSent) {
@@ -295,25 +294,24 @@
 		s.unsentAttempts++
 		if reason != noConnection && !(reason == deadlineExceeded && reason.countsAsFailure(s.Now().Sub(w.sentAt))) {
 			s.recordChainLoss(w, reason, err)
-			return fault.New(fault.NotConnected, "the run was ended before it was sent: %s", reason)
+			return fault.New(fault.NotConnected, "the run was cancelled before it was sent: %s", reason)
 		}
 		s.avoid[first.Incarnation()] = true
 		s.Suspects.Unreachable(first, s.call.Attempt, err)
-		return fault.New(fault.NotConnected, "no connection to an engine")
+		return fault.New(fault.NotConnected, "connecting to an engine failed")
 	}
 	s.runs++
 	s.firstEngines[first.Incarnation()] = true
 	s.recordChainLoss(w, reason, err)
-	return fault.New(fault.BackendLost, "an engine was lost before it answered")
+	return fault.New(fault.BackendLost, "an engine was lost before it responded")
 }
 
-// recordChainLoss takes in that a chain broke off, fell silent or was given up by its caller.
-// The caller's end speaks against no engine. Where an engine was found at fault it
-// alone is avoided; else any of the chain may be, and the stream goes on without all
-// of them.
+// recordChainLoss records that a run ended without completing, and excludes the engine at
+// fault from the next chain. If that is unknown, all engines of the chain are excluded.
+// No engine is excluded if the caller, the deadline or the router ended the run.
 func (s *stream) recordChainLoss(w *chainWatch, reason endReason, err error) {
 	stages, failedEngine := w.state()
-	klog.InfoS("chain lost", "request", s.call.Attempt, "work", s.fingerprint(), "why", reason, "sent", !errors.Is(err, ErrNotSent), "chain", chainString(stages), "culprit", failedEngine, "err", err, "events", s.events)
+	klog.InfoS("run on chain failed", "request", s.call.Attempt, "work", s.fingerprint(), "why", reason, "sent", !errors.Is(err, ErrNotSent), "chain", chainString(stages), "culprit", failedEngine, "err", err, "events", s.events)
 	if reason == callerDisconnected || reason == deadlineExceeded || reason == routerStopping {
 		return
 	}
--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -18,7 +18,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/wait"
 )
 
-// logBuffer keeps what is logged.
+// logBuffer records log output.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -30,7 +30,7 @@
 	return l.buf.Write(p)
 }
 
-// linesWith gives the lines with a message.
+// linesWith returns the logged lines with a message.
 func (l *logBuffer) linesWith(msg string) []string {
 	klog.Flush()
 	l.mu.Lock()
@@ -55,7 +55,7 @@
 	return l
 }
 
-// dripping is a stream that gives one event and then nothing until its context ends.
+// stalledBody is a stream that sends one event and then blocks until its context ends.
 type stalledBody struct {
 	ctx  context.Context
 	read bool
@@ -70,9 +70,8 @@
 	return 0, io.ErrUnexpectedEOF
 }
 
-// A caller leaves, or its time ends. Whoever reads the log learns how far the request
-// was: only one that was sent cost an engine's work, and only one that was begun had
-// something of its answer.
+// Guards against log lines that do not show whether an ended request was sent and whether
+// its response had begun.
 func TestRequestLogContainsProgress(t *testing.T) {
 	sent := func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 		<-ctx.Done()
@@ -110,7 +109,7 @@
 			end := log.linesWith("request ended")
 			assert.Equal(t, len(end), 1)
 			assert.Check(t, strings.Contains(end[0], `progress="`+at.progress+`"`), end[0])
-			lost := log.linesWith("chain lost")
+			lost := log.linesWith("run on chain failed")
 			if at.reason == "" {
 				assert.Equal(t, len(lost), 0)
 				return
@@ -121,7 +120,7 @@
 	}
 }
 
-// Each way in which a run at a plain server ends has its own word in one line.
+// Guards against a failed attempt whose log line does not contain the reason.
 func TestFailedAttemptLogContainsReason(t *testing.T) {
 	hangs := func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 		<-ctx.Done()
@@ -149,7 +148,7 @@
 			defer disconnect()
 			time.AfterFunc(time.Second, func() { at.after(s, disconnect) })
 			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, &recordingWriter{})
-			lost := log.linesWith("answer lost")
+			lost := log.linesWith("attempt failed")
 			assert.Equal(t, len(lost), 1)
 			assert.Check(t, strings.Contains(lost[0], `why="`+at.reason+`"`), lost[0])
 		})
