--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay is the life of one caller's request on the users' platform:
-// what it is granted, which backend server or chain of engines runs it, what is
-// done when that fails, and what its caller is told. It answers each request
-// once, and says "not run" only of what surely did not run.
+// Package relay serves one caller's request from admission to response: it
+// chooses a backend server or a chain of engines, retries on failure and writes the
+// response. Each request gets exactly one response. A status that promises that the
+// request did not run is sent only where that is certain.
 package relay
 
 import (
@@ -25,14 +25,14 @@
 	"github.com/skylarkwood/skylarkwood/platform"
 )
 
-// ErrRefused says that no process listens at an address.
+// ErrRefused reports that no process listens at an address.
 var ErrRefused = errors.New("connection refused")
 
-// ErrNotSent says that no byte of a request went out: there was no connection, or
+// ErrNotSent reports that no byte of a request was sent: there was no connection, or
 // the context had ended.
 var ErrNotSent = errors.New("not sent")
 
-// Request is what is sent to a backend server.
+// Request is an HTTP request to a backend server.
 type Request struct {
 	Method string
 	Target string // path and query
@@ -41,136 +41,137 @@
 	Body   []byte
 }
 
-// Response is a backend server's answer while its body is read.
+// Response is a backend server's response whose body has not been read yet.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   ResponseBody
 }
 
-// ResponseBody reads an answer's body. Read gives io.EOF only where the answer is
-// whole. Done must be called; further calls do nothing.
+// ResponseBody reads the body of a response. Read returns io.EOF only after the
+// complete body. The caller must call Close; further calls do nothing.
 type ResponseBody interface {
 	io.Reader
-	// Discard marks the connection as unfit for another request.
+	// Discard prevents the connection from being reused for another request.
 	Discard()
 	Close()
 }
 
-// BackendClient sends requests to backend servers, each once. ErrNotSent is proof
-// that nothing was sent; after any other error the request may have run.
+// BackendClient sends requests to backend servers, each exactly once. ErrNotSent
+// proves that nothing was sent; after any other error the request may have run.
 type BackendClient interface {
 	Do(ctx context.Context, addr string, r *Request) (*Response, error)
-	// CloseIdle closes the idle connections to an address, whose process has ended:
-	// one that is silent would take another request.
+	// CloseIdle closes the idle connections to an address whose process has exited.
+	// A connection that was not reset would otherwise be reused.
 	CloseIdle(addr string)
 }
 
-// ResponseWriter is who waits for the answer.
+// ResponseWriter writes the response to the caller.
 type ResponseWriter interface {
-	// WriteHeader sends the head. length is -1 where the body's end is not known.
+	// WriteHeader sends the status and the headers. length is -1 if the length of the
+	// body is not known.
 	WriteHeader(status int, header http.Header, length int64)
-	// Write sends a part of the body at once.
+	// Write sends a part of the body without buffering it.
 	Write(p []byte) error
 }
 
-// Observer counts what happens to requests.
+// Observer records request metrics.
 type Observer interface {
 	Request(route, service, outcome, kind string, elapsed time.Duration)
 	FirstEvent(service string, elapsed time.Duration)
 	Retry(service, reason string)
 }
 
-// SuspectTracker takes in evidence that an engine does not answer. It gets nothing
-// until it has answered again.
+// SuspectTracker collects evidence that engines do not respond. A suspected engine
+// gets no requests until it has responded again.
 type SuspectTracker interface {
 	Unreachable(b *model.BackendServer, request string, err error)
-	// Refused takes in that an engine answered and refused its work.
+	// Refused records that an engine responded but refused a request.
 	Refused(b *model.BackendServer, request string, status int)
-	// Exited takes in that an engine's process ended.
+	// Exited records that an engine's process has exited.
 	Exited(engine model.Incarnation)
-	// Responded takes in that this incarnation answered what it was asked at some
-	// time.
+	// Responded records that an incarnation responded to a report request sent at the
+	// given time.
 	Responded(engine model.Incarnation, requestedAt time.Time)
-	// Lost tells whether an engine's process ended or has long been silent.
+	// Lost returns whether an engine's process has exited or has not responded for a
+	// long time.
 	Lost(engine model.Incarnation) bool
 }
 
-// Relay serves callers' requests.
+// Relay serves callers' requests. Its fields must be set before the first call.
 type Relay struct {
 	Config  *routes.ActiveConfig
 	Catalog *catalog.Catalog
 	Health  *catalog.Health
 	Chooser *chains.Chooser
 	Memory  *chains.UsageTracker
-	// RetryBorrower holds the budget for repeated sends, and what is borrowed for it.
+	// RetryBorrower holds the retry budget and borrows retry tokens from peers.
 	RetryBorrower *limits.RetryBorrower
 	WaitQueue     *admission.WaitQueue
 	BackendClient BackendClient
 	Observer      Observer
-	// OnPanic counts a fault of the code that ended a request or one run of it, by
-	// where it was; nil for nobody.
+	// OnPanic counts a recovered panic by the place where it was recovered; may be nil.
 	OnPanic func(where string)
-	// ActiveRuns is the work in progress at backend servers.
+	// ActiveRuns holds the runs in progress at backend servers.
 	ActiveRuns *ActiveRuns
-	// Suspects is told of engines that do not answer.
+	// Suspects collects evidence about engines that do not respond.
 	Suspects        SuspectTracker
 	SlowdownMonitor *SlowdownMonitor
-	// Detector relates the progress of streams to the engines they run through.
+	// Detector infers failed engines from the progress of the streams that use them.
 	Detector *detector.Detector
-	// Quarantine knows the requests under which servers end. Trial asks whether one of
-	// them may run at servers, alone among its kind.
+	// Quarantine tracks requests under which backend servers exit. RequestTrial asks for
+	// permission to run such a request at servers that run no other suspect.
 	Quarantine   *quarantine.Tracker
 	RequestTrial func(ctx context.Context, fingerprint model.Fingerprint, servers []model.Incarnation) quarantine.Grant
-	// CheckListening asks whether a process takes connections at an address; an error other than
-	// ErrRefused leaves that open.
+	// CheckListening returns nil if a process accepts connections at an address and
+	// ErrRefused if none does; any other error is inconclusive.
 	CheckListening func(ctx context.Context, addr string) error
 	FailureDomain  string
-	// MaxConfigAge is how long ago the configuration may have been confirmed
-	// for a refusal that rests on it.
+	// MaxConfigAge is the greatest age of the configuration's last confirmation at which
+	// it may justify a permanent refusal.
 	MaxConfigAge time.Duration
-	// Clock goes on while the instance is suspended.
+	// Clock keeps running while the instance is suspended.
 	Clock func() time.Duration
 	Now   func() time.Time
-	// Started is when the process began to take requests.
+	// Started is when the process began to accept requests.
 	Started time.Time
 }
 
-// request is one request on its way.
+// request is the state of one request.
 type request struct {
 	*Relay
 	call      *model.Call
 	admitted  routes.Admission
 	out       *headerTracker
 	startTime time.Time
-	// runs counts the sends that may have run; sends counts all.
+	// runs counts the sends that may have run; sends counts all sends.
 	runs, sends int
-	// unsent counts the tries of which nothing went out.
+	// unsentAttempts counts the attempts of which nothing was sent.
 	unsentAttempts     int
-	waitingForCapacity bool // for room at the engines
-	// granted says that the next repeated send was taken from the budget already.
+	waitingForCapacity bool
+	// retryGranted is set if a token for the next retry was already taken.
 	retryGranted bool
 	avoid        map[model.Incarnation]bool
-	// fingerprint is the request's, made when it is first asked for: by the request, or by
-	// whoever tells of a server's end.
+	// cachedFingerprint is computed on first use, possibly by the goroutine that reports
+	// a server's exit.
 	cachedFingerprint model.Fingerprint
 	fingerprintOnce   sync.Once
-	// barred is where the request may not run now though others may.
+	// excluded lists the servers and domains that are excluded for this request only.
 	excluded exclusions
 	chain    string // for the log
-	// firstEvent and longestGap describe a stream as its caller saw it; 0
-	// where there was none.
+	// timeToFirstEvent and longestGap describe the stream as its caller received it;
+	// 0 if there was none.
 	timeToFirstEvent, longestGap time.Duration
 }
 
-// Serve answers one request. whole is false where the caller's connection must
-// be broken off, because the answer cannot be completed.
+// Serve handles one request. It returns false if the response is incomplete and the
+// caller's connection must be aborted.
 func (r *Relay) Serve(ctx context.Context, c *model.Call, caller ResponseWriter) (complete bool) {
 	q := &request{Relay: r, call: c, out: &headerTracker{ResponseWriter: caller}, startTime: r.Now(), avoid: map[model.Incarnation]bool{}}
 	defer q.recoverPanic(&complete)
 	table := r.table(ctx)
 	if table == nil {
-		return q.respondError(fault.New(fault.NotReady, "no configuration yet"))
+		return q.respondError(fault.New(fault.NotReady, "no configuration loaded yet"))
 	}
 	admitted, denied := table.Admit(c, q.startTime)
 	q.admitted = admitted
@@ -189,14 +190,12 @@
 	return q.servePlain(ctx)
 }
 
-// startWait is for how long after its start a router lets requests wait for the
-// first configuration. It comes within milliseconds from the store, within half
-// a second from a peer, and within the store's first reads after an outage;
-// callers of a site that restarts have one retry, which a refusal would use up.
+// startupConfigTimeout bounds, from the start of the process, how long requests wait
+// for the first configuration. Callers retry only once, and a refusal would use that up.
 const startupConfigTimeout = 2 * time.Second
 
-// table gives the configuration in force. Right after the start it waits for
-// the first one.
+// table returns the active configuration, or nil if there is none. Shortly after the
+// start it waits for the first one.
 func (r *Relay) table(ctx context.Context) *routes.Table {
 	table := r.Config.Load()
 	remaining := startupConfigTimeout - r.Now().Sub(r.Started)
@@ -213,7 +212,7 @@
 	return r.Config.Load()
 }
 
-// left is how much time the request has; 0 where it has no bound.
+// remaining returns the time left until the request's deadline; 0 if it has none.
 func (q *request) remaining() time.Duration {
 	if q.admitted.Deadline.IsZero() {
 		return 0
