--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// roomWait is how long a new stream waits for token memory, as a share of
-	// its target latency: what is left must do for the first event.
+	// capacityWaitShare is the share of the target latency that a new stream may wait for
+	// token memory. The rest is left for the first event.
 	capacityWaitShare = 0.8
-	// callersPatience is the silence after which a stream's caller leaves, and a
-	// little more: an interrupted stream looks for another chain as long. Broken
-	// off sooner, its caller would lose it though a chain may be whole again, as
-	// engines that leave are replaced within that time.
+	// callerGapTimeout is slightly longer than the pause after which callers abandon a
+	// stream. An interrupted stream looks for another chain for that long, as engines
+	// that leave are replaced within that time.
 	callerGapTimeout = 2100 * time.Millisecond
-	// chainPoll is between two looks of an interrupted stream that no chain took.
+	// chainPollInterval is the interval at which an interrupted stream looks for a chain
+	// after leaving the wait queue.
 	chainPollInterval = 50 * time.Millisecond
-	// answerMargin multiplies the caller's estimate of the answer's length.
+	// responseTokenMargin multiplies the estimated number of response tokens.
 	responseTokenMargin = 1.25
 )
 
-// size is how many tokens the request will hold: its prompt, and its answer as
-// the caller guesses it or as is usual.
+// expectedTokens returns the number of tokens to reserve memory for: those of the prompt
+// and of the response, as estimated by the caller or as usual for the service.
 func (q *request) expectedTokens() int {
 	spec := q.admitted.Service.Engine
 	responseTokens := float64(q.call.AnswerHint)
@@ -50,19 +50,20 @@
 	return q.admitted.Service.Engine.UsualPrompt
 }
 
-// mayResume decides whether the stream goes on elsewhere.
+// allowResume returns whether the stream may be resumed at another chain, and takes a
+// retry token for that.
 func (q *request) allowResume(ctx context.Context, err error) bool {
 	if q.runs == 0 {
 		return q.allowRetry(ctx, "refused")
 	}
-	// An engine that was lost does not count as an attempt, and a stream that
-	// may be resumed is worth more sends than a fresh one.
+	// An engine that was lost does not count as an attempt, so the route's
+	// MaxAttempts does not apply here.
 	if !q.admitted.Idempotent() || q.sends >= maxSends {
 		return false
 	}
 	if !q.takeRetryToken(ctx) {
 		if ctx.Err() == nil {
-			klog.InfoS("not resumed: the retry budget is used up", "request", q.call.Attempt, "err", err)
+			klog.InfoS("stream not resumed: retry budget exhausted", "request", q.call.Attempt, "err", err)
 		}
 		return false
 	}
@@ -70,7 +71,8 @@
 	return true
 }
 
-// acquire chooses a chain and reserves its memory, waiting a moment for room.
+// reserveChain chooses a chain and reserves its token memory. It waits for capacity for
+// a limited time.
 func (s *stream) reserveChain(ctx context.Context) ([]chains.Stage, *chains.Reservation, *fault.Error) {
 	q := s.request
 	requirements := chains.Requirements{Domain: q.FailureDomain, Tokens: s.tokens, MaxEventGap: q.admitted.Route.TargetGap, Avoid: q.avoid, FirstStageIn: s.allowedFirstEngines(), Resumed: s.events > 0}
@@ -103,7 +105,8 @@
 	waiter := admission.Request{Customer: q.admitted.Customer, Priority: -q.admitted.Priority}
 	q.waitingForCapacity = true
 	gotCapacity := q.WaitQueue.Wait(ctx, waiter, maxWait, reserve)
-	// Not in the line: there a stream that no chain serves would hold up others.
+	// Poll outside of the wait queue, where a stream without a chain would block
+	// others.
 	for s.events > 0 && reservation == nil && q.Now().Before(until) && wait.For(ctx, chainPollInterval) {
 		clear(q.avoid)
 		reserve()
@@ -115,7 +118,7 @@
 	case ctx.Err() != nil:
 		return nil, nil, q.contextError(ctx)
 	case result == chains.NoChain && len(q.avoid) > 0:
-		// Better an engine that failed once than none.
+		// No other chain exists, so engines that failed before are allowed again.
 		clear(q.avoid)
 		if reserve(); reservation != nil {
 			q.waitingForCapacity = false
@@ -123,17 +126,17 @@
 		}
 	}
 	if result == chains.NoChain {
-		return nil, nil, fault.New(fault.NoCapacity, "the engines in reach do not hold all layers: %s", q.Chooser.ExplainNoChain(q.admitted.Service, requirements))
+		return nil, nil, fault.New(fault.NoCapacity, "no chain of available engines holds all layers: %s", q.Chooser.ExplainNoChain(q.admitted.Service, requirements))
 	}
-	f := fault.New(fault.Overloaded, "no chain has room: %d wait, waited %v, admitted %t, short of %s", q.WaitQueue.Len(), maxWait, gotCapacity,
+	f := fault.New(fault.Overloaded, "no chain has capacity: %d requests waiting, waited %v, admitted %t, exhausted resource: %s", q.WaitQueue.Len(), maxWait, gotCapacity,
 		q.Chooser.ExhaustedResource(q.admitted.Service, requirements))
 	return nil, nil, f
 }
 
-// firstAmong bounds the engines that run a request as the first of a chain to
-// the route's attempts: once they are used up, the stream goes on only where it
-// ran before. An engine that was lost is no attempt; one that is only gone from the
-// list leaves, and may serve on for many seconds.
+// allowedFirstEngines returns the engines that may run the first stage, or nil if any
+// may. Once the route's attempts are used up, only first engines that ran the stream
+// before are allowed. A lost engine does not count as an attempt. One whose entry was
+// removed still counts, as it may keep serving while it drains.
 func (s *stream) allowedFirstEngines() map[model.Incarnation]bool {
 	alive := map[model.Incarnation]bool{}
 	for inc := range s.firstEngines {
