--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -12,19 +12,20 @@
 	"github.com/skylarkwood/skylarkwood/platform"
 )
 
-// deny answers what the configuration does not allow. An old configuration
-// may lack a route or key that is in force: then the request is refused for
-// now, which its caller may repeat, and not for good.
+// reject responds that the configuration does not allow the request. If the
+// configuration may be out of date, a permanent refusal is replaced by a temporary one
+// that the caller may retry.
 func (q *request) reject(f *fault.Error) bool {
 	age := q.Config.Age(q.Clock())
 	permanent := f.Kind == fault.NotFound || f.Kind == fault.UnknownCustomer
 	if permanent && age > q.MaxConfigAge {
-		f = fault.New(fault.StaleConfig, "the configuration is not known to be current: %s", f.Msg)
+		f = fault.New(fault.StaleConfig, "the configuration may be out of date: %s", f.Msg)
 	}
 	return q.respondError(f)
 }
 
-// refuse gives the final answer of the system's own.
+// respondError ends the request with an error response of the router. It returns false
+// if a response has already begun.
 func (q *request) respondError(f *fault.Error) bool {
 	status := f.Kind.Answer().Status
 	if q.runs > 0 && promisesNotRun(status) {
@@ -45,12 +46,12 @@
 	body := []byte(f.Error() + "\n")
 	q.out.WriteHeader(status, h, int64(len(body)))
 	if err := q.out.Write(body); err != nil {
-		klog.V(1).InfoS("refusal not delivered", "request", q.call.Attempt, "err", err)
+		klog.V(1).InfoS("error response not written", "request", q.call.Attempt, "err", err)
 	}
 	return true
 }
 
-// promisesNotRun lists the statuses that promise it.
+// promisesNotRun returns whether a status promises that the request did not run.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -59,7 +60,7 @@
 	return false
 }
 
-// finish writes the request's line and counts it.
+// finish logs the end of the request and records its metrics.
 func (q *request) finish(outcome string, f *fault.Error, status int) {
 	elapsed := q.Now().Sub(q.startTime)
 	kind := ""
@@ -82,8 +83,7 @@
 		"configVersion", q.admitted.Version, "configAgeMs", q.Config.Age(q.Clock()).Milliseconds())
 }
 
-// progress is how far the request was when it ended, for the log: whether a server had
-// it, and whether its caller has something of an answer.
+// progress returns, for the log, how far the request got before it ended.
 func (q *request) progress() string {
 	switch {
 	case q.out.headerWritten:
@@ -96,21 +96,21 @@
 	return "before sending"
 }
 
-// ended gives the answer for a request whose time is over, whose caller left, or whose
-// router stops.
+// contextError returns the error for a request whose context ended: its deadline passed,
+// its caller disconnected, or the router is stopping.
 func (q *request) contextError(ctx context.Context) *fault.Error {
 	stopping := errors.Is(context.Cause(ctx), ErrStopping)
 	switch {
 	case stopping && q.runs == 0:
-		return fault.New(fault.Leaving, "the router stops, and nothing was sent")
+		return fault.New(fault.Leaving, "the router is stopping and the request was not sent")
 	case stopping:
-		return fault.New(fault.BackendLost, "the router stops before the answer came")
+		return fault.New(fault.BackendLost, "the router stopped before the response was complete")
 	case errors.Is(ctx.Err(), context.Canceled) && q.runs == 0:
-		return fault.New(fault.CancelledUnsent, "the caller left before anything was sent")
+		return fault.New(fault.CancelledUnsent, "the caller disconnected before the request was sent")
 	case errors.Is(ctx.Err(), context.Canceled):
-		return fault.New(fault.CancelledSent, "the caller left")
+		return fault.New(fault.CancelledSent, "the caller disconnected")
 	case q.runs == 0:
-		return fault.New(fault.TimedOutUnsent, "no time left, and nothing was sent")
+		return fault.New(fault.TimedOutUnsent, "the deadline passed before the request was sent")
 	}
-	return fault.New(fault.Deadline, "no answer in time")
+	return fault.New(fault.Deadline, "the deadline passed before the response was complete")
 }
