--- a/internal/protocol/relay/ending.go
+++ b/internal/protocol/relay/ending.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// ending says why work at a backend server ended before its answer was whole. It is
-// the cause with which the relay cancels a run's context, and stands in the log.
+// endReason is why a run at a backend server ended without a complete response. It is the
+// cause with which the relay cancels the run's context, and is logged.
 type endReason string
 
 const (
@@ -23,14 +23,14 @@
 	routerStopping     endReason = "router stops"
 )
 
-// ErrStopping is the cause with which a request's context ends where its router stops
-// and the time for that is nearly over.
+// ErrStopping is the cancellation cause of requests that still run when the router's
+// shutdown timeout is about to expire.
 var ErrStopping error = routerStopping
 
 func (e endReason) Error() string { return string(e) }
 
-// endingOf tells why a run ended with err. What cancelled its context comes first:
-// the broken connection is only its effect.
+// endReasonOf returns why a run ended with err. The cause of a cancelled context takes
+// precedence, as a broken connection is then only its effect.
 func endReasonOf(run context.Context, err error) endReason {
 	var reason endReason
 	cause := context.Cause(run)
@@ -47,15 +47,16 @@
 	return connectionLost
 }
 
-// overdue tells whether a context's time is over: a dial that is bound by the same
-// time may notice first.
+// deadlinePassed returns whether a context's deadline has passed. A dial with the same
+// deadline may fail shortly before the context is cancelled.
 func deadlinePassed(ctx context.Context) bool {
 	until, ok := ctx.Deadline()
 	return ok && !time.Now().Before(until)
 }
 
-// blames tells whether an end speaks against the server. A caller that leaves says
-// nothing of it, nor does a router that stops or a deadline that left it no time.
+// countsAsFailure returns whether the end of a run is evidence against its server. It is
+// not if the caller disconnected, the router is stopping, or the deadline left the
+// server too little time.
 func (e endReason) countsAsFailure(elapsed time.Duration) bool {
 	switch e {
 	case callerDisconnected, routerStopping:
