--- a/internal/protocol/relay/events.go
+++ b/internal/protocol/relay/events.go
@@ -8,32 +8,31 @@
 	"github.com/pkg/errors"
 )
 
-// maxEvent bounds one event; the engines' are some hundred bytes.
+// maxEventBytes bounds the size of one event.
 const maxEventBytes = 1 << 20
 
-// event is one whole event of a stream, as the engine sent it.
+// event is one complete event of a stream, as the engine sent it.
 type event struct {
 	raw []byte
-	// id is its number; hasID is false for events without one.
+	// id is valid only if hasID is set.
 	id    int64
 	hasID bool
 }
 
-// eventReader cuts a stream into whole events. What an engine that broke off
-// left of an event is never passed on.
+// eventReader splits a stream into complete events. It never returns a partial event.
 type eventReader struct {
 	src io.Reader
 	buf []byte
-	pos int // events before it were given out
+	pos int // start of the unread events
 	eof bool
 }
 
 var (
-	errTruncatedEvent = errors.New("stream ends in the middle of an event")
-	errEventTooLong   = errors.New("event is too long")
+	errTruncatedEvent = errors.New("stream truncated within an event")
+	errEventTooLong   = errors.New("event exceeds the size limit")
 )
 
-// next gives the next whole event; io.EOF at a clean end of the stream. The
+// next returns the next complete event, or io.EOF if the stream ends after one. The
 // event is valid until the next call.
 func (r *eventReader) next() (event, error) {
 	for {
@@ -76,8 +75,8 @@
 	return err
 }
 
-// endOfEvent is where the first event ends, blank line included; 0 if it is not
-// whole yet.
+// eventEnd returns the length of the first event including its blank line; 0 if it is
+// incomplete.
 func eventEnd(b []byte) int {
 	lf := bytes.Index(b, []byte("\n\n"))
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
