--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -6,8 +6,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// runFailure is why a run is ended, and by whose fault; culprit is empty where that is
-// not known.
+// runFailure is why a run is ended. failedEngine is empty if it is unknown.
 type runFailure struct {
 	failedEngine model.Incarnation
 	reason       endReason
@@ -15,11 +14,10 @@
 	err          error
 }
 
-// endIfUnchanged ends a run for what was found out when its news count stood at news. It asks
-// again under the lock that it ends the run with: an event that came since, or a move,
-// shows that the chain works. A run that no other engine may go on with, or for which
-// no repeated send is granted, is kept: its end would be a sure loss, while a silent
-// engine may go on; its caller decides how long to wait.
+// endIfUnchanged ends a run for a failure that was found at the given generation. A newer
+// event or a rerouting proves that the chain works. The run also continues if no other
+// engine may resume it or no retry token is granted, because ending it would certainly
+// lose the stream while a stalled engine may recover.
 func (w *chainWatch) endIfUnchanged(generation int, f runFailure) {
 	retryGranted := !w.final && w.takeRetryToken()
 	w.mu.Lock()
@@ -31,14 +29,14 @@
 		w.endLocked(f)
 		return
 	}
-	klog.InfoS("run kept: no other engine may go on", "request", w.q.call.Attempt, "why", f.reason, "culprit", f.failedEngine, "silences", f.stalls, "begun", w.hasEvents, "budget", !w.final, "err", f.err)
+	klog.InfoS("stalled run continues: no other engine may resume it or no retry token available", "request", w.q.call.Attempt, "why", f.reason, "culprit", f.failedEngine, "silences", f.stalls, "begun", w.hasEvents, "budget", !w.final, "err", f.err)
 	if !w.final {
 		w.timer.Reset(nextEventTimeout)
 	}
 }
 
-// takeRetryToken takes a repeated send from the budget for what follows this run. It stays
-// granted where the chain speaks again before it is ended.
+// takeRetryToken takes a retry token for what follows this run. The token is kept if the
+// chain recovers before the run is ended.
 func (w *chainWatch) takeRetryToken() bool {
 	w.mu.Lock()
 	retryGranted := w.retryGranted
@@ -52,7 +50,7 @@
 	return true
 }
 
-// end ends a run that is not over yet.
+// end ends a run that has not ended yet.
 func (w *chainWatch) end(f runFailure) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -61,9 +59,9 @@
 	}
 }
 
-// endIfThrough ends a run for an engine whose process has ended, if it still runs through
-// it. The same end may be told again, by another watcher, and the run moved away since;
-// a move under way decides for itself.
+// endIfUses ends a run because an engine has exited, if the run still uses that engine. The
+// same exit may be reported twice, with a rerouting in between. A rerouting in progress
+// decides on its own.
 func (w *chainWatch) endIfUses(lost model.Incarnation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
