--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -14,16 +14,16 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// mostMoves is how many paths a stream is ordered to take in one move: each refusal
-// names one more engine that does not take its part.
+// maxRerouteOrders bounds the orders sent for one rerouting. Each refusal names one more
+// engine that does not run its stage.
 const maxRerouteOrders = 4
 
-// leaveEngines takes the run away from engines. Several streams may find the same
-// engine at fault; a run that was moved already stays.
+// leaveEngines reroutes or ends the run because engines of its chain are lost. Several
+// streams may report the same engine; a run that no longer uses it is left unchanged.
 //
-// A run that may be sent anew is: its tokens are read by the engines of another chain,
-// each a few layers, and all streams of the lost engine spread over all chains. Moved,
-// they would all wait for the lost engine's twin to read.
+// A run that may be restarted is ended rather than rerouted: the engines of a new chain
+// share the prefill of its tokens, and the streams of the lost engine spread over all
+// chains. Rerouted, they would all wait for prefill at its replacement.
 func (w *chainWatch) leaveEngines(lost engineSet, reason endReason) {
 	defer w.recoverPanic()
 	w.mu.Lock()
@@ -51,8 +51,9 @@
 	}
 }
 
-// finishReroute ends a move: the run goes through other engines now, if there are any.
-// It tells the count of news as of then.
+// finishReroute ends a rerouting. newStages is the new chain, or nil if the rerouting
+// failed.
+// It returns the generation afterwards, and whether the run continues on the new chain.
 func (w *chainWatch) finishReroute(newStages []chains.Stage) (generation int, rerouted bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -71,8 +72,8 @@
 	return w.generation, true
 }
 
-// routeAround orders the first engine to send the stream around engines; nil if
-// that cannot be done.
+// routeAround orders the first engine to route the stream around lost engines. It returns
+// the new chain, or nil if that is not possible.
 func (w *chainWatch) routeAround(stages []chains.Stage, lost engineSet) []chains.Stage {
 	q := w.q
 	if !q.admitted.Idempotent() || !q.mayReroute() || w.hasUnconfirmedOrder() {
@@ -107,18 +108,18 @@
 	return nil
 }
 
-// sendReroute orders the first engine to send the stream over another path.
+// sendReroute orders the first engine to route the stream over another path.
 func (w *chainWatch) sendReroute(next []chains.Stage, avoid engineSet) error {
 	ctx, cancel := context.WithTimeout(context.Background(), rerouteTimeout)
 	defer cancel()
 	began := w.q.Now()
 	err := w.q.Reroute(ctx, next[0].Server, w.q.call.Attempt, hops(next))
-	klog.InfoS("stream rerouted", "request", w.q.call.Attempt, "lost", slices.Collect(maps.Keys(avoid)), "chain", chainString(next), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
+	klog.InfoS("stream reroute finished", "request", w.q.call.Attempt, "lost", slices.Collect(maps.Keys(avoid)), "chain", chainString(next), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
 	return err
 }
 
-// refusedAt takes in which engine a path was refused for. One that the stream ran
-// through before is lost to all streams; another one may only be full.
+// handleRerouteRefusal records which engine a path was refused for. An engine that the
+// stream used before is lost to all streams; another one may only be full.
 func (w *chainWatch) handleRerouteRefusal(server *model.BackendServer, before []chains.Stage, err error) {
 	if uses(before, server.Incarnation()) {
 		w.failEngine(server, err)
@@ -138,7 +139,7 @@
 	return ok
 }
 
-// usesAny gives the first engine of a chain that is in a set.
+// firstEngineIn returns the first engine of a chain that is in a set.
 func firstEngineIn(stages []chains.Stage, set engineSet) (engine model.Incarnation, ok bool) {
 	for _, stage := range stages {
 		if inc := stage.Server.Incarnation(); set[inc] {
