--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// paceEvents is over how many events a chain's speed is judged.
+	// speedSampleEvents is the number of events over which a chain's speed is determined.
 	speedSampleEvents = 10
-	// slowFactor is how much slower than planned a chain must be for its engines to
-	// be asked. A busy chain is slower than the sum of its steps, as tokens wait for
-	// passes in progress.
+	// slowChainFactor is how much slower than planned a chain must be before its engines
+	// are polled. Under load a chain is slower than the sum of its steps, as tokens wait
+	// for passes in progress.
 	slowChainFactor = 2.5
-	// slowdownPollInterval is how long an engine's word about its pace is good for.
+	// slowdownPollInterval is the minimum interval between polls of one engine.
 	slowdownPollInterval = time.Second
 )
 
-// SlowdownMonitor finds engines that are slower than their cards. An engine knows its own
-// slowdown and says it when asked; it is asked when a chain through it is slow,
-// and while it stays slow.
+// SlowdownMonitor finds engines that are slower than their type of accelerator should
+// be. An engine reports its own slowdown. It is polled when a chain through it is slow,
+// and as long as it stays slow.
 type SlowdownMonitor struct {
 	Memory  *chains.UsageTracker
 	Catalog *catalog.Catalog
@@ -36,12 +36,13 @@
 	lastPolled map[model.Incarnation]time.Time
 }
 
-// NewSlowdownMonitor makes a pacer.
+// NewSlowdownMonitor returns a monitor whose exported fields must be set before use.
 func NewSlowdownMonitor() *SlowdownMonitor {
 	return &SlowdownMonitor{lastPolled: map[model.Incarnation]time.Time{}}
 }
 
-// Check asks the engines of a chain that is slow.
+// Check polls the engines of a slow chain. actual and planned are the intervals between
+// events, for the log.
 func (m *SlowdownMonitor) Check(stages []chains.Stage, request string, actual, planned time.Duration) {
 	for _, stage := range stages {
 		if m.pollDue(stage.Server.Incarnation()) {
@@ -50,7 +51,7 @@
 	}
 }
 
-// Recheck asks the engines that were slow when they were last asked.
+// Recheck polls the engines that reported a slowdown when last polled.
 func (m *SlowdownMonitor) Recheck() {
 	for _, inc := range m.Memory.SlowEngines() {
 		b := m.Catalog.Load().Find(inc)
@@ -86,13 +87,13 @@
 	defer cancel()
 	report, err := m.Report(ctx, b)
 	if err != nil {
-		klog.V(1).InfoS("engine did not tell its pace", "server", b.Incarnation(), "err", err)
+		klog.V(1).InfoS("engine slowdown not available", "server", b.Incarnation(), "err", err)
 		return
 	}
 	used := m.Memory.Used(b.Incarnation())
-	klog.InfoS("engine's report", "request", request, "server", b.Incarnation(), "usedTokenLayers", report.UsedTokenLayers, "totalTokenLayers", report.TotalTokenLayers,
+	klog.InfoS("engine report", "request", request, "server", b.Incarnation(), "usedTokenLayers", report.UsedTokenLayers, "totalTokenLayers", report.TotalTokenLayers,
 		"countedTokenLayers", used.TokenLayers, "countedStreams", used.Streams, "reading", used.PrefillLoad, "inFlight", report.Active, "queued", report.Queued, "slowdown", report.Slowdown)
 	if m.Memory.SetSlowdown(b.Incarnation(), report.Slowdown) {
-		klog.InfoS("engine's slowdown", "request", request, "server", b.Incarnation(), "factor", report.Slowdown, "eventGap", actual, "planned", planned)
+		klog.InfoS("engine slowdown changed", "request", request, "server", b.Incarnation(), "factor", report.Slowdown, "eventGap", actual, "planned", planned)
 	}
 }
