--- a/internal/protocol/relay/panic.go
+++ b/internal/protocol/relay/panic.go
@@ -10,10 +10,10 @@
 	"github.com/skylarkwood/skylarkwood/internal/fault"
 )
 
-// errPanicked says that the code of a request panicked.
-var errPanic = errors.New("panic in the code")
+// errPanic is logged and reported when the code panicked.
+var errPanic = errors.New("recovered from panic")
 
-// headerTracker is a caller that remembers whether it has the head of an answer.
+// headerTracker is a ResponseWriter that records whether the header was written.
 type headerTracker struct {
 	ResponseWriter
 	headerWritten bool
@@ -24,30 +24,29 @@
 	t.ResponseWriter.WriteHeader(status, header, length)
 }
 
-// contain, deferred, ends a request whose code panicked: its caller is told that the
-// request may have run, or is cut off where an answer has begun. Left to the standard
-// server the connection would be closed with no answer, and the end could not be told
-// from the process's own.
+// recoverPanic is deferred. It ends a request whose handling panicked: the caller is told
+// that the request may have run, or its connection is aborted if a response has begun.
+// Left to the HTTP server, the connection would be closed without a response, as if the
+// process had exited.
 //
-// The other requests may go on: what requests share changes in short sections under
-// locks that only count, and the search for a chain, where a fault is likeliest, works
-// on what is never changed in place.
+// Other requests may continue. Shared state is modified only in short critical sections,
+// and the search for a chain works on immutable data.
 func (q *request) recoverPanic(complete *bool) {
 	cause := recover()
 	if cause == nil {
 		return
 	}
 	if err, ok := cause.(error); ok && errors.Is(err, http.ErrAbortHandler) {
-		panic(cause) // no fault: the connection is to be aborted
+		panic(cause) // deliberate abort of the connection
 	}
 	q.reportPanic("request", cause)
 	q.runs = max(q.runs, q.sends)
-	*complete = q.respondError(fault.New(fault.BackendLost, "a fault inside the router ended the request"))
+	*complete = q.respondError(fault.New(fault.BackendLost, "internal error in the router"))
 }
 
-// contain is the same for what watches a run beside its request: the run is ended,
-// and the stream goes on through another chain. The watch's lock is free by then: what
-// ask and leave call under it gives it back by a deferred call.
+// recoverPanic is the equivalent for goroutines that watch a run: the run is ended, and
+// the stream continues on another chain. w.mu is not held at that point, because callees
+// that lock it unlock it by defer.
 func (w *chainWatch) recoverPanic() {
 	if cause := recover(); cause != nil {
 		w.q.reportPanic("watch", cause)
@@ -55,15 +54,16 @@
 	}
 }
 
-// containSlow is the same for the timer of a slow try, which then goes on.
+// recoverTimerPanic is the equivalent for the timer of a slow attempt, which then
+// continues.
 func (q *request) recoverTimerPanic() {
 	if cause := recover(); cause != nil {
 		q.reportPanic("slow try", cause)
 	}
 }
 
-// tellPanic logs and counts a panic. It is called by what recovered it, so that the
-// stack is that of the fault.
+// reportPanic logs and counts a panic. It is called by the deferred function that
+// recovered it, so that the stack contains the origin.
 func (q *request) reportPanic(where string, cause any) {
 	klog.ErrorS(errPanic, "fault in the code", "request", q.call.Attempt, "where", where, "panic", cause, "stack", string(debug.Stack()))
 	if q.OnPanic != nil {
