--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// checkWait bounds the order that confirms a path.
+	// pathCheckTimeout bounds the order that confirms a stream's path.
 	pathCheckTimeout = 100 * time.Millisecond
-	// leastSilence is the least time that is left for an event after a path check.
+	// minStallTimeout is the minimum time left for an event after a path check.
 	minStallTimeout = 50 * time.Millisecond
 )
 
-// eventInterval is the planned time between a stream's events.
+// eventInterval returns the planned interval between a stream's events.
 func (q *request) eventInterval(stages []chains.Stage) time.Duration {
 	spec := q.admitted.Service.Engine
 	return q.Chooser.TokenTime(spec, stages) * time.Duration(spec.Stride)
 }
 
-// assess decides whether a stream whose event is overdue has its path checked.
+// assess checks the path of a stream whose event is overdue, if the detector asks for it.
 func (w *chainWatch) assess(generation int) {
 	a := w.progress.Assess()
 	if a.ReassessAfter > 0 {
@@ -43,8 +43,8 @@
 	}
 }
 
-// checkPath orders the first engine to send the stream the way it goes already: it
-// refuses that, and names the engine, where one of them does not take its part.
+// checkPath orders the first engine to route the stream over its current path. The order
+// is refused if an engine of the path does not run its stage, and the refusal names it.
 func (w *chainWatch) checkPath(generation int, a detector.Assessment) {
 	confirmed := false
 	defer func() { w.progress.CheckFinished(confirmed) }()
@@ -55,7 +55,7 @@
 	began := w.q.Now()
 	err := w.q.Reroute(ctx, first, w.q.call.Attempt, hops(stages))
 	confirmed = err == nil
-	klog.InfoS("path of an overdue stream checked", "request", w.q.call.Attempt, "pauseMs", a.Pause.Milliseconds(), "overdue", a.OverdueStreams,
+	klog.InfoS("path check of overdue stream finished", "request", w.q.call.Attempt, "pauseMs", a.Pause.Milliseconds(), "overdue", a.OverdueStreams,
 		"candidates", len(a.Candidates), "chain", chainString(stages), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
 	var conflict pathConflict
 	switch {
@@ -72,8 +72,8 @@
 	}
 }
 
-// doubt notes that an order was not answered: it may be carried out after a later one,
-// so the stream gets no other.
+// markUnconfirmed records that an order was not answered. The engine may execute it after
+// a later one, so the stream is not rerouted any more.
 func (w *chainWatch) markUnconfirmed(err error) {
 	if errors.Is(err, ErrNotSent) {
 		return
