--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -12,62 +12,62 @@
 )
 
 const (
-	// probeEvery is between two reports asked of a suspected engine.
+	// probeInterval is the interval between probes of a suspected engine.
 	probeInterval = 400 * time.Millisecond
-	// probeHold is how long a failed probe keeps an engine suspected: until
-	// after the next one.
+	// failedProbePeriod is how long a failed probe extends a suspicion: until after the
+	// next probe.
 	failedProbePeriod = 1200 * time.Millisecond
-	// trustProbe is for how long a probe's success outweighs the suspicions of
-	// other routers, which may be cut off from the engine themselves.
+	// probeTrustPeriod is how long a successful probe outweighs suspicions from other
+	// routers, which may themselves be disconnected from the engine.
 	probeTrustPeriod = 3 * time.Second
-	// fullShare is the share of its token memory beyond which an engine that
-	// refuses is short of it, and not leaving.
+	// fullMemoryShare is the share of used token memory above which a refusing engine
+	// counts as full rather than leaving.
 	fullMemoryShare = 0.8
-	// fullPause is how long an engine that is full gets nothing new: a stream
-	// ends there every few milliseconds.
+	// fullEnginePeriod is how long a full engine gets no new requests. Streams end every
+	// few milliseconds, so it is short.
 	fullEnginePeriod = 300 * time.Millisecond
-	// leavingPause is how long an engine that refuses work and calls itself ill
-	// gets none: it drains, and its entry may say so only when the store is back.
+	// drainingEnginePeriod is how long an engine that refuses requests and fails its
+	// health check gets none. Its entry may report the draining late, if the store is
+	// unavailable.
 	drainingEnginePeriod = 8 * time.Second
 )
 
-// Prober keeps suspected engines from getting work until they answer again. A
-// report is cheap and harms nobody; without it each try to use a dead engine
-// again would cost a caller's stream a wait.
+// Prober withholds requests from suspected engines until they respond again. It probes
+// them by their report, so that no caller's stream has to find out.
 type Prober struct {
 	Health  *catalog.Health
 	Catalog *catalog.Catalog
 	Report  func(ctx context.Context, b *model.BackendServer) (model.EngineReport, error)
-	// AnnounceSuspect passes a suspicion on to the other routers.
+	// AnnounceSuspect reports a suspicion to the other routers.
 	AnnounceSuspect func(engine model.Incarnation, until time.Time)
-	// Healthy asks a backend server whether it is well and not leaving.
+	// Healthy returns whether a backend server is healthy and not draining.
 	Healthy func(ctx context.Context, b *model.BackendServer) (bool, error)
-	// AnnounceRefusal tells the other routers that an engine refuses work.
+	// AnnounceRefusal reports to the other routers that an engine refuses requests.
 	AnnounceRefusal func(engine model.Incarnation, until time.Time)
 	Now             func() time.Time
 
 	mu sync.Mutex
-	// exited holds engines whose process surely exited, or that were gone from the
-	// store while they answered nobody here, and when that was noted. An answer
-	// that was asked for later takes it back.
+	// exited holds the time at which an engine's exit was recorded: its process
+	// exited, or its entry was removed while it did not respond to probes. A response
+	// to a later request removes it.
 	exited      map[model.Incarnation]time.Time
 	suspects    map[model.Incarnation]*suspect
-	lastSuccess map[model.Incarnation]time.Time // when a probe last succeeded
+	lastSuccess map[model.Incarnation]time.Time // time of the last successful probe
 }
 
 type suspect struct {
 	since       time.Time
-	probeFailed bool // it did not answer the last probe
-	local       bool // this router's own evidence
+	probeFailed bool // the last probe failed
+	local       bool // suspected on this router's own evidence
 	probing     bool
 }
 
-// NewProber makes a prober without suspects.
+// NewProber returns a prober without suspects. Its exported fields must be set before use.
 func NewProber() *Prober {
 	return &Prober{exited: map[model.Incarnation]time.Time{}, suspects: map[model.Incarnation]*suspect{}, lastSuccess: map[model.Incarnation]time.Time{}}
 }
 
-// Unreachable implements Suspicions.
+// Unreachable implements SuspectTracker.
 func (p *Prober) Unreachable(b *model.BackendServer, request string, err error) {
 	until, isNew := p.Health.Suspect(b.Incarnation())
 	if isNew {
@@ -77,11 +77,11 @@
 	p.AnnounceSuspect(b.Incarnation(), until)
 }
 
-// Refused implements Suspicions. An engine refuses while it is full, for a
-// moment, or because it drains or gives its part up, for good; its entry may say
-// so only seconds later, or not at all while the store is away. Its report and
-// its health tell which. Probing would clear it at once, as it answers; so the
-// suspicion runs its time, and the peers keep to it too.
+// Refused implements SuspectTracker. An engine refuses requests while it is full, or
+// because it drains or unloads its layers; its entry may report that only seconds later,
+// or not at all while the store is unavailable. Its report and its health check tell these
+// cases apart. A probe would succeed at once, so the suspicion lasts its full period and
+// peers adopt it.
 func (p *Prober) Refused(b *model.BackendServer, request string, status int) {
 	if p.Health.Suspected(b.Incarnation()) {
 		return
@@ -113,12 +113,12 @@
 	until := p.Now().Add(period)
 	p.Health.RecordRefusal(b.Incarnation(), until, !full)
 	p.AnnounceRefusal(b.Incarnation(), until)
-	klog.InfoS("engine refuses", "request", request, "server", b.Incarnation(), "address", b.Address, "status", status, "full", full, "well", healthy, "err", err,
+	klog.InfoS("engine refused request", "request", request, "server", b.Incarnation(), "address", b.Address, "status", status, "full", full, "well", healthy, "err", err,
 		"usedTokenLayers", report.UsedTokenLayers, "totalTokenLayers", report.TotalTokenLayers, "queued", report.Queued, "until", until)
 }
 
-// HandlePeerSuspicion takes in another router's suspicion: the engine is asked before it gets
-// more work from here, and what it answers here decides.
+// HandlePeerSuspicion applies another router's suspicion. The engine gets no requests from
+// this router until it is probed, and the result of the probe decides.
 func (p *Prober) HandlePeerSuspicion(inc model.Incarnation) {
 	p.mu.Lock()
 	trusted := p.Now().Sub(p.lastSuccess[inc]) < probeTrustPeriod
@@ -144,7 +144,7 @@
 	s.local = s.local || local
 }
 
-// Run probes until ctx ends.
+// Run probes suspected engines until ctx ends.
 func (p *Prober) Run(ctx context.Context) {
 	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
@@ -172,7 +172,7 @@
 	return out
 }
 
-// probe asks one engine without waiting for it.
+// probe requests a report from an engine without waiting for the result.
 func (p *Prober) probe(inc model.Incarnation) {
 	b := p.Catalog.Load().Find(inc)
 	p.mu.Lock()
@@ -197,7 +197,7 @@
 	}()
 }
 
-// handleProbeResult takes in how an engine answered what it was asked at some time.
+// handleProbeResult applies the result of a probe that was sent at the given time.
 func (p *Prober) handleProbeResult(b *model.BackendServer, requestedAt time.Time, err error) {
 	p.mu.Lock()
 	s := p.suspects[b.Incarnation()]
@@ -208,7 +208,7 @@
 	s.probing = false
 	s.probeFailed = err != nil
 	if err == nil && s.local && p.Health.Suspected(b.Incarnation()) {
-		// It answers, but did not do its work: the first suspicion runs out.
+		// It responds but did not run its stage: the first suspicion lasts its full period.
 		p.mu.Unlock()
 		return
 	}
@@ -217,7 +217,7 @@
 		p.lastSuccess[b.Incarnation()] = p.Now()
 		p.mu.Unlock()
 		trusted := p.Health.RecordProbeSuccess(b.Incarnation(), requestedAt)
-		klog.InfoS("suspected engine answers", "server", b.Incarnation(), "after", p.Now().Sub(s.since), "trusted", trusted)
+		klog.InfoS("suspected engine responded to probe", "server", b.Incarnation(), "after", p.Now().Sub(s.since), "trusted", trusted)
 		return
 	}
 	local := s.local
@@ -229,16 +229,16 @@
 	}
 }
 
-// lostAfter is how long an engine must have been suspected, and not answer, to be
-// taken for lost: three probes.
+// lostTimeout is how long an engine must have been suspected, without responding to
+// probes, before it counts as lost.
 const lostTimeout = 1200 * time.Millisecond
 
-// rememberEnded is how long an engine's end is remembered: beyond the longest stream
-// that may have run there.
+// exitRetention is how long an engine's exit is remembered: longer than the longest
+// stream that may have run there.
 const exitRetention = time.Minute
 
-// Lost tells whether an engine's process has ended, or has not answered here for a
-// while. An entry that is gone tells neither: engines that leave serve on.
+// Lost implements SuspectTracker. A removed entry does not count as a loss, as engines that
+// drain continue to serve.
 func (p *Prober) Lost(inc model.Incarnation) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -249,18 +249,17 @@
 	return ok && s.probeFailed && p.Now().Sub(s.since) >= lostTimeout
 }
 
-// Exited implements Suspicions.
+// Exited implements SuspectTracker.
 func (p *Prober) Exited(inc model.Incarnation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.recordExit(inc)
 }
 
-// Responded implements Suspicions. The end of an engine is told by entries that may be
-// late or odd, and by an entry that lapsed while the engine was cut off. Taken for
-// ended still, an engine that answers counts as no attempt, so that a request runs at
-// one engine more than its route allows, and plans do without it. Both times are
-// compared under the lock, so that no answer from before takes back newer news.
+// Responded implements SuspectTracker. It revokes the exit of an engine that was recorded
+// from a late or expired entry. Otherwise the engine would not count as an attempt, and
+// plans would not use it. Both times are compared under the lock, so that a response to an
+// older request does not revoke a newer exit.
 func (p *Prober) Responded(inc model.Incarnation, requestedAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -269,10 +268,10 @@
 		return
 	}
 	delete(p.exited, inc)
-	klog.InfoS("engine taken for ended answers", "server", inc, "after", p.Now().Sub(recordedAt))
+	klog.InfoS("engine recorded as exited responded", "server", inc, "after", p.Now().Sub(recordedAt))
 }
 
-// recordExit remembers an engine's end. The caller holds the lock.
+// recordExit records an engine's exit. The caller must hold p.mu.
 func (p *Prober) recordExit(inc model.Incarnation) {
 	now := p.Now()
 	for other, at := range p.exited {
