--- a/internal/protocol/relay/repeat.go
+++ b/internal/protocol/relay/repeat.go
@@ -6,7 +6,7 @@
 	"k8s.io/klog/v2"
 )
 
-// repeatable tells whether the request may be sent again at all.
+// retryable returns whether the request may be sent again at all.
 func (q *request) retryable() bool {
 	if q.runs >= q.admitted.Route.MaxAttempts || q.sends >= maxSends {
 		return false
@@ -14,8 +14,8 @@
 	return q.runs == 0 || q.admitted.Idempotent()
 }
 
-// mayRepeat takes one repeated send from the budget, if the request may be sent
-// again.
+// allowRetry returns whether the request may be sent again, and takes a retry token for
+// that.
 func (q *request) allowRetry(ctx context.Context, reason string) bool {
 	if !q.retryable() {
 		return false
@@ -25,7 +25,7 @@
 	}
 	if !q.takeRetryToken(ctx) {
 		if ctx.Err() == nil {
-			klog.InfoS("no repeat: the retry budget is used up", "request", q.call.Attempt, "reason", reason)
+			klog.InfoS("request not retried: retry budget exhausted", "request", q.call.Attempt, "reason", reason)
 		}
 		return false
 	}
@@ -33,13 +33,13 @@
 	return true
 }
 
-// firstSend tells whether the next send repeats nothing, as nothing went out before: it
-// needs no part of the budget, which counts what reaches backend servers. Only a few
-// tries are free, so that one request cannot try for ever.
+// firstSend returns whether the next send is the first, as nothing was sent before. It
+// needs no retry token, since the budget counts what reaches backend servers. The number
+// of such attempts is bounded.
 func (q *request) firstSend() bool { return q.sends == 0 && q.unsentAttempts < maxSends }
 
-// takeRepeat takes one repeated send from the budget, unless that was done when the
-// try before was given up.
+// takeRetryToken takes a token from the retry budget, unless one was already taken when
+// the previous attempt was cancelled.
 func (q *request) takeRetryToken(ctx context.Context) bool {
 	if q.retryGranted {
 		q.retryGranted = false
@@ -48,6 +48,5 @@
 	return q.RetryBorrower.Take(ctx, q.admitted.Service.Name)
 }
 
-// maxSends bounds the sends of one request, refused ones included: an engine
-// that refuses is seldom followed by three more.
+// maxSends bounds the sends of one request, refused ones included.
 const maxSends = 4
