--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -13,20 +13,21 @@
 	"github.com/skylarkwood/skylarkwood/platform"
 )
 
-// askReport reads an engine's own report.
+// fetchReport requests an engine's report, within reportTimeout.
 func (r *Relay) fetchReport(b *model.BackendServer) (model.EngineReport, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	return r.Report(ctx, b)
 }
 
-// maxReport bounds a report, in bytes. Reports have some hundred; the longest name each
-// of an engine's streams that wait.
+// maxReportBytes bounds the size of a report. A report lists each stalled stream of the
+// engine.
 const maxReportBytes = 1 << 20
 
-var errReportTooLong = errors.New("the report is too long")
+var errReportTooLong = errors.New("report exceeds the size limit")
 
-// Report reads an engine's own report.
+// Report requests an engine's report. It returns errRestarted if another incarnation of the
+// engine responded.
 func (r *Relay) Report(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
 	requestedAt := r.Now()
 	resp, err := r.BackendClient.Do(ctx, b.Address, &Request{Method: http.MethodGet, Target: platform.ReportPath, Host: b.Address, Header: http.Header{}})
@@ -43,7 +44,7 @@
 		return model.EngineReport{}, errReportTooLong
 	}
 	if resp.Status != http.StatusOK {
-		return model.EngineReport{}, errors.Errorf("report: status %d", resp.Status)
+		return model.EngineReport{}, errors.Errorf("report request returned status %d", resp.Status)
 	}
 	report, err := platform.DecodeReport(raw)
 	if err != nil {
@@ -52,55 +53,55 @@
 	if err := r.checkIncarnation(b, report); err != nil {
 		return report, err
 	}
-	// A report that does not tell its start, as its entry does, may be of another one.
+	// A report without a start time may be of another incarnation.
 	if report.Born == b.Born {
 		r.Suspects.Responded(b.Incarnation(), requestedAt)
 	}
 	return report, nil
 }
 
-// errRestarted says that another incarnation of an engine answered.
-var errRestarted = errors.New("the engine has started again")
+// errRestarted reports that another incarnation of an engine responded.
+var errRestarted = errors.New("the engine was restarted")
 
-// sameIncarnation checks that a report is of the incarnation that was asked. One
-// that started again is known by its report before its entry tells; nothing that
-// is planned or believed of the one before holds for it.
+// checkIncarnation returns an error if a report is from another incarnation than the one
+// that was asked. A restarted engine may be recognized by its report before its entry is
+// updated; the state of the previous incarnation does not apply to it.
 func (r *Relay) checkIncarnation(b *model.BackendServer, report model.EngineReport) error {
 	if b.Born == 0 || report.Born == 0 || report.Born == b.Born {
 		return nil
 	}
 	conflicts := r.Catalog.ResolveIncarnation(b.Incarnation(), report.Born, report.Holds)
-	klog.InfoS("engine's report is of another start", "server", b.Incarnation(), "address", b.Address, "born", report.Born, "news", len(conflicts.Exited) > 0)
+	klog.InfoS("engine report is from another incarnation", "server", b.Incarnation(), "address", b.Address, "born", report.Born, "news", len(conflicts.Exited) > 0)
 	r.HandleExits(conflicts.Exited, "its report")
-	return errors.Wrapf(errRestarted, "at %d ms instead of %d", report.Born, b.Born)
+	return errors.Wrapf(errRestarted, "started at %d ms, expected %d ms", report.Born, b.Born)
 }
 
-// HandleExits takes in that incarnations of engines have surely ended, as others have
-// their place.
+// HandleExits records that incarnations of backend servers have exited. evidence names the
+// source of that information, for the log.
 func (r *Relay) HandleExits(exited []model.BackendServer, evidence string) {
 	for _, b := range exited {
-		klog.InfoS("backend server's process ended", "server", b.Incarnation(), "address", b.Address, "evidence", evidence)
+		klog.InfoS("backend server process exited", "server", b.Incarnation(), "address", b.Address, "evidence", evidence)
 		r.BackendClient.CloseIdle(b.Address)
 		r.recordServerExit(&b)
 		r.HandleEngineExit(b.Incarnation())
 	}
 }
 
-// VerifyIncarnation asks a server which of two incarnations it is: the one that is believed
-// in, or another one that an entry names and that may be older.
+// VerifyIncarnation requests a server's report to determine whether the known incarnation
+// or the claimed one, which may be older, is current.
 func (r *Relay) VerifyIncarnation(claim model.BackendServer) {
 	b := r.Catalog.Load().ByID(claim.ID)
 	if b == nil {
 		return
 	}
-	klog.InfoS("backend server's entry is disputed", "server", claim.Incarnation(), "believed", b.Incarnation(), "revision", claim.Revision)
+	klog.InfoS("backend server entry names another incarnation than the known one", "server", claim.Incarnation(), "believed", b.Incarnation(), "revision", claim.Revision)
 	if _, err := r.fetchReport(b); err != nil {
-		klog.InfoS("disputed entry: the server's word", "server", b.Incarnation(), "err", err)
+		klog.InfoS("report request to verify the incarnation returned an error", "server", b.Incarnation(), "err", err)
 	}
 }
 
-// Healthy asks a backend server whether it is well and not leaving. Where the
-// operator gave no way to ask it counts as well.
+// Healthy returns whether a backend server passes its health check. A server counts as
+// healthy if its service has no health path or the check returns an error.
 func (r *Relay) Healthy(ctx context.Context, b *model.BackendServer) (bool, error) {
 	svc := r.Config.Load().Service(b.Service)
 	if svc == nil || svc.HealthPath == "" {
@@ -117,15 +118,15 @@
 	return resp.Status == http.StatusOK, nil
 }
 
-// pathConflict is the refusal of a path; address names the engine that does not take its
-// part, if it is known.
+// pathConflict is the refusal of a path. address is the engine that does not run its
+// stage; empty if unknown.
 type pathConflict struct{ address string }
 
-func (c pathConflict) Error() string { return "path refused for " + c.address }
+func (c pathConflict) Error() string { return "path refused at engine " + c.address }
 
-// Reroute orders the first engine of a running stream to send it over another
-// path with the same first part. The error is a conflict where an engine of the path
-// does not take its part.
+// Reroute orders the first engine of a running stream to route it over another path with
+// the same first stage. It returns a pathConflict if an engine of the path does not run
+// its stage.
 func (r *Relay) Reroute(ctx context.Context, first *model.BackendServer, attempt string, path []platform.Hop) error {
 	body, err := platform.EncodeRepath(attempt, path)
 	if err != nil {
@@ -140,13 +141,13 @@
 	case status == http.StatusConflict:
 		return pathConflict{address: platform.DecodeConflict(respBody)}
 	}
-	return errors.Errorf("repath answered with status %d", status)
+	return errors.Errorf("reroute order returned status %d", status)
 }
 
-// maxOrderAnswer bounds the answer to an order, in bytes.
+// maxOrderResponseBytes bounds the size of the response to an order.
 const maxOrderResponseBytes = 64 << 10
 
-// sendOrder sends an sendOrder to an engine and gives the status and body of its answer.
+// sendOrder sends an order to an engine and returns the status and body of the response.
 func (r *Relay) sendOrder(ctx context.Context, b *model.BackendServer, body []byte) (status int, respBody []byte, err error) {
 	resp, err := r.BackendClient.Do(ctx, b.Address, &Request{
 		Method: http.MethodPost,
@@ -166,17 +167,17 @@
 	return resp.Status, respBody, nil
 }
 
-// EngineClient gives orders to engines and reads their reports.
+// EngineClient sends orders to engines and requests their reports.
 type EngineClient struct{ Relay *Relay }
 
 var _ placement.EngineClient = EngineClient{}
 
-// Report implements placement.Engines.
+// Report implements placement.EngineClient.
 func (e EngineClient) Report(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
 	return e.Relay.Report(ctx, b)
 }
 
-// Place implements placement.Engines.
+// Place implements placement.EngineClient.
 func (e EngineClient) Place(ctx context.Context, b *model.BackendServer, held model.LayerRange, fence, expected int64) (placement.OrderResult, error) {
 	body, err := platform.EncodePlace(held, fence, expected)
 	if err != nil {
@@ -195,5 +196,5 @@
 	case http.StatusPreconditionFailed:
 		return placement.OrderFenced, nil
 	}
-	return placement.OrderRefused, errors.Errorf("order answered with status %d", status)
+	return placement.OrderRefused, errors.Errorf("order returned status %d", status)
 }
