--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -10,37 +10,37 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// activeRun is work in progress at backend servers.
+// activeRun is a run in progress at one or more backend servers.
 type activeRun interface {
-	// leaveEngines takes in that incarnations of servers have ended (engineGone), or are
-	// believed to be at fault.
+	// leaveEngines handles that incarnations of servers have exited (engineExited) or
+	// are considered failed (any other reason).
 	leaveEngines(lost engineSet, reason endReason)
 }
 
-// engineSet is a set of incarnations.
 type engineSet map[model.Incarnation]bool
 
-// rememberGone is for how long work that is added hears of a server's end: its server
-// was chosen before. On a busy machine a tenth of a second may lie between.
+// lossRetention is how long a lost server is remembered for runs that are added afterwards,
+// for which it was chosen before the loss was known.
 const lossRetention = time.Second
 
-// ActiveRuns holds the work in progress.
+// ActiveRuns holds the runs in progress.
 type ActiveRuns struct {
 	mu   sync.Mutex
 	runs map[activeRun]bool
-	// exited holds the servers that ended of late, and when that was told.
+	// exited holds servers that exited recently, and when that was reported.
 	exited map[model.Incarnation]time.Time
-	// unresponsive holds the servers that were found unresponsive of late, and when.
+	// unresponsive holds servers that recently stopped responding, and when that was
+	// reported.
 	unresponsive map[model.Incarnation]time.Time
 }
 
-// NewActiveRuns makes an empty set.
+// NewActiveRuns returns an empty set.
 func NewActiveRuns() *ActiveRuns {
 	return &ActiveRuns{runs: map[activeRun]bool{}, exited: map[model.Incarnation]time.Time{}, unresponsive: map[model.Incarnation]time.Time{}}
 }
 
-// add adds work that was given to some servers. It tells which of them has ended
-// meanwhile, if one has: whoever told of the end told only the work that was there.
+// add adds a run at some servers. It returns a server of them that exited recently, if
+// any, because the report of that exit may have preceded the run.
 func (r *ActiveRuns) add(w activeRun, servers ...model.Incarnation) (server model.Incarnation, found bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,16 +59,16 @@
 	delete(r.runs, w)
 }
 
-// finalAnswerWait is how long a request that must not be sent again waits for its answer
-// after its server has ended. The news may overtake the answer, which then lies in the
-// socket until a busy machine reads it, a tenth of a second or two later.
+// finalResponseTimeout is how long a request that must not be retried waits for its response
+// after its server has exited. On a busy instance the report of the exit may arrive before
+// the response is read from the socket.
 const finalResponseTimeout = 250 * time.Millisecond
 
-// plainRun is one request at one server of a plain service.
+// plainRun is a request at one server of a plain service.
 type plainRun struct {
 	server model.Incarnation
 	cancel context.CancelCauseFunc
-	final  bool // it must not be sent again
+	final  bool // it must not be retried
 }
 
 func (c *plainRun) leaveEngines(lost engineSet, reason endReason) {
@@ -81,9 +81,9 @@
 	}
 }
 
-// track ends a call when the server's process has ended. Where the server fell
-// silent its connection would tell only at the caller's deadline, too late for a
-// request that may be sent again.
+// track adds a run at a server of a plain service. The run is cancelled when the server's
+// process exits, because the connection to an unreachable server would fail only at the
+// caller's deadline. The caller must call stop.
 func (r *ActiveRuns) track(ctx context.Context, server model.Incarnation, final bool) (run context.Context, cancel context.CancelCauseFunc, stop func()) {
 	run, cancel = context.WithCancelCause(ctx)
 	c := &plainRun{server: server, cancel: cancel, final: final}
@@ -96,22 +96,21 @@
 	}
 }
 
-// HandleEngineExit takes in that an engine's process ended: nothing new goes there, and
-// the streams of this router that run through it are moved at once, before they
-// notice.
+// HandleEngineExit handles the exit of an engine's process: the engine gets no new requests,
+// and the streams of this router that use it are rerouted or ended at once.
 func (r *Relay) HandleEngineExit(inc model.Incarnation) {
 	if b := r.Catalog.Load().Find(inc); b != nil {
-		r.recordServerExit(b) // before its streams are moved: they may not all go anywhere
+		r.recordServerExit(b) // before its streams are rerouted, which the exit may prohibit
 		r.Suspects.Unreachable(b, "", errExited)
 	}
 	r.Suspects.Exited(inc)
 	r.ActiveRuns.notifyLoss(engineSet{inc: true}, engineExited)
 }
 
-var errExited = errors.New("its process ended")
+var errExited = errors.New("its process exited")
 
-// notifyLoss tells all work in progress that incarnations of servers have ended, or are
-// believed to be at fault.
+// notifyLoss notifies all runs that servers exited (engineExited) or are considered failed
+// (any other reason).
 func (r *ActiveRuns) notifyLoss(lost engineSet, reason endReason) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,8 +126,7 @@
 	}
 }
 
-// noteRecent remembers that something was told of a server just now, and forgets what
-// was told before rememberGone.
+// noteRecent records a server with the current time, and removes expired entries.
 func noteRecent(records map[model.Incarnation]time.Time, server model.Incarnation) {
 	for inc, at := range records {
 		if time.Since(at) >= lossRetention {
@@ -138,7 +136,7 @@
 	records[server] = time.Now()
 }
 
-// silentAmong lists the servers of a chain that were found silent or ended of late.
+// recentlyLost returns which of the servers exited or stopped responding recently.
 func (r *ActiveRuns) recentlyLost(servers []model.Incarnation) engineSet {
 	r.mu.Lock()
 	defer r.mu.Unlock()
