--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -15,23 +15,24 @@
 )
 
 const (
-	// undecidedPoll is between two looks at a request of which the next evidence is due.
+	// evidencePollInterval is the interval at which a request waits for pending evidence.
 	evidencePollInterval = 20 * time.Millisecond
-	// barredPoll is between two tries to run a request alone.
+	// trialPollInterval is the interval between attempts to get a trial.
 	trialPollInterval = 100 * time.Millisecond
-	// apartTime is what each suspect at an engine makes it cost a token for another one:
-	// about the difference between two cards of a kind under load, so that they spread.
+	// suspectCost is the cost per token that each suspect at an engine adds for another
+	// one. It spreads suspects over engines of similar speed.
 	suspectCost = time.Millisecond
-	// listenTimeout bounds asking whether a process still listens.
+	// listenTimeout bounds the check whether a process still listens.
 	listenTimeout = 400 * time.Millisecond
 )
 
-// exclusions is where a suspect may not run now: at servers that run another one, and in
-// failure domains where one just ended under it.
+// exclusions is where a suspect may not run now: at servers that run another suspect, and
+// in failure domains where a server just exited under it.
 type exclusions struct {
 	servers map[model.Incarnation]bool
 	domains map[string]bool
-	// alone says that the request runs alone, suspect that others of its kind keep away.
+	// trialOnly is set if the request may run only in a trial, suspect if it must be
+	// kept away from other suspects.
 	trialOnly, suspect bool
 }
 
@@ -39,8 +40,9 @@
 	return e.servers[s.Incarnation()] || e.domains[s.FailureDomain]
 }
 
-// beginCost is what it costs a suspect to begin at an engine: it keeps away from others of
-// its kind, and one that runs alone from engines that have many streams to lose.
+// firstStageCost returns the cost per token of a suspect at an engine as first stage. Other
+// suspects there raise it and, for a request in a trial, all streams that its failure
+// would interrupt.
 func (q *request) firstStageCost(engine model.Incarnation, streams float64) time.Duration {
 	load := float64(q.Quarantine.SuspectRuns(engine))
 	if q.excluded.trialOnly {
@@ -49,18 +51,17 @@
 	return time.Duration(load * float64(suspectCost))
 }
 
-// work names what the request asks for, which its attempts have in common.
+// fingerprint returns the request's fingerprint, which is the same for all its attempts.
 func (q *request) fingerprint() model.Fingerprint {
 	q.fingerprintOnce.Do(func() { q.cachedFingerprint = q.call.Fingerprint(q.admitted.Customer) })
 	return q.cachedFingerprint
 }
 
-// standing tells whether the request may be sent to a server, and how; a fault says that it
-// may not. Where evidence is due that decides it, it waits for that.
+// checkQuarantine returns the restriction on the request, or an error if it may not be sent.
+// It waits for evidence that is pending.
 //
-// It is asked before each send, the first as well as repeated ones: a request that ends the
-// servers which run it would else end one with each send, and with each return of its
-// caller, here or at another router.
+// It is called before each send, so that a request that makes servers exit is stopped
+// across its retries and across routers.
 func (q *request) checkQuarantine(ctx context.Context) (quarantine.Assessment, *fault.Error) {
 	if !q.Quarantine.HasSuspects() {
 		q.excluded = exclusions{}
@@ -85,20 +86,20 @@
 	return v, nil
 }
 
-// quarantined is the final answer for a request under which servers end. It says whether
-// this attempt ran.
+// quarantineError returns the final error for a quarantined request. Its message states
+// whether this attempt ran.
 func (q *request) quarantineError(v quarantine.Assessment) *fault.Error {
-	klog.InfoS("request goes to no server", "request", q.call.Attempt, "work", q.fingerprint(), "ends", v.Exits, "runs", q.runs)
+	klog.InfoS("quarantined request refused", "request", q.call.Attempt, "work", q.fingerprint(), "ends", v.Exits, "runs", q.runs)
 	if q.runs == 0 {
-		return fault.New(fault.Quarantined, "%d backend servers ended under this request; it was not run this time", v.Exits)
+		return fault.New(fault.Quarantined, "quarantined: %d backend servers exited while running this request; this attempt did not run", v.Exits)
 	}
-	return fault.New(fault.Quarantined, "%d backend servers ended under this request; this time it was begun at %d of them and will not be run again", v.Exits, q.runs)
+	return fault.New(fault.Quarantined, "quarantined: %d backend servers exited while running this request; this attempt started at %d backend servers and will not be run again", v.Exits, q.runs)
 }
 
-// tryAlone asks for a trial at servers. Where one of them runs another suspect it is barred.
+// startTrial asks for a trial at servers. A server that runs another suspect is excluded.
 func (q *request) startTrial(ctx context.Context, servers []model.Incarnation) permission {
 	g := q.RequestTrial(ctx, q.fingerprint(), servers)
-	klog.InfoS("request asks for a trial", "request", q.call.Attempt, "work", q.fingerprint(), "servers", len(servers), "first", servers[0], "granted", g.Granted, "busy", g.BusyServer, "waitMs", g.WaitMS)
+	klog.InfoS("trial requested", "request", q.call.Attempt, "work", q.fingerprint(), "servers", len(servers), "first", servers[0], "granted", g.Granted, "busy", g.BusyServer, "waitMs", g.WaitMS)
 	switch {
 	case g.Granted:
 		return runNow
@@ -113,11 +114,11 @@
 }
 
 func (q *request) trialError(exits int) *fault.Error {
-	return fault.New(fault.OnTrial, "%d backend servers ended under this request, so it runs alone, and there is no room for that", exits)
+	return fault.New(fault.OnTrial, "%d backend servers exited while running this request, so it may run only in a trial, and none is available", exits)
 }
 
-// reservePermitted finds engines for the stream's next run and reserves its memory. A suspect gets
-// engines that run no other one.
+// reservePermitted reserves a chain for the stream's next run at engines where the request
+// may run. A suspect gets engines that run no other suspect.
 func (s *stream) reservePermitted(ctx context.Context) ([]chains.Stage, *chains.Reservation, *fault.Error) {
 	until := s.Now().Add(callerGapTimeout)
 	for {
@@ -140,7 +141,8 @@
 				continue
 			}
 		}
-		// Who has begun to run keeps its place for a while; a new one may come back.
+		// A stream that has run is retried until its caller gives up; a new one is refused, as
+		// its caller may retry.
 		if s.runs == 0 || !s.Now().Before(until) || !wait.For(ctx, trialPollInterval) {
 			return nil, nil, s.trialError(v.Exits)
 		}
@@ -148,19 +150,19 @@
 	}
 }
 
-// permission is whether a request may run at servers that were found for it.
+// permission is the decision whether a request may run at the servers chosen for it.
 type permission int
 
 const (
 	runNow permission = iota
-	// lookAgain asks for other servers, or for another look at the request's standing.
+	// chooseAgain means that servers must be chosen again, or the restriction checked again.
 	chooseAgain
-	// notNow says that the request runs somewhere already.
+	// notNow means that the request is already running somewhere.
 	notNow
 )
 
-// mayRunAt tells whether the stream may run at the engines that were found for it. Finding
-// them may have taken a while, in which more was learnt.
+// permissionAt returns whether the stream may run at the chosen engines. The restriction may
+// have changed since the given assessment.
 func (s *stream) permissionAt(ctx context.Context, stages []chains.Stage, before quarantine.Assessment) permission {
 	if !s.Quarantine.HasSuspects() {
 		return runNow
@@ -179,13 +181,14 @@
 	return s.startTrial(ctx, servers)
 }
 
-// mayMove tells whether a running stream may be moved to another engine: a request that
-// ends engines as a later part of a chain would else end one after the other in one run.
+// mayReroute returns whether a running stream may be rerouted. A request that makes the
+// engines of later stages exit could otherwise do so several times in one run.
 func (q *request) mayReroute() bool {
 	return !q.Quarantine.HasSuspects() || q.Quarantine.Assess(q.fingerprint()).Restriction < quarantine.TrialOnly
 }
 
-// pickAlone chooses a server of a plain service for the next try.
+// pickServer chooses a server of a plain service for the next attempt. It returns nil if
+// there is none.
 func (q *request) pickServer(ctx context.Context) (*model.BackendServer, *fault.Error) {
 	v, f := q.checkQuarantine(ctx)
 	if f != nil {
@@ -210,7 +213,7 @@
 	}
 }
 
-// resultOf tells what the end of a run without a whole answer says of its request.
+// runResult returns the quarantine result of a run without a complete response.
 func runResult(reason endReason, err error) quarantine.Result {
 	if !errors.Is(err, ErrNotSent) && (reason == connectionLost || reason == engineExited) {
 		return quarantine.ConnectionLost
@@ -218,7 +221,8 @@
 	return quarantine.Inconclusive
 }
 
-// survivedIf is what a single answer says, which was read whole unless err tells otherwise.
+// bufferedResult returns the result of a run whose response was buffered, with err from
+// reading it.
 func bufferedResult(run context.Context, err error) quarantine.Result {
 	if err == nil {
 		return quarantine.Completed
@@ -226,7 +230,7 @@
 	return runResult(endReasonOf(run, err), err)
 }
 
-// places lists the servers of a chain with their failure domains.
+// locations returns the servers of a chain with their failure domains.
 func locations(stages []chains.Stage) []quarantine.Location {
 	out := make([]quarantine.Location, len(stages))
 	for i, stage := range stages {
@@ -235,9 +239,9 @@
 	return out
 }
 
-// confirm asks servers at which a suspect broke off whether their processes go on: the
-// request waits for that, and others tell of it late, of a plain service only when a
-// successor registers.
+// confirmExits checks whether the processes of servers that lost the connection to a suspect
+// still run. The request waits for that, as an exit is otherwise reported late: for a plain
+// service only when a successor registers.
 func (r *Relay) confirmExits(servers []model.Incarnation) {
 	for _, server := range servers {
 		if b := r.Catalog.Load().Find(server); b != nil {
@@ -257,8 +261,8 @@
 	}
 }
 
-// endedUnder takes in that a server's process ended, which may be the fault of a request.
-// One that was leaving ends as planned.
+// recordServerExit records a server's exit, for which a request may be responsible. The exit
+// of a draining server is expected and not counted.
 func (r *Relay) recordServerExit(b *model.BackendServer) {
 	if !b.Draining {
 		r.Quarantine.ServerExited(b.Incarnation(), b.FailureDomain)
