--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -12,59 +12,59 @@
 )
 
 const (
-	// firstSilence is how long a chain may take for the first event before its
-	// engines are asked.
+	// firstEventTimeout is how long a chain may take for the first event before its first
+	// engine is asked for a report.
 	firstEventTimeout = 900 * time.Millisecond
-	// nextSilence is the same between events, where the check of the path found nothing.
+	// nextEventTimeout is the same between events, after a path check without a finding.
 	nextEventTimeout = 450 * time.Millisecond
-	// movedSilence is the same after a part of the chain was replaced: the new
-	// engine reads all tokens so far.
+	// reroutedEventTimeout is the same after a rerouting, when the new engine must
+	// prefill all tokens so far.
 	reroutedEventTimeout = 700 * time.Millisecond
-	// reportWait bounds asking an engine for its report.
+	// reportTimeout bounds a request for an engine's report.
 	reportTimeout = 250 * time.Millisecond
-	// repathWait bounds the order that replaces a part of a chain.
+	// rerouteTimeout bounds an order that reroutes a stream.
 	rerouteTimeout = 300 * time.Millisecond
-	// mostSilences is how many silences in a row a chain is allowed if its
-	// first engine answers and names nobody; one less before the first event.
-	// Another chain then has time for an event before the caller leaves.
+	// maxStalls is the number of consecutive stalls after which a chain is abandoned even
+	// if its first engine responds and names no engine at fault; one less before the
+	// first event. It leaves time for another chain's first event before callers give up.
 	maxStalls = 3
 )
 
-// chainWatch watches one run of a chain. When nothing comes for too long it
-// asks the first engine, which knows what its streams wait for. An engine found
-// at fault is replaced in the chain, whose other engines keep their memory;
-// where that fails the run is ended and the stream goes on elsewhere.
+// chainWatch watches one run on a chain. If no event arrives in time it asks the first
+// engine, which knows what its streams wait for. A failed engine is replaced in the chain,
+// so that the other engines keep their token memory. If that fails the run is ended, and
+// the stream resumes on another chain.
 //
-// Engines wait for a dead part of their chain for longer than callers do.
+// Engines tolerate a failed stage for longer than callers do.
 type chainWatch struct {
 	q           *request
 	run         context.Context
 	cancel      context.CancelCauseFunc
 	reservation *chains.Reservation
-	sentAt      time.Time // when the run was sent
+	sentAt      time.Time
 	record      *quarantine.Run
-	// progress is what the stream's events say of its engines.
+	// progress tracks the stream's events for the detector.
 	progress *detector.Stream
-	// last says that no other engine may go on where this run ends.
+	// final is set if no other engine may resume the stream after this run.
 	final bool
-	// fresh says that the route's attempts leave one at another first engine.
+	// restartable is set if the route's attempts allow another first engine.
 	restartable bool
 
 	mu           sync.Mutex
 	stages       []chains.Stage
 	timer        *time.Timer
-	hasEvents    bool              // an event came
-	pathCheckDue bool              // the timer is for the path check, not for a silence
-	unconfirmed  bool              // an order was not answered and may be carried out later
-	stalls       int               // silences in a row
-	generation   int               // counts events and moves, to notice what came meanwhile
-	stopped      bool              // ended here, or over
-	failedEngine model.Incarnation // the engine at fault; empty if none was found
+	hasEvents    bool              // an event was received
+	pathCheckDue bool              // the timer is for a path check, not for a stall
+	unconfirmed  bool              // an order was not answered and may be executed later
+	stalls       int               // consecutive stalls
+	generation   int               // incremented by events and reroutings
+	stopped      bool              // the run has ended
+	failedEngine model.Incarnation // the engine at fault; empty if unknown
 	rerouting    bool
-	// granted says that a repeated send was taken from the budget for what follows
-	// this run.
+	// retryGranted is set if a retry token was taken for what follows this run.
 	retryGranted bool
-	// paceFrom is when the events began that are counted in paceCount.
+	// sampleStart and sampleEvents are the start and the number of events of the current
+	// speed sample.
 	sampleStart  time.Time
 	sampleEvents int
 }
@@ -112,8 +112,8 @@
 	w.checkSpeed()
 }
 
-// checkSpeed has the engines asked when the last events came much slower than the
-// chain should give them. The caller holds the lock.
+// checkSpeed polls the engines if the last events arrived much slower than planned. The
+// caller must hold w.mu.
 func (w *chainWatch) checkSpeed() {
 	now := w.q.Now()
 	if w.sampleStart.IsZero() {
@@ -132,7 +132,7 @@
 	}
 }
 
-// stop ends the watch. It tells whether a repeated send was taken from the budget.
+// stop ends the watch. It returns whether a retry token was taken.
 func (w *chainWatch) stop() (retryGranted bool) {
 	w.q.ActiveRuns.remove(w)
 	w.progress.Close()
@@ -143,14 +143,14 @@
 	return w.retryGranted
 }
 
-// state gives the chain as it is now and the engine at fault, if one was found.
+// state returns the current chain and the engine at fault, if known.
 func (w *chainWatch) state() ([]chains.Stage, model.Incarnation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.stages, w.failedEngine
 }
 
-// onTimer runs when the timer fires.
+// onTimer handles the expiry of the timer.
 func (w *chainWatch) onTimer() {
 	defer w.recoverPanic()
 	w.mu.Lock()
@@ -167,7 +167,7 @@
 	}
 }
 
-// handleStall looks into a silence.
+// handleStall asks the first engine why no event arrived.
 func (w *chainWatch) handleStall() {
 	w.mu.Lock()
 	if w.stopped || w.rerouting {
@@ -193,8 +193,8 @@
 		return
 	}
 	if w.q.admitted.Route.Kind != model.RouteStreaming {
-		// The answer comes in one piece. Nothing before it is no silence; its engines
-		// are asked less and less often.
+		// The response arrives in one piece, so waiting for it is not a stall. The engine is
+		// polled at growing intervals.
 		w.resetTimer(generation, time.Duration(n)*nextEventTimeout)
 		return
 	}
@@ -205,7 +205,7 @@
 	w.resetTimer(generation, nextEventTimeout)
 }
 
-// stallLimit is how many silences in a row the run is allowed.
+// stallLimit returns the number of consecutive stalls after which the run is abandoned.
 func (w *chainWatch) stallLimit() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -223,8 +223,8 @@
 	}
 }
 
-// changed tells whether an event came, or the chain was moved or has ended,
-// meanwhile: what was found out is about the chain as it was before.
+// changed returns whether an event arrived, or the chain was rerouted or ended, since the
+// given generation. Findings about the older chain are then obsolete.
 func (w *chainWatch) changed(generation int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -244,8 +244,7 @@
 	return ""
 }
 
-// blame takes in which engine the chain waits for. The other streams of this
-// router that run through it are moved at once, before they notice.
+// handleStalledEngine handles a report that the chain waits for the engine at an address.
 func (w *chainWatch) handleStalledEngine(addr string, generation, n int) {
 	stages, _ := w.state()
 	if server := engineAt(stages, addr); server != nil {
@@ -255,14 +254,14 @@
 	w.endIfUnchanged(generation, runFailure{reason: stalled, stalls: n})
 }
 
-// failEngine takes in that an engine of the chain does not do its part: all streams of this
-// router leave it.
+// failEngine records that an engine of the chain does not run its stage. All streams of this
+// router stop using it.
 func (w *chainWatch) failEngine(server *model.BackendServer, err error) {
 	w.q.Suspects.Unreachable(server, w.q.call.Attempt, err)
 	w.q.ActiveRuns.notifyLoss(engineSet{server.Incarnation(): true}, stalled)
 }
 
-// serverAt is the engine of a chain with an address; nil if there is none.
+// engineAt returns the engine of a chain at an address; nil if there is none.
 func engineAt(stages []chains.Stage, addr string) *model.BackendServer {
 	for _, stage := range stages {
 		if stage.Server.Address == addr {
