--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -18,8 +18,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// half is a stream at a router that knows only engines of the first six layers
-// of twelve; holder is the engine of the others.
+// newIncompleteStream returns a stream at a router that knows only engines of the first
+// half of the layers, and an engine that holds the others.
 func newIncompleteStream() (s *stream, holder model.BackendServer) {
 	c := catalog.New(time.Now)
 	engine := func(id string, held model.LayerRange) model.BackendServer {
@@ -46,9 +46,8 @@
 	return &stream{request: q, tokens: 100, firstEngines: map[model.Incarnation]bool{}}, engine("second", model.LayerRange{From: 6, To: 12})
 }
 
-// Engines are replaced one after the other, and for a moment nobody holds some
-// layers. A stream that had its last event 0.3 s ago is not broken off: the
-// replacement is loaded in 0.9 s, and its caller waits two seconds for an event.
+// Guards against interrupting a stream because its layers are missing while an engine is
+// replaced, although its caller still waits.
 func TestInterruptedStreamWaitsForMissingLayers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, holder := newIncompleteStream()
@@ -64,8 +63,8 @@
 	})
 }
 
-// Nobody comes. The stream is given up when its caller has left, not later; a
-// request that has not begun is refused at once.
+// Guards against waiting for missing layers longer than the caller does, and against
+// waiting at all for a stream that has not begun.
 func TestWaitForMissingLayersIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newIncompleteStream()
@@ -81,15 +80,13 @@
 	})
 }
 
-// A stream ran at two engines, as often as its route allows; a later part of its chain
-// was lost each time. Then the first of them leaves: its entry is removed, and it
-// serves on. A third engine would be one too many, so the stream goes on only where
-// it ran before; once the process has ended, another may take its place.
+// Guards against running a request on more first engines than the route allows, because an
+// engine whose entry was removed still serves while it drains.
 func TestDrainingEngineStillCountsAsAttempt(t *testing.T) {
 	s, _ := newIncompleteStream()
 	one, two := model.Incarnation{ID: "one"}, model.Incarnation{ID: "two"}
 	s.firstEngines[one] = true
-	assert.Assert(t, s.allowedFirstEngines() == nil, "one attempt is left")
+	assert.Assert(t, s.allowedFirstEngines() == nil, "one attempt remains")
 	s.firstEngines[two] = true
 	s.Catalog.Remove("one", 1, 0)
 	assert.DeepEqual(t, s.allowedFirstEngines(), map[model.Incarnation]bool{one: true, two: true})
@@ -97,8 +94,7 @@
 	assert.Assert(t, s.allowedFirstEngines() == nil)
 }
 
-// The caller has left when its stream's turn comes. No chain is chosen for it and no
-// memory is reserved: others would wait for room that nobody uses.
+// Guards against reserving memory for a stream whose caller has disconnected.
 func TestNoChainIsReservedAfterCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, holder := newIncompleteStream()
