--- a/internal/protocol/relay/events_test.go
+++ b/internal/protocol/relay/events_test.go
@@ -33,9 +33,8 @@
 	assert.DeepEqual(t, ids, []int64{1, 2, 3})
 }
 
-// An engine crashes in the middle of an event. What it left of it must not
-// reach the caller: the next engine sends that event whole, and the caller
-// would get a piece of it twice.
+// Guards against forwarding a partial event when an engine crashes. The next engine sends
+// that event again.
 func TestPartialEventIsNotReturned(t *testing.T) {
 	events, _, err := readAll(strings.NewReader("id: 1\ndata: a\n\nid: 2\nda"))
 	assert.Equal(t, err, errTruncatedEvent)
@@ -60,7 +59,7 @@
 	return len(p), nil
 }
 
-// However the network cuts a stream into pieces, the events are the same.
+// The events do not depend on how the stream is split into reads.
 func TestEventsDoNotDependOnReadSizes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		lines := rapid.SliceOfN(rapid.StringMatching(`[a-z: ]{0,12}`), 0, 30).Draw(rt, "lines")
