--- a/internal/protocol/relay/health_test.go
+++ b/internal/protocol/relay/health_test.go
@@ -9,9 +9,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// The code panics while a request is at a plain server. The server's load as seen from
-// here must not count it for ever: it would look busier by one with each fault, and get
-// less than its share until the router is started again.
+// Guards against counting a request as active for ever after a panic, which would divert
+// load from its server.
 func TestPanicReleasesActiveRequestCount(t *testing.T) {
 	r := newPlainRelay(&panickingClient{}, &panicObserver{})
 	out := &responseRecorder{}
