--- a/internal/protocol/relay/lost_test.go
+++ b/internal/protocol/relay/lost_test.go
@@ -11,24 +11,22 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// A caller's request is run by three engines where its route allows two. It ran at
-// two, and of one this router heard that its process ended; then the same incarnation
-// answers a report, but it stays lost for a minute and is no attempt. Only an answer
-// that was asked for after the news of the end is newer than that news, and only one
-// of the same incarnation says anything of it.
+// Guards against treating an engine as lost after it has responded, which would allow a
+// request to run on more engines than the route allows. Only a response of the same
+// incarnation to a request sent after the exit was recorded revokes the exit.
 func TestRespondingEngineIsNoLongerLost(t *testing.T) {
 	const responseTime = 100 * time.Millisecond
 	const same, other, unknown = `{"born":100}`, `{"born":200}`, `{}`
 	lost := model.Incarnation{ID: "one", Born: 100}
 	for name, c := range map[string]struct {
-		requestOffset time.Duration // after the news of the end
+		requestOffset time.Duration // relative to the recorded exit
 		response      string
 		lost          bool
 	}{
-		"asked after":              {requestOffset: time.Millisecond, response: same, lost: false},
-		"asked before":             {requestOffset: -responseTime / 2, response: same, lost: true},
-		"another incarnation":      {requestOffset: time.Millisecond, response: other, lost: true},
-		"it does not tell its own": {requestOffset: time.Millisecond, response: unknown, lost: true},
+		"requested after the exit":  {requestOffset: time.Millisecond, response: same, lost: false},
+		"requested before the exit": {requestOffset: -responseTime / 2, response: same, lost: true},
+		"another incarnation":       {requestOffset: time.Millisecond, response: other, lost: true},
+		"start time unknown":        {requestOffset: time.Millisecond, response: unknown, lost: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
