--- a/internal/protocol/relay/move_test.go
+++ b/internal/protocol/relay/move_test.go
@@ -15,10 +15,8 @@
 	"github.com/skylarkwood/skylarkwood/platform"
 )
 
-// The last run of a stream hears that an engine of it has ended; the order that
-// replaces the engine fails, and the run's end is set for a moment later. The news
-// comes again, from another watcher, and now the engine is replaced. The chain works,
-// and must not be ended for an engine that it has left.
+// Guards against ending a run because of the exit of an engine that it no longer uses. The
+// exit is reported twice: the first rerouting fails, the second succeeds.
 func TestReroutedRunIgnoresExitOfFormerEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
@@ -30,7 +28,7 @@
 			return reportResponse(emptyReport), nil
 		})
 		w, run := s.startTwoStageStream(t, route)
-		w.final = true // as on the last send that a request has
+		w.final = true // as on the request's last send
 		s.HandleEngineExit(inc("far"))
 		time.Sleep(10 * time.Millisecond)
 		s.HandleEngineExit(inc("far"))
