--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -19,7 +19,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// faulty is a connection to backend servers whose code panics.
+// panickingClient is a BackendClient that panics.
 type panickingClient struct{ sent int }
 
 func (f *panickingClient) Do(context.Context, string, *Request) (*Response, error) {
@@ -29,7 +29,7 @@
 
 func (f *panickingClient) CloseIdle(string) {}
 
-// panicObserver counts what an observer is told.
+// panicObserver counts requests and panics.
 type panicObserver struct{ requests, panics int }
 
 func (c *panicObserver) Request(string, string, string, string, time.Duration) { c.requests++ }
@@ -37,12 +37,12 @@
 func (c *panicObserver) Retry(string, string)                                  {}
 func (c *panicObserver) recordPanic(string)                                    { c.panics++ }
 
-// responseRecorder is a caller that takes the answer down.
+// responseRecorder is a ResponseWriter that records the response.
 type responseRecorder struct {
 	status   int
 	header   http.Header
 	body     bytes.Buffer
-	writeErr error // what writing gives from now on
+	writeErr error // returned by Write
 }
 
 func (a *responseRecorder) WriteHeader(status int, header http.Header, _ int64) {
@@ -55,7 +55,7 @@
 	return a.writeErr
 }
 
-// withService is a relay with one plain service and one server of it.
+// newPlainRelay returns a relay with one plain service and one server of it.
 func newPlainRelay(backends BackendClient, observer *panicObserver) *Relay {
 	s, _ := newIncompleteStream()
 	r := s.Relay
@@ -75,10 +75,8 @@
 	return r
 }
 
-// The code panics while a request is at a backend server. Its caller is told that
-// nobody knows whether it ran (502), and gets no closed connection; the log has the
-// stack at the usual verbosity, and the end is counted. The next request is served
-// as before.
+// Guards against a panic that closes the connection without a response or stops the
+// process. The caller gets 502, and the log contains the stack.
 func TestPanicDuringSendReturnsBadGateway(t *testing.T) {
 	var log bytes.Buffer
 	klog.LogToStderr(false)
@@ -102,12 +100,12 @@
 	}
 }
 
-// breaksOff is a caller whose own code panics once the answer has begun.
+// panickingWriter is a ResponseWriter that panics once the response has begun.
 type panickingWriter struct{ responseRecorder }
 
 func (b *panickingWriter) Write([]byte) error { panic("fault in the code") }
 
-// plainAnswer is a backend server's whole answer.
+// stringBody is a complete response body.
 type stringBody struct{ strings.Reader }
 
 func (p *stringBody) Discard() {}
@@ -122,9 +120,8 @@
 
 func (okClient) CloseIdle(string) {}
 
-// The same once the caller has the head of an answer. Another answer behind it would
-// belong to no request, so the connection is broken off and the caller sees that the
-// answer is not whole.
+// Guards against writing a second response after the header was written. The connection is
+// aborted instead.
 func TestPanicAfterHeaderAbortsConnection(t *testing.T) {
 	observer := &panicObserver{}
 	r := newPlainRelay(okClient{}, observer)
@@ -133,7 +130,7 @@
 	assert.Equal(t, observer.panics, 1)
 }
 
-// The caller's connection is aborted on purpose: that is no fault, and is passed on.
+// Guards against handling a deliberate abort of the connection as a fault.
 func TestAbortHandlerPanicIsPropagated(t *testing.T) {
 	observer := &panicObserver{}
 	r := newPlainRelay(abortingClient{}, observer)
@@ -151,9 +148,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// A chain is silent and the code panics as its engines are asked. Only that run ends,
-// as if the chain had been found at fault; the stream is looked after elsewhere, and
-// the process goes on.
+// Guards against a panic in a watch stopping the process. Only the watched run ends.
 func TestPanicInWatchEndsOnlyItsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		observer := &panicObserver{}
