--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -17,17 +17,17 @@
 	"github.com/skylarkwood/skylarkwood/platform"
 )
 
-// eventEvery is the time between the events of the streams here.
+// testEventInterval is the interval between the events of the streams in these tests.
 const testEventInterval = 30 * time.Millisecond
 
-// pathEngines answers orders as engines do: a path through a silent engine is refused,
-// and the refusal names the first of them.
+// fakeEngines answers orders as engines do: a path through an unresponsive engine is
+// refused, and the refusal names the first such engine.
 type fakeEngines struct {
 	mu             sync.Mutex
 	unresponsive   []string // addresses
 	orders         int
 	refused        int
-	beforeResponse func(ctx context.Context) // runs before each answer to an order; may be nil
+	beforeResponse func(ctx context.Context) // called before each response to an order; may be nil
 }
 
 func (p *fakeEngines) do(ctx context.Context, _ string, r *Request) (*Response, error) {
@@ -55,17 +55,17 @@
 	return signed(http.StatusOK, strings.NewReader("")), nil
 }
 
-// setBeforeResponse sets what runs before each answer to an order.
+// setBeforeResponse sets what is called before each response to an order.
 func (p *fakeEngines) setBeforeResponse(hook func(ctx context.Context)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.beforeResponse = hook
 }
 
-// neverRespond leaves an order without an answer.
+// neverRespond leaves an order without a response.
 func neverRespond(ctx context.Context) { <-ctx.Done() }
 
-// answeredOrders tells how many orders were answered.
+// answeredOrders returns how many orders were answered.
 func (p *fakeEngines) answeredOrders() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,7 +78,8 @@
 	p.unresponsive = addrs
 }
 
-// threeParts gives a site whose chains have three parts, with two holders of each.
+// newThreeStageFixture returns a fixture whose chains have three stages, with two engines
+// for each.
 func newThreeStageFixture(do fakeBackend) *fixture {
 	s := newFixture(resumable, true, do)
 	s.prober.Report = s.Report
@@ -94,12 +95,12 @@
 	return s
 }
 
-// resumable is a route whose streams go on at another first engine; those of movable only
-// go on through the first engine that they have.
+// Streams of the resumable route may restart at another first engine. Streams of the
+// movable route may only be rerouted from the first engine that they have.
 var resumable = model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2, TargetGap: 300 * time.Millisecond}
 var movable = model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 1, TargetGap: 300 * time.Millisecond}
 
-// startStream is a stream on the chain head, middle, tail with its watch.
+// startStream starts a stream on the chain head, middle, tail, and returns its watch.
 func (s *fixture) startStream(t *testing.T, route model.Route) (*chainWatch, context.Context) {
 	snap := s.Catalog.Load()
 	var stages []chains.Stage
@@ -109,7 +110,7 @@
 	return s.startStreamOn(t, route, stages)
 }
 
-// sendEvents gives the streams events for a while.
+// sendEvents sends events to the streams at the test interval.
 func sendEvents(streams []*chainWatch, events int) {
 	for range events {
 		time.Sleep(testEventInterval)
@@ -128,8 +129,8 @@
 	return out
 }
 
-// Two engines of one chain fall silent at one moment, with 90 streams on it: all streams
-// leave both within half of the pause that their route allows, with few refused orders.
+// Guards against slow rerouting when two engines of one chain fail at the same time: all
+// streams leave both within half of the allowed gap, with few refused orders.
 func TestTwoUnresponsiveEnginesOfOneChainAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{beforeResponse: func(context.Context) { time.Sleep(2 * time.Millisecond) }}
@@ -151,8 +152,8 @@
 	})
 }
 
-// The first engine of a chain and a later one fall silent together. The path check is
-// not answered, so the streams begin anew at other engines.
+// Guards against waiting for a first engine that does not answer the path check. The run
+// is ended, so that the stream can restart on other engines.
 func TestUnresponsiveFirstEngineEndsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
@@ -169,9 +170,8 @@
 	})
 }
 
-// A stream is late, and the check of its path is not answered, while other streams through
-// its first engine go on: a link lost both. The engine is not suspected, and no other
-// stream leaves it.
+// Guards against suspecting a first engine that does not answer a path check although
+// other streams through it make progress.
 func TestUnansweredPathCheckDoesNotSuspectWorkingEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
@@ -190,8 +190,8 @@
 	})
 }
 
-// A stream is late though its path holds. It stays where it is, and no engine is
-// suspected.
+// Guards against rerouting a stream, or suspecting its engines, after a path check that
+// found no fault.
 func TestConfirmedPathIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
@@ -210,8 +210,8 @@
 	})
 }
 
-// An order is not answered. Its engine may carry it out after a later one and bring the
-// stream back to the path it had, so the stream gets no other order.
+// Guards against sending another order after an unanswered one, which the engine might
+// execute later and so return the stream to its former path.
 func TestNoOrderIsSentAfterUnansweredOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
@@ -233,8 +233,8 @@
 	})
 }
 
-// An engine that many streams run through falls silent. Moved, all would wait for its
-// twin to read their tokens; they are sent anew, while the budget for that lasts.
+// Guards against rerouting all streams of a failed engine to its only replacement, where
+// they would all wait for prefill. They are restarted as far as the retry budget allows.
 func TestStreamsOfUnresponsiveEngineRestartWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const budget = 30
@@ -261,13 +261,12 @@
 				rerouted++
 			}
 		}
-		assert.Assert(t, restarted <= budget && restarted >= budget*8/10, "%d sent anew", restarted)
+		assert.Assert(t, restarted <= budget && restarted >= budget*8/10, "%d restarted", restarted)
 		assert.Equal(t, restarted+rerouted, len(streams))
 	})
 }
 
-// A chain is chosen while one of its engines is found silent. The run leaves it at once
-// and does not wait for its first event.
+// Guards against starting a run on an engine that was just found unresponsive.
 func TestNewRunLeavesRecentlyUnresponsiveEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
@@ -279,8 +278,8 @@
 	})
 }
 
-// A path is refused for an engine that is full. Another holder takes the part, and the
-// full one is not taken for silent: other streams stay there.
+// Guards against treating a full engine as unresponsive because it refused a path. Another
+// engine takes the stage, and other streams stay on the full one.
 func TestFullEngineIsNotMarkedUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := &fakeEngines{}
