--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -15,13 +15,13 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// fakeEngine is an engine that answers reports, or does not.
+// fakeEngine answers report requests unless it is dead.
 type fakeEngine struct {
 	mu        sync.Mutex
 	dead      bool
 	slow      float64
 	requests  int
-	announced int // suspicions passed on to peers
+	announced int // announcements to peers
 	load      model.EngineReport
 	unhealthy bool
 	server    *model.BackendServer
@@ -32,7 +32,7 @@
 	defer a.mu.Unlock()
 	a.requests++
 	if a.dead {
-		return model.EngineReport{}, errors.New("no answer")
+		return model.EngineReport{}, errors.New("no response")
 	}
 	out := a.load
 	out.Slowdown = a.slow
@@ -69,7 +69,7 @@
 
 func inc(id string) model.Incarnation { return model.Incarnation{ID: id} }
 
-// runProber runs a prober over one engine in virtual time.
+// runProber runs a prober with one engine in virtual time.
 func runProber(t *testing.T, f func(p *Prober, a *fakeEngine)) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &fakeEngine{server: &model.BackendServer{ID: "e", Service: "s", Address: "1:1", Revision: 1}}
@@ -91,8 +91,8 @@
 	})
 }
 
-// An engine dies and comes back under the same id. It gets nothing while it
-// does not answer, however long that is, and work again once it does.
+// Guards against sending requests to an engine that does not respond, and against
+// withholding them after it has recovered.
 func TestDeadEngineStaysSuspectedUntilItResponds(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
 		a.setDead(true)
@@ -101,15 +101,15 @@
 			time.Sleep(250 * time.Millisecond)
 			assert.Assert(t, p.Health.Suspected(inc("e")))
 		}
-		assert.Assert(t, a.announcementCount() > 2, "peers are told as long as it lasts")
+		assert.Assert(t, a.announcementCount() > 2, "peers are notified while the suspicion lasts")
 		a.setDead(false)
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, !p.Health.Suspected(inc("e")))
 	})
 }
 
-// A chain waited for an engine that answers its reports. The suspicion lasts
-// its first second all the same: the engine did not do its work.
+// Guards against clearing a suspicion at once because the engine answers reports, although
+// it did not run its stage.
 func TestRespondingEngineStaysSuspectedForFirstPeriod(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
 		p.Unreachable(a.server, "r", nil)
@@ -120,13 +120,13 @@
 	})
 }
 
-// An engine falls silent. After three probes without an answer it counts as lost,
-// whatever its entry says; one that answers, or refuses work, does not.
+// Guards against treating an engine as lost that responds, and as present if it has not
+// responded for three probes.
 func TestUnresponsiveEngineIsLostAfterTimeout(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
 		p.Unreachable(a.server, "r", nil)
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, !p.Lost(inc("e")), "it answers")
+		assert.Assert(t, !p.Lost(inc("e")), "it responds")
 		a.setDead(true)
 		p.Unreachable(a.server, "r", nil)
 		time.Sleep(700 * time.Millisecond)
@@ -139,8 +139,8 @@
 	})
 }
 
-// A peer cut off from an engine suspects it. Here it answers: it keeps getting
-// work, and the peer's next words about it are not worth a probe each.
+// Guards against adopting the suspicion of a peer that is itself disconnected from the
+// engine, and against probing the engine for each of that peer's messages.
 func TestPeerSuspicionIsProbed(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
 		p.HandlePeerSuspicion(inc("e"))
@@ -151,7 +151,7 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 		assert.Equal(t, a.reportRequests(), 1)
-		assert.Equal(t, a.announcementCount(), 0, "what a peer told is not passed on as one's own")
+		assert.Equal(t, a.announcementCount(), 0, "a peer's suspicion is not announced again")
 		p.HandlePeerSuspicion(inc("unknown"))
 	})
 }
@@ -169,8 +169,8 @@
 	})
 }
 
-// A chain is slow. Its engine says that it runs three times slower; it is asked
-// again each second, and forgotten when it is well.
+// Guards against outdated slowdowns: a slow engine is polled once per interval until it is
+// no longer slow.
 func TestSlowEngineIsPolledUntilItRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &fakeEngine{slow: 3, server: &model.BackendServer{ID: "e", Service: "s", Address: "1:1", Revision: 1}}
@@ -185,7 +185,7 @@
 		p.Check(stages, "r", time.Second, time.Millisecond)
 		p.Check(stages, "r", time.Second, time.Millisecond)
 		synctest.Wait()
-		assert.Equal(t, a.reportRequests(), 1, "many streams through one engine ask once")
+		assert.Equal(t, a.reportRequests(), 1, "several streams on one engine poll it once")
 		assert.Equal(t, p.Memory.Slowdown(inc("e")), 3.0)
 		a.mu.Lock()
 		a.slow = 1
@@ -201,9 +201,8 @@
 	})
 }
 
-// An engine drains: it refuses new work, answers its reports, and calls itself
-// ill. Probes must not bring it back; it gets nothing for seconds, and the peers
-// are told, so that each of their streams need not find out by itself.
+// Guards against sending requests to a draining engine because it answers probes. Peers
+// are notified once.
 func TestDrainingEngineGetsNoRequests(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
 		a.unhealthy = true
@@ -213,15 +212,14 @@
 		}
 		time.Sleep(7 * time.Second)
 		assert.Assert(t, p.Health.Suspected(inc("e")))
-		assert.Equal(t, a.reportRequests(), 1, "one stream's refusal is looked into, not each")
+		assert.Equal(t, a.reportRequests(), 1, "only one of the refusals is investigated")
 		assert.Equal(t, a.announcementCount(), 1)
 		time.Sleep(time.Second)
 		assert.Assert(t, !p.Health.Suspected(inc("e")))
 	})
 }
 
-// An engine is short of token memory and refuses. A stream ends there soon: it is
-// left alone for a moment only, however often that comes.
+// Guards against suspecting a full engine for long, as its memory is soon released.
 func TestFullEngineIsSuspectedBriefly(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
 		a.load = model.EngineReport{UsedTokenLayers: 99, TotalTokenLayers: 100}
@@ -235,8 +233,8 @@
 	})
 }
 
-// An engine refuses, is well and has room: it gives its layers up. Each further
-// refusal doubles the time in which it gets nothing.
+// Guards against retrying too often at an engine that is healthy, has capacity and refuses
+// requests.
 func TestRepeatedRefusalsDoubleSuspicionPeriod(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
 		a.load = model.EngineReport{TotalTokenLayers: 100}
@@ -250,9 +248,8 @@
 	})
 }
 
-// An engine refuses work, as it drains, and answers reports all the same. A peer that
-// could not reach it makes it a suspect here, and a probe succeeds: that the engine
-// answers is no news of its refusal, which stands.
+// Guards against clearing a refusal when a probe succeeds, as draining engines answer
+// reports.
 func TestProbeDoesNotClearRefusal(t *testing.T) {
 	for _, handleRerouteRefusal := range []time.Duration{-time.Second, 50 * time.Millisecond} {
 		runProber(t, func(p *Prober, a *fakeEngine) {
@@ -268,20 +265,18 @@
 			p.HandlePeerSuspicion(inc("e"))
 			time.Sleep(200 * time.Millisecond)
 			assert.Check(t, a.reportRequests() == 1)
-			assert.Check(t, p.Health.Suspected(inc("e")), "refused %v after the hint", handleRerouteRefusal)
+			assert.Check(t, p.Health.Suspected(inc("e")), "refused %v after the peer's suspicion", handleRerouteRefusal)
 		})
 	}
 }
 
-// Requests go to an engine that has just shown that it does not do their work, and are
-// refused or lost there. A report is asked of it; while the answer is under way a
-// stream is refused its part, or a peer's word comes. The answer is older than that
-// news and says nothing of it: only what is asked afterwards may end the suspicion.
+// Guards against clearing a suspicion by the response to a probe that was sent before the
+// suspicion was raised.
 func TestProbeDoesNotClearNewerSuspicion(t *testing.T) {
 	const responseTime = 100 * time.Millisecond
 	for name, newSuspicion := range map[string]func(h *catalog.Health){
-		"suspected here":   func(h *catalog.Health) { h.Suspect(inc("e")) },
-		"longer suspected": func(h *catalog.Health) { h.SuspectUntil(inc("e"), time.Now().Add(2*failedProbePeriod)) },
+		"suspected locally":  func(h *catalog.Health) { h.Suspect(inc("e")) },
+		"suspicion extended": func(h *catalog.Health) { h.SuspectUntil(inc("e"), time.Now().Add(2*failedProbePeriod)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			runProber(t, func(p *Prober, a *fakeEngine) {
