--- a/internal/protocol/relay/repeat_test.go
+++ b/internal/protocol/relay/repeat_test.go
@@ -15,10 +15,8 @@
 	"github.com/skylarkwood/skylarkwood/platform"
 )
 
-// A server does not answer, and as its try becomes slow the budget for repeated sends
-// is used up. Later there is budget again and another server is well, yet the request
-// stays with the silent one until its time is over: it was decided once that it may go
-// nowhere else.
+// Guards against deciding only once whether a slow attempt may be retried elsewhere. The
+// budget is exhausted at first and has tokens later.
 func TestSlowAttemptIsRetriedOnceBudgetAllows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := ""
@@ -42,9 +40,8 @@
 	})
 }
 
-// The first server takes no connection, nothing goes out to it, and the budget for
-// repeated sends is used up. The request is offered to the other one all the same: it
-// has not been sent yet, so that send repeats nothing.
+// Guards against charging the retry budget for a first send: the first server accepts no
+// connection and the budget is exhausted, yet the next server is tried.
 func TestFirstSendNeedsNoRetryToken(t *testing.T) {
 	for _, isEngine := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -58,14 +55,13 @@
 			s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 0, time.Second, func() int { return 1 }, time.Now)
 			out := &recordingWriter{}
 			assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
-			assert.Equal(t, out.status, http.StatusOK, "generates %t: %s", isEngine, out.body.String())
+			assert.Equal(t, out.status, http.StatusOK, "engine %t: %s", isEngine, out.body.String())
 		})
 	}
 }
 
-// A run falls silent, a repeated send is granted for what follows it, and it ends before
-// anything was sent: what follows needs no grant. The next engine fails, and the send
-// after it uses what was granted, the last one that the budget had.
+// Guards against losing a retry token that was taken for a run which ended before it was
+// sent. The next retry uses that token, the last one of the budget.
 func TestRetryTokenIsKeptUntilUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		attempts := 0
