--- a/internal/protocol/relay/report_test.go
+++ b/internal/protocol/relay/report_test.go
@@ -12,7 +12,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// unending is an engine whose answers never end.
+// endlessEngine is an engine whose responses never end.
 type endlessEngine struct {
 	read      int
 	discarded bool
@@ -28,16 +28,14 @@
 
 func (e *endlessEngine) Read(p []byte) (int, error) {
 	if e.read > 16*maxReportBytes {
-		return 0, io.ErrUnexpectedEOF // what reads on would read on for ever
+		return 0, io.ErrUnexpectedEOF // ends the test if the limit is not applied
 	}
 	e.read += len(p)
 	return len(p), nil
 }
 
-// An engine that is out of its mind answers a report without end. What is read of it
-// is bounded: in the quarter of a second that a report may take, a fast link brings
-// more than a small router has memory for, and the process would be killed. The
-// connection serves nothing else.
+// Guards against running out of memory by reading an unlimited report. The connection is
+// not reused.
 func TestEndlessReportReturnsError(t *testing.T) {
 	engine := &endlessEngine{}
 	r := &Relay{BackendClient: engine, Now: time.Now}
