--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -25,7 +25,7 @@
 	"github.com/skylarkwood/skylarkwood/platform"
 )
 
-// script is the backend servers: what they do with a request.
+// fakeBackend is a BackendClient that handles each request by a function.
 type fakeBackend func(ctx context.Context, addr string, r *Request) (*Response, error)
 
 func (s fakeBackend) Do(ctx context.Context, addr string, r *Request) (*Response, error) {
@@ -34,7 +34,7 @@
 
 func (s fakeBackend) CloseIdle(string) {}
 
-// retryCounter counts repeated sends.
+// retryCounter is an Observer that counts retries.
 type retryCounter struct {
 	mu      sync.Mutex
 	retries int
@@ -49,13 +49,13 @@
 	o.retries++
 }
 
-// heardBody is an answer's body that comes as its reader does.
+// fakeBody is a response body read from a reader.
 type fakeBody struct{ io.Reader }
 
 func (fakeBody) Discard() {}
 func (fakeBody) Close()   {}
 
-// recordingWriter is a caller that keeps what it is told.
+// recordingWriter is a ResponseWriter that records the response.
 type recordingWriter struct {
 	status int
 	header http.Header
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// site is a relay before two backend servers, "one" and "two". Where it generates
-// each of them holds all layers; else the service is plain.
+// fixture is a relay with two backend servers, "one" and "two". They are engines that hold
+// all layers, or servers of a plain service.
 type fixture struct {
 	*Relay
 	prober   *Prober
@@ -128,7 +128,7 @@
 	return &fixture{Relay: rel, prober: prober, observer: observer}
 }
 
-// streamCount is how many streamCount hold memory of an engine.
+// streamCount returns how many streams hold memory at the engines.
 func (s *fixture) streamCount() float64 {
 	return s.Memory.Used(inc("one")).Streams + s.Memory.Used(inc("two")).Streams
 }
@@ -137,10 +137,10 @@
 	for _, id := range []string{"one", "two"} {
 		view := s.Health.View(inc(id))
 		assert.Check(t, !view.Suspected, "%s is suspected", id)
-		assert.Check(t, view.FailureRate == 0, "%s is charged with a failure", id)
-		assert.Check(t, view.Active == 0, "%s has work", id)
+		assert.Check(t, view.FailureRate == 0, "%s has a recorded failure", id)
+		assert.Check(t, view.Active == 0, "%s has active requests", id)
 	}
-	assert.Check(t, len(s.prober.dueProbes()) == 0, "a probe is due")
+	assert.Check(t, len(s.prober.dueProbes()) == 0, "a probe is pending")
 }
 
 func signed(status int, body io.Reader) *Response {
@@ -149,7 +149,7 @@
 	return &Response{Status: status, Header: h, Body: fakeBody{body}}
 }
 
-var errNotConnected = errors.Wrap(ErrNotSent, "the connection was closed")
+var errNotConnected = errors.Wrap(ErrNotSent, "connection closed")
 
 const (
 	idempotent    = model.RouteIdempotent
@@ -157,10 +157,8 @@
 	streaming     = model.RouteStreaming
 )
 
-// The caller leaves while a connection is opened to the backend server, and nothing
-// was sent. The server is no worse for it: it is not suspected, here or at peers, and
-// no failure is counted. A caller that only closed its sending side still listens,
-// and is told that its request did not run and when to come back.
+// Guards against suspecting a server because the caller disconnected before the request was
+// sent. A caller that only closed its sending side is told that the request did not run.
 func TestDisconnectBeforeSendDoesNotSuspectServer(t *testing.T) {
 	for _, kind := range []model.RouteKind{idempotent, notRepeatable, streaming} {
 		synctest.Test(t, func(t *testing.T) {
@@ -181,9 +179,8 @@
 	}
 }
 
-// The caller leaves while its request runs. The server did not fail: work that its
-// caller gave up says nothing of it. A caller that only closed its sending side still
-// listens, and is told that its answer is lost, not that its request was wrong.
+// Guards against suspecting a server because the caller disconnected during the run. A
+// caller that only closed its sending side gets 502.
 func TestDisconnectDuringRunDoesNotSuspectServer(t *testing.T) {
 	for _, kind := range []model.RouteKind{idempotent, notRepeatable, streaming} {
 		synctest.Test(t, func(t *testing.T) {
@@ -204,28 +201,26 @@
 	}
 }
 
-// A backend server's own failure has come whole as the time is over or the caller
-// closes its sending side. It is delivered: the answer is ready, and another one in
-// its place would tell the caller less.
+// Guards against replacing a server's complete failure response by an error of the router,
+// when the caller closes its sending side as the response arrives.
 func TestFailureResponseIsForwardedAfterDisconnect(t *testing.T) {
 	for _, isEngine := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, disconnect := context.WithCancel(t.Context())
 			s := newFixture(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, isEngine, func(context.Context, string, *Request) (*Response, error) {
 				disconnect()
-				return signed(http.StatusInternalServerError, strings.NewReader("the server's words")), nil
+				return signed(http.StatusInternalServerError, strings.NewReader("failure response")), nil
 			})
 			out := &recordingWriter{}
 			assert.Assert(t, s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 			assert.Equal(t, out.status, http.StatusInternalServerError)
-			assert.Equal(t, out.body.String(), "the server's words")
+			assert.Equal(t, out.body.String(), "failure response")
 			assert.Equal(t, s.observer.retries, 0)
 		})
 	}
 }
 
-// A handler that fails unexpectedly takes its request with it, not the memory that
-// its stream reserved at the engines.
+// Guards against leaking a stream's token memory when the code panics.
 func TestPanicReleasesReservedMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFixture(model.Route{Kind: streaming, MaxAttempts: 1, TargetLatency: time.Second}, true, func(context.Context, string, *Request) (*Response, error) {
@@ -239,8 +234,7 @@
 	})
 }
 
-// An engine fails a stream that has not begun, and the stream is sent to another one.
-// That is one repeated send, and takes one from the budget.
+// Guards against taking two retry tokens for one retry after an engine's failure response.
 func TestRetryAfterFailureTakesOneToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sends := 0
@@ -258,8 +252,8 @@
 	})
 }
 
-// The same, with the budget used up or the attempts: the engine's failure is the
-// answer, as it came.
+// Guards against losing an engine's failure response when the attempts or the retry budget
+// are exhausted.
 func TestFailureIsForwardedWithoutRetries(t *testing.T) {
 	for _, attempts := range []int{1, 2} {
 		synctest.Test(t, func(t *testing.T) {
@@ -278,8 +272,8 @@
 	}
 }
 
-// A server is slower than usual, and the budget for repeated sends is used up. The
-// request may go nowhere else, so it stays where it is and gets its answer.
+// Guards against cancelling a slow attempt that cannot be retried because the retry budget
+// is exhausted.
 func TestSlowAttemptContinuesWithoutRetryToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFixture(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, false, func(ctx context.Context, _ string, _ *Request) (*Response, error) {
@@ -297,8 +291,8 @@
 	})
 }
 
-// The same with a repeat left: another server answers in time, and one repeat is
-// taken.
+// Guards against waiting for a slow server although a retry token and another server are
+// available.
 func TestSlowAttemptIsRetriedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := ""
@@ -320,8 +314,7 @@
 	})
 }
 
-// An answer that is no stream comes in one piece when all of it is made, after many
-// seconds. Nothing before it is no silence.
+// Guards against treating the wait for a response that is not streamed as a stall.
 func TestSingleResponseIsNotAStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFixture(model.Route{Kind: idempotent, MaxAttempts: 2, TargetLatency: time.Second}, true, func(ctx context.Context, _ string, r *Request) (*Response, error) {
@@ -331,20 +324,18 @@
 			if !wait.For(ctx, 8*time.Second) {
 				return nil, ctx.Err()
 			}
-			return signed(http.StatusOK, strings.NewReader("all of it")), nil
+			return signed(http.StatusOK, strings.NewReader("complete response")), nil
 		})
 		time.Sleep(2 * time.Second) // until the slack may be spent
 		out := &recordingWriter{}
 		assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
-		assert.Equal(t, out.body.String(), "all of it")
+		assert.Equal(t, out.body.String(), "complete response")
 		assert.Equal(t, s.observer.retries, 0)
 	})
 }
 
-// A server answers its last request and ends. The news of its end overtakes the
-// answer, which lies in the socket of a busy router. A request that must not be sent
-// again has nothing but this answer: it is waited for a moment. One that may be sent
-// again is, at once.
+// Guards against discarding the final response of a server whose exit is reported before the
+// response is read, for a request that must not be retried.
 func TestFinalResponseOfExitedServerIsForwarded(t *testing.T) {
 	for _, kind := range []model.RouteKind{notRepeatable, streaming} {
 		synctest.Test(t, func(t *testing.T) {
@@ -352,7 +343,7 @@
 				if !wait.For(ctx, 50*time.Millisecond) {
 					return nil, ctx.Err()
 				}
-				return signed(http.StatusOK, strings.NewReader("id: 1\ndata: last words\n\n")), nil
+				return signed(http.StatusOK, strings.NewReader("id: 1\ndata: final response\n\n")), nil
 			})
 			time.AfterFunc(20*time.Millisecond, func() {
 				s.HandleEngineExit(inc("one"))
@@ -361,7 +352,7 @@
 			out := &recordingWriter{}
 			assert.Assert(t, s.Serve(t.Context(), &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, out))
 			assert.Equal(t, out.status, http.StatusOK)
-			assert.Equal(t, out.body.String(), "id: 1\ndata: last words\n\n")
+			assert.Equal(t, out.body.String(), "id: 1\ndata: final response\n\n")
 		})
 	}
 }
