--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -19,8 +19,8 @@
 
 const emptyReport = `{}`
 
-// chained gives a site whose chains run through two engines, "one" then "far", with
-// "spare" to take the place of far.
+// newTwoStageFixture returns a fixture whose chains use two engines, "one" then "far", with
+// "spare" as the replacement of "far".
 func newTwoStageFixture(route model.Route, do fakeBackend) *fixture {
 	s := newFixture(route, true, do)
 	s.Catalog.Remove("two", 1, 0)
@@ -41,12 +41,12 @@
 	}
 }
 
-// watched is a running stream through "one" and "far" and its watch.
+// startTwoStageStream starts a stream on "one" and "far", and returns its watch.
 func (s *fixture) startTwoStageStream(t *testing.T, route model.Route) (*chainWatch, context.Context) {
 	return s.startStreamOn(t, route, s.stages("far"))
 }
 
-// watchedOn is a running stream through some engines and its watch.
+// startStreamOn starts a stream on a chain, and returns its watch.
 func (s *fixture) startStreamOn(t *testing.T, route model.Route, stages []chains.Stage) (*chainWatch, context.Context) {
 	q := &request{Relay: s.Relay, call: &model.Call{Attempt: "1"}, startTime: time.Now(), avoid: map[model.Incarnation]bool{}}
 	table := s.Config.Load()
@@ -63,7 +63,7 @@
 	return w, run
 }
 
-// unreachableHook calls back when an engine is reported.
+// unreachableHook calls a function when an engine is reported unreachable.
 type unreachableHook struct {
 	*Prober
 	onReport func()
@@ -73,8 +73,8 @@
 
 func reportResponse(body string) *Response { return signed(http.StatusOK, strings.NewReader(body)) }
 
-// The first engine does not tell what a silent chain waits for. While that is noted
-// an event comes: the chain works, and must not be ended for a silence that is over.
+// Guards against ending a run for a stall although an event arrives while the stall is
+// handled.
 func TestChainWithNewEventIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
@@ -89,9 +89,7 @@
 	})
 }
 
-// A chain is silent and its first engine is asked. Meanwhile a part of the chain is
-// found to have ended and is replaced, which the engine takes as an order. The answer
-// to the question is about the chain as it was: it must not end the new one.
+// Guards against ending a run for a stall of the chain that it had before a rerouting.
 func TestReroutedChainIsNotEndedForEarlierStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 1}
@@ -106,7 +104,7 @@
 			return reportResponse(emptyReport), nil
 		})
 		w, run := s.startTwoStageStream(t, route)
-		time.Sleep(firstEventTimeout + nextEventTimeout + 50*time.Millisecond) // amid the second question
+		time.Sleep(firstEventTimeout + nextEventTimeout + 50*time.Millisecond) // during the second report request
 		assert.Equal(t, reportRequests.Load(), int64(2))
 		s.HandleEngineExit(inc("far"))
 		time.Sleep(100 * time.Millisecond)
@@ -116,8 +114,7 @@
 	})
 }
 
-// A stream ends whole while an engine of it is replaced and the order is refused.
-// There is nothing left to give up.
+// Guards against abandoning a stream that ended normally while a rerouting was in progress.
 func TestFinishedStreamIsNotAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
@@ -136,10 +133,8 @@
 	})
 }
 
-// A stream that must not run twice is silent, its engines answer and name nobody; or
-// the first engine does not even answer. Ended, the stream is lost for sure, as no
-// other engine may go on with it; its caller decides how long to wait. It is ended
-// once the process of one of its engines has.
+// Guards against ending a stalled stream that no other engine may resume. It is ended only
+// once the process of one of its engines has exited.
 func TestNonResumableStreamIsNotEndedForStall(t *testing.T) {
 	for _, responds := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -162,9 +157,8 @@
 	}
 }
 
-// Another stream finds an engine at fault that this one runs through as well. This
-// one must not run twice, so it cannot leave: the other's view, from another engine
-// of other links, is no reason to lose it.
+// Guards against ending a stream that cannot be resumed because another stream found one of
+// its engines at fault.
 func TestNonResumableStreamIgnoresReportsOfOtherStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, MaxAttempts: 2}
@@ -175,13 +169,12 @@
 		synctest.Wait()
 		assert.NilError(t, run.Err())
 		stages, _ := other.state()
-		assert.Equal(t, stages[1].Server.ID, "spare", "the other one is moved")
+		assert.Equal(t, stages[1].Server.ID, "spare", "the other stream is rerouted")
 	})
 }
 
-// An engine's process ends right after a chain through it was chosen, before the run
-// is among those that are told. The run must hear of it all the same: nothing would
-// come of it, and its caller would wait until the silence shows.
+// Guards against a run that misses the exit of an engine because it was added just after the
+// exit was reported.
 func TestNewRunEndsIfItsEngineJustExited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
@@ -192,9 +185,8 @@
 	})
 }
 
-// A chain is silent, its engines answer and name nobody, and the budget for repeated
-// sends is used up. Ended, the stream would be broken off; kept, it may go on. Once
-// there is budget again the run abandoned.
+// Guards against ending a stalled run while the retry budget is exhausted. It is ended once
+// the budget has tokens again.
 func TestStalledChainContinuesWithoutRetryToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
