--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -14,134 +14,137 @@
 )
 
 const (
-	// roomWait is how long a new stream waits for token memory, as a share of
-	// its target latency: what is left must do for the first event.
-	roomWait = 0.8
-	// callersPatience is the silence after which a stream's caller leaves, and a
-	// little more: an interrupted stream looks for another chain as long. Broken
-	// off sooner, its caller would lose it though a chain may be whole again, as
-	// engines that leave are replaced within that time.
-	callersPatience = 2100 * time.Millisecond
-	// chainPoll is between two looks of an interrupted stream that no chain took.
-	chainPoll = 50 * time.Millisecond
-	// answerMargin multiplies the caller's estimate of the answer's length.
-	answerMargin = 1.25
+	// capacityWaitShare is the share of the target latency that a new stream may wait for
+	// token memory. The rest is left for the first event.
+	capacityWaitShare = 0.8
+	// callerGapTimeout is slightly longer than the pause after which callers abandon a
+	// stream. An interrupted stream looks for another chain for that long, as engines
+	// that leave are replaced within that time.
+	callerGapTimeout = 2100 * time.Millisecond
+	// chainPollInterval is the interval at which an interrupted stream looks for a chain
+	// after leaving the wait queue.
+	chainPollInterval = 50 * time.Millisecond
+	// responseTokenMargin multiplies the estimated number of response tokens.
+	responseTokenMargin = 1.25
 )
 
-// size is how many tokens the request will hold: its prompt, and its answer as
-// the caller guesses it or as is usual.
-func (q *request) size() int {
-	spec := q.ticket.Service.Engine
-	answer := float64(q.call.AnswerHint)
-	if answer == 0 {
-		answer = float64(spec.UsualAnswer)
+// expectedTokens returns the number of tokens to reserve memory for: those of the prompt
+// and of the response, as estimated by the caller or as usual for the service.
+func (q *request) expectedTokens() int {
+	spec := q.admitted.Service.Engine
+	responseTokens := float64(q.call.AnswerHint)
+	if responseTokens == 0 {
+		responseTokens = float64(spec.UsualAnswer)
 	}
-	answer *= answerMargin
+	responseTokens *= responseTokenMargin
 	if q.call.MaxAnswer > 0 {
-		answer = min(answer, float64(q.call.MaxAnswer))
+		responseTokens = min(responseTokens, float64(q.call.MaxAnswer))
 	}
-	return q.promptTokens() + int(answer)
+	return q.promptTokens() + int(responseTokens)
 }
 
 func (q *request) promptTokens() int {
 	if q.call.PromptTokens > 0 {
 		return q.call.PromptTokens
 	}
-	return q.ticket.Service.Engine.UsualPrompt
+	return q.admitted.Service.Engine.UsualPrompt
 }
 
-// mayResume decides whether the stream goes on elsewhere.
-func (q *request) mayResume(ctx context.Context, err error) bool {
+// allowResume returns whether the stream may be resumed at another chain, and takes a
+// retry token for that.
+func (q *request) allowResume(ctx context.Context, err error) bool {
 	if q.runs == 0 {
-		return q.mayRepeat(ctx, "refused")
+		return q.allowRetry(ctx, "refused")
 	}
-	// An engine that was lost does not count as an attempt, and a stream that
-	// may be resumed is worth more sends than a fresh one.
-	if !q.ticket.Idempotent() || q.sends >= maxSends {
+	// An engine that was lost does not count as an attempt, so the route's
+	// MaxAttempts does not apply here.
+	if !q.admitted.Idempotent() || q.sends >= maxSends {
 		return false
 	}
-	if !q.takeRepeat(ctx) {
+	if !q.takeRetryToken(ctx) {
 		if ctx.Err() == nil {
-			klog.InfoS("not resumed: the retry budget is used up", "request", q.call.Attempt, "err", err)
+			klog.InfoS("stream not resumed: retry budget exhausted", "request", q.call.Attempt, "err", err)
 		}
 		return false
 	}
-	q.Observer.Retry(q.ticket.Service.Name, "resumed")
+	q.Observer.Retry(q.admitted.Service.Name, "resumed")
 	return true
 }
 
-// acquire chooses a chain and reserves its memory, waiting a moment for room.
-func (s *stream) acquire(ctx context.Context) ([]chains.Stage, *chains.Reservation, *fault.Error) {
+// reserveChain chooses a chain and reserves its token memory. It waits for capacity for
+// a limited time.
+func (s *stream) reserveChain(ctx context.Context) ([]chains.Stage, *chains.Reservation, *fault.Error) {
 	q := s.request
-	demand := chains.Requirements{Domain: q.FailureDomain, Tokens: s.tokens, MaxEventGap: q.ticket.Route.TargetGap, Avoid: q.avoid, FirstStageIn: s.firstAmong(), Resumed: s.events > 0}
-	if q.barred.suspect {
-		demand.ExcludeFirstStage = q.barred.bars
-		demand.FirstStageCost = q.beginCost
+	requirements := chains.Requirements{Domain: q.FailureDomain, Tokens: s.tokens, MaxEventGap: q.admitted.Route.TargetGap, Avoid: q.avoid, FirstStageIn: s.allowedFirstEngines(), Resumed: s.events > 0}
+	if q.excluded.suspect {
+		requirements.ExcludeFirstStage = q.excluded.excludes
+		requirements.FirstStageCost = q.firstStageCost
 	}
-	var parts []chains.Stage
-	var hold *chains.Reservation
-	verdict := chains.Found
-	try := func() bool {
+	var stages []chains.Stage
+	var reservation *chains.Reservation
+	result := chains.Found
+	reserve := func() bool {
 		if ctx.Err() != nil {
 			return false
 		}
-		parts, verdict = q.Chooser.Choose(q.ticket.Service, demand)
-		if verdict == chains.Found {
-			hold = q.Memory.Reserve(parts, s.tokens)
-			q.Chooser.RecordStart(q.ticket.Service.Engine, parts, q.promptTokens())
-			if demand.Resumed {
-				q.Chooser.RecordResume(q.ticket.Service.Engine, parts, s.tokens)
+		stages, result = q.Chooser.Choose(q.admitted.Service, requirements)
+		if result == chains.Found {
+			reservation = q.Memory.Reserve(stages, s.tokens)
+			q.Chooser.RecordStart(q.admitted.Service.Engine, stages, q.promptTokens())
+			if requirements.Resumed {
+				q.Chooser.RecordResume(q.admitted.Service.Engine, stages, s.tokens)
 			}
 		}
-		return verdict != chains.CapacityExhausted
+		return result != chains.CapacityExhausted
 	}
-	most := time.Duration(roomWait * float64(q.ticket.Route.TargetLatency))
+	maxWait := time.Duration(capacityWaitShare * float64(q.admitted.Route.TargetLatency))
 	if s.events > 0 {
-		most = max(callersPatience-q.Now().Sub(s.lastEvent), 0)
+		maxWait = max(callerGapTimeout-q.Now().Sub(s.lastEventTime), 0)
 	}
-	until := q.Now().Add(most)
-	waiting := admission.Request{Customer: q.ticket.Customer, Priority: -q.ticket.Priority}
-	q.waiting = true
-	got := q.WaitQueue.Wait(ctx, waiting, most, try)
-	// Not in the line: there a stream that no chain serves would hold up others.
-	for s.events > 0 && hold == nil && q.Now().Before(until) && wait.For(ctx, chainPoll) {
+	until := q.Now().Add(maxWait)
+	waiter := admission.Request{Customer: q.admitted.Customer, Priority: -q.admitted.Priority}
+	q.waitingForCapacity = true
+	gotCapacity := q.WaitQueue.Wait(ctx, waiter, maxWait, reserve)
+	// Poll outside of the wait queue, where a stream without a chain would block
+	// others.
+	for s.events > 0 && reservation == nil && q.Now().Before(until) && wait.For(ctx, chainPollInterval) {
 		clear(q.avoid)
-		try()
+		reserve()
 	}
 	switch {
-	case hold != nil:
-		q.waiting = false
-		return parts, hold, nil
+	case reservation != nil:
+		q.waitingForCapacity = false
+		return stages, reservation, nil
 	case ctx.Err() != nil:
-		return nil, nil, q.ended(ctx)
-	case verdict == chains.NoChain && len(q.avoid) > 0:
-		// Better an engine that failed once than none.
+		return nil, nil, q.contextError(ctx)
+	case result == chains.NoChain && len(q.avoid) > 0:
+		// No other chain exists, so engines that failed before are allowed again.
 		clear(q.avoid)
-		if try(); hold != nil {
-			q.waiting = false
-			return parts, hold, nil
+		if reserve(); reservation != nil {
+			q.waitingForCapacity = false
+			return stages, reservation, nil
 		}
 	}
-	if verdict == chains.NoChain {
-		return nil, nil, fault.New(fault.NoCapacity, "the engines in reach do not hold all layers: %s", q.Chooser.ExplainNoChain(q.ticket.Service, demand))
+	if result == chains.NoChain {
+		return nil, nil, fault.New(fault.NoCapacity, "no chain of available engines holds all layers: %s", q.Chooser.ExplainNoChain(q.admitted.Service, requirements))
 	}
-	f := fault.New(fault.Overloaded, "no chain has room: %d wait, waited %v, admitted %t, short of %s", q.WaitQueue.Len(), most, got,
-		q.Chooser.ExhaustedResource(q.ticket.Service, demand))
+	f := fault.New(fault.Overloaded, "no chain has capacity: %d requests waiting, waited %v, admitted %t, exhausted resource: %s", q.WaitQueue.Len(), maxWait, gotCapacity,
+		q.Chooser.ExhaustedResource(q.admitted.Service, requirements))
 	return nil, nil, f
 }
 
-// firstAmong bounds the engines that run a request as the first of a chain to
-// the route's attempts: once they are used up, the stream goes on only where it
-// ran before. An engine that was lost is no attempt; one that is only gone from the
-// list leaves, and may serve on for many seconds.
-func (s *stream) firstAmong() map[model.Incarnation]bool {
+// allowedFirstEngines returns the engines that may run the first stage, or nil if any
+// may. Once the route's attempts are used up, only first engines that ran the stream
+// before are allowed. A lost engine does not count as an attempt. One whose entry was
+// removed still counts, as it may keep serving while it drains.
+func (s *stream) allowedFirstEngines() map[model.Incarnation]bool {
 	alive := map[model.Incarnation]bool{}
-	for inc := range s.ranOn {
+	for inc := range s.firstEngines {
 		if !s.Suspects.Lost(inc) {
 			alive[inc] = true
 		}
 	}
-	if len(alive) < s.ticket.Route.MaxAttempts {
+	if len(alive) < s.admitted.Route.MaxAttempts {
 		return nil
 	}
 	return alive
--- a/internal/protocol/relay/events.go
+++ b/internal/protocol/relay/events.go
@@ -8,36 +8,35 @@
 	"github.com/pkg/errors"
 )
 
-// maxEvent bounds one event; the engines' are some hundred bytes.
-const maxEvent = 1 << 20
+// maxEventBytes bounds the size of one event.
+const maxEventBytes = 1 << 20
 
-// event is one whole event of a stream, as the engine sent it.
+// event is one complete event of a stream, as the engine sent it.
 type event struct {
 	raw []byte
-	// id is its number; hasID is false for events without one.
+	// id is valid only if hasID is set.
 	id    int64
 	hasID bool
 }
 
-// eventReader cuts a stream into whole events. What an engine that broke off
-// left of an event is never passed on.
+// eventReader splits a stream into complete events. It never returns a partial event.
 type eventReader struct {
 	src io.Reader
 	buf []byte
-	pos int // events before it were given out
+	pos int // start of the unread events
 	eof bool
 }
 
 var (
-	errHalfEvent = errors.New("stream ends in the middle of an event")
-	errLongEvent = errors.New("event is too long")
+	errTruncatedEvent = errors.New("stream truncated within an event")
+	errEventTooLong   = errors.New("event exceeds the size limit")
 )
 
-// next gives the next whole event; io.EOF at a clean end of the stream. The
+// next returns the next complete event, or io.EOF if the stream ends after one. The
 // event is valid until the next call.
 func (r *eventReader) next() (event, error) {
 	for {
-		if end := endOfEvent(r.buf[r.pos:]); end > 0 {
+		if end := eventEnd(r.buf[r.pos:]); end > 0 {
 			raw := r.buf[r.pos : r.pos+end]
 			r.pos += end
 			ev := event{raw: raw}
@@ -46,7 +45,7 @@
 		}
 		if r.eof {
 			if len(bytes.TrimSpace(r.buf[r.pos:])) > 0 {
-				return event{}, errHalfEvent
+				return event{}, errTruncatedEvent
 			}
 			return event{}, io.EOF
 		}
@@ -61,8 +60,8 @@
 		r.buf = append(r.buf[:0], r.buf[r.pos:]...)
 		r.pos = 0
 	}
-	if len(r.buf) > maxEvent {
-		return errLongEvent
+	if len(r.buf) > maxEventBytes {
+		return errEventTooLong
 	}
 	if cap(r.buf)-len(r.buf) < 2048 {
 		r.buf = append(make([]byte, 0, 2*cap(r.buf)+4096), r.buf...)
@@ -76,9 +75,9 @@
 	return err
 }
 
-// endOfEvent is where the first event ends, blank line included; 0 if it is not
-// whole yet.
-func endOfEvent(b []byte) int {
+// eventEnd returns the length of the first event including its blank line; 0 if it is
+// incomplete.
+func eventEnd(b []byte) int {
 	lf := bytes.Index(b, []byte("\n\n"))
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
 	switch {
--- a/internal/protocol/relay/events_test.go
+++ b/internal/protocol/relay/events_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestEventsAreCutAtBlankLines(t *testing.T) {
+func TestEventsAreSplitAtBlankLines(t *testing.T) {
 	const stream = "id: 1\ndata: a\n\nweight-versions: 3\nid: 2\ndata: b\n\nid:3\r\ndata: c\r\n\r\n"
 	events, ids, err := readAll(iotest.OneByteReader(strings.NewReader(stream)))
 	assert.Equal(t, err, io.EOF)
@@ -33,12 +33,11 @@
 	assert.DeepEqual(t, ids, []int64{1, 2, 3})
 }
 
-// An engine crashes in the middle of an event. What it left of it must not
-// reach the caller: the next engine sends that event whole, and the caller
-// would get a piece of it twice.
-func TestHalfAnEventIsNotPassedOn(t *testing.T) {
+// Guards against forwarding a partial event when an engine crashes. The next engine sends
+// that event again.
+func TestPartialEventIsNotReturned(t *testing.T) {
 	events, _, err := readAll(strings.NewReader("id: 1\ndata: a\n\nid: 2\nda"))
-	assert.Equal(t, err, errHalfEvent)
+	assert.Equal(t, err, errTruncatedEvent)
 	assert.Equal(t, len(events), 1)
 	reset := errors.New("connection reset")
 	events, _, err = readAll(io.MultiReader(strings.NewReader("id: 1\ndata: a\n\nid: 2\n"), iotest.ErrReader(reset)))
@@ -46,31 +45,31 @@
 	assert.Equal(t, len(events), 1)
 }
 
-func TestEndlessEventIsRefused(t *testing.T) {
-	_, _, err := readAll(io.LimitReader(endless{}, 3*maxEvent))
-	assert.Equal(t, err, errLongEvent)
+func TestEndlessEventReturnsError(t *testing.T) {
+	_, _, err := readAll(io.LimitReader(endlessReader{}, 3*maxEventBytes))
+	assert.Equal(t, err, errEventTooLong)
 }
 
-type endless struct{}
+type endlessReader struct{}
 
-func (endless) Read(p []byte) (int, error) {
+func (endlessReader) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = 'x'
 	}
 	return len(p), nil
 }
 
-// However the network cuts a stream into pieces, the events are the same.
-func TestEventsDoNotDependOnPieces(t *testing.T) {
+// The events do not depend on how the stream is split into reads.
+func TestEventsDoNotDependOnReadSizes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		lines := rapid.SliceOfN(rapid.StringMatching(`[a-z: ]{0,12}`), 0, 30).Draw(rt, "lines")
 		stream := strings.Join(lines, "\n") + "\n\n"
-		whole, _, err := readAll(strings.NewReader(stream))
+		complete, _, err := readAll(strings.NewReader(stream))
 		assert.Equal(rt, err, io.EOF)
-		assert.Equal(rt, strings.TrimRight(strings.Join(whole, ""), "\n"), strings.TrimRight(stream, "\n"))
+		assert.Equal(rt, strings.TrimRight(strings.Join(complete, ""), "\n"), strings.TrimRight(stream, "\n"))
 		pieces, _, err := readAll(iotest.OneByteReader(strings.NewReader(stream)))
 		assert.Equal(rt, err, io.EOF)
-		assert.DeepEqual(rt, pieces, whole)
+		assert.DeepEqual(rt, pieces, complete)
 	})
 }
 
--- a/internal/protocol/relay/lost_test.go
+++ b/internal/protocol/relay/lost_test.go
@@ -11,43 +11,41 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// A caller's request is run by three engines where its route allows two. It ran at
-// two, and of one this router heard that its process ended; then the same incarnation
-// answers a report, but it stays lost for a minute and is no attempt. Only an answer
-// that was asked for after the news of the end is newer than that news, and only one
-// of the same incarnation says anything of it.
-func TestEngineThatAnswersIsNoLongerLost(t *testing.T) {
-	const answerTime = 100 * time.Millisecond
-	const same, other, untold = `{"born":100}`, `{"born":200}`, `{}`
+// Guards against treating an engine as lost after it has responded, which would allow a
+// request to run on more engines than the route allows. Only a response of the same
+// incarnation to a request sent after the exit was recorded revokes the exit.
+func TestRespondingEngineIsNoLongerLost(t *testing.T) {
+	const responseTime = 100 * time.Millisecond
+	const same, other, unknown = `{"born":100}`, `{"born":200}`, `{}`
 	lost := model.Incarnation{ID: "one", Born: 100}
 	for name, c := range map[string]struct {
-		asked  time.Duration // after the news of the end
-		answer string
-		lost   bool
+		requestOffset time.Duration // relative to the recorded exit
+		response      string
+		lost          bool
 	}{
-		"asked after":              {asked: time.Millisecond, answer: same, lost: false},
-		"asked before":             {asked: -answerTime / 2, answer: same, lost: true},
-		"another incarnation":      {asked: time.Millisecond, answer: other, lost: true},
-		"it does not tell its own": {asked: time.Millisecond, answer: untold, lost: true},
+		"requested after the exit":  {requestOffset: time.Millisecond, response: same, lost: false},
+		"requested before the exit": {requestOffset: -responseTime / 2, response: same, lost: true},
+		"another incarnation":       {requestOffset: time.Millisecond, response: other, lost: true},
+		"start time unknown":        {requestOffset: time.Millisecond, response: unknown, lost: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newSite(model.Route{MaxAttempts: 2}, true, func(context.Context, string, *Request) (*Response, error) {
-					time.Sleep(answerTime)
-					return report(c.answer), nil
+				s := newFixture(model.Route{MaxAttempts: 2}, true, func(context.Context, string, *Request) (*Response, error) {
+					time.Sleep(responseTime)
+					return reportResponse(c.response), nil
 				})
 				b := *s.Catalog.Load().ByID("one")
 				b.Born = lost.Born
 				s.Catalog.Put(b)
-				time.AfterFunc(answerTime, func() { s.Suspects.Exited(lost) })
-				time.Sleep(answerTime + c.asked)
+				time.AfterFunc(responseTime, func() { s.Suspects.Exited(lost) })
+				time.Sleep(responseTime + c.requestOffset)
 				_, err := s.Report(t.Context(), &b)
-				assert.Equal(t, err != nil, c.answer == other, "%v", err)
+				assert.Equal(t, err != nil, c.response == other, "%v", err)
 				assert.Equal(t, s.Suspects.Lost(lost), c.lost)
 				q := &request{Relay: s.Relay, call: &model.Call{Attempt: "1"}}
-				q.ticket.Route = &model.Route{MaxAttempts: 2}
-				ran := &stream{request: q, ranOn: map[model.Incarnation]bool{lost: true, inc("two"): true}}
-				assert.Equal(t, ran.firstAmong() == nil, c.lost, "a third engine may run it")
+				q.admitted.Route = &model.Route{MaxAttempts: 2}
+				ran := &stream{request: q, firstEngines: map[model.Incarnation]bool{lost: true, inc("two"): true}}
+				assert.Equal(t, ran.allowedFirstEngines() == nil, c.lost, "a third engine may run it")
 			})
 		})
 	}
--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -13,86 +13,87 @@
 )
 
 const (
-	// paceEvents is over how many events a chain's speed is judged.
-	paceEvents = 10
-	// slowFactor is how much slower than planned a chain must be for its engines to
-	// be asked. A busy chain is slower than the sum of its steps, as tokens wait for
-	// passes in progress.
-	slowFactor = 2.5
-	// askAgain is how long an engine's word about its pace is good for.
-	askAgain = time.Second
+	// speedSampleEvents is the number of events over which a chain's speed is determined.
+	speedSampleEvents = 10
+	// slowChainFactor is how much slower than planned a chain must be before its engines
+	// are polled. Under load a chain is slower than the sum of its steps, as tokens wait
+	// for passes in progress.
+	slowChainFactor = 2.5
+	// slowdownPollInterval is the minimum interval between polls of one engine.
+	slowdownPollInterval = time.Second
 )
 
-// SlowdownMonitor finds engines that are slower than their cards. An engine knows its own
-// slowdown and says it when asked; it is asked when a chain through it is slow,
-// and while it stays slow.
+// SlowdownMonitor finds engines that are slower than their type of accelerator should
+// be. An engine reports its own slowdown. It is polled when a chain through it is slow,
+// and as long as it stays slow.
 type SlowdownMonitor struct {
 	Memory  *chains.UsageTracker
 	Catalog *catalog.Catalog
 	Report  func(ctx context.Context, b *model.BackendServer) (model.EngineReport, error)
 	Now     func() time.Time
 
-	mu    sync.Mutex
-	asked map[model.Incarnation]time.Time
+	mu         sync.Mutex
+	lastPolled map[model.Incarnation]time.Time
 }
 
-// NewSlowdownMonitor makes a pacer.
+// NewSlowdownMonitor returns a monitor whose exported fields must be set before use.
 func NewSlowdownMonitor() *SlowdownMonitor {
-	return &SlowdownMonitor{asked: map[model.Incarnation]time.Time{}}
+	return &SlowdownMonitor{lastPolled: map[model.Incarnation]time.Time{}}
 }
 
-// Check asks the engines of a chain that is slow.
-func (p *SlowdownMonitor) Check(parts []chains.Stage, request string, seen, planned time.Duration) {
-	for _, part := range parts {
-		if p.due(part.Server.Incarnation()) {
-			go p.ask(part.Server, request, seen, planned)
+// Check polls the engines of a slow chain. actual and planned are the intervals between
+// events, for the log.
+func (m *SlowdownMonitor) Check(stages []chains.Stage, request string, actual, planned time.Duration) {
+	for _, stage := range stages {
+		if m.pollDue(stage.Server.Incarnation()) {
+			go m.poll(stage.Server, request, actual, planned)
 		}
 	}
 }
 
-// Recheck asks the engines that were slow when they were last asked.
-func (p *SlowdownMonitor) Recheck() {
-	for _, inc := range p.Memory.SlowEngines() {
-		b := p.Catalog.Load().Find(inc)
+// Recheck polls the engines that reported a slowdown when last polled.
+func (m *SlowdownMonitor) Recheck() {
+	for _, inc := range m.Memory.SlowEngines() {
+		b := m.Catalog.Load().Find(inc)
 		if b == nil {
-			p.Memory.RemoveSlowdown(inc)
+			m.Memory.RemoveSlowdown(inc)
 			continue
 		}
-		if p.due(inc) {
-			go p.ask(b, "", 0, 0)
+		if m.pollDue(inc) {
+			go m.poll(b, "", 0, 0)
 		}
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for inc, at := range p.asked {
-		if p.Now().Sub(at) > askAgain {
-			delete(p.asked, inc)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for inc, at := range m.lastPolled {
+		if m.Now().Sub(at) > slowdownPollInterval {
+			delete(m.lastPolled, inc)
 		}
 	}
 }
 
-func (p *SlowdownMonitor) due(inc model.Incarnation) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if at, ok := p.asked[inc]; ok && p.Now().Sub(at) < askAgain {
+func (m *SlowdownMonitor) pollDue(inc model.Incarnation) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if at, ok := m.lastPolled[inc]; ok && m.Now().Sub(at) < slowdownPollInterval {
 		return false
 	}
-	p.asked[inc] = p.Now()
+	m.lastPolled[inc] = m.Now()
 	return true
 }
 
-func (p *SlowdownMonitor) ask(b *model.BackendServer, request string, seen, planned time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), reportWait)
+func (m *SlowdownMonitor) poll(b *model.BackendServer, request string, actual, planned time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	report, err := p.Report(ctx, b)
+	report, err := m.Report(ctx, b)
 	if err != nil {
-		klog.V(1).InfoS("engine did not tell its pace", "server", b.Incarnation(), "err", err)
+		klog.V(1).InfoS("engine slowdown not available", "server", b.Incarnation(), "err", err)
 		return
 	}
-	used := p.Memory.Used(b.Incarnation())
-	klog.InfoS("engine's report", "request", request, "server", b.Incarnation(), "usedTokenLayers", report.UsedTokenLayers, "totalTokenLayers", report.TotalTokenLayers,
+	used := m.Memory.Used(b.Incarnation())
+	klog.InfoS("engine report", "request", request, "server", b.Incarnation(), "usedTokenLayers", report.UsedTokenLayers, "totalTokenLayers", report.TotalTokenLayers,
 		"countedTokenLayers", used.TokenLayers, "countedStreams", used.Streams, "reading", used.PrefillLoad, "inFlight", report.Active, "queued", report.Queued, "slowdown", report.Slowdown)
-	if p.Memory.SetSlowdown(b.Incarnation(), report.Slowdown) {
-		klog.InfoS("engine's slowdown", "request", request, "server", b.Incarnation(), "factor", report.Slowdown, "eventGap", seen, "planned", planned)
+	if m.Memory.SetSlowdown(b.Incarnation(), report.Slowdown) {
+		klog.InfoS("engine slowdown changed", "request", request, "server", b.Incarnation(), "factor", report.Slowdown, "eventGap", actual, "planned", planned)
 	}
 }
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -13,72 +13,72 @@
 )
 
 const (
-	// checkWait bounds the order that confirms a path.
-	checkWait = 100 * time.Millisecond
-	// leastSilence is the least time that is left for an event after a path check.
-	leastSilence = 50 * time.Millisecond
+	// pathCheckTimeout bounds the order that confirms a stream's path.
+	pathCheckTimeout = 100 * time.Millisecond
+	// minStallTimeout is the minimum time left for an event after a path check.
+	minStallTimeout = 50 * time.Millisecond
 )
 
-// eventInterval is the planned time between a stream's events.
-func (q *request) eventInterval(parts []chains.Stage) time.Duration {
-	spec := q.ticket.Service.Engine
-	return q.Chooser.TokenTime(spec, parts) * time.Duration(spec.Stride)
+// eventInterval returns the planned interval between a stream's events.
+func (q *request) eventInterval(stages []chains.Stage) time.Duration {
+	spec := q.admitted.Service.Engine
+	return q.Chooser.TokenTime(spec, stages) * time.Duration(spec.Stride)
 }
 
-// assess decides whether a stream whose event is overdue has its path checked.
-func (w *chainWatch) assess(news int) {
+// assess checks the path of a stream whose event is overdue, if the detector asks for it.
+func (w *chainWatch) assess(generation int) {
 	a := w.progress.Assess()
 	if a.ReassessAfter > 0 {
-		w.askAgain(news, a.ReassessAfter)
+		w.resetTimer(generation, a.ReassessAfter)
 		return
 	}
 	if a.NeedsCheck() {
-		w.checkPath(news, a)
+		w.checkPath(generation, a)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.changedLocked(news) {
-		w.early = false
-		w.timer.Reset(max(nextSilence-a.Pause, leastSilence))
+	if !w.changedLocked(generation) {
+		w.pathCheckDue = false
+		w.timer.Reset(max(nextEventTimeout-a.Pause, minStallTimeout))
 	}
 }
 
-// checkPath orders the first engine to send the stream the way it goes already: it
-// refuses that, and names the engine, where one of them does not take its part.
-func (w *chainWatch) checkPath(news int, a detector.Assessment) {
-	held := false
-	defer func() { w.progress.CheckFinished(held) }()
-	parts, _ := w.state()
-	first := parts[0].Server
-	ctx, cancel := context.WithTimeout(w.run, checkWait)
+// checkPath orders the first engine to route the stream over its current path. The order
+// is refused if an engine of the path does not run its stage, and the refusal names it.
+func (w *chainWatch) checkPath(generation int, a detector.Assessment) {
+	confirmed := false
+	defer func() { w.progress.CheckFinished(confirmed) }()
+	stages, _ := w.state()
+	first := stages[0].Server
+	ctx, cancel := context.WithTimeout(w.run, pathCheckTimeout)
 	defer cancel()
 	began := w.q.Now()
-	err := w.q.Reroute(ctx, first, w.q.call.Attempt, hops(parts))
-	held = err == nil
-	klog.InfoS("path of an overdue stream checked", "request", w.q.call.Attempt, "pauseMs", a.Pause.Milliseconds(), "overdue", a.OverdueStreams,
-		"candidates", len(a.Candidates), "chain", describe(parts), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
-	var refused conflict
+	err := w.q.Reroute(ctx, first, w.q.call.Attempt, hops(stages))
+	confirmed = err == nil
+	klog.InfoS("path check of overdue stream finished", "request", w.q.call.Attempt, "pauseMs", a.Pause.Milliseconds(), "overdue", a.OverdueStreams,
+		"candidates", len(a.Candidates), "chain", chainString(stages), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
+	var conflict pathConflict
 	switch {
-	case held:
-	case errors.As(err, &refused):
-		if server := serverAt(parts, refused.address); server != nil {
-			w.fail(server, err)
+	case confirmed:
+	case errors.As(err, &conflict):
+		if server := engineAt(stages, conflict.address); server != nil {
+			w.failEngine(server, err)
 		}
 	case ctx.Err() != nil && w.run.Err() == nil:
-		w.doubt(err)
-		if slices.Contains(a.Candidates, first.Incarnation()) && !w.changed(news) {
-			w.fail(first, err)
+		w.markUnconfirmed(err)
+		if slices.Contains(a.Candidates, first.Incarnation()) && !w.changed(generation) {
+			w.failEngine(first, err)
 		}
 	}
 }
 
-// doubt notes that an order was not answered: it may be carried out after a later one,
-// so the stream gets no other.
-func (w *chainWatch) doubt(err error) {
+// markUnconfirmed records that an order was not answered. The engine may execute it after
+// a later one, so the stream is not rerouted any more.
+func (w *chainWatch) markUnconfirmed(err error) {
 	if errors.Is(err, ErrNotSent) {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.unsure = true
+	w.unconfirmed = true
 }
--- a/internal/protocol/relay/path_test.go
+++ b/internal/protocol/relay/path_test.go
@@ -17,28 +17,28 @@
 	"github.com/skylarkwood/skylarkwood/platform"
 )
 
-// eventEvery is the time between the events of the streams here.
-const eventEvery = 30 * time.Millisecond
+// testEventInterval is the interval between the events of the streams in these tests.
+const testEventInterval = 30 * time.Millisecond
 
-// pathEngines answers orders as engines do: a path through a silent engine is refused,
-// and the refusal names the first of them.
-type pathEngines struct {
-	mu      sync.Mutex
-	silent  []string // addresses
-	orders  int
-	refused int
-	answer  func(ctx context.Context) // runs before each answer to an order; may be nil
+// fakeEngines answers orders as engines do: a path through an unresponsive engine is
+// refused, and the refusal names the first such engine.
+type fakeEngines struct {
+	mu             sync.Mutex
+	unresponsive   []string // addresses
+	orders         int
+	refused        int
+	beforeResponse func(ctx context.Context) // called before each response to an order; may be nil
 }
 
-func (p *pathEngines) do(ctx context.Context, _ string, r *Request) (*Response, error) {
+func (p *fakeEngines) do(ctx context.Context, _ string, r *Request) (*Response, error) {
 	if r.Target != platform.OrderPath {
-		return report(emptyReport), nil
+		return reportResponse(emptyReport), nil
 	}
 	p.mu.Lock()
-	answer := p.answer
+	hook := p.beforeResponse
 	p.mu.Unlock()
-	if answer != nil {
-		answer(ctx)
+	if hook != nil {
+		hook(ctx)
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
@@ -46,7 +46,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.orders++
-	for _, addr := range p.silent {
+	for _, addr := range p.unresponsive {
 		if strings.Contains(string(r.Body), addr+"=") {
 			p.refused++
 			return signed(http.StatusConflict, strings.NewReader(`{"address":"`+addr+`"}`)), nil
@@ -55,32 +55,33 @@
 	return signed(http.StatusOK, strings.NewReader("")), nil
 }
 
-// answerWith sets what runs before each answer to an order.
-func (p *pathEngines) answerWith(answer func(ctx context.Context)) {
+// setBeforeResponse sets what is called before each response to an order.
+func (p *fakeEngines) setBeforeResponse(hook func(ctx context.Context)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.answer = answer
+	p.beforeResponse = hook
 }
 
-// unanswered leaves an order without an answer.
-func unanswered(ctx context.Context) { <-ctx.Done() }
+// neverRespond leaves an order without a response.
+func neverRespond(ctx context.Context) { <-ctx.Done() }
 
-// counted tells how many orders were answered.
-func (p *pathEngines) counted() int {
+// answeredOrders returns how many orders were answered.
+func (p *fakeEngines) answeredOrders() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.orders
 }
 
-func (p *pathEngines) silence(addrs ...string) {
+func (p *fakeEngines) setUnresponsive(addrs ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.silent = addrs
+	p.unresponsive = addrs
 }
 
-// threeParts gives a site whose chains have three parts, with two holders of each.
-func threeParts(do script) *site {
-	s := newSite(resumable, true, do)
+// newThreeStageFixture returns a fixture whose chains have three stages, with two engines
+// for each.
+func newThreeStageFixture(do fakeBackend) *fixture {
+	s := newFixture(resumable, true, do)
 	s.prober.Report = s.Report
 	s.prober.Healthy = func(context.Context, *model.BackendServer) (bool, error) { return true, nil }
 	s.prober.AnnounceRefusal = func(model.Incarnation, time.Time) {}
@@ -94,115 +95,114 @@
 	return s
 }
 
-// resumable is a route whose streams go on at another first engine; those of movable only
-// go on through the first engine that they have.
+// Streams of the resumable route may restart at another first engine. Streams of the
+// movable route may only be rerouted from the first engine that they have.
 var resumable = model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2, TargetGap: 300 * time.Millisecond}
 var movable = model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 1, TargetGap: 300 * time.Millisecond}
 
-// running is a stream on the chain head, middle, tail with its watch.
-func (s *site) running(t *testing.T, route model.Route) (*chainWatch, context.Context) {
+// startStream starts a stream on the chain head, middle, tail, and returns its watch.
+func (s *fixture) startStream(t *testing.T, route model.Route) (*chainWatch, context.Context) {
 	snap := s.Catalog.Load()
-	var parts []chains.Stage
+	var stages []chains.Stage
 	for i, id := range []string{"head", "middle", "tail"} {
-		parts = append(parts, chains.Stage{Server: snap.Find(inc(id)), Layers: model.LayerRange{From: 4 * i, To: 4*i + 4}})
+		stages = append(stages, chains.Stage{Server: snap.Find(inc(id)), Layers: model.LayerRange{From: 4 * i, To: 4*i + 4}})
 	}
-	return s.watchedOn(t, route, parts)
+	return s.startStreamOn(t, route, stages)
 }
 
-// play gives the streams events for a while.
-func play(streams []*chainWatch, events int) {
+// sendEvents sends events to the streams at the test interval.
+func sendEvents(streams []*chainWatch, events int) {
 	for range events {
-		time.Sleep(eventEvery)
+		time.Sleep(testEventInterval)
 		for _, w := range streams {
-			w.heard()
+			w.eventReceived()
 		}
 	}
 }
 
-func ids(w *chainWatch) []string {
+func serverIDs(w *chainWatch) []string {
 	var out []string
-	parts, _ := w.state()
-	for _, p := range parts {
+	stages, _ := w.state()
+	for _, p := range stages {
 		out = append(out, p.Server.ID)
 	}
 	return out
 }
 
-// Two engines of one chain fall silent at one moment, with 90 streams on it: all streams
-// leave both within half of the pause that their route allows, with few refused orders.
-func TestTwoSilentEnginesOfOneChain(t *testing.T) {
+// Guards against slow rerouting when two engines of one chain fail at the same time: all
+// streams leave both within half of the allowed gap, with few refused orders.
+func TestTwoUnresponsiveEnginesOfOneChainAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := &pathEngines{answer: func(context.Context) { time.Sleep(2 * time.Millisecond) }}
-		s := threeParts(engines.do)
+		engines := &fakeEngines{beforeResponse: func(context.Context) { time.Sleep(2 * time.Millisecond) }}
+		s := newThreeStageFixture(engines.do)
 		var streams []*chainWatch
 		for range 90 {
-			w, _ := s.running(t, movable)
+			w, _ := s.startStream(t, movable)
 			streams = append(streams, w)
 		}
-		play(streams, 20)
-		engines.silence("middle:1", "tail:1")
+		sendEvents(streams, 20)
+		engines.setUnresponsive("middle:1", "tail:1")
 		time.Sleep(resumable.TargetGap / 2)
 		synctest.Wait()
 		for _, w := range streams {
-			assert.DeepEqual(t, ids(w), []string{"head", "middle2", "tail2"})
+			assert.DeepEqual(t, serverIDs(w), []string{"head", "middle2", "tail2"})
 			assert.NilError(t, w.run.Err())
 		}
 		assert.Assert(t, engines.refused <= 2*len(streams), "%d of %d orders refused", engines.refused, engines.orders)
 	})
 }
 
-// The first engine of a chain and a later one fall silent together. The path check is
-// not answered, so the streams begin anew at other engines.
-func TestSilentFirstEngineEndsTheRun(t *testing.T) {
+// Guards against waiting for a first engine that does not answer the path check. The run
+// is ended, so that the stream can restart on other engines.
+func TestUnresponsiveFirstEngineEndsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := &pathEngines{}
-		s := threeParts(engines.do)
-		one, run := s.running(t, resumable)
-		two, other := s.running(t, resumable)
-		play([]*chainWatch{one, two}, 20)
-		engines.answerWith(unanswered)
+		engines := &fakeEngines{}
+		s := newThreeStageFixture(engines.do)
+		one, run := s.startStream(t, resumable)
+		two, other := s.startStream(t, resumable)
+		sendEvents([]*chainWatch{one, two}, 20)
+		engines.setBeforeResponse(neverRespond)
 		time.Sleep(resumable.TargetGap)
 		synctest.Wait()
-		assert.Equal(t, context.Cause(run), silence)
-		assert.Equal(t, context.Cause(other), silence)
+		assert.Equal(t, context.Cause(run), stalled)
+		assert.Equal(t, context.Cause(other), stalled)
 		assert.Assert(t, s.Health.Suspected(inc("head")))
 	})
 }
 
-// A stream is late, and the check of its path is not answered, while other streams through
-// its first engine go on: a link lost both. The engine is not suspected, and no other
-// stream leaves it.
-func TestUnansweredCheckAccusesNoWorkingEngine(t *testing.T) {
+// Guards against suspecting a first engine that does not answer a path check although
+// other streams through it make progress.
+func TestUnansweredPathCheckDoesNotSuspectWorkingEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := &pathEngines{}
-		s := threeParts(engines.do)
-		late, _ := s.running(t, resumable)
-		other, run := s.running(t, resumable)
-		play([]*chainWatch{late, other}, 20)
-		engines.answerWith(unanswered)
+		engines := &fakeEngines{}
+		s := newThreeStageFixture(engines.do)
+		late, _ := s.startStream(t, resumable)
+		other, run := s.startStream(t, resumable)
+		sendEvents([]*chainWatch{late, other}, 20)
+		engines.setBeforeResponse(neverRespond)
 		// The other stream shares only the first engine with the late one.
 		other.progress.Reroute([]model.Incarnation{inc("head"), inc("middle2"), inc("tail2")})
-		play([]*chainWatch{other}, 12)
+		sendEvents([]*chainWatch{other}, 12)
 		synctest.Wait()
-		assert.Assert(t, late.isUnsure())
+		assert.Assert(t, late.hasUnconfirmedOrder())
 		assert.Assert(t, !s.Health.Suspected(inc("head")))
 		assert.NilError(t, run.Err())
 	})
 }
 
-// A stream is late though its path holds. It stays where it is, and no engine is
-// suspected.
-func TestPathThatHoldsIsKept(t *testing.T) {
+// Guards against rerouting a stream, or suspecting its engines, after a path check that
+// found no fault.
+func TestConfirmedPathIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := &pathEngines{}
-		s := threeParts(engines.do)
-		w, run := s.running(t, movable)
-		play([]*chainWatch{w}, 20)
+		engines := &fakeEngines{}
+		s := newThreeStageFixture(engines.do)
+		w, run := s.startStream(t, movable)
+		sendEvents([]*chainWatch{w}, 20)
 		time.Sleep(200 * time.Millisecond)
 		synctest.Wait()
-		assert.Equal(t, engines.counted(), 1)
-		assert.DeepEqual(t, ids(w), []string{"head", "middle", "tail"})
-		w.heard()
+		assert.Equal(t, engines.answeredOrders(), 1)
+		assert.DeepEqual(t, serverIDs(w), []string{"head", "middle", "tail"})
+		w.eventReceived()
 		assert.NilError(t, run.Err())
 		for _, id := range []string{"head", "middle", "tail"} {
 			assert.Assert(t, !s.Health.Suspected(inc(id)), id)
@@ -210,88 +210,87 @@
 	})
 }
 
-// An order is not answered. Its engine may carry it out after a later one and bring the
-// stream back to the path it had, so the stream gets no other order.
-func TestUnansweredOrderIsTheLast(t *testing.T) {
+// Guards against sending another order after an unanswered one, which the engine might
+// execute later and so return the stream to its former path.
+func TestNoOrderIsSentAfterUnansweredOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := &pathEngines{}
-		s := threeParts(engines.do)
-		w, run := s.running(t, movable)
-		w.last = true // so that the run is kept
-		play([]*chainWatch{w}, 20)
-		engines.answerWith(unanswered)
+		engines := &fakeEngines{}
+		s := newThreeStageFixture(engines.do)
+		w, run := s.startStream(t, movable)
+		w.final = true // so that the run is kept
+		sendEvents([]*chainWatch{w}, 20)
+		engines.setBeforeResponse(neverRespond)
 		time.Sleep(resumable.TargetGap)
-		engines.answerWith(nil)
-		before := engines.counted()
+		engines.setBeforeResponse(nil)
+		before := engines.answeredOrders()
 		s.HandleEngineExit(inc("middle"))
 		synctest.Wait()
-		assert.Equal(t, engines.counted(), before)
-		assert.DeepEqual(t, ids(w), []string{"head", "middle", "tail"})
-		time.Sleep(finalAnswerWait)
+		assert.Equal(t, engines.answeredOrders(), before)
+		assert.DeepEqual(t, serverIDs(w), []string{"head", "middle", "tail"})
+		time.Sleep(finalResponseTimeout)
 		synctest.Wait()
-		assert.Equal(t, context.Cause(run), engineGone)
+		assert.Equal(t, context.Cause(run), engineExited)
 	})
 }
 
-// An engine that many streams run through falls silent. Moved, all would wait for its
-// twin to read their tokens; they are sent anew, while the budget for that lasts.
-func TestStreamsOfASilentEngineAreSentAnew(t *testing.T) {
+// Guards against rerouting all streams of a failed engine to its only replacement, where
+// they would all wait for prefill. They are restarted as far as the retry budget allows.
+func TestStreamsOfUnresponsiveEngineRestartWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const budget = 30
-		engines := &pathEngines{}
-		s := threeParts(engines.do)
+		engines := &fakeEngines{}
+		s := newThreeStageFixture(engines.do)
 		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, budget, time.Second, func() int { return 1 }, time.Now)
 		var streams []*chainWatch
 		for range 90 {
-			w, _ := s.running(t, resumable)
+			w, _ := s.startStream(t, resumable)
 			streams = append(streams, w)
 		}
-		play(streams, 40)
-		engines.silence("middle:1")
+		sendEvents(streams, 40)
+		engines.setUnresponsive("middle:1")
 		time.Sleep(resumable.TargetGap / 2)
 		synctest.Wait()
-		anew, moved := 0, 0
+		restarted, rerouted := 0, 0
 		for _, w := range streams {
-			parts, culprit := w.state()
+			stages, failedEngine := w.state()
 			switch {
-			case context.Cause(w.run) == silence:
-				assert.Equal(t, culprit, inc("middle"))
-				anew++
-			case parts[1].Server.ID == "middle2":
-				moved++
+			case context.Cause(w.run) == stalled:
+				assert.Equal(t, failedEngine, inc("middle"))
+				restarted++
+			case stages[1].Server.ID == "middle2":
+				rerouted++
 			}
 		}
-		assert.Assert(t, anew <= budget && anew >= budget*8/10, "%d sent anew", anew)
-		assert.Equal(t, anew+moved, len(streams))
+		assert.Assert(t, restarted <= budget && restarted >= budget*8/10, "%d restarted", restarted)
+		assert.Equal(t, restarted+rerouted, len(streams))
 	})
 }
 
-// A chain is chosen while one of its engines is found silent. The run leaves it at once
-// and does not wait for its first event.
-func TestRunHearsOfAnEngineJustFoundSilent(t *testing.T) {
+// Guards against starting a run on an engine that was just found unresponsive.
+func TestNewRunLeavesRecentlyUnresponsiveEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := &pathEngines{}
-		s := threeParts(engines.do)
-		s.ActiveRuns.leave(engineSet{inc("middle"): true}, silence)
-		w, _ := s.running(t, movable)
+		engines := &fakeEngines{}
+		s := newThreeStageFixture(engines.do)
+		s.ActiveRuns.notifyLoss(engineSet{inc("middle"): true}, stalled)
+		w, _ := s.startStream(t, movable)
 		synctest.Wait()
-		assert.DeepEqual(t, ids(w), []string{"head", "middle2", "tail"})
+		assert.DeepEqual(t, serverIDs(w), []string{"head", "middle2", "tail"})
 	})
 }
 
-// A path is refused for an engine that is full. Another holder takes the part, and the
-// full one is not taken for silent: other streams stay there.
-func TestFullEngineIsNotTakenForSilent(t *testing.T) {
+// Guards against treating a full engine as unresponsive because it refused a path. Another
+// engine takes the stage, and other streams stay on the full one.
+func TestFullEngineIsNotMarkedUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := &pathEngines{}
-		s := threeParts(engines.do)
+		engines := &fakeEngines{}
+		s := newThreeStageFixture(engines.do)
 		s.Catalog.Put(model.BackendServer{ID: "middle3", Service: "s", Address: "middle3:1", FailureDomain: "a", Card: "fast", Holds: model.LayerRange{From: 4, To: 8}, Slots: 200, Revision: 2})
-		w, _ := s.running(t, movable)
-		play([]*chainWatch{w}, 20)
-		engines.silence("middle:1", "middle2:1")
+		w, _ := s.startStream(t, movable)
+		sendEvents([]*chainWatch{w}, 20)
+		engines.setUnresponsive("middle:1", "middle2:1")
 		s.HandleEngineExit(inc("middle"))
 		synctest.Wait()
-		assert.DeepEqual(t, ids(w), []string{"head", "middle3", "tail"})
-		assert.Equal(t, len(s.ActiveRuns.silentAmong([]model.Incarnation{inc("middle2")})), 0)
+		assert.DeepEqual(t, serverIDs(w), []string{"head", "middle3", "tail"})
+		assert.Equal(t, len(s.ActiveRuns.recentlyLost([]model.Incarnation{inc("middle2")})), 0)
 	})
 }
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -15,51 +15,53 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// asked is an engine that answers reports, or does not.
-type asked struct {
-	mu     sync.Mutex
-	dead   bool
-	slow   float64
-	asked  int
-	told   int // suspicions passed on to peers
-	load   model.EngineReport
-	ill    bool
-	server *model.BackendServer
+// fakeEngine answers report requests unless it is dead.
+type fakeEngine struct {
+	mu        sync.Mutex
+	dead      bool
+	slow      float64
+	requests  int
+	announced int // announcements to peers
+	load      model.EngineReport
+	unhealthy bool
+	server    *model.BackendServer
 }
 
-func (a *asked) report(context.Context, *model.BackendServer) (model.EngineReport, error) {
+func (a *fakeEngine) report(context.Context, *model.BackendServer) (model.EngineReport, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.asked++
+	a.requests++
 	if a.dead {
-		return model.EngineReport{}, errors.New("no answer")
+		return model.EngineReport{}, errors.New("no response")
 	}
 	out := a.load
 	out.Slowdown = a.slow
 	return out, nil
 }
 
-func (a *asked) healthy(context.Context, *model.BackendServer) (bool, error) { return !a.ill, nil }
+func (a *fakeEngine) healthy(context.Context, *model.BackendServer) (bool, error) {
+	return !a.unhealthy, nil
+}
 
-func (a *asked) tell(model.Incarnation, time.Time) {
+func (a *fakeEngine) announce(model.Incarnation, time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.told++
+	a.announced++
 }
 
-func (a *asked) toldTimes() int {
+func (a *fakeEngine) announcementCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.told
+	return a.announced
 }
 
-func (a *asked) askedTimes() int {
+func (a *fakeEngine) reportRequests() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.asked
+	return a.requests
 }
 
-func (a *asked) set(dead bool) {
+func (a *fakeEngine) setDead(dead bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.dead = dead
@@ -67,18 +69,18 @@
 
 func inc(id string) model.Incarnation { return model.Incarnation{ID: id} }
 
-// probing runs a prober over one engine in virtual time.
-func probing(t *testing.T, f func(p *Prober, a *asked)) {
+// runProber runs a prober with one engine in virtual time.
+func runProber(t *testing.T, f func(p *Prober, a *fakeEngine)) {
 	synctest.Test(t, func(t *testing.T) {
-		a := &asked{server: &model.BackendServer{ID: "e", Service: "s", Address: "1:1", Revision: 1}}
+		a := &fakeEngine{server: &model.BackendServer{ID: "e", Service: "s", Address: "1:1", Revision: 1}}
 		p := NewProber()
 		p.Now = time.Now
 		p.Health = catalog.NewHealth(time.Now)
 		p.Catalog = catalog.New(time.Now)
 		p.Catalog.Put(*a.server)
 		p.Report = a.report
-		p.AnnounceSuspect = a.tell
-		p.AnnounceRefusal = a.tell
+		p.AnnounceSuspect = a.announce
+		p.AnnounceRefusal = a.announce
 		p.Healthy = a.healthy
 		ctx, stop := context.WithCancel(context.Background())
 		var done sync.WaitGroup
@@ -89,27 +91,27 @@
 	})
 }
 
-// An engine dies and comes back under the same id. It gets nothing while it
-// does not answer, however long that is, and work again once it does.
-func TestDeadEngineStaysSuspectedUntilItAnswers(t *testing.T) {
-	probing(t, func(p *Prober, a *asked) {
-		a.set(true)
+// Guards against sending requests to an engine that does not respond, and against
+// withholding them after it has recovered.
+func TestDeadEngineStaysSuspectedUntilItResponds(t *testing.T) {
+	runProber(t, func(p *Prober, a *fakeEngine) {
+		a.setDead(true)
 		p.Unreachable(a.server, "r", nil)
 		for range 40 {
 			time.Sleep(250 * time.Millisecond)
 			assert.Assert(t, p.Health.Suspected(inc("e")))
 		}
-		assert.Assert(t, a.toldTimes() > 2, "peers are told as long as it lasts")
-		a.set(false)
+		assert.Assert(t, a.announcementCount() > 2, "peers are notified while the suspicion lasts")
+		a.setDead(false)
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, !p.Health.Suspected(inc("e")))
 	})
 }
 
-// A chain waited for an engine that answers its reports. The suspicion lasts
-// its first second all the same: the engine did not do its work.
-func TestAnsweringEngineIsSuspectedForAWhile(t *testing.T) {
-	probing(t, func(p *Prober, a *asked) {
+// Guards against clearing a suspicion at once because the engine answers reports, although
+// it did not run its stage.
+func TestRespondingEngineStaysSuspectedForFirstPeriod(t *testing.T) {
+	runProber(t, func(p *Prober, a *fakeEngine) {
 		p.Unreachable(a.server, "r", nil)
 		time.Sleep(800 * time.Millisecond)
 		assert.Assert(t, p.Health.Suspected(inc("e")))
@@ -118,29 +120,29 @@
 	})
 }
 
-// An engine falls silent. After three probes without an answer it counts as lost,
-// whatever its entry says; one that answers, or refuses work, does not.
-func TestSilentEngineIsLost(t *testing.T) {
-	probing(t, func(p *Prober, a *asked) {
+// Guards against treating an engine as lost that responds, and as present if it has not
+// responded for three probes.
+func TestUnresponsiveEngineIsLostAfterTimeout(t *testing.T) {
+	runProber(t, func(p *Prober, a *fakeEngine) {
 		p.Unreachable(a.server, "r", nil)
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, !p.Lost(inc("e")), "it answers")
-		a.set(true)
+		assert.Assert(t, !p.Lost(inc("e")), "it responds")
+		a.setDead(true)
 		p.Unreachable(a.server, "r", nil)
 		time.Sleep(700 * time.Millisecond)
 		assert.Assert(t, !p.Lost(inc("e")))
 		time.Sleep(time.Second)
 		assert.Assert(t, p.Lost(inc("e")))
-		a.set(false)
+		a.setDead(false)
 		time.Sleep(time.Second)
 		assert.Assert(t, !p.Lost(inc("e")))
 	})
 }
 
-// A peer cut off from an engine suspects it. Here it answers: it keeps getting
-// work, and the peer's next words about it are not worth a probe each.
-func TestPeersSuspicionIsChecked(t *testing.T) {
-	probing(t, func(p *Prober, a *asked) {
+// Guards against adopting the suspicion of a peer that is itself disconnected from the
+// engine, and against probing the engine for each of that peer's messages.
+func TestPeerSuspicionIsProbed(t *testing.T) {
+	runProber(t, func(p *Prober, a *fakeEngine) {
 		p.HandlePeerSuspicion(inc("e"))
 		time.Sleep(50 * time.Millisecond)
 		assert.Assert(t, !p.Health.Suspected(inc("e")))
@@ -148,30 +150,30 @@
 			p.HandlePeerSuspicion(inc("e"))
 			time.Sleep(250 * time.Millisecond)
 		}
-		assert.Equal(t, a.askedTimes(), 1)
-		assert.Equal(t, a.toldTimes(), 0, "what a peer told is not passed on as one's own")
+		assert.Equal(t, a.reportRequests(), 1)
+		assert.Equal(t, a.announcementCount(), 0, "a peer's suspicion is not announced again")
 		p.HandlePeerSuspicion(inc("unknown"))
 	})
 }
 
-func TestGoneEngineIsForgotten(t *testing.T) {
-	probing(t, func(p *Prober, a *asked) {
-		a.set(true)
+func TestRemovedEngineIsNotProbed(t *testing.T) {
+	runProber(t, func(p *Prober, a *fakeEngine) {
+		a.setDead(true)
 		p.Unreachable(a.server, "r", nil)
 		time.Sleep(time.Second)
 		p.Catalog.Remove("e", 2, 0)
 		time.Sleep(time.Second)
-		before := a.askedTimes()
+		before := a.reportRequests()
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, a.askedTimes(), before)
+		assert.Equal(t, a.reportRequests(), before)
 	})
 }
 
-// A chain is slow. Its engine says that it runs three times slower; it is asked
-// again each second, and forgotten when it is well.
-func TestSlowEngineIsAskedUntilItIsWell(t *testing.T) {
+// Guards against outdated slowdowns: a slow engine is polled once per interval until it is
+// no longer slow.
+func TestSlowEngineIsPolledUntilItRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := &asked{slow: 3, server: &model.BackendServer{ID: "e", Service: "s", Address: "1:1", Revision: 1}}
+		a := &fakeEngine{slow: 3, server: &model.BackendServer{ID: "e", Service: "s", Address: "1:1", Revision: 1}}
 		c := catalog.New(time.Now)
 		c.Put(*a.server)
 		p := NewSlowdownMonitor()
@@ -179,68 +181,66 @@
 		p.Catalog = c
 		p.Report = a.report
 		p.Now = time.Now
-		parts := []chains.Stage{{Server: a.server}}
-		p.Check(parts, "r", time.Second, time.Millisecond)
-		p.Check(parts, "r", time.Second, time.Millisecond)
+		stages := []chains.Stage{{Server: a.server}}
+		p.Check(stages, "r", time.Second, time.Millisecond)
+		p.Check(stages, "r", time.Second, time.Millisecond)
 		synctest.Wait()
-		assert.Equal(t, a.askedTimes(), 1, "many streams through one engine ask once")
+		assert.Equal(t, a.reportRequests(), 1, "several streams on one engine poll it once")
 		assert.Equal(t, p.Memory.Slowdown(inc("e")), 3.0)
 		a.mu.Lock()
 		a.slow = 1
 		a.mu.Unlock()
-		time.Sleep(askAgain)
+		time.Sleep(slowdownPollInterval)
 		p.Recheck()
 		synctest.Wait()
 		assert.Equal(t, p.Memory.Slowdown(inc("e")), 1.0)
-		time.Sleep(askAgain)
+		time.Sleep(slowdownPollInterval)
 		p.Recheck()
 		synctest.Wait()
-		assert.Equal(t, a.askedTimes(), 2)
+		assert.Equal(t, a.reportRequests(), 2)
 	})
 }
 
-// An engine drains: it refuses new work, answers its reports, and calls itself
-// ill. Probes must not bring it back; it gets nothing for seconds, and the peers
-// are told, so that each of their streams need not find out by itself.
-func TestLeavingEngineIsLeftAlone(t *testing.T) {
-	probing(t, func(p *Prober, a *asked) {
-		a.ill = true
+// Guards against sending requests to a draining engine because it answers probes. Peers
+// are notified once.
+func TestDrainingEngineGetsNoRequests(t *testing.T) {
+	runProber(t, func(p *Prober, a *fakeEngine) {
+		a.unhealthy = true
 		a.load = model.EngineReport{UsedTokenLayers: 10, TotalTokenLayers: 100}
 		for range 20 {
 			p.Refused(a.server, "r", 503)
 		}
 		time.Sleep(7 * time.Second)
 		assert.Assert(t, p.Health.Suspected(inc("e")))
-		assert.Equal(t, a.askedTimes(), 1, "one stream's refusal is looked into, not each")
-		assert.Equal(t, a.toldTimes(), 1)
+		assert.Equal(t, a.reportRequests(), 1, "only one of the refusals is investigated")
+		assert.Equal(t, a.announcementCount(), 1)
 		time.Sleep(time.Second)
 		assert.Assert(t, !p.Health.Suspected(inc("e")))
 	})
 }
 
-// An engine is short of token memory and refuses. A stream ends there soon: it is
-// left alone for a moment only, however often that comes.
-func TestFullEngineIsLeftForAMoment(t *testing.T) {
-	probing(t, func(p *Prober, a *asked) {
+// Guards against suspecting a full engine for long, as its memory is soon released.
+func TestFullEngineIsSuspectedBriefly(t *testing.T) {
+	runProber(t, func(p *Prober, a *fakeEngine) {
 		a.load = model.EngineReport{UsedTokenLayers: 99, TotalTokenLayers: 100}
 		for range 5 {
 			p.Refused(a.server, "r", 503)
-			time.Sleep(fullPause / 2)
+			time.Sleep(fullEnginePeriod / 2)
 			assert.Assert(t, p.Health.Suspected(inc("e")))
-			time.Sleep(fullPause)
+			time.Sleep(fullEnginePeriod)
 			assert.Assert(t, !p.Health.Suspected(inc("e")))
 		}
 	})
 }
 
-// An engine refuses, is well and has room: it gives its layers up. Each further
-// refusal doubles the time in which it gets nothing.
-func TestRefusalsDoubleTheSuspicion(t *testing.T) {
-	probing(t, func(p *Prober, a *asked) {
+// Guards against retrying too often at an engine that is healthy, has capacity and refuses
+// requests.
+func TestRepeatedRefusalsDoubleSuspicionPeriod(t *testing.T) {
+	runProber(t, func(p *Prober, a *fakeEngine) {
 		a.load = model.EngineReport{TotalTokenLayers: 100}
-		for _, lasts := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
+		for _, period := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
 			p.Refused(a.server, "r", 503)
-			time.Sleep(lasts - 10*time.Millisecond)
+			time.Sleep(period - 10*time.Millisecond)
 			assert.Assert(t, p.Health.Suspected(inc("e")))
 			time.Sleep(20 * time.Millisecond)
 			assert.Assert(t, !p.Health.Suspected(inc("e")))
@@ -248,53 +248,50 @@
 	})
 }
 
-// An engine refuses work, as it drains, and answers reports all the same. A peer that
-// could not reach it makes it a suspect here, and a probe succeeds: that the engine
-// answers is no news of its refusal, which stands.
-func TestProbeDoesNotEndARefusal(t *testing.T) {
-	for _, refusedAt := range []time.Duration{-time.Second, 50 * time.Millisecond} {
-		probing(t, func(p *Prober, a *asked) {
+// Guards against clearing a refusal when a probe succeeds, as draining engines answer
+// reports.
+func TestProbeDoesNotClearRefusal(t *testing.T) {
+	for _, handleRerouteRefusal := range []time.Duration{-time.Second, 50 * time.Millisecond} {
+		runProber(t, func(p *Prober, a *fakeEngine) {
 			p.Report = func(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
 				time.Sleep(100 * time.Millisecond)
 				return a.report(ctx, b)
 			}
 			hintAt := time.Now().Add(time.Second)
-			time.AfterFunc(time.Second+refusedAt, func() {
-				p.Health.RecordRefusal(inc("e"), hintAt.Add(leavingPause), true)
+			time.AfterFunc(time.Second+handleRerouteRefusal, func() {
+				p.Health.RecordRefusal(inc("e"), hintAt.Add(drainingEnginePeriod), true)
 			})
 			time.Sleep(time.Second)
 			p.HandlePeerSuspicion(inc("e"))
 			time.Sleep(200 * time.Millisecond)
-			assert.Check(t, a.askedTimes() == 1)
-			assert.Check(t, p.Health.Suspected(inc("e")), "refused %v after the hint", refusedAt)
+			assert.Check(t, a.reportRequests() == 1)
+			assert.Check(t, p.Health.Suspected(inc("e")), "refused %v after the peer's suspicion", handleRerouteRefusal)
 		})
 	}
 }
 
-// Requests go to an engine that has just shown that it does not do their work, and are
-// refused or lost there. A report is asked of it; while the answer is under way a
-// stream is refused its part, or a peer's word comes. The answer is older than that
-// news and says nothing of it: only what is asked afterwards may end the suspicion.
-func TestProbeDoesNotEndANewerSuspicion(t *testing.T) {
-	const answerTime = 100 * time.Millisecond
-	for name, news := range map[string]func(h *catalog.Health){
-		"suspected here":   func(h *catalog.Health) { h.Suspect(inc("e")) },
-		"longer suspected": func(h *catalog.Health) { h.SuspectUntil(inc("e"), time.Now().Add(2*probeHold)) },
+// Guards against clearing a suspicion by the response to a probe that was sent before the
+// suspicion was raised.
+func TestProbeDoesNotClearNewerSuspicion(t *testing.T) {
+	const responseTime = 100 * time.Millisecond
+	for name, newSuspicion := range map[string]func(h *catalog.Health){
+		"suspected locally":  func(h *catalog.Health) { h.Suspect(inc("e")) },
+		"suspicion extended": func(h *catalog.Health) { h.SuspectUntil(inc("e"), time.Now().Add(2*failedProbePeriod)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			probing(t, func(p *Prober, a *asked) {
+			runProber(t, func(p *Prober, a *fakeEngine) {
 				p.Report = func(ctx context.Context, b *model.BackendServer) (model.EngineReport, error) {
-					time.Sleep(answerTime)
+					time.Sleep(responseTime)
 					return a.report(ctx, b)
 				}
-				time.Sleep(probeEvery / 4)
+				time.Sleep(probeInterval / 4)
 				p.HandlePeerSuspicion(inc("e"))
-				time.Sleep(answerTime / 2)
-				news(p.Health)
-				time.Sleep(answerTime)
-				assert.Check(t, a.askedTimes() == 1)
+				time.Sleep(responseTime / 2)
+				newSuspicion(p.Health)
+				time.Sleep(responseTime)
+				assert.Check(t, a.reportRequests() == 1)
 				assert.Check(t, p.Health.Suspected(inc("e")))
-				time.Sleep(2 * probeHold)
+				time.Sleep(2 * failedProbePeriod)
 				assert.Check(t, !p.Health.Suspected(inc("e")))
 			})
 		})
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -12,230 +12,230 @@
 )
 
 const (
-	// firstSilence is how long a chain may take for the first event before its
-	// engines are asked.
-	firstSilence = 900 * time.Millisecond
-	// nextSilence is the same between events, where the check of the path found nothing.
-	nextSilence = 450 * time.Millisecond
-	// movedSilence is the same after a part of the chain was replaced: the new
-	// engine reads all tokens so far.
-	movedSilence = 700 * time.Millisecond
-	// reportWait bounds asking an engine for its report.
-	reportWait = 250 * time.Millisecond
-	// repathWait bounds the order that replaces a part of a chain.
-	repathWait = 300 * time.Millisecond
-	// mostSilences is how many silences in a row a chain is allowed if its
-	// first engine answers and names nobody; one less before the first event.
-	// Another chain then has time for an event before the caller leaves.
-	mostSilences = 3
+	// firstEventTimeout is how long a chain may take for the first event before its first
+	// engine is asked for a report.
+	firstEventTimeout = 900 * time.Millisecond
+	// nextEventTimeout is the same between events, after a path check without a finding.
+	nextEventTimeout = 450 * time.Millisecond
+	// reroutedEventTimeout is the same after a rerouting, when the new engine must
+	// prefill all tokens so far.
+	reroutedEventTimeout = 700 * time.Millisecond
+	// reportTimeout bounds a request for an engine's report.
+	reportTimeout = 250 * time.Millisecond
+	// rerouteTimeout bounds an order that reroutes a stream.
+	rerouteTimeout = 300 * time.Millisecond
+	// maxStalls is the number of consecutive stalls after which a chain is abandoned even
+	// if its first engine responds and names no engine at fault; one less before the
+	// first event. It leaves time for another chain's first event before callers give up.
+	maxStalls = 3
 )
 
-// chainWatch watches one run of a chain. When nothing comes for too long it
-// asks the first engine, which knows what its streams wait for. An engine found
-// at fault is replaced in the chain, whose other engines keep their memory;
-// where that fails the run is ended and the stream goes on elsewhere.
+// chainWatch watches one run on a chain. If no event arrives in time it asks the first
+// engine, which knows what its streams wait for. A failed engine is replaced in the chain,
+// so that the other engines keep their token memory. If that fails the run is ended, and
+// the stream resumes on another chain.
 //
-// Engines wait for a dead part of their chain for longer than callers do.
+// Engines tolerate a failed stage for longer than callers do.
 type chainWatch struct {
-	q      *request
-	run    context.Context
-	cancel context.CancelCauseFunc
-	hold   *chains.Reservation
-	since  time.Time // when the run was sent
-	record *quarantine.Run
-	// progress is what the stream's events say of its engines.
+	q           *request
+	run         context.Context
+	cancel      context.CancelCauseFunc
+	reservation *chains.Reservation
+	sentAt      time.Time
+	record      *quarantine.Run
+	// progress tracks the stream's events for the detector.
 	progress *detector.Stream
-	// last says that no other engine may go on where this run ends.
-	last bool
-	// fresh says that the route's attempts leave one at another first engine.
-	fresh bool
+	// final is set if no other engine may resume the stream after this run.
+	final bool
+	// restartable is set if the route's attempts allow another first engine.
+	restartable bool
 
-	mu      sync.Mutex
-	parts   []chains.Stage
-	timer   *time.Timer
-	begun   bool              // an event came
-	early   bool              // the timer is for the path check, not for a silence
-	unsure  bool              // an order was not answered and may be carried out later
-	quiet   int               // silences in a row
-	news    int               // counts events and moves, to notice what came meanwhile
-	stopped bool              // ended here, or over
-	culprit model.Incarnation // the engine at fault; empty if none was found
-	moving  bool
-	// granted says that a repeated send was taken from the budget for what follows
-	// this run.
-	granted bool
-	// paceFrom is when the events began that are counted in paceCount.
-	paceFrom  time.Time
-	paceCount int
+	mu           sync.Mutex
+	stages       []chains.Stage
+	timer        *time.Timer
+	hasEvents    bool              // an event was received
+	pathCheckDue bool              // the timer is for a path check, not for a stall
+	unconfirmed  bool              // an order was not answered and may be executed later
+	stalls       int               // consecutive stalls
+	generation   int               // incremented by events and reroutings
+	stopped      bool              // the run has ended
+	failedEngine model.Incarnation // the engine at fault; empty if unknown
+	rerouting    bool
+	// retryGranted is set if a retry token was taken for what follows this run.
+	retryGranted bool
+	// sampleStart and sampleEvents are the start and the number of events of the current
+	// speed sample.
+	sampleStart  time.Time
+	sampleEvents int
 }
 
-func (q *request) watch(run context.Context, cancel context.CancelCauseFunc, parts []chains.Stage, hold *chains.Reservation, record *quarantine.Run) *chainWatch {
-	w := &chainWatch{q: q, run: run, cancel: cancel, parts: parts, hold: hold, record: record, since: q.Now()}
-	w.last = !q.ticket.Idempotent() || q.sends+1 >= maxSends
-	w.fresh = !w.last && q.runs+1 < q.ticket.Route.MaxAttempts
-	path := engines(parts)
-	w.progress = q.Detector.Track(path, q.eventInterval(parts), q.ticket.Route.TargetGap)
-	w.start()
-	if gone, ended := q.ActiveRuns.add(w, path...); ended {
-		w.end(verdict{culprit: gone, why: engineGone})
-	} else if silent := q.ActiveRuns.silentAmong(path); len(silent) > 0 {
-		go w.leave(silent, silence)
+func (q *request) watch(run context.Context, cancel context.CancelCauseFunc, stages []chains.Stage, reservation *chains.Reservation, record *quarantine.Run) *chainWatch {
+	w := &chainWatch{q: q, run: run, cancel: cancel, stages: stages, reservation: reservation, record: record, sentAt: q.Now()}
+	w.final = !q.admitted.Idempotent() || q.sends+1 >= maxSends
+	w.restartable = !w.final && q.runs+1 < q.admitted.Route.MaxAttempts
+	path := engines(stages)
+	w.progress = q.Detector.Track(path, q.eventInterval(stages), q.admitted.Route.TargetGap)
+	w.startTimer()
+	if exited, found := q.ActiveRuns.add(w, path...); found {
+		w.end(runFailure{failedEngine: exited, reason: engineExited})
+	} else if lost := q.ActiveRuns.recentlyLost(path); len(lost) > 0 {
+		go w.leaveEngines(lost, stalled)
 	}
 	return w
 }
 
-func (w *chainWatch) start() {
+func (w *chainWatch) startTimer() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(firstSilence, w.due)
+	w.timer = time.AfterFunc(firstEventTimeout, w.onTimer)
 }
 
-func engines(parts []chains.Stage) []model.Incarnation {
-	out := make([]model.Incarnation, len(parts))
-	for i, p := range parts {
-		out[i] = p.Server.Incarnation()
+func engines(stages []chains.Stage) []model.Incarnation {
+	out := make([]model.Incarnation, len(stages))
+	for i, stage := range stages {
+		out[i] = stage.Server.Incarnation()
 	}
 	return out
 }
 
-func (w *chainWatch) heard() {
+func (w *chainWatch) eventReceived() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.begun = true
-	w.quiet = 0
-	w.news++
-	w.early = true
+	w.hasEvents = true
+	w.stalls = 0
+	w.generation++
+	w.pathCheckDue = true
 	next := w.progress.RecordEvent()
 	if !w.stopped {
 		w.timer.Reset(next)
 	}
-	w.pace()
+	w.checkSpeed()
 }
 
-// pace has the engines asked when the last events came much slower than the
-// chain should give them. The caller holds the lock.
-func (w *chainWatch) pace() {
+// checkSpeed polls the engines if the last events arrived much slower than planned. The
+// caller must hold w.mu.
+func (w *chainWatch) checkSpeed() {
 	now := w.q.Now()
-	if w.paceFrom.IsZero() {
-		w.paceFrom = now
+	if w.sampleStart.IsZero() {
+		w.sampleStart = now
 		return
 	}
-	if w.paceCount++; w.paceCount < paceEvents {
+	if w.sampleEvents++; w.sampleEvents < speedSampleEvents {
 		return
 	}
-	seen := now.Sub(w.paceFrom) / paceEvents
-	planned := w.q.eventInterval(w.parts)
-	w.paceFrom = now
-	w.paceCount = 0
-	if float64(seen) > slowFactor*float64(planned) {
-		w.q.SlowdownMonitor.Check(w.parts, w.q.call.Attempt, seen, planned)
+	actual := now.Sub(w.sampleStart) / speedSampleEvents
+	planned := w.q.eventInterval(w.stages)
+	w.sampleStart = now
+	w.sampleEvents = 0
+	if float64(actual) > slowChainFactor*float64(planned) {
+		w.q.SlowdownMonitor.Check(w.stages, w.q.call.Attempt, actual, planned)
 	}
 }
 
-// stop ends the watch. It tells whether a repeated send was taken from the budget.
-func (w *chainWatch) stop() (granted bool) {
+// stop ends the watch. It returns whether a retry token was taken.
+func (w *chainWatch) stop() (retryGranted bool) {
 	w.q.ActiveRuns.remove(w)
 	w.progress.Close()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stopped = true
 	w.timer.Stop()
-	return w.granted
+	return w.retryGranted
 }
 
-// state gives the chain as it is now and the engine at fault, if one was found.
+// state returns the current chain and the engine at fault, if known.
 func (w *chainWatch) state() ([]chains.Stage, model.Incarnation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.parts, w.culprit
+	return w.stages, w.failedEngine
 }
 
-// due runs when the timer fires.
-func (w *chainWatch) due() {
-	defer w.contain()
+// onTimer handles the expiry of the timer.
+func (w *chainWatch) onTimer() {
+	defer w.recoverPanic()
 	w.mu.Lock()
-	early := w.early
-	news := w.news
-	over := w.stopped || w.moving
+	pathCheckDue := w.pathCheckDue
+	generation := w.generation
+	over := w.stopped || w.rerouting
 	w.mu.Unlock()
 	switch {
 	case over:
-	case early:
-		w.assess(news)
+	case pathCheckDue:
+		w.assess(generation)
 	default:
-		w.ask()
+		w.handleStall()
 	}
 }
 
-// ask looks into a silence.
-func (w *chainWatch) ask() {
+// handleStall asks the first engine why no event arrived.
+func (w *chainWatch) handleStall() {
 	w.mu.Lock()
-	if w.stopped || w.moving {
+	if w.stopped || w.rerouting {
 		w.mu.Unlock()
 		return
 	}
-	w.quiet++
-	n := w.quiet
-	news := w.news
-	first := w.parts[0].Server
+	w.stalls++
+	n := w.stalls
+	generation := w.generation
+	first := w.stages[0].Server
 	w.mu.Unlock()
-	report, err := w.q.askReport(first)
-	if w.changed(news) {
+	report, err := w.q.fetchReport(first)
+	if w.changed(generation) {
 		return
 	}
 	if err != nil {
 		w.q.Suspects.Unreachable(first, w.q.call.Attempt, err)
-		w.giveUp(news, verdict{culprit: first.Incarnation(), why: silence, silences: n, err: err})
+		w.endIfUnchanged(generation, runFailure{failedEngine: first.Incarnation(), reason: stalled, stalls: n, err: err})
 		return
 	}
-	if addr := stallOf(report, w.q.call.Attempt); addr != "" {
-		w.blame(addr, news, n)
+	if addr := stalledAddress(report, w.q.call.Attempt); addr != "" {
+		w.handleStalledEngine(addr, generation, n)
 		return
 	}
-	if w.q.ticket.Route.Kind != model.RouteStreaming {
-		// The answer comes in one piece. Nothing before it is no silence; its engines
-		// are asked less and less often.
-		w.askAgain(news, time.Duration(n)*nextSilence)
+	if w.q.admitted.Route.Kind != model.RouteStreaming {
+		// The response arrives in one piece, so waiting for it is not a stall. The engine is
+		// polled at growing intervals.
+		w.resetTimer(generation, time.Duration(n)*nextEventTimeout)
 		return
 	}
-	if n >= w.patience() {
-		w.giveUp(news, verdict{why: silence, silences: n})
+	if n >= w.stallLimit() {
+		w.endIfUnchanged(generation, runFailure{reason: stalled, stalls: n})
 		return
 	}
-	w.askAgain(news, nextSilence)
+	w.resetTimer(generation, nextEventTimeout)
 }
 
-// patience is how many silences in a row the run is allowed.
-func (w *chainWatch) patience() int {
+// stallLimit returns the number of consecutive stalls after which the run is abandoned.
+func (w *chainWatch) stallLimit() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.begun {
-		return mostSilences
+	if w.hasEvents {
+		return maxStalls
 	}
-	return mostSilences - 1
+	return maxStalls - 1
 }
 
-func (w *chainWatch) askAgain(news int, after time.Duration) {
+func (w *chainWatch) resetTimer(generation int, after time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.changedLocked(news) {
+	if !w.changedLocked(generation) {
 		w.timer.Reset(after)
 	}
 }
 
-// changed tells whether an event came, or the chain was moved or has ended,
-// meanwhile: what was found out is about the chain as it was before.
-func (w *chainWatch) changed(news int) bool {
+// changed returns whether an event arrived, or the chain was rerouted or ended, since the
+// given generation. Findings about the older chain are then obsolete.
+func (w *chainWatch) changed(generation int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.changedLocked(news)
+	return w.changedLocked(generation)
 }
 
-func (w *chainWatch) changedLocked(news int) bool {
-	return w.stopped || w.moving || w.news != news
+func (w *chainWatch) changedLocked(generation int) bool {
+	return w.stopped || w.rerouting || w.generation != generation
 }
 
-func stallOf(r model.EngineReport, attempt string) string {
+func stalledAddress(r model.EngineReport, attempt string) string {
 	for _, st := range r.Stalled {
 		if st.Attempt == attempt {
 			return st.Address
@@ -244,29 +244,28 @@
 	return ""
 }
 
-// blame takes in which engine the chain waits for. The other streams of this
-// router that run through it are moved at once, before they notice.
-func (w *chainWatch) blame(addr string, news, n int) {
-	parts, _ := w.state()
-	if server := serverAt(parts, addr); server != nil {
-		w.fail(server, nil)
+// handleStalledEngine handles a report that the chain waits for the engine at an address.
+func (w *chainWatch) handleStalledEngine(addr string, generation, n int) {
+	stages, _ := w.state()
+	if server := engineAt(stages, addr); server != nil {
+		w.failEngine(server, nil)
 		return
 	}
-	w.giveUp(news, verdict{why: silence, silences: n})
+	w.endIfUnchanged(generation, runFailure{reason: stalled, stalls: n})
 }
 
-// fail takes in that an engine of the chain does not do its part: all streams of this
-// router leave it.
-func (w *chainWatch) fail(server *model.BackendServer, err error) {
+// failEngine records that an engine of the chain does not run its stage. All streams of this
+// router stop using it.
+func (w *chainWatch) failEngine(server *model.BackendServer, err error) {
 	w.q.Suspects.Unreachable(server, w.q.call.Attempt, err)
-	w.q.ActiveRuns.leave(engineSet{server.Incarnation(): true}, silence)
+	w.q.ActiveRuns.notifyLoss(engineSet{server.Incarnation(): true}, stalled)
 }
 
-// serverAt is the engine of a chain with an address; nil if there is none.
-func serverAt(parts []chains.Stage, addr string) *model.BackendServer {
-	for _, p := range parts {
-		if p.Server.Address == addr {
-			return p.Server
+// engineAt returns the engine of a chain at an address; nil if there is none.
+func engineAt(stages []chains.Stage, addr string) *model.BackendServer {
+	for _, stage := range stages {
+		if stage.Server.Address == addr {
+			return stage.Server
 		}
 	}
 	return nil
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -19,10 +19,10 @@
 
 const emptyReport = `{}`
 
-// chained gives a site whose chains run through two engines, "one" then "far", with
-// "spare" to take the place of far.
-func chained(route model.Route, do script) *site {
-	s := newSite(route, true, do)
+// newTwoStageFixture returns a fixture whose chains use two engines, "one" then "far", with
+// "spare" as the replacement of "far".
+func newTwoStageFixture(route model.Route, do fakeBackend) *fixture {
+	s := newFixture(route, true, do)
 	s.Catalog.Remove("two", 1, 0)
 	put := func(id string, held model.LayerRange) {
 		s.Catalog.Put(model.BackendServer{ID: id, Service: "s", Address: id + ":1", FailureDomain: "a", Card: "fast", Holds: held, Slots: 9, Revision: 2})
@@ -33,7 +33,7 @@
 	return s
 }
 
-func (s *site) parts(second string) []chains.Stage {
+func (s *fixture) stages(second string) []chains.Stage {
 	snap := s.Catalog.Load()
 	return []chains.Stage{
 		{Server: snap.Find(inc("one")), Layers: model.LayerRange{To: 6}},
@@ -41,171 +41,163 @@
 	}
 }
 
-// watched is a running stream through "one" and "far" and its watch.
-func (s *site) watched(t *testing.T, route model.Route) (*chainWatch, context.Context) {
-	return s.watchedOn(t, route, s.parts("far"))
+// startTwoStageStream starts a stream on "one" and "far", and returns its watch.
+func (s *fixture) startTwoStageStream(t *testing.T, route model.Route) (*chainWatch, context.Context) {
+	return s.startStreamOn(t, route, s.stages("far"))
 }
 
-// watchedOn is a running stream through some engines and its watch.
-func (s *site) watchedOn(t *testing.T, route model.Route, parts []chains.Stage) (*chainWatch, context.Context) {
-	q := &request{Relay: s.Relay, call: &model.Call{Attempt: "1"}, since: time.Now(), avoid: map[model.Incarnation]bool{}}
+// startStreamOn starts a stream on a chain, and returns its watch.
+func (s *fixture) startStreamOn(t *testing.T, route model.Route, stages []chains.Stage) (*chainWatch, context.Context) {
+	q := &request{Relay: s.Relay, call: &model.Call{Attempt: "1"}, startTime: time.Now(), avoid: map[model.Incarnation]bool{}}
 	table := s.Config.Load()
 	route.Host = "h"
-	q.ticket.Route = &route
-	q.ticket.Service = table.Service("s")
+	q.admitted.Route = &route
+	q.admitted.Service = table.Service("s")
 	run, cancel := context.WithCancelCause(t.Context())
-	hold := s.Memory.Reserve(parts, 100)
-	w := q.watch(run, cancel, parts, hold, s.Quarantine.Begin(nil, false))
+	reservation := s.Memory.Reserve(stages, 100)
+	w := q.watch(run, cancel, stages, reservation, s.Quarantine.Begin(nil, false))
 	t.Cleanup(func() {
 		_ = w.stop()
-		hold.Release()
+		reservation.Release()
 	})
 	return w, run
 }
 
-// unreachable calls back when an engine is reported.
-type unreachable struct {
+// unreachableHook calls a function when an engine is reported unreachable.
+type unreachableHook struct {
 	*Prober
-	told func()
+	onReport func()
 }
 
-func (u unreachable) Unreachable(*model.BackendServer, string, error) { u.told() }
+func (u unreachableHook) Unreachable(*model.BackendServer, string, error) { u.onReport() }
 
-func report(body string) *Response { return signed(http.StatusOK, strings.NewReader(body)) }
+func reportResponse(body string) *Response { return signed(http.StatusOK, strings.NewReader(body)) }
 
-// The first engine does not tell what a silent chain waits for. While that is noted
-// an event comes: the chain works, and must not be ended for a silence that is over.
-func TestChainThatSpeaksAgainIsNotEnded(t *testing.T) {
+// Guards against ending a run for a stall although an event arrives while the stall is
+// handled.
+func TestChainWithNewEventIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return nil, errNoConnection })
-		var asked atomic.Pointer[chainWatch]
-		s.Suspects = unreachable{s.prober, func() { asked.Load().heard() }}
-		w, run := s.watched(t, route)
-		asked.Store(w)
-		time.Sleep(firstSilence + time.Millisecond)
+		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return nil, errNotConnected })
+		var watch atomic.Pointer[chainWatch]
+		s.Suspects = unreachableHook{s.prober, func() { watch.Load().eventReceived() }}
+		w, run := s.startTwoStageStream(t, route)
+		watch.Store(w)
+		time.Sleep(firstEventTimeout + time.Millisecond)
 		synctest.Wait()
 		assert.NilError(t, run.Err())
 	})
 }
 
-// A chain is silent and its first engine is asked. Meanwhile a part of the chain is
-// found to have ended and is replaced, which the engine takes as an order. The answer
-// to the question is about the chain as it was: it must not end the new one.
-func TestMovedChainIsNotEndedForTheOldOnesSilence(t *testing.T) {
+// Guards against ending a run for a stall of the chain that it had before a rerouting.
+func TestReroutedChainIsNotEndedForEarlierStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 1}
-		var asked atomic.Int64
-		s := chained(route, func(_ context.Context, _ string, r *Request) (*Response, error) {
+		var reportRequests atomic.Int64
+		s := newTwoStageFixture(route, func(_ context.Context, _ string, r *Request) (*Response, error) {
 			if r.Target != platform.ReportPath {
-				return report(""), nil
+				return reportResponse(""), nil
 			}
-			if asked.Add(1) == 2 {
+			if reportRequests.Add(1) == 2 {
 				time.Sleep(100 * time.Millisecond)
 			}
-			return report(emptyReport), nil
+			return reportResponse(emptyReport), nil
 		})
-		w, run := s.watched(t, route)
-		time.Sleep(firstSilence + nextSilence + 50*time.Millisecond) // amid the second question
-		assert.Equal(t, asked.Load(), int64(2))
+		w, run := s.startTwoStageStream(t, route)
+		time.Sleep(firstEventTimeout + nextEventTimeout + 50*time.Millisecond) // during the second report request
+		assert.Equal(t, reportRequests.Load(), int64(2))
 		s.HandleEngineExit(inc("far"))
 		time.Sleep(100 * time.Millisecond)
 		assert.NilError(t, run.Err())
-		parts, _ := w.state()
-		assert.Equal(t, parts[1].Server.ID, "spare")
+		stages, _ := w.state()
+		assert.Equal(t, stages[1].Server.ID, "spare")
 	})
 }
 
-// A stream ends whole while an engine of it is replaced and the order is refused.
-// There is nothing left to give up.
-func TestFinishedStreamIsNotGivenUp(t *testing.T) {
+// Guards against abandoning a stream that ended normally while a rerouting was in progress.
+func TestFinishedStreamIsNotAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Response, error) {
+		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) {
 			time.Sleep(50 * time.Millisecond)
 			return signed(http.StatusNotFound, strings.NewReader("")), nil
 		})
-		w, run := s.watched(t, route)
+		w, run := s.startTwoStageStream(t, route)
 		s.HandleEngineExit(inc("far"))
 		synctest.Wait()
 		_ = w.stop()
 		time.Sleep(100 * time.Millisecond)
-		_, culprit := w.state()
-		assert.Equal(t, culprit, model.Incarnation{})
+		_, failedEngine := w.state()
+		assert.Equal(t, failedEngine, model.Incarnation{})
 		assert.NilError(t, run.Err())
 	})
 }
 
-// A stream that must not run twice is silent, its engines answer and name nobody; or
-// the first engine does not even answer. Ended, the stream is lost for sure, as no
-// other engine may go on with it; its caller decides how long to wait. It is ended
-// once the process of one of its engines has.
-func TestStreamThatCannotGoOnIsNotEndedForSilence(t *testing.T) {
-	for _, answers := range []bool{true, false} {
+// Guards against ending a stalled stream that no other engine may resume. It is ended only
+// once the process of one of its engines has exited.
+func TestNonResumableStreamIsNotEndedForStall(t *testing.T) {
+	for _, responds := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			route := model.Route{Kind: streaming, MaxAttempts: 2}
-			s := chained(route, func(context.Context, string, *Request) (*Response, error) {
-				if answers {
-					return report(emptyReport), nil
+			s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) {
+				if responds {
+					return reportResponse(emptyReport), nil
 				}
-				return nil, errNoConnection
+				return nil, errNotConnected
 			})
-			_, run := s.watched(t, route)
+			_, run := s.startTwoStageStream(t, route)
 			time.Sleep(5 * time.Second)
 			synctest.Wait()
 			assert.NilError(t, run.Err())
 			s.HandleEngineExit(inc("far"))
-			time.Sleep(finalAnswerWait)
+			time.Sleep(finalResponseTimeout)
 			synctest.Wait()
-			assert.Equal(t, context.Cause(run), engineGone)
+			assert.Equal(t, context.Cause(run), engineExited)
 		})
 	}
 }
 
-// Another stream finds an engine at fault that this one runs through as well. This
-// one must not run twice, so it cannot leave: the other's view, from another engine
-// of other links, is no reason to lose it.
-func TestStreamThatCannotGoOnIsNotEndedForAnothersView(t *testing.T) {
+// Guards against ending a stream that cannot be resumed because another stream found one of
+// its engines at fault.
+func TestNonResumableStreamIgnoresReportsOfOtherStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return report(emptyReport), nil })
-		_, run := s.watched(t, route)
-		other, _ := s.watched(t, model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2})
-		other.blame("far:1", 0, 1)
+		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
+		_, run := s.startTwoStageStream(t, route)
+		other, _ := s.startTwoStageStream(t, model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2})
+		other.handleStalledEngine("far:1", 0, 1)
 		synctest.Wait()
 		assert.NilError(t, run.Err())
-		parts, _ := other.state()
-		assert.Equal(t, parts[1].Server.ID, "spare", "the other one is moved")
+		stages, _ := other.state()
+		assert.Equal(t, stages[1].Server.ID, "spare", "the other stream is rerouted")
 	})
 }
 
-// An engine's process ends right after a chain through it was chosen, before the run
-// is among those that are told. The run must hear of it all the same: nothing would
-// come of it, and its caller would wait until the silence shows.
-func TestRunHearsOfAnEngineThatJustEnded(t *testing.T) {
+// Guards against a run that misses the exit of an engine because it was added just after the
+// exit was reported.
+func TestNewRunEndsIfItsEngineJustExited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return report(emptyReport), nil })
+		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
 		s.HandleEngineExit(inc("far"))
-		_, run := s.watched(t, route)
-		assert.Equal(t, context.Cause(run), engineGone)
+		_, run := s.startTwoStageStream(t, route)
+		assert.Equal(t, context.Cause(run), engineExited)
 	})
 }
 
-// A chain is silent, its engines answer and name nobody, and the budget for repeated
-// sends is used up. Ended, the stream would be broken off; kept, it may go on. Once
-// there is budget again the run abandoned.
-func TestSilentChainIsKeptWhereNoRepeatIsLeft(t *testing.T) {
+// Guards against ending a stalled run while the retry budget is exhausted. It is ended once
+// the budget has tokens again.
+func TestStalledChainContinuesWithoutRetryToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
-		s := chained(route, func(context.Context, string, *Request) (*Response, error) { return report(emptyReport), nil })
+		s := newTwoStageFixture(route, func(context.Context, string, *Request) (*Response, error) { return reportResponse(emptyReport), nil })
 		s.RetryBorrower.Budget = limits.NewSharedRetryBudget(0, 100, time.Hour, func() int { return 1 }, time.Now)
-		_, run := s.watched(t, route)
+		_, run := s.startTwoStageStream(t, route)
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		assert.NilError(t, run.Err())
 		time.Sleep(time.Hour)
 		synctest.Wait()
-		assert.Equal(t, context.Cause(run), silence)
+		assert.Equal(t, context.Cause(run), stalled)
 	})
 }
