--- a/internal/protocol/wire/heartbeat.go
+++ b/internal/protocol/wire/heartbeat.go
@@ -12,8 +12,8 @@
 	ConfigAgeMS int64
 	// Revision is that of the store up to which its picture is complete.
 	Revision model.Revision
-	// Uses are what its streams take.
-	Uses []RouterUse
+	// Usage are what its streams take.
+	Usage []RouterUse
 	// Slow are engines that said to be slower than their cards, by how much.
 	Slow map[model.Incarnation]float64
 	// Pipes is what its streams move between failure domains.
@@ -54,8 +54,8 @@
 	p.number(b.ConfigAgeMS)
 	p.number(int64(b.Revision))
 	p.flag(b.Traffic)
-	p.number(int64(len(b.Uses)))
-	for _, u := range b.Uses {
+	p.number(int64(len(b.Usage)))
+	for _, u := range b.Usage {
 		p.incarnation(u.Server)
 		p.number(u.TokenLayers)
 		p.number(u.Streams)
@@ -85,9 +85,9 @@
 		Revision:    model.Revision(u.number()),
 		Traffic:     u.flag(),
 	}
-	b.Uses = make([]RouterUse, u.count())
-	for i := range b.Uses {
-		b.Uses[i] = RouterUse{Server: u.incarnation(), TokenLayers: u.number(), Streams: u.number(), Firsts: u.number(), Reading: u.fraction()}
+	b.Usage = make([]RouterUse, u.count())
+	for i := range b.Usage {
+		b.Usage[i] = RouterUse{Server: u.incarnation(), TokenLayers: u.number(), Streams: u.number(), Firsts: u.number(), Reading: u.fraction()}
 	}
 	b.Pipes = make([]RouterPipe, u.count())
 	for i := range b.Pipes {
--- a/internal/protocol/wire/heartbeat_test.go
+++ b/internal/protocol/wire/heartbeat_test.go
@@ -30,7 +30,7 @@
 		b := RouterHeartbeat{
 			EveryMS: number.Draw(t, "every"), Config: number.Draw(t, "config"), ConfigAgeMS: number.Draw(t, "age"),
 			Revision: model.Revision(number.Draw(t, "revision")), Traffic: rapid.Bool().Draw(t, "traffic"),
-			Uses: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) RouterUse {
+			Usage: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) RouterUse {
 				return RouterUse{Server: engine.Draw(t, "server"), TokenLayers: number.Draw(t, "tokens"), Streams: number.Draw(t, "streams"),
 					Firsts: number.Draw(t, "firsts"), Reading: fraction.Draw(t, "reading")}
 			}), 0, 60).Draw(t, "uses"),
@@ -48,7 +48,7 @@
 
 // A message that stops anywhere is an error, never a shorter truth.
 func TestCutBeatIsRefused(t *testing.T) {
-	b := RouterHeartbeat{EveryMS: 250, Config: 300, Uses: []RouterUse{{Server: model.Incarnation{ID: "i-1", Born: 1700000000000}, TokenLayers: 5000, Streams: 2, Reading: 0.25}},
+	b := RouterHeartbeat{EveryMS: 250, Config: 300, Usage: []RouterUse{{Server: model.Incarnation{ID: "i-1", Born: 1700000000000}, TokenLayers: 5000, Streams: 2, Reading: 0.25}},
 		Pipes: []RouterPipe{{A: "a", B: "b", Rate: 12}}, Spares: map[string]int{"s": 300}}
 	raw := b.Pack()
 	for n := range raw {
@@ -67,7 +67,7 @@
 		if err == nil {
 			again, err := UnpackRouterHeartbeat(b.Pack())
 			assert.NilError(t, err)
-			assert.Equal(t, len(again.Uses), len(b.Uses))
+			assert.Equal(t, len(again.Usage), len(b.Usage))
 		}
 	})
 }
@@ -82,7 +82,7 @@
 	b := RouterHeartbeat{EveryMS: 250, Config: 300, ConfigAgeMS: 120, Revision: 4711, Traffic: true, Spares: map[string]int{"planner": 5},
 		Pipes: []RouterPipe{{A: "domain-1", B: "domain-2", Rate: 123.456}, {A: "domain-1", B: "domain-3", Rate: 9}}}
 	for i := range engines {
-		b.Uses = append(b.Uses, RouterUse{Server: model.Incarnation{ID: fmt.Sprintf("i-%010x", 7919*i), Born: 1700000000000 + int64(i)}, TokenLayers: 12345, Streams: 3, Firsts: 1, Reading: 0.02})
+		b.Usage = append(b.Usage, RouterUse{Server: model.Incarnation{ID: fmt.Sprintf("i-%010x", 7919*i), Born: 1700000000000 + int64(i)}, TokenLayers: 12345, Streams: 3, Firsts: 1, Reading: 0.02})
 	}
 	raw := b.Pack()
 	const segment = 1400
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -28,7 +28,7 @@
 		Config:      x.Config.Version(),
 		ConfigAgeMS: x.Config.Age(x.Clock()).Milliseconds(),
 		Revision:    x.Revision(),
-		Uses:        uses,
+		Usage:       uses,
 		Pipes:       pipes,
 		Slow:        x.Memory.OwnSlowdowns(),
 		Suspects:    suspects,
@@ -63,8 +63,8 @@
 	x.seen[from] = x.Now()
 	x.traffic = x.traffic || b.Traffic
 	x.mu.Unlock()
-	uses := make(map[model.Incarnation]chains.Usage, len(b.Uses))
-	for _, u := range b.Uses {
+	uses := make(map[model.Incarnation]chains.Usage, len(b.Usage))
+	for _, u := range b.Usage {
 		uses[u.Server] = chains.Usage{TokenLayers: float64(u.TokenLayers), Streams: float64(u.Streams), FirstStageStreams: float64(u.Firsts), PrefillLoad: u.Reading}
 	}
 	good := trustedHeartbeats*time.Duration(b.EveryMS)*time.Millisecond + trustSlack
