--- a/internal/protocol/wire/heartbeat.go
+++ b/internal/protocol/wire/heartbeat.go
@@ -16,8 +16,8 @@
 	Usage []RouterUse
 	// Slow are engines that said to be slower than their cards, by how much.
 	Slow map[model.Incarnation]float64
-	// Pipes is what its streams move between failure domains.
-	Pipes []RouterPipe
+	// Interconnects is what its streams move between failure domains.
+	Interconnects []RouterPipe
 	// Suspects are engines that do not do their work, with the milliseconds
 	// for which the suspicion still holds.
 	Suspects map[model.Incarnation]int64
@@ -62,8 +62,8 @@
 		p.number(u.Firsts)
 		p.fraction(u.Reading)
 	}
-	p.number(int64(len(b.Pipes)))
-	for _, l := range b.Pipes {
+	p.number(int64(len(b.Interconnects)))
+	for _, l := range b.Interconnects {
 		p.text(l.A)
 		p.text(l.B)
 		p.fraction(l.Rate)
@@ -89,9 +89,9 @@
 	for i := range b.Usage {
 		b.Usage[i] = RouterUse{Server: u.incarnation(), TokenLayers: u.number(), Streams: u.number(), Firsts: u.number(), Reading: u.fraction()}
 	}
-	b.Pipes = make([]RouterPipe, u.count())
-	for i := range b.Pipes {
-		b.Pipes[i] = RouterPipe{A: u.text(), B: u.text(), Rate: u.fraction()}
+	b.Interconnects = make([]RouterPipe, u.count())
+	for i := range b.Interconnects {
+		b.Interconnects[i] = RouterPipe{A: u.text(), B: u.text(), Rate: u.fraction()}
 	}
 	b.Slow = unpackEach(u, u.incarnation, u.fraction)
 	b.Suspects = unpackEach(u, u.incarnation, u.number)
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -25,16 +25,16 @@
 	suspects := remaining(x.suspects, now)
 	refusing := remaining(x.refusing, now)
 	return wire.RouterHeartbeat{
-		Config:      x.Config.Version(),
-		ConfigAgeMS: x.Config.Age(x.Clock()).Milliseconds(),
-		Revision:    x.Revision(),
-		Usage:       uses,
-		Pipes:       pipes,
-		Slow:        x.Memory.OwnSlowdowns(),
-		Suspects:    suspects,
-		Refusing:    refusing,
-		Spares:      spares,
-		Traffic:     x.Traffic(),
+		Config:        x.Config.Version(),
+		ConfigAgeMS:   x.Config.Age(x.Clock()).Milliseconds(),
+		Revision:      x.Revision(),
+		Usage:         uses,
+		Interconnects: pipes,
+		Slow:          x.Memory.OwnSlowdowns(),
+		Suspects:      suspects,
+		Refusing:      refusing,
+		Spares:        spares,
+		Traffic:       x.Traffic(),
 	}
 }
 
@@ -69,8 +69,8 @@
 	}
 	good := trustedHeartbeats*time.Duration(b.EveryMS)*time.Millisecond + trustSlack
 	x.Memory.SetPeerUsage(from, uses, good)
-	pipes := make(map[chains.DomainPair]float64, len(b.Pipes))
-	for _, p := range b.Pipes {
+	pipes := make(map[chains.DomainPair]float64, len(b.Interconnects))
+	for _, p := range b.Interconnects {
 		pipes[chains.DomainPair{A: p.A, B: p.B}] = p.Rate
 	}
 	x.Pipes.SetPeerRates(from, pipes, good)
