--- a/internal/protocol/wire/heartbeat.go
+++ b/internal/protocol/wire/heartbeat.go
@@ -24,8 +24,8 @@
 	// Refusing are engines that answer but refuse work, with the milliseconds
 	// for which they should get none.
 	Refusing map[model.Incarnation]int64
-	// Spares are repeated sends that it could lend, by service.
-	Spares map[string]int
+	// SpareTokens are repeated sends that it could lend, by service.
+	SpareTokens map[string]int
 	// Traffic says that it has seen callers' requests.
 	Traffic bool
 }
@@ -71,7 +71,7 @@
 	packEach(p, b.Slow, p.incarnation, p.fraction)
 	packEach(p, b.Suspects, p.incarnation, p.number)
 	packEach(p, b.Refusing, p.incarnation, p.number)
-	packEach(p, b.Spares, p.text, func(n int) { p.number(int64(n)) })
+	packEach(p, b.SpareTokens, p.text, func(n int) { p.number(int64(n)) })
 	return p.b
 }
 
@@ -96,7 +96,7 @@
 	b.Slow = unpackEach(u, u.incarnation, u.fraction)
 	b.Suspects = unpackEach(u, u.incarnation, u.number)
 	b.Refusing = unpackEach(u, u.incarnation, u.number)
-	b.Spares = unpackEach(u, u.text, func() int { return int(u.number()) })
+	b.SpareTokens = unpackEach(u, u.text, func() int { return int(u.number()) })
 	return b, u.err
 }
 
--- a/internal/protocol/wire/heartbeat_test.go
+++ b/internal/protocol/wire/heartbeat_test.go
@@ -38,7 +38,7 @@
 				return RouterPipe{A: text.Draw(t, "a"), B: text.Draw(t, "b"), Rate: fraction.Draw(t, "rate")}
 			}), 0, 6).Draw(t, "pipes"),
 			Slow: figures(t, "slow", engine, fraction), Suspects: figures(t, "suspects", engine, number), Refusing: figures(t, "refusing", engine, number),
-			Spares: figures(t, "spares", rapid.StringN(0, 12, 40), rapid.IntRange(0, 1<<30)),
+			SpareTokens: figures(t, "spares", rapid.StringN(0, 12, 40), rapid.IntRange(0, 1<<30)),
 		}
 		got, err := UnpackRouterHeartbeat(b.Pack())
 		assert.NilError(t, err)
@@ -49,7 +49,7 @@
 // A message that stops anywhere is an error, never a shorter truth.
 func TestCutBeatIsRefused(t *testing.T) {
 	b := RouterHeartbeat{EveryMS: 250, Config: 300, Usage: []RouterUse{{Server: model.Incarnation{ID: "i-1", Born: 1700000000000}, TokenLayers: 5000, Streams: 2, Reading: 0.25}},
-		Interconnects: []RouterPipe{{A: "a", B: "b", Rate: 12}}, Spares: map[string]int{"s": 300}}
+		Interconnects: []RouterPipe{{A: "a", B: "b", Rate: 12}}, SpareTokens: map[string]int{"s": 300}}
 	raw := b.Pack()
 	for n := range raw {
 		_, err := UnpackRouterHeartbeat(raw[:n])
@@ -60,7 +60,7 @@
 // Whatever bytes come, reading them ends and takes no more memory than they give
 // grounds for.
 func FuzzBeat(f *testing.F) {
-	f.Add((&RouterHeartbeat{Config: 2, Spares: map[string]int{"s": 3}}).Pack())
+	f.Add((&RouterHeartbeat{Config: 2, SpareTokens: map[string]int{"s": 3}}).Pack())
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		b, err := UnpackRouterHeartbeat(raw)
@@ -79,7 +79,7 @@
 // a millisecond, more than all of its callers' streams together.
 func TestBeatIsCheapToRead(t *testing.T) {
 	const engines, names = 40, 40 + 4 + 1
-	b := RouterHeartbeat{EveryMS: 250, Config: 300, ConfigAgeMS: 120, Revision: 4711, Traffic: true, Spares: map[string]int{"planner": 5},
+	b := RouterHeartbeat{EveryMS: 250, Config: 300, ConfigAgeMS: 120, Revision: 4711, Traffic: true, SpareTokens: map[string]int{"planner": 5},
 		Interconnects: []RouterPipe{{A: "domain-1", B: "domain-2", Rate: 123.456}, {A: "domain-1", B: "domain-3", Rate: 9}}}
 	for i := range engines {
 		b.Usage = append(b.Usage, RouterUse{Server: model.Incarnation{ID: fmt.Sprintf("i-%010x", 7919*i), Born: 1700000000000 + int64(i)}, TokenLayers: 12345, Streams: 3, Firsts: 1, Reading: 0.02})
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -33,7 +33,7 @@
 		Slow:          x.Memory.OwnSlowdowns(),
 		Suspects:      suspects,
 		Refusing:      refusing,
-		Spares:        spares,
+		SpareTokens:   spares,
 		Traffic:       x.Traffic(),
 	}
 }
@@ -83,7 +83,7 @@
 	for inc, left := range b.Refusing {
 		x.Refuses(inc, x.Now().Add(limits.Jitter(time.Duration(left)*time.Millisecond)))
 	}
-	x.Loans.SetPeerTokens(from, b.Spares, good)
+	x.Loans.SetPeerTokens(from, b.SpareTokens, good)
 	x.PeerAt(b.Revision)
 	mine := x.Config.Version()
 	switch {
