--- a/internal/protocol/wire/heartbeat.go
+++ b/internal/protocol/wire/heartbeat.go
@@ -4,8 +4,8 @@
 
 // RouterHeartbeat is what a router tells its peers a few times a second.
 type RouterHeartbeat struct {
-	// EveryMS is how long until the next message.
-	EveryMS int64
+	// IntervalMS is how long until the next message.
+	IntervalMS int64
 	// Config is the version in force, and ConfigAgeMS how long ago it was known to
 	// be the newest.
 	Config      int64
@@ -49,7 +49,7 @@
 // Pack writes the message for Notice.
 func (b *RouterHeartbeat) Pack() []byte {
 	p := &packer{}
-	p.number(b.EveryMS)
+	p.number(b.IntervalMS)
 	p.number(b.Config)
 	p.number(b.ConfigAgeMS)
 	p.number(int64(b.Revision))
@@ -79,7 +79,7 @@
 func UnpackRouterHeartbeat(raw []byte) (RouterHeartbeat, error) {
 	u := &unpacker{b: raw}
 	b := RouterHeartbeat{
-		EveryMS:     u.number(),
+		IntervalMS:  u.number(),
 		Config:      u.number(),
 		ConfigAgeMS: u.number(),
 		Revision:    model.Revision(u.number()),
--- a/internal/protocol/wire/heartbeat_test.go
+++ b/internal/protocol/wire/heartbeat_test.go
@@ -28,7 +28,7 @@
 			return model.Incarnation{ID: text.Draw(t, "id"), Born: number.Draw(t, "born")}
 		})
 		b := RouterHeartbeat{
-			EveryMS: number.Draw(t, "every"), Config: number.Draw(t, "config"), ConfigAgeMS: number.Draw(t, "age"),
+			IntervalMS: number.Draw(t, "every"), Config: number.Draw(t, "config"), ConfigAgeMS: number.Draw(t, "age"),
 			Revision: model.Revision(number.Draw(t, "revision")), Traffic: rapid.Bool().Draw(t, "traffic"),
 			Usage: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) RouterUse {
 				return RouterUse{Server: engine.Draw(t, "server"), TokenLayers: number.Draw(t, "tokens"), Streams: number.Draw(t, "streams"),
@@ -48,7 +48,7 @@
 
 // A message that stops anywhere is an error, never a shorter truth.
 func TestCutBeatIsRefused(t *testing.T) {
-	b := RouterHeartbeat{EveryMS: 250, Config: 300, Usage: []RouterUse{{Server: model.Incarnation{ID: "i-1", Born: 1700000000000}, TokenLayers: 5000, Streams: 2, Reading: 0.25}},
+	b := RouterHeartbeat{IntervalMS: 250, Config: 300, Usage: []RouterUse{{Server: model.Incarnation{ID: "i-1", Born: 1700000000000}, TokenLayers: 5000, Streams: 2, Reading: 0.25}},
 		Interconnects: []RouterPipe{{A: "a", B: "b", Rate: 12}}, SpareTokens: map[string]int{"s": 300}}
 	raw := b.Pack()
 	for n := range raw {
@@ -79,7 +79,7 @@
 // a millisecond, more than all of its callers' streams together.
 func TestBeatIsCheapToRead(t *testing.T) {
 	const engines, names = 40, 40 + 4 + 1
-	b := RouterHeartbeat{EveryMS: 250, Config: 300, ConfigAgeMS: 120, Revision: 4711, Traffic: true, SpareTokens: map[string]int{"planner": 5},
+	b := RouterHeartbeat{IntervalMS: 250, Config: 300, ConfigAgeMS: 120, Revision: 4711, Traffic: true, SpareTokens: map[string]int{"planner": 5},
 		Interconnects: []RouterPipe{{A: "domain-1", B: "domain-2", Rate: 123.456}, {A: "domain-1", B: "domain-3", Rate: 9}}}
 	for i := range engines {
 		b.Usage = append(b.Usage, RouterUse{Server: model.Incarnation{ID: fmt.Sprintf("i-%010x", 7919*i), Born: 1700000000000 + int64(i)}, TokenLayers: 12345, Streams: 3, Firsts: 1, Reading: 0.02})
--- a/internal/transport/peers/confirm_test.go
+++ b/internal/transport/peers/confirm_test.go
@@ -84,7 +84,7 @@
 func TestFetchedConfigurationIsAsOldAsThePeerSaid(t *testing.T) {
 	const age, takes = 100 * time.Millisecond, 3 * time.Second
 	x, peer := fetching(t, 2, takes)
-	x.beatAndFetch(t, peer, wire.RouterHeartbeat{Config: 2, ConfigAgeMS: age.Milliseconds(), EveryMS: 250})
+	x.beatAndFetch(t, peer, wire.RouterHeartbeat{Config: 2, ConfigAgeMS: age.Milliseconds(), IntervalMS: 250})
 	assert.Equal(t, x.Config.Version(), int64(2))
 	assert.Assert(t, x.Config.Age(x.Clock()) >= age+takes, "age %v", x.Config.Age(x.Clock()))
 }
@@ -95,7 +95,7 @@
 func TestOlderConfigurationThanToldIsNotConfirmed(t *testing.T) {
 	x, peer := fetching(t, 5, 0)
 	before := x.Config.LastConfirmed()
-	x.beatAndFetch(t, peer, wire.RouterHeartbeat{Config: 9, ConfigAgeMS: 100, EveryMS: 250})
+	x.beatAndFetch(t, peer, wire.RouterHeartbeat{Config: 9, ConfigAgeMS: 100, IntervalMS: 250})
 	assert.Equal(t, x.Config.Version(), int64(5))
 	assert.Equal(t, x.Config.LastConfirmed(), before)
 }
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -67,7 +67,7 @@
 	for _, u := range b.Usage {
 		uses[u.Server] = chains.Usage{TokenLayers: float64(u.TokenLayers), Streams: float64(u.Streams), FirstStageStreams: float64(u.Firsts), PrefillLoad: u.Reading}
 	}
-	good := trustedHeartbeats*time.Duration(b.EveryMS)*time.Millisecond + trustSlack
+	good := trustedHeartbeats*time.Duration(b.IntervalMS)*time.Millisecond + trustSlack
 	x.Memory.SetPeerUsage(from, uses, good)
 	pipes := make(map[chains.DomainPair]float64, len(b.Interconnects))
 	for _, p := range b.Interconnects {
