--- a/internal/protocol/wire/heartbeat.go
+++ b/internal/protocol/wire/heartbeat.go
@@ -26,8 +26,8 @@
 	Refusing map[model.Incarnation]int64
 	// SpareTokens are repeated sends that it could lend, by service.
 	SpareTokens map[string]int
-	// Traffic says that it has seen callers' requests.
-	Traffic bool
+	// HasTraffic says that it has seen callers' requests.
+	HasTraffic bool
 }
 
 // RouterPipe is the traffic between two failure domains, in Mbit/s.
@@ -53,7 +53,7 @@
 	p.number(b.Config)
 	p.number(b.ConfigAgeMS)
 	p.number(int64(b.Revision))
-	p.flag(b.Traffic)
+	p.flag(b.HasTraffic)
 	p.number(int64(len(b.Usage)))
 	for _, u := range b.Usage {
 		p.incarnation(u.Server)
@@ -83,7 +83,7 @@
 		Config:      u.number(),
 		ConfigAgeMS: u.number(),
 		Revision:    model.Revision(u.number()),
-		Traffic:     u.flag(),
+		HasTraffic:  u.flag(),
 	}
 	b.Usage = make([]RouterUse, u.count())
 	for i := range b.Usage {
--- a/internal/protocol/wire/heartbeat_test.go
+++ b/internal/protocol/wire/heartbeat_test.go
@@ -29,7 +29,7 @@
 		})
 		b := RouterHeartbeat{
 			IntervalMS: number.Draw(t, "every"), Config: number.Draw(t, "config"), ConfigAgeMS: number.Draw(t, "age"),
-			Revision: model.Revision(number.Draw(t, "revision")), Traffic: rapid.Bool().Draw(t, "traffic"),
+			Revision: model.Revision(number.Draw(t, "revision")), HasTraffic: rapid.Bool().Draw(t, "traffic"),
 			Usage: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) RouterUse {
 				return RouterUse{Server: engine.Draw(t, "server"), TokenLayers: number.Draw(t, "tokens"), Streams: number.Draw(t, "streams"),
 					Firsts: number.Draw(t, "firsts"), Reading: fraction.Draw(t, "reading")}
@@ -79,7 +79,7 @@
 // a millisecond, more than all of its callers' streams together.
 func TestBeatIsCheapToRead(t *testing.T) {
 	const engines, names = 40, 40 + 4 + 1
-	b := RouterHeartbeat{IntervalMS: 250, Config: 300, ConfigAgeMS: 120, Revision: 4711, Traffic: true, SpareTokens: map[string]int{"planner": 5},
+	b := RouterHeartbeat{IntervalMS: 250, Config: 300, ConfigAgeMS: 120, Revision: 4711, HasTraffic: true, SpareTokens: map[string]int{"planner": 5},
 		Interconnects: []RouterPipe{{A: "domain-1", B: "domain-2", Rate: 123.456}, {A: "domain-1", B: "domain-3", Rate: 9}}}
 	for i := range engines {
 		b.Usage = append(b.Usage, RouterUse{Server: model.Incarnation{ID: fmt.Sprintf("i-%010x", 7919*i), Born: 1700000000000 + int64(i)}, TokenLayers: 12345, Streams: 3, Firsts: 1, Reading: 0.02})
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -34,7 +34,7 @@
 		Suspects:      suspects,
 		Refusing:      refusing,
 		SpareTokens:   spares,
-		Traffic:       x.Traffic(),
+		HasTraffic:    x.Traffic(),
 	}
 }
 
@@ -61,7 +61,7 @@
 	}
 	x.mu.Lock()
 	x.seen[from] = x.Now()
-	x.traffic = x.traffic || b.Traffic
+	x.traffic = x.traffic || b.HasTraffic
 	x.mu.Unlock()
 	uses := make(map[model.Incarnation]chains.Usage, len(b.Usage))
 	for _, u := range b.Usage {
