--- a/internal/protocol/wire/heartbeat.go
+++ b/internal/protocol/wire/heartbeat.go
@@ -13,7 +13,7 @@
 	// Revision is that of the store up to which its picture is complete.
 	Revision model.Revision
 	// Usage are what its streams take.
-	Usage []RouterUse
+	Usage []EngineUsage
 	// Slow are engines that said to be slower than their cards, by how much.
 	Slow map[model.Incarnation]float64
 	// Interconnects is what its streams move between failure domains.
@@ -36,8 +36,8 @@
 	Rate float64
 }
 
-// RouterUse is what a router's streams take of one engine.
-type RouterUse struct {
+// EngineUsage is what a router's streams take of one engine.
+type EngineUsage struct {
 	Server      model.Incarnation
 	TokenLayers int64
 	Streams     int64
@@ -85,9 +85,9 @@
 		Revision:    model.Revision(u.number()),
 		HasTraffic:  u.flag(),
 	}
-	b.Usage = make([]RouterUse, u.count())
+	b.Usage = make([]EngineUsage, u.count())
 	for i := range b.Usage {
-		b.Usage[i] = RouterUse{Server: u.incarnation(), TokenLayers: u.number(), Streams: u.number(), Firsts: u.number(), Reading: u.fraction()}
+		b.Usage[i] = EngineUsage{Server: u.incarnation(), TokenLayers: u.number(), Streams: u.number(), Firsts: u.number(), Reading: u.fraction()}
 	}
 	b.Interconnects = make([]RouterPipe, u.count())
 	for i := range b.Interconnects {
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -10,9 +10,9 @@
 )
 
 func (x *Exchange) compose() wire.RouterHeartbeat {
-	var uses []wire.RouterUse
+	var uses []wire.EngineUsage
 	for inc, u := range x.Memory.OwnUsage() {
-		uses = append(uses, wire.RouterUse{Server: inc, TokenLayers: int64(u.TokenLayers), Streams: int64(u.Streams), Firsts: int64(u.FirstStageStreams), Reading: u.PrefillLoad})
+		uses = append(uses, wire.EngineUsage{Server: inc, TokenLayers: int64(u.TokenLayers), Streams: int64(u.Streams), Firsts: int64(u.FirstStageStreams), Reading: u.PrefillLoad})
 	}
 	var pipes []wire.RouterPipe
 	for pair, rate := range x.Pipes.OwnRates() {
