--- a/internal/protocol/wire/heartbeat.go
+++ b/internal/protocol/wire/heartbeat.go
@@ -38,10 +38,10 @@
 
 // EngineUsage is what a router's streams take of one engine.
 type EngineUsage struct {
-	Server      model.Incarnation
-	TokenLayers int64
-	Streams     int64
-	Firsts      int64
+	Server            model.Incarnation
+	TokenLayers       int64
+	Streams           int64
+	FirstStageStreams int64
 	// Reading is the share of the engine's time that goes into reading prompts.
 	Reading float64
 }
@@ -59,7 +59,7 @@
 		p.incarnation(u.Server)
 		p.number(u.TokenLayers)
 		p.number(u.Streams)
-		p.number(u.Firsts)
+		p.number(u.FirstStageStreams)
 		p.fraction(u.Reading)
 	}
 	p.number(int64(len(b.Interconnects)))
@@ -87,7 +87,7 @@
 	}
 	b.Usage = make([]EngineUsage, u.count())
 	for i := range b.Usage {
-		b.Usage[i] = EngineUsage{Server: u.incarnation(), TokenLayers: u.number(), Streams: u.number(), Firsts: u.number(), Reading: u.fraction()}
+		b.Usage[i] = EngineUsage{Server: u.incarnation(), TokenLayers: u.number(), Streams: u.number(), FirstStageStreams: u.number(), Reading: u.fraction()}
 	}
 	b.Interconnects = make([]RouterPipe, u.count())
 	for i := range b.Interconnects {
