--- a/internal/protocol/wire/heartbeat.go
+++ b/internal/protocol/wire/heartbeat.go
@@ -42,8 +42,8 @@
 	TokenLayers       int64
 	Streams           int64
 	FirstStageStreams int64
-	// Reading is the share of the engine's time that goes into reading prompts.
-	Reading float64
+	// PrefillLoad is the share of the engine's time that goes into reading prompts.
+	PrefillLoad float64
 }
 
 // Pack writes the message for Notice.
@@ -60,7 +60,7 @@
 		p.number(u.TokenLayers)
 		p.number(u.Streams)
 		p.number(u.FirstStageStreams)
-		p.fraction(u.Reading)
+		p.fraction(u.PrefillLoad)
 	}
 	p.number(int64(len(b.Interconnects)))
 	for _, l := range b.Interconnects {
@@ -87,7 +87,7 @@
 	}
 	b.Usage = make([]EngineUsage, u.count())
 	for i := range b.Usage {
-		b.Usage[i] = EngineUsage{Server: u.incarnation(), TokenLayers: u.number(), Streams: u.number(), FirstStageStreams: u.number(), Reading: u.fraction()}
+		b.Usage[i] = EngineUsage{Server: u.incarnation(), TokenLayers: u.number(), Streams: u.number(), FirstStageStreams: u.number(), PrefillLoad: u.fraction()}
 	}
 	b.Interconnects = make([]RouterPipe, u.count())
 	for i := range b.Interconnects {
--- a/internal/protocol/wire/heartbeat_test.go
+++ b/internal/protocol/wire/heartbeat_test.go
@@ -32,7 +32,7 @@
 			Revision: model.Revision(number.Draw(t, "revision")), HasTraffic: rapid.Bool().Draw(t, "traffic"),
 			Usage: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) EngineUsage {
 				return EngineUsage{Server: engine.Draw(t, "server"), TokenLayers: number.Draw(t, "tokens"), Streams: number.Draw(t, "streams"),
-					FirstStageStreams: number.Draw(t, "firsts"), Reading: fraction.Draw(t, "reading")}
+					FirstStageStreams: number.Draw(t, "firsts"), PrefillLoad: fraction.Draw(t, "reading")}
 			}), 0, 60).Draw(t, "uses"),
 			Interconnects: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) RouterPipe {
 				return RouterPipe{A: text.Draw(t, "a"), B: text.Draw(t, "b"), Rate: fraction.Draw(t, "rate")}
@@ -48,7 +48,7 @@
 
 // A message that stops anywhere is an error, never a shorter truth.
 func TestCutBeatIsRefused(t *testing.T) {
-	b := RouterHeartbeat{IntervalMS: 250, Config: 300, Usage: []EngineUsage{{Server: model.Incarnation{ID: "i-1", Born: 1700000000000}, TokenLayers: 5000, Streams: 2, Reading: 0.25}},
+	b := RouterHeartbeat{IntervalMS: 250, Config: 300, Usage: []EngineUsage{{Server: model.Incarnation{ID: "i-1", Born: 1700000000000}, TokenLayers: 5000, Streams: 2, PrefillLoad: 0.25}},
 		Interconnects: []RouterPipe{{A: "a", B: "b", Rate: 12}}, SpareTokens: map[string]int{"s": 300}}
 	raw := b.Pack()
 	for n := range raw {
@@ -82,7 +82,7 @@
 	b := RouterHeartbeat{IntervalMS: 250, Config: 300, ConfigAgeMS: 120, Revision: 4711, HasTraffic: true, SpareTokens: map[string]int{"planner": 5},
 		Interconnects: []RouterPipe{{A: "domain-1", B: "domain-2", Rate: 123.456}, {A: "domain-1", B: "domain-3", Rate: 9}}}
 	for i := range engines {
-		b.Usage = append(b.Usage, EngineUsage{Server: model.Incarnation{ID: fmt.Sprintf("i-%010x", 7919*i), Born: 1700000000000 + int64(i)}, TokenLayers: 12345, Streams: 3, FirstStageStreams: 1, Reading: 0.02})
+		b.Usage = append(b.Usage, EngineUsage{Server: model.Incarnation{ID: fmt.Sprintf("i-%010x", 7919*i), Born: 1700000000000 + int64(i)}, TokenLayers: 12345, Streams: 3, FirstStageStreams: 1, PrefillLoad: 0.02})
 	}
 	raw := b.Pack()
 	const segment = 1400
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -12,7 +12,7 @@
 func (x *Exchange) compose() wire.RouterHeartbeat {
 	var uses []wire.EngineUsage
 	for inc, u := range x.Memory.OwnUsage() {
-		uses = append(uses, wire.EngineUsage{Server: inc, TokenLayers: int64(u.TokenLayers), Streams: int64(u.Streams), FirstStageStreams: int64(u.FirstStageStreams), Reading: u.PrefillLoad})
+		uses = append(uses, wire.EngineUsage{Server: inc, TokenLayers: int64(u.TokenLayers), Streams: int64(u.Streams), FirstStageStreams: int64(u.FirstStageStreams), PrefillLoad: u.PrefillLoad})
 	}
 	var pipes []wire.RouterPipe
 	for pair, rate := range x.Pipes.OwnRates() {
@@ -65,7 +65,7 @@
 	x.mu.Unlock()
 	uses := make(map[model.Incarnation]chains.Usage, len(b.Usage))
 	for _, u := range b.Usage {
-		uses[u.Server] = chains.Usage{TokenLayers: float64(u.TokenLayers), Streams: float64(u.Streams), FirstStageStreams: float64(u.FirstStageStreams), PrefillLoad: u.Reading}
+		uses[u.Server] = chains.Usage{TokenLayers: float64(u.TokenLayers), Streams: float64(u.Streams), FirstStageStreams: float64(u.FirstStageStreams), PrefillLoad: u.PrefillLoad}
 	}
 	good := trustedHeartbeats*time.Duration(b.IntervalMS)*time.Millisecond + trustSlack
 	x.Memory.SetPeerUsage(from, uses, good)
