--- a/internal/protocol/wire/heartbeat.go
+++ b/internal/protocol/wire/heartbeat.go
@@ -17,7 +17,7 @@
 	// Slow are engines that said to be slower than their cards, by how much.
 	Slow map[model.Incarnation]float64
 	// Interconnects is what its streams move between failure domains.
-	Interconnects []RouterPipe
+	Interconnects []InterconnectRate
 	// Suspects are engines that do not do their work, with the milliseconds
 	// for which the suspicion still holds.
 	Suspects map[model.Incarnation]int64
@@ -30,8 +30,8 @@
 	HasTraffic bool
 }
 
-// RouterPipe is the traffic between two failure domains, in Mbit/s.
-type RouterPipe struct {
+// InterconnectRate is the traffic between two failure domains, in Mbit/s.
+type InterconnectRate struct {
 	A, B string
 	Rate float64
 }
@@ -89,9 +89,9 @@
 	for i := range b.Usage {
 		b.Usage[i] = EngineUsage{Server: u.incarnation(), TokenLayers: u.number(), Streams: u.number(), FirstStageStreams: u.number(), PrefillLoad: u.fraction()}
 	}
-	b.Interconnects = make([]RouterPipe, u.count())
+	b.Interconnects = make([]InterconnectRate, u.count())
 	for i := range b.Interconnects {
-		b.Interconnects[i] = RouterPipe{A: u.text(), B: u.text(), Rate: u.fraction()}
+		b.Interconnects[i] = InterconnectRate{A: u.text(), B: u.text(), Rate: u.fraction()}
 	}
 	b.Slow = unpackEach(u, u.incarnation, u.fraction)
 	b.Suspects = unpackEach(u, u.incarnation, u.number)
--- a/internal/protocol/wire/heartbeat_test.go
+++ b/internal/protocol/wire/heartbeat_test.go
@@ -34,8 +34,8 @@
 				return EngineUsage{Server: engine.Draw(t, "server"), TokenLayers: number.Draw(t, "tokens"), Streams: number.Draw(t, "streams"),
 					FirstStageStreams: number.Draw(t, "firsts"), PrefillLoad: fraction.Draw(t, "reading")}
 			}), 0, 60).Draw(t, "uses"),
-			Interconnects: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) RouterPipe {
-				return RouterPipe{A: text.Draw(t, "a"), B: text.Draw(t, "b"), Rate: fraction.Draw(t, "rate")}
+			Interconnects: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) InterconnectRate {
+				return InterconnectRate{A: text.Draw(t, "a"), B: text.Draw(t, "b"), Rate: fraction.Draw(t, "rate")}
 			}), 0, 6).Draw(t, "pipes"),
 			Slow: figures(t, "slow", engine, fraction), Suspects: figures(t, "suspects", engine, number), Refusing: figures(t, "refusing", engine, number),
 			SpareTokens: figures(t, "spares", rapid.StringN(0, 12, 40), rapid.IntRange(0, 1<<30)),
@@ -49,7 +49,7 @@
 // A message that stops anywhere is an error, never a shorter truth.
 func TestCutBeatIsRefused(t *testing.T) {
 	b := RouterHeartbeat{IntervalMS: 250, Config: 300, Usage: []EngineUsage{{Server: model.Incarnation{ID: "i-1", Born: 1700000000000}, TokenLayers: 5000, Streams: 2, PrefillLoad: 0.25}},
-		Interconnects: []RouterPipe{{A: "a", B: "b", Rate: 12}}, SpareTokens: map[string]int{"s": 300}}
+		Interconnects: []InterconnectRate{{A: "a", B: "b", Rate: 12}}, SpareTokens: map[string]int{"s": 300}}
 	raw := b.Pack()
 	for n := range raw {
 		_, err := UnpackRouterHeartbeat(raw[:n])
@@ -80,7 +80,7 @@
 func TestBeatIsCheapToRead(t *testing.T) {
 	const engines, names = 40, 40 + 4 + 1
 	b := RouterHeartbeat{IntervalMS: 250, Config: 300, ConfigAgeMS: 120, Revision: 4711, HasTraffic: true, SpareTokens: map[string]int{"planner": 5},
-		Interconnects: []RouterPipe{{A: "domain-1", B: "domain-2", Rate: 123.456}, {A: "domain-1", B: "domain-3", Rate: 9}}}
+		Interconnects: []InterconnectRate{{A: "domain-1", B: "domain-2", Rate: 123.456}, {A: "domain-1", B: "domain-3", Rate: 9}}}
 	for i := range engines {
 		b.Usage = append(b.Usage, EngineUsage{Server: model.Incarnation{ID: fmt.Sprintf("i-%010x", 7919*i), Born: 1700000000000 + int64(i)}, TokenLayers: 12345, Streams: 3, FirstStageStreams: 1, PrefillLoad: 0.02})
 	}
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -14,9 +14,9 @@
 	for inc, u := range x.Memory.OwnUsage() {
 		uses = append(uses, wire.EngineUsage{Server: inc, TokenLayers: int64(u.TokenLayers), Streams: int64(u.Streams), FirstStageStreams: int64(u.FirstStageStreams), PrefillLoad: u.PrefillLoad})
 	}
-	var pipes []wire.RouterPipe
+	var pipes []wire.InterconnectRate
 	for pair, rate := range x.Pipes.OwnRates() {
-		pipes = append(pipes, wire.RouterPipe{A: pair.A, B: pair.B, Rate: rate})
+		pipes = append(pipes, wire.InterconnectRate{A: pair.A, B: pair.B, Rate: rate})
 	}
 	spares := x.Loans.Budget.SpareTokens() // it counts the routers, so before the lock
 	now := x.Now()
