--- a/internal/protocol/wire/router.go
+++ b/internal/protocol/wire/router.go
@@ -64,8 +64,8 @@
 	WaitMS int64          `json:"wait"`
 }
 
-// RouterNews is what changed, up to a revision; all that is there if Whole.
-type RouterNews struct {
+// RouterUpdates is what changed, up to a revision; all that is there if Whole.
+type RouterUpdates struct {
 	Revision model.Revision `json:"revision"`
 	Whole    bool           `json:"whole,omitempty"`
 	// AgeMS is how long ago the store was last heard from, HeldMS how long the
--- a/internal/transport/peers/news.go
+++ b/internal/transport/peers/news.go
@@ -56,7 +56,7 @@
 
 // Ask asks a router for news.
 func (n *News) Ask(ctx context.Context, addr string, after model.Revision, wait time.Duration) (follow.Updates, error) {
-	var rep wire.RouterNews
+	var rep wire.RouterUpdates
 	ask := wire.RouterNewsAsk{After: after, WaitMS: wait.Milliseconds()}
 	if err := n.Pool.Call(ctx, addr, wire.MethodRouterNews, ask, &rep); err != nil {
 		n.Pool.Reset(addr)
@@ -75,16 +75,16 @@
 }
 
 // answer answers a peer's Ask.
-func (n *News) answer(ctx context.Context, from string, ask wire.RouterNewsAsk) (wire.RouterNews, error) {
+func (n *News) answer(ctx context.Context, from string, ask wire.RouterNewsAsk) (wire.RouterUpdates, error) {
 	news, err := n.Tell(ctx, ask.After, milliseconds(ask.WaitMS))
 	if err != nil {
-		return wire.RouterNews{}, errors.WithStack(fault.New(fault.NotReady, "%v", err))
+		return wire.RouterUpdates{}, errors.WithStack(fault.New(fault.NotReady, "%v", err))
 	}
 	if news.Whole {
 		klog.InfoS("the whole picture of the store is given to a peer", "peer", from, "after", ask.After, "revision", news.Revision, "items", len(news.Items))
 	}
 	items, err := n.encode(ask.After, news.Answer)
-	return wire.RouterNews{
+	return wire.RouterUpdates{
 		Revision: news.Revision,
 		Whole:    news.Whole,
 		AgeMS:    roundUp(news.Age),
