--- a/internal/protocol/wire/router.go
+++ b/internal/protocol/wire/router.go
@@ -57,9 +57,9 @@
 	Servers []model.Incarnation `json:"s"`
 }
 
-// RouterNewsAsk asks a router that watches the store for what changed after a
+// RouterUpdatesRequest asks a router that watches the store for what changed after a
 // revision, and to wait for it.
-type RouterNewsAsk struct {
+type RouterUpdatesRequest struct {
 	After  model.Revision `json:"after"`
 	WaitMS int64          `json:"wait"`
 }
--- a/internal/transport/peers/news.go
+++ b/internal/transport/peers/news.go
@@ -57,7 +57,7 @@
 // Ask asks a router for news.
 func (n *News) Ask(ctx context.Context, addr string, after model.Revision, wait time.Duration) (follow.Updates, error) {
 	var rep wire.RouterUpdates
-	ask := wire.RouterNewsAsk{After: after, WaitMS: wait.Milliseconds()}
+	ask := wire.RouterUpdatesRequest{After: after, WaitMS: wait.Milliseconds()}
 	if err := n.Pool.Call(ctx, addr, wire.MethodRouterNews, ask, &rep); err != nil {
 		n.Pool.Reset(addr)
 		return follow.Updates{}, err
@@ -75,7 +75,7 @@
 }
 
 // answer answers a peer's Ask.
-func (n *News) answer(ctx context.Context, from string, ask wire.RouterNewsAsk) (wire.RouterUpdates, error) {
+func (n *News) answer(ctx context.Context, from string, ask wire.RouterUpdatesRequest) (wire.RouterUpdates, error) {
 	news, err := n.Tell(ctx, ask.After, milliseconds(ask.WaitMS))
 	if err != nil {
 		return wire.RouterUpdates{}, errors.WithStack(fault.New(fault.NotReady, "%v", err))
