--- a/internal/protocol/wire/router.go
+++ b/internal/protocol/wire/router.go
@@ -77,8 +77,8 @@
 	Items json.RawMessage `json:"items"`
 }
 
-// RouterNewsItem is a key of the store with its value.
-type RouterNewsItem struct {
+// RouterUpdate is a key of the store with its value.
+type RouterUpdate struct {
 	Key   string `json:"k"`
 	Value []byte `json:"v,omitempty"`
 	// Packed says that the value is compressed, by DEFLATE.
--- a/internal/transport/peers/news.go
+++ b/internal/transport/peers/news.go
@@ -100,7 +100,7 @@
 	if n.last.items != nil && n.last.after == after && n.last.revision == a.Revision && n.last.whole == a.Whole {
 		return n.last.items, nil
 	}
-	items := make([]wire.RouterNewsItem, 0, len(a.Items))
+	items := make([]wire.RouterUpdate, 0, len(a.Items))
 	for _, it := range a.Items {
 		w, err := encodeItem(it)
 		if err != nil {
@@ -119,7 +119,7 @@
 // decodeItems reads a list of items. One that is no news, or names no key, was not told
 // by a router of ours that works.
 func decodeItems(raw json.RawMessage, after model.Revision, whole bool) ([]replica.Item, error) {
-	var items []wire.RouterNewsItem
+	var items []wire.RouterUpdate
 	if err := json.Unmarshal(raw, &items); err != nil {
 		return nil, errors.Wrap(err, "news cannot be read")
 	}
@@ -142,8 +142,8 @@
 
 // encodeItem makes the wire's form of an item. A configuration of some hundred routes
 // compresses to a tenth of its size; what is large all the same goes without its value.
-func encodeItem(it replica.Item) (wire.RouterNewsItem, error) {
-	w := wire.RouterNewsItem{Key: it.Key, Value: it.Value, Revision: it.Revision, Lease: int64(it.Lease), Removed: it.Removed, Omitted: it.Omitted}
+func encodeItem(it replica.Item) (wire.RouterUpdate, error) {
+	w := wire.RouterUpdate{Key: it.Key, Value: it.Value, Revision: it.Revision, Lease: int64(it.Lease), Removed: it.Removed, Omitted: it.Omitted}
 	if len(it.Value) < packFrom {
 		return w, nil
 	}
@@ -165,7 +165,7 @@
 	return w, nil
 }
 
-func unpack(it wire.RouterNewsItem) ([]byte, error) {
+func unpack(it wire.RouterUpdate) ([]byte, error) {
 	if !it.Packed {
 		return it.Value, nil
 	}
