--- a/internal/protocol/wire/router.go
+++ b/internal/protocol/wire/router.go
@@ -12,7 +12,7 @@
 	MethodRouterConfig    Method = "router.config"
 	MethodRouterLend      Method = "router.lend"
 	MethodRouterGone      Method = "router.gone" // notification
-	MethodRouterNews      Method = "router.news"
+	MethodRouterUpdates   Method = "router.news"
 	// MethodRouterQuarantine tells of requests under which servers end; notification.
 	MethodRouterQuarantine Method = "router.quarantine"
 	MethodRouterTrial      Method = "router.trial"
--- a/internal/transport/peers/news.go
+++ b/internal/transport/peers/news.go
@@ -52,13 +52,13 @@
 }
 
 // Register adds the method that peers call.
-func (n *News) Register(s *link.Server) { s.Register(wire.MethodRouterNews, link.Handle(n.answer)) }
+func (n *News) Register(s *link.Server) { s.Register(wire.MethodRouterUpdates, link.Handle(n.answer)) }
 
 // Ask asks a router for news.
 func (n *News) Ask(ctx context.Context, addr string, after model.Revision, wait time.Duration) (follow.Updates, error) {
 	var rep wire.RouterUpdates
 	ask := wire.RouterUpdatesRequest{After: after, WaitMS: wait.Milliseconds()}
-	if err := n.Pool.Call(ctx, addr, wire.MethodRouterNews, ask, &rep); err != nil {
+	if err := n.Pool.Call(ctx, addr, wire.MethodRouterUpdates, ask, &rep); err != nil {
 		n.Pool.Reset(addr)
 		return follow.Updates{}, err
 	}
