--- a/internal/protocol/wire/router.go
+++ b/internal/protocol/wire/router.go
@@ -70,9 +70,9 @@
 	Whole    bool           `json:"whole,omitempty"`
 	// AgeMS is how long ago the store was last heard from, HeldMS how long the
 	// question was held, and GraceMS for how long removed entries may be believed in.
-	AgeMS   int64 `json:"age"`
-	HeldMS  int64 `json:"held"`
-	GraceMS int64 `json:"grace,omitempty"`
+	AgeMS     int64 `json:"age"`
+	ElapsedMS int64 `json:"held"`
+	GraceMS   int64 `json:"grace,omitempty"`
 	// Items is a list of RouterNewsItem, encoded once for all who ask alike.
 	Items json.RawMessage `json:"items"`
 }
--- a/internal/transport/peers/news.go
+++ b/internal/transport/peers/news.go
@@ -69,7 +69,7 @@
 	return follow.Updates{
 		Answer:  replica.Answer{Items: items, Revision: rep.Revision, Whole: rep.Whole},
 		Age:     milliseconds(rep.AgeMS),
-		Elapsed: milliseconds(rep.HeldMS),
+		Elapsed: milliseconds(rep.ElapsedMS),
 		Grace:   milliseconds(rep.GraceMS),
 	}, nil
 }
@@ -85,12 +85,12 @@
 	}
 	items, err := n.encode(ask.After, news.Answer)
 	return wire.RouterUpdates{
-		Revision: news.Revision,
-		Whole:    news.Whole,
-		AgeMS:    roundUp(news.Age),
-		HeldMS:   news.Elapsed.Milliseconds(),
-		GraceMS:  news.Grace.Milliseconds(),
-		Items:    items,
+		Revision:  news.Revision,
+		Whole:     news.Whole,
+		AgeMS:     roundUp(news.Age),
+		ElapsedMS: news.Elapsed.Milliseconds(),
+		GraceMS:   news.Grace.Milliseconds(),
+		Items:     items,
 	}, err
 }
 
