--- a/internal/protocol/wire/router.go
+++ b/internal/protocol/wire/router.go
@@ -18,9 +18,9 @@
 	MethodRouterTrial      Method = "router.trial"
 )
 
-// RouterAsk asks a router for the configuration in force, and for the backend
+// RouterConfigRequest asks a router for the configuration in force, and for the backend
 // servers that it knows where the sender knows none: those are most of the answer.
-type RouterAsk struct {
+type RouterConfigRequest struct {
 	Servers bool `json:"servers,omitempty"`
 	// VersionOnly asks for nothing but the version.
 	VersionOnly bool `json:"versionOnly,omitempty"`
--- a/internal/transport/peers/confirm_test.go
+++ b/internal/transport/peers/confirm_test.go
@@ -33,7 +33,7 @@
 	assert.NilError(t, err)
 	serving, stop := context.WithCancel(context.Background())
 	srv := link.NewServer(stampOf(l.Addr().String()))
-	srv.Register(wire.MethodRouterConfig, link.Handle(func(context.Context, string, wire.RouterAsk) (wire.RouterConfig, error) {
+	srv.Register(wire.MethodRouterConfig, link.Handle(func(context.Context, string, wire.RouterConfigRequest) (wire.RouterConfig, error) {
 		clock.Add(int64(takes))
 		return wire.RouterConfig{Version: version, Raw: []byte(strconv.FormatInt(version, 10))}, nil
 	}))
--- a/internal/transport/peers/fetch.go
+++ b/internal/transport/peers/fetch.go
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	var rep wire.RouterConfig
-	if err := x.Pool.Call(ctx, from, wire.MethodRouterConfig, wire.RouterAsk{Servers: x.Catalog.Empty()}, &rep); err != nil {
+	if err := x.Pool.Call(ctx, from, wire.MethodRouterConfig, wire.RouterConfigRequest{Servers: x.Catalog.Empty()}, &rep); err != nil {
 		return err
 	}
 	cfg, err := x.Decode(rep.Raw)
@@ -73,7 +73,7 @@
 }
 
 // config gives a peer the configuration in force.
-func (x *Exchange) config(_ context.Context, _ string, ask wire.RouterAsk) (wire.RouterConfig, error) {
+func (x *Exchange) config(_ context.Context, _ string, ask wire.RouterConfigRequest) (wire.RouterConfig, error) {
 	p := x.Config.Raw()
 	if p == nil {
 		return wire.RouterConfig{}, errors.WithStack(fault.New(fault.NotReady, "no configuration yet"))
--- a/internal/transport/peers/start.go
+++ b/internal/transport/peers/start.go
@@ -36,7 +36,7 @@
 		}
 		asked.Go(func() {
 			var rep wire.RouterConfig
-			err := x.Pool.Call(ctx, addr, wire.MethodRouterConfig, wire.RouterAsk{VersionOnly: true}, &rep)
+			err := x.Pool.Call(ctx, addr, wire.MethodRouterConfig, wire.RouterConfigRequest{VersionOnly: true}, &rep)
 			klog.V(1).InfoS("peer asked for its version", "peer", addr, "version", rep.Version, "err", err)
 			if err == nil {
 				x.running.note(rep.Version, addr)
