--- a/internal/protocol/wire/router.go
+++ b/internal/protocol/wire/router.go
@@ -34,8 +34,8 @@
 	Servers []model.BackendServer `json:"servers,omitempty"`
 }
 
-// RouterLend asks a router to lend repeated sends of its part of the budget.
-type RouterLend struct {
+// RouterBorrowRequest asks a router to lend repeated sends of its part of the budget.
+type RouterBorrowRequest struct {
 	Service string `json:"s"`
 	Want    int    `json:"n"`
 }
