--- a/internal/protocol/wire/router.go
+++ b/internal/protocol/wire/router.go
@@ -40,8 +40,8 @@
 	Want    int    `json:"n"`
 }
 
-// RouterLent is how many it lent; they count as spent there.
-type RouterLent struct {
+// RouterBorrowReply is how many it lent; they count as spent there.
+type RouterBorrowReply struct {
 	Lent int `json:"n"`
 }
 
