--- a/internal/protocol/wire/router.go
+++ b/internal/protocol/wire/router.go
@@ -42,7 +42,7 @@
 
 // RouterBorrowReply is how many it lent; they count as spent there.
 type RouterBorrowReply struct {
-	Lent int `json:"n"`
+	Granted int `json:"n"`
 }
 
 // RouterGone names an engine whose process ended.
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -161,14 +161,14 @@
 func (x *Exchange) Borrow(ctx context.Context, peer, service string, want int) (int, error) {
 	var rep wire.RouterBorrowReply
 	err := x.Pool.Call(ctx, peer, wire.MethodRouterLend, wire.RouterBorrowRequest{Service: service, Want: want}, &rep)
-	return rep.Lent, err
+	return rep.Granted, err
 }
 
 // lend answers a peer's Borrow.
 func (x *Exchange) lend(_ context.Context, from string, l wire.RouterBorrowRequest) (wire.RouterBorrowReply, error) {
 	n := x.Loans.Budget.Lend(l.Service, l.Want)
 	klog.InfoS("repeated sends lent", "service", l.Service, "peer", from, "wanted", l.Want, "lent", n)
-	return wire.RouterBorrowReply{Lent: n}, nil
+	return wire.RouterBorrowReply{Granted: n}, nil
 }
 
 // Routers counts the routers that share budgets, this one included: whoever is
