--- a/internal/protocol/wire/router.go
+++ b/internal/protocol/wire/router.go
@@ -10,7 +10,7 @@
 const (
 	MethodRouterHeartbeat Method = "router.beat" // notification
 	MethodRouterConfig    Method = "router.config"
-	MethodRouterLend      Method = "router.lend"
+	MethodRouterBorrow    Method = "router.lend"
 	MethodRouterGone      Method = "router.gone" // notification
 	MethodRouterUpdates   Method = "router.news"
 	// MethodRouterQuarantine tells of requests under which servers end; notification.
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -105,7 +105,7 @@
 	x.refusing = map[model.Incarnation]time.Time{}
 	s.RegisterNotice(wire.MethodRouterHeartbeat, x.heartbeat)
 	s.Register(wire.MethodRouterConfig, link.Handle(x.config))
-	s.Register(wire.MethodRouterLend, link.Handle(x.lend))
+	s.Register(wire.MethodRouterBorrow, link.Handle(x.lend))
 	s.Register(wire.MethodRouterGone, link.Handle(x.gone))
 }
 
@@ -160,7 +160,7 @@
 // Borrow asks a peer to lend repeated sends.
 func (x *Exchange) Borrow(ctx context.Context, peer, service string, want int) (int, error) {
 	var rep wire.RouterBorrowReply
-	err := x.Pool.Call(ctx, peer, wire.MethodRouterLend, wire.RouterBorrowRequest{Service: service, Want: want}, &rep)
+	err := x.Pool.Call(ctx, peer, wire.MethodRouterBorrow, wire.RouterBorrowRequest{Service: service, Want: want}, &rep)
 	return rep.Granted, err
 }
 
