--- a/internal/protocol/wire/router.go
+++ b/internal/protocol/wire/router.go
@@ -45,8 +45,8 @@
 	Granted int `json:"n"`
 }
 
-// RouterGone names an engine whose process ended.
-type RouterGone struct {
+// RouterEngineExit names an engine whose process ended.
+type RouterEngineExit struct {
 	Server model.Incarnation `json:"s"`
 }
 
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -143,7 +143,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 			defer cancel()
-			if err := x.Pool.Notify(ctx, addr, wire.MethodRouterGone, wire.RouterGone{Server: engine}); err != nil {
+			if err := x.Pool.Notify(ctx, addr, wire.MethodRouterGone, wire.RouterEngineExit{Server: engine}); err != nil {
 				klog.V(1).InfoS("peer not told of an engine's end", "peer", addr, "server", engine, "err", err)
 			}
 		}()
@@ -151,7 +151,7 @@
 }
 
 // gone takes in a peer's TellGone.
-func (x *Exchange) gone(_ context.Context, from string, g wire.RouterGone) (struct{}, error) {
+func (x *Exchange) gone(_ context.Context, from string, g wire.RouterEngineExit) (struct{}, error) {
 	klog.InfoS("engine's process ended", "server", g.Server, "evidence", "a peer saw it", "peer", from)
 	x.Gone(g.Server)
 	return struct{}{}, nil
