--- a/internal/protocol/wire/router.go
+++ b/internal/protocol/wire/router.go
@@ -8,11 +8,11 @@
 
 // Methods answered by routers.
 const (
-	MethodRouterHeartbeat Method = "router.beat" // notification
-	MethodRouterConfig    Method = "router.config"
-	MethodRouterBorrow    Method = "router.lend"
-	MethodRouterGone      Method = "router.gone" // notification
-	MethodRouterUpdates   Method = "router.news"
+	MethodRouterHeartbeat  Method = "router.beat" // notification
+	MethodRouterConfig     Method = "router.config"
+	MethodRouterBorrow     Method = "router.lend"
+	MethodRouterEngineExit Method = "router.gone" // notification
+	MethodRouterUpdates    Method = "router.news"
 	// MethodRouterQuarantine tells of requests under which servers end; notification.
 	MethodRouterQuarantine Method = "router.quarantine"
 	MethodRouterTrial      Method = "router.trial"
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -106,7 +106,7 @@
 	s.RegisterNotice(wire.MethodRouterHeartbeat, x.heartbeat)
 	s.Register(wire.MethodRouterConfig, link.Handle(x.config))
 	s.Register(wire.MethodRouterBorrow, link.Handle(x.lend))
-	s.Register(wire.MethodRouterGone, link.Handle(x.gone))
+	s.Register(wire.MethodRouterEngineExit, link.Handle(x.gone))
 }
 
 // SetMembers takes in the routers that are registered in the store, by its keys.
@@ -143,7 +143,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 			defer cancel()
-			if err := x.Pool.Notify(ctx, addr, wire.MethodRouterGone, wire.RouterEngineExit{Server: engine}); err != nil {
+			if err := x.Pool.Notify(ctx, addr, wire.MethodRouterEngineExit, wire.RouterEngineExit{Server: engine}); err != nil {
 				klog.V(1).InfoS("peer not told of an engine's end", "peer", addr, "server", engine, "err", err)
 			}
 		}()
