--- a/internal/protocol/wire/router.go
+++ b/internal/protocol/wire/router.go
@@ -50,9 +50,9 @@
 	Server model.Incarnation `json:"s"`
 }
 
-// RouterTrial asks the router that keeps trials whether a suspect may run at servers,
+// RouterTrialRequest asks the router that keeps trials whether a suspect may run at servers,
 // alone among its kind.
-type RouterTrial struct {
+type RouterTrialRequest struct {
 	Work    model.Fingerprint   `json:"w"`
 	Servers []model.Incarnation `json:"s"`
 }
--- a/internal/transport/peers/quarantine.go
+++ b/internal/transport/peers/quarantine.go
@@ -92,7 +92,7 @@
 	return struct{}{}, nil
 }
 
-func (q *Quarantine) trial(_ context.Context, from string, ask wire.RouterTrial) (quarantine.Grant, error) {
+func (q *Quarantine) trial(_ context.Context, from string, ask wire.RouterTrialRequest) (quarantine.Grant, error) {
 	g := q.Trials.Request(ask.Work, ask.Servers)
 	klog.InfoS("trial of a request", "work", ask.Work, "peer", from, "servers", len(ask.Servers), "granted", g.Granted, "busy", g.BusyServer)
 	return g, nil
@@ -107,7 +107,7 @@
 		}
 		var g quarantine.Grant
 		asking, cancel := context.WithTimeout(ctx, trialWait)
-		err := q.Exchange.Pool.Call(asking, addr, wire.MethodRouterTrial, wire.RouterTrial{Work: work, Servers: servers}, &g)
+		err := q.Exchange.Pool.Call(asking, addr, wire.MethodRouterTrial, wire.RouterTrialRequest{Work: work, Servers: servers}, &g)
 		cancel()
 		if err == nil {
 			return g
