--- a/internal/protocol/wire/router.go
+++ b/internal/protocol/wire/router.go
@@ -53,8 +53,8 @@
 // RouterTrialRequest asks the router that keeps trials whether a suspect may run at servers,
 // alone among its kind.
 type RouterTrialRequest struct {
-	Work    model.Fingerprint   `json:"w"`
-	Servers []model.Incarnation `json:"s"`
+	Fingerprint model.Fingerprint   `json:"w"`
+	Servers     []model.Incarnation `json:"s"`
 }
 
 // RouterUpdatesRequest asks a router that watches the store for what changed after a
--- a/internal/transport/peers/quarantine.go
+++ b/internal/transport/peers/quarantine.go
@@ -93,8 +93,8 @@
 }
 
 func (q *Quarantine) trial(_ context.Context, from string, ask wire.RouterTrialRequest) (quarantine.Grant, error) {
-	g := q.Trials.Request(ask.Work, ask.Servers)
-	klog.InfoS("trial of a request", "work", ask.Work, "peer", from, "servers", len(ask.Servers), "granted", g.Granted, "busy", g.BusyServer)
+	g := q.Trials.Request(ask.Fingerprint, ask.Servers)
+	klog.InfoS("trial of a request", "work", ask.Fingerprint, "peer", from, "servers", len(ask.Servers), "granted", g.Granted, "busy", g.BusyServer)
 	return g, nil
 }
 
@@ -107,7 +107,7 @@
 		}
 		var g quarantine.Grant
 		asking, cancel := context.WithTimeout(ctx, trialWait)
-		err := q.Exchange.Pool.Call(asking, addr, wire.MethodRouterTrial, wire.RouterTrialRequest{Work: work, Servers: servers}, &g)
+		err := q.Exchange.Pool.Call(asking, addr, wire.MethodRouterTrial, wire.RouterTrialRequest{Fingerprint: work, Servers: servers}, &g)
 		cancel()
 		if err == nil {
 			return g
