--- a/internal/protocol/wire/pack.go
+++ b/internal/protocol/wire/pack.go
@@ -94,9 +94,9 @@
 	u.b = nil
 }
 
-// NoticeHead goes before the body of a packed message, as Envelope goes around
+// NotificationHeader goes before the body of a packed message, as Envelope goes around
 // that of a JSON message.
-type NoticeHead struct {
+type NotificationHeader struct {
 	Clock    hlc.Timestamp
 	Revision int64
 	From     string // link address of the sender
@@ -104,7 +104,7 @@
 }
 
 // Pack writes the head and a body.
-func (h NoticeHead) Pack(body []byte) []byte {
+func (h NotificationHeader) Pack(body []byte) []byte {
 	p := &packer{}
 	p.number(h.Clock.Wall)
 	p.number(h.Clock.Logical)
@@ -115,9 +115,9 @@
 }
 
 // UnpackNotice reads what Pack wrote; an error says that it is cut short.
-func UnpackNotice(raw []byte) (NoticeHead, []byte, error) {
+func UnpackNotice(raw []byte) (NotificationHeader, []byte, error) {
 	u := &unpacker{b: raw}
-	h := NoticeHead{
+	h := NotificationHeader{
 		Clock:    hlc.Timestamp{Wall: u.number(), Logical: u.number()},
 		Revision: u.number(),
 		From:     u.text(),
--- a/internal/transport/link/notice.go
+++ b/internal/transport/link/notice.go
@@ -21,7 +21,7 @@
 
 // Notice packs a message for Send.
 func (p *Pool) Notice(m wire.Method, body []byte) Notice {
-	head := wire.NoticeHead{
+	head := wire.NotificationHeader{
 		Clock:    p.stamp.Clock.Now(),
 		Revision: p.stamp.Revision(),
 		From:     p.stamp.Self,
