--- a/internal/protocol/wire/pack.go
+++ b/internal/protocol/wire/pack.go
@@ -114,8 +114,8 @@
 	return append(p.b, body...)
 }
 
-// UnpackNotice reads what Pack wrote; an error says that it is cut short.
-func UnpackNotice(raw []byte) (NotificationHeader, []byte, error) {
+// UnpackNotification reads what Pack wrote; an error says that it is cut short.
+func UnpackNotification(raw []byte) (NotificationHeader, []byte, error) {
 	u := &unpacker{b: raw}
 	h := NotificationHeader{
 		Clock:    hlc.Timestamp{Wall: u.number(), Logical: u.number()},
--- a/internal/transport/link/notice.go
+++ b/internal/transport/link/notice.go
@@ -49,7 +49,7 @@
 
 // noticed takes in a notice that came from a host.
 func (s *Server) noticed(raw []byte, fromHost string) {
-	head, body, err := wire.UnpackNotice(raw)
+	head, body, err := wire.UnpackNotification(raw)
 	if err == nil {
 		err = s.admit(head.From, fromHost, head.Method)
 	}
