--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -170,11 +170,11 @@
 	data *data.Pool
 }
 
-func (s sender) Forward(_ context.Context, to wire.Hop, f wire.Forward) error {
+func (s sender) Forward(_ context.Context, to wire.Stage, f wire.Forward) error {
 	return s.data.Forward(to.Data, f)
 }
 
-func (s sender) Tokens(_ context.Context, owner wire.Hop, t wire.Tokens) error {
+func (s sender) Tokens(_ context.Context, owner wire.Stage, t wire.Tokens) error {
 	return s.data.Tokens(owner.Data, t)
 }
 
--- a/internal/protocol/owner/chain.go
+++ b/internal/protocol/owner/chain.go
@@ -78,7 +78,7 @@
 		r.chain = hopsOf(chain)
 		return nil
 	}
-	var next []wire.Hop
+	var next []wire.Stage
 	for _, h := range r.chain {
 		if r.stands(h) {
 			next = append(next, h)
@@ -96,7 +96,7 @@
 
 // without is avoid with the members of the chain added: a member takes part
 // once, as a session has one range.
-func (r *run) without(chain []wire.Hop) map[string]bool {
+func (r *run) without(chain []wire.Stage) map[string]bool {
 	out := map[string]bool{}
 	for a, bad := range r.avoid {
 		out[a] = bad
@@ -107,7 +107,7 @@
 	return out
 }
 
-func (r *run) stands(h wire.Hop) bool {
+func (r *run) stands(h wire.Stage) bool {
 	m, ok := r.o.Table.Get(h.Address)
 	return ok && !r.avoid[h.Address] && !m.Down() && m.Incarnation == h.Incarnation
 }
@@ -236,15 +236,15 @@
 	_ = g.Wait()
 }
 
-func hopsOf(chain []routing.Stage) []wire.Hop {
-	out := make([]wire.Hop, 0, len(chain))
+func hopsOf(chain []routing.Stage) []wire.Stage {
+	out := make([]wire.Stage, 0, len(chain))
 	for _, s := range chain {
 		out = append(out, hopOf(s.Member, s.Range))
 	}
 	return out
 }
 
-func describe(chain []wire.Hop) string {
+func describe(chain []wire.Stage) string {
 	s := ""
 	for i, h := range chain {
 		if i > 0 {
--- a/internal/protocol/owner/once.go
+++ b/internal/protocol/owner/once.go
@@ -58,7 +58,7 @@
 
 // plan names the gates: some to choose from for a plain service, the whole
 // chain for a pipeline.
-func (o *Owner) plan(j *job) ([]wire.Hop, error) {
+func (o *Owner) plan(j *job) ([]wire.Stage, error) {
 	if j.kind == model.KindPipeline {
 		chain, err := o.Router.Chain(routing.ChainRequest{Service: j.ask.Service, Layers: model.LayerRange{To: j.layers}, Positions: j.positions()})
 		if err != nil {
@@ -67,7 +67,7 @@
 		return hopsOf(chain), nil
 	}
 	avoid := map[string]bool{}
-	var plan []wire.Hop
+	var plan []wire.Stage
 	for len(plan) < gatesPerIntent {
 		m, err := o.Router.PlainServer(j.ask.Service, avoid)
 		if err != nil && len(plan) == 0 {
@@ -89,7 +89,7 @@
 
 // handOverOnce goes on to the next gate only with proof that the one before
 // never started it.
-func (o *Owner) handOverOnce(ctx context.Context, j *job, plan []wire.Hop) model.Outcome {
+func (o *Owner) handOverOnce(ctx context.Context, j *job, plan []wire.Stage) model.Outcome {
 	var last *fault.Error
 	for i, gate := range plan {
 		body, ran, err := o.dispatch(ctx, j, gate, int64(i+1))
@@ -228,7 +228,7 @@
 func (o *Owner) askGates(ctx context.Context, j *job, in ledger.Intent) model.Outcome {
 	unknown := ""
 	for _, g := range in.Gates {
-		gate := wire.Hop{Address: g.Address, Incarnation: g.Incarnation}
+		gate := wire.Stage{Address: g.Address, Incarnation: g.Incarnation}
 		body, ran, err := o.settle(ctx, j, gate, fault.New(fault.Unreachable, "entry %s is gone", in.Owner))
 		if err == nil {
 			return o.complete(j, gate, body)
--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -46,7 +46,7 @@
 
 // Feeder sends inputs to a chain's first stage.
 type Feeder interface {
-	Forward(ctx context.Context, to wire.Hop, f wire.Forward) error
+	Forward(ctx context.Context, to wire.Stage, f wire.Forward) error
 }
 
 // Router chooses where work goes; see package routing.
--- a/internal/protocol/owner/pipeline.go
+++ b/internal/protocol/owner/pipeline.go
@@ -35,7 +35,7 @@
 	o      *Owner
 	prompt [][]byte
 	epoch  int64
-	chain  []wire.Hop
+	chain  []wire.Stage
 	// used are the stages that were ever opened, to be closed at the end.
 	used map[string]bool
 	// avoid are stages that failed this request.
@@ -53,7 +53,7 @@
 
 // servePipeline runs a request over a chain. A request that is not repeatable
 // comes with its plan, which it must keep to.
-func (o *Owner) servePipeline(ctx context.Context, j *job, plan []wire.Hop) model.Outcome {
+func (o *Owner) servePipeline(ctx context.Context, j *job, plan []wire.Stage) model.Outcome {
 	r := &run{
 		job:      j,
 		o:        o,
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -66,14 +66,14 @@
 	return fault.NotRun(e, evidence+": never handed over")
 }
 
-func (o *Owner) complete(j *job, gate wire.Hop, body []byte) model.Outcome {
+func (o *Owner) complete(j *job, gate wire.Stage, body []byte) model.Outcome {
 	j.req.Append(0, [][]byte{body})
 	return model.Outcome{State: model.Ran, Evidence: "answer from gate " + gate.Address}
 }
 
 // dispatch makes one attempt at one gate. With an error, ran tells whether the
 // backend server may have run it; false is proof.
-func (o *Owner) dispatch(ctx context.Context, j *job, gate wire.Hop, attempt int64) (body []byte, ran bool, err error) {
+func (o *Owner) dispatch(ctx context.Context, j *job, gate wire.Stage, attempt int64) (body []byte, ran bool, err error) {
 	if err := o.readmit(j); err != nil {
 		return nil, false, err
 	}
@@ -106,7 +106,7 @@
 // whileUp gives a context that ends when the gate is found down or replaced. A
 // frozen gate keeps its connection open, and a call to it would otherwise be
 // waited for until the deadline, with no time left to try another.
-func (o *Owner) whileUp(ctx context.Context, gate wire.Hop) (context.Context, context.CancelFunc) {
+func (o *Owner) whileUp(ctx context.Context, gate wire.Stage) (context.Context, context.CancelFunc) {
 	call, cancel := context.WithCancel(ctx)
 	go func() {
 		for wait.For(call, watchEvery) {
@@ -129,7 +129,7 @@
 	return false
 }
 
-func (o *Owner) refused(ctx context.Context, j *job, gate wire.Hop, e *fault.Error) {
+func (o *Owner) refused(ctx context.Context, j *job, gate wire.Stage, e *fault.Error) {
 	o.Events.Add(j.key(), events.GateRefused, gate.Address+" "+e.Error())
 	switch e.Kind {
 	case fault.Overloaded, fault.NoCapacity, fault.WrongIncarnation, fault.NotReady:
@@ -146,7 +146,7 @@
 // settle finds out what became of a dispatch whose answer was lost: the gate's
 // tombstone or its memory is the proof. A backend server that failed the call
 // may have run it.
-func (o *Owner) settle(ctx context.Context, j *job, gate wire.Hop, e *fault.Error) ([]byte, bool, error) {
+func (o *Owner) settle(ctx context.Context, j *job, gate wire.Stage, e *fault.Error) ([]byte, bool, error) {
 	if e.Kind != fault.Unreachable {
 		return nil, true, e
 	}
@@ -171,7 +171,7 @@
 
 // cancel asks a gate to keep a request from starting. It goes on a little past
 // the deadline, as its answer decides what the caller is told.
-func (o *Owner) cancel(ctx context.Context, j *job, gate wire.Hop) (wire.CancelReply, error) {
+func (o *Owner) cancel(ctx context.Context, j *job, gate wire.Stage) (wire.CancelReply, error) {
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*o.Timing.Call)
 	defer stop()
 	var rep wire.CancelReply
@@ -183,6 +183,6 @@
 	return rep, err
 }
 
-func hopOf(m membership.Member, r model.LayerRange) wire.Hop {
-	return wire.Hop{Address: m.Instance.Address, Data: m.Backend.Data, Incarnation: m.Incarnation, Range: r}
+func hopOf(m membership.Member, r model.LayerRange) wire.Stage {
+	return wire.Stage{Address: m.Instance.Address, Data: m.Backend.Data, Incarnation: m.Incarnation, Range: r}
 }
--- a/internal/protocol/owner/watch.go
+++ b/internal/protocol/owner/watch.go
@@ -82,7 +82,7 @@
 const tellEvery = 5 * time.Second
 
 // tellAlive sends a heartbeat to each stage of a chain.
-func (r *run) tellAlive(ctx context.Context, chain []wire.Hop) {
+func (r *run) tellAlive(ctx context.Context, chain []wire.Stage) {
 	for _, h := range chain {
 		var rep wire.HelloReply
 		if r.o.call(ctx, h.Address, wire.MethodHello, wire.Hello{Known: h.Incarnation}, &rep) == nil {
--- a/internal/protocol/stage/send.go
+++ b/internal/protocol/stage/send.go
@@ -9,8 +9,8 @@
 // outgoing is what one flush sends, taken under the lock and sent outside it.
 type outgoing struct {
 	epoch   int64
-	owner   wire.Hop
-	next    wire.Hop
+	owner   wire.Stage
+	next    wire.Stage
 	forward *wire.Forward
 	tokens  *wire.Tokens
 }
@@ -39,7 +39,7 @@
 func (s *Session) take() outgoing {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := outgoing{epoch: s.open.Epoch, owner: wire.Hop{Address: s.open.Owner, Data: s.open.OwnerData}}
+	out := outgoing{epoch: s.open.Epoch, owner: wire.Stage{Address: s.open.Owner, Data: s.open.OwnerData}}
 	if !s.resumed {
 		return out
 	}
--- a/internal/protocol/stage/stage.go
+++ b/internal/protocol/stage/stage.go
@@ -26,9 +26,9 @@
 // Sender passes results on.
 type Sender interface {
 	// Forward sends inputs to a stage.
-	Forward(ctx context.Context, to wire.Hop, f wire.Forward) error
+	Forward(ctx context.Context, to wire.Stage, f wire.Forward) error
 	// Tokens sends generated tokens to the owner of a request.
-	Tokens(ctx context.Context, owner wire.Hop, t wire.Tokens) error
+	Tokens(ctx context.Context, owner wire.Stage, t wire.Tokens) error
 	// NoStage tells the process at addr that what it forwarded has no stage.
 	NoStage(ctx context.Context, addr string, n wire.NoStage) error
 	// Failed tells the owner at addr that a stage cannot go on.
@@ -220,7 +220,7 @@
 	_ = s.send.Failed(ctx, owner, f)
 }
 
-func (s *Session) hop() wire.Hop { return s.open.Chain[s.open.Index] }
+func (s *Session) hop() wire.Stage { return s.open.Chain[s.open.Index] }
 
 func (s *Session) last() bool { return s.open.Index == len(s.open.Chain)-1 }
 
--- a/internal/protocol/stage/stage_test.go
+++ b/internal/protocol/stage/stage_test.go
@@ -76,12 +76,12 @@
 	answer   *requests.Request
 }
 
-func (c *chain) Forward(_ context.Context, to wire.Hop, f wire.Forward) error {
+func (c *chain) Forward(_ context.Context, to wire.Stage, f wire.Forward) error {
 	c.flying = append(c.flying, message{to: to.Address, forward: &f})
 	return nil
 }
 
-func (c *chain) Tokens(_ context.Context, to wire.Hop, t wire.Tokens) error {
+func (c *chain) Tokens(_ context.Context, to wire.Stage, t wire.Tokens) error {
 	c.flying = append(c.flying, message{to: to.Address, tokens: &t})
 	return nil
 }
@@ -103,10 +103,10 @@
 	return c
 }
 
-func (c *chain) hops() []wire.Hop {
-	var out []wire.Hop
+func (c *chain) hops() []wire.Stage {
+	var out []wire.Stage
 	for i := range c.sessions {
-		out = append(out, wire.Hop{Address: fmt.Sprint(i), Range: model.LayerRange{From: i, To: i + 1}})
+		out = append(out, wire.Stage{Address: fmt.Sprint(i), Range: model.LayerRange{From: i, To: i + 1}})
 	}
 	return out
 }
--- a/internal/protocol/wire/wire.go
+++ b/internal/protocol/wire/wire.go
@@ -118,8 +118,8 @@
 	return k.RequestKey.String() + "#" + k.Run
 }
 
-// Hop is one stage of a chain.
-type Hop struct {
+// Stage is one stage of a chain.
+type Stage struct {
 	Address     string           `json:"addr"`
 	Data        string           `json:"data,omitempty"` // where its data streams end
 	Incarnation string           `json:"inc"`
@@ -129,11 +129,11 @@
 // Open asks a gate for a place in a chain, or moves an open stage to a higher
 // epoch.
 type Open struct {
-	Key   RunKey `json:"key"`
-	Epoch int64  `json:"epoch"`
-	Chain []Hop  `json:"chain"`
-	Index int    `json:"i"`
-	Owner string `json:"owner"` // link address of the entry
+	Key   RunKey  `json:"key"`
+	Epoch int64   `json:"epoch"`
+	Chain []Stage `json:"chain"`
+	Index int     `json:"i"`
+	Owner string  `json:"owner"` // link address of the entry
 	// OwnerData is where the entry's data streams end.
 	OwnerData string    `json:"odata"`
 	Prompt    int64     `json:"prompt"`
@@ -262,9 +262,9 @@
 	Content uint64           `json:"hash"`
 	Expires time.Time        `json:"exp"`
 	// Grant is the asker's own write id: who finds it stored owns the hand-over.
-	Grant string `json:"grant"`
-	Owner string `json:"owner"` // link address of the asking entry
-	Gates []Hop  `json:"gates"` // the only gates that may hand it over
+	Grant string  `json:"grant"`
+	Owner string  `json:"owner"` // link address of the asking entry
+	Gates []Stage `json:"gates"` // the only gates that may hand it over
 }
 
 // IntentReply gives the stored intent: the asker's own, or an earlier one.
--- a/internal/standin/world/network.go
+++ b/internal/standin/world/network.go
@@ -331,12 +331,12 @@
 func (p *peers) Reset(string) {}
 
 // Forward, Tokens and Failed implement stage.Sender.
-func (p *peers) Forward(ctx context.Context, to wire.Hop, f wire.Forward) error {
+func (p *peers) Forward(ctx context.Context, to wire.Stage, f wire.Forward) error {
 	return p.Notify(ctx, to.Address, methodForward, f)
 }
 
 // Tokens implements stage.Sender.
-func (p *peers) Tokens(ctx context.Context, owner wire.Hop, t wire.Tokens) error {
+func (p *peers) Tokens(ctx context.Context, owner wire.Stage, t wire.Tokens) error {
 	return p.Notify(ctx, owner.Address, methodTokens, t)
 }
 
