--- a/internal/protocol/wire/wire.go
+++ b/internal/protocol/wire/wire.go
@@ -238,21 +238,21 @@
 	Remember    time.Time `json:"keep"`
 }
 
-// Verdict is what a gate knows of a request. It is the gate's word for its own
+// ExecutionState is what a gate knows of a request. It is the gate's word for its own
 // incarnation only.
-type Verdict string
+type ExecutionState string
 
 // The verdicts. NeverStarted is proof: the gate holds a tombstone.
 const (
-	NeverStarted Verdict = "never_started"
-	WasStarted   Verdict = "started"
-	WasFinished  Verdict = "finished"
+	NeverStarted ExecutionState = "never_started"
+	WasStarted   ExecutionState = "started"
+	WasFinished  ExecutionState = "finished"
 )
 
 // CancelReply is the gate's word and, if it still has it, the answer.
 type CancelReply struct {
-	Verdict Verdict `json:"verdict"`
-	Body    []byte  `json:"body,omitempty"`
+	Verdict ExecutionState `json:"verdict"`
+	Body    []byte         `json:"body,omitempty"`
 }
 
 // Intent asks the owner of a ledger shard to grant the one hand-over of a
