--- a/internal/protocol/gate/gate.go
+++ b/internal/protocol/gate/gate.go
@@ -305,10 +305,10 @@
 	}
 	rec, known := g.records[c.Key]
 	if known && rec.phase == finished {
-		return wire.CancelReply{Verdict: wire.WasFinished, Body: rec.answer}, nil
+		return wire.CancelReply{State: wire.WasFinished, Body: rec.answer}, nil
 	}
 	if known && rec.phase == started {
-		return wire.CancelReply{Verdict: wire.WasStarted}, nil
+		return wire.CancelReply{State: wire.WasStarted}, nil
 	}
 	if !known {
 		rec = &record{}
@@ -316,7 +316,7 @@
 	}
 	rec.phase = tombstone
 	rec.keepUntil = c.Remember.Add(ClockSkew)
-	return wire.CancelReply{Verdict: wire.NeverStarted}, nil
+	return wire.CancelReply{State: wire.NeverStarted}, nil
 }
 
 // Load is what the gate says of itself.
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -155,12 +155,12 @@
 		switch {
 		case err != nil:
 			return nil, true, fault.New(fault.BackendLost, "gate %s gives no answer: %s", gate.Address, e.Msg)
-		case rep.Verdict == wire.NeverStarted:
+		case rep.State == wire.NeverStarted:
 			o.Events.Add(j.key(), events.Tombstoned, gate.Address)
 			return nil, false, fault.New(fault.BackendLost, "gate %s never started it", gate.Address)
-		case rep.Verdict == wire.WasFinished && rep.Body != nil:
+		case rep.State == wire.WasFinished && rep.Body != nil:
 			return rep.Body, true, nil
-		case rep.Verdict == wire.WasFinished:
+		case rep.State == wire.WasFinished:
 			return nil, true, fault.New(fault.BackendFailed, "backend server at %s failed", gate.Address)
 		}
 		if !wait.For(ctx, o.Timing.Poll) {
--- a/internal/protocol/sidecar/sidecar.go
+++ b/internal/protocol/sidecar/sidecar.go
@@ -282,7 +282,7 @@
 // Cancel keeps a request from starting and tells what the gate knows of it.
 func (s *Sidecar) Cancel(_ context.Context, _ string, c wire.Cancel) (wire.CancelReply, error) {
 	rep, err := s.gate.Cancel(c)
-	if err == nil && rep.Verdict == wire.NeverStarted {
+	if err == nil && rep.State == wire.NeverStarted {
 		s.events.Add(c.Key.RequestKey, events.Tombstoned, "")
 	}
 	return rep, err
--- a/internal/protocol/wire/wire.go
+++ b/internal/protocol/wire/wire.go
@@ -251,8 +251,8 @@
 
 // CancelReply is the gate's word and, if it still has it, the answer.
 type CancelReply struct {
-	Verdict ExecutionState `json:"verdict"`
-	Body    []byte         `json:"body,omitempty"`
+	State ExecutionState `json:"verdict"`
+	Body  []byte         `json:"body,omitempty"`
 }
 
 // Intent asks the owner of a ledger shard to grant the one hand-over of a
