--- a/internal/protocol/owner/chain.go
+++ b/internal/protocol/owner/chain.go
@@ -135,17 +135,17 @@
 
 func (r *run) openMessage(i int) wire.Open {
 	return wire.Open{
-		Key:       r.runKey(),
-		Epoch:     r.epoch,
-		Chain:     r.chain,
-		Index:     i,
-		Owner:     r.o.Address,
-		OwnerData: r.o.Data,
-		Prompt:    int64(len(r.prompt)),
-		Tokens:    int64(r.ask.MaxTokens),
-		Deadline:  r.req.Deadline,
-		Remember:  r.remember,
-		Priority:  r.rule.Priority,
+		Key:         r.runKey(),
+		Epoch:       r.epoch,
+		Chain:       r.chain,
+		Index:       i,
+		Owner:       r.o.Address,
+		OwnerData:   r.o.Data,
+		Prompt:      int64(len(r.prompt)),
+		Tokens:      int64(r.ask.MaxTokens),
+		Deadline:    r.req.Deadline,
+		RetainUntil: r.remember,
+		Priority:    r.rule.Priority,
 	}
 }
 
--- a/internal/protocol/sidecar/sidecar.go
+++ b/internal/protocol/sidecar/sidecar.go
@@ -100,7 +100,7 @@
 		Attempt:       o.Epoch,
 		Incarnation:   o.Chain[o.Index].Incarnation,
 		Deadline:      o.Deadline,
-		Remember:      o.Remember,
+		Remember:      o.RetainUntil,
 		Priority:      o.Priority,
 		NotRepeatable: o.Key.Run == "",
 		Made:          madeAt(o.Key.ID),
--- a/internal/protocol/wire/wire.go
+++ b/internal/protocol/wire/wire.go
@@ -139,9 +139,9 @@
 	Prompt    int64     `json:"prompt"`
 	Tokens    int64     `json:"tokens"` // to generate
 	Deadline  time.Time `json:"deadline"`
-	// Remember is until when the gate must know what became of the request.
-	Remember time.Time `json:"keep"`
-	Priority int       `json:"prio"`
+	// RetainUntil is until when the gate must know what became of the request.
+	RetainUntil time.Time `json:"keep"`
+	Priority    int       `json:"prio"`
 }
 
 // OpenReply tells which position the stage takes next, and how many it ran.
