--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -86,7 +86,7 @@
 		Incarnation:   gate.Incarnation,
 		Body:          j.ask.Body,
 		Deadline:      j.req.Deadline,
-		Remember:      j.remember,
+		RetainUntil:   j.remember,
 		Priority:      j.rule.Priority,
 		NotRepeatable: j.notRepeatable,
 		Revision:      j.revision,
--- a/internal/protocol/sidecar/sidecar.go
+++ b/internal/protocol/sidecar/sidecar.go
@@ -230,7 +230,7 @@
 		Attempt:       c.Attempt,
 		Incarnation:   c.Incarnation,
 		Deadline:      c.Deadline,
-		Remember:      c.Remember,
+		Remember:      c.RetainUntil,
 		Priority:      c.Priority,
 		NotRepeatable: c.NotRepeatable,
 		Made:          madeAt(c.Key.ID),
--- a/internal/protocol/wire/wire.go
+++ b/internal/protocol/wire/wire.go
@@ -212,8 +212,8 @@
 	Body        []byte    `json:"body"`
 	Deadline    time.Time `json:"deadline"`
 	Priority    int       `json:"prio"`
-	// Remember is until when the gate must know what became of the request.
-	Remember time.Time `json:"keep"`
+	// RetainUntil is until when the gate must know what became of the request.
+	RetainUntil time.Time `json:"keep"`
 	// NotRepeatable allows one hand-over to the backend server, ever.
 	NotRepeatable bool `json:"nr,omitempty"`
 	// Revision is that of the configuration by which the call was admitted. The
