--- a/internal/protocol/gate/gate.go
+++ b/internal/protocol/gate/gate.go
@@ -315,7 +315,7 @@
 		g.records[c.Key] = rec
 	}
 	rec.phase = tombstone
-	rec.keepUntil = c.Remember.Add(ClockSkew)
+	rec.keepUntil = c.RetainUntil.Add(ClockSkew)
 	return wire.CancelReply{State: wire.NeverStarted}, nil
 }
 
--- a/internal/protocol/gate/gate_test.go
+++ b/internal/protocol/gate/gate_test.go
@@ -90,7 +90,7 @@
 			},
 			"cancel": func(rt *rapid.T) {
 				k := anyKey()
-				rep, err := g.Cancel(wire.Cancel{Key: k, Incarnation: inc, Remember: c.at.Add(time.Hour)})
+				rep, err := g.Cancel(wire.Cancel{Key: k, Incarnation: inc, RetainUntil: c.at.Add(time.Hour)})
 				assert.NilError(rt, err)
 				if rep.State == wire.NeverStarted {
 					assert.Assert(rt, k.Run != "" || starts[k] == 0, "%v started, the gate says never", k)
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -178,7 +178,7 @@
 	err := o.callTwice(ctx, gate.Address, wire.MethodCancel, wire.Cancel{
 		Key:         j.runKey(),
 		Incarnation: gate.Incarnation,
-		Remember:    j.remember,
+		RetainUntil: j.remember,
 	}, &rep)
 	return rep, err
 }
--- a/internal/protocol/wire/wire.go
+++ b/internal/protocol/wire/wire.go
@@ -235,7 +235,7 @@
 type Cancel struct {
 	Key         RunKey    `json:"key"`
 	Incarnation string    `json:"inc"`
-	Remember    time.Time `json:"keep"`
+	RetainUntil time.Time `json:"keep"`
 }
 
 // ExecutionState is what a gate knows of a request. It is the gate's word for its own
