--- a/internal/protocol/gate/gate.go
+++ b/internal/protocol/gate/gate.go
@@ -52,7 +52,7 @@
 	Attempt       int64
 	Incarnation   string
 	Deadline      time.Time
-	Remember      time.Time // until when the gate must know what became of it
+	RetainUntil   time.Time // until when the gate must know what became of it
 	Priority      int
 	NotRepeatable bool
 	Made          time.Time // time in the id of a request that is not repeatable
@@ -130,7 +130,7 @@
 		phase:         reserved,
 		attempt:       r.Attempt,
 		notRepeatable: r.NotRepeatable,
-		keepUntil:     r.Remember.Add(ClockSkew),
+		keepUntil:     r.RetainUntil.Add(ClockSkew),
 	}
 	g.records[r.Key] = rec
 	t := &Ticket{gate: g, req: r, rec: rec, ready: make(chan struct{}), shed: make(chan struct{})}
--- a/internal/protocol/gate/gate_test.go
+++ b/internal/protocol/gate/gate_test.go
@@ -31,7 +31,7 @@
 		Attempt:     1,
 		Incarnation: inc,
 		Deadline:    c.at.Add(time.Minute),
-		Remember:    c.at.Add(time.Hour),
+		RetainUntil: c.at.Add(time.Hour),
 		Made:        c.at,
 	}
 }
