--- a/internal/protocol/gate/gate.go
+++ b/internal/protocol/gate/gate.go
@@ -55,7 +55,7 @@
 	RetainUntil   time.Time // until when the gate must know what became of it
 	Priority      int
 	NotRepeatable bool
-	Made          time.Time // time in the id of a request that is not repeatable
+	CreatedAt     time.Time // time in the id of a request that is not repeatable
 }
 
 // Gate is the gate of one sidecar incarnation.
@@ -153,7 +153,7 @@
 	if g.leaving {
 		return fault.New(fault.Leaving, "backend server is leaving")
 	}
-	if r.NotRepeatable && r.Made.Before(g.startedAt.Add(Youth)) {
+	if r.NotRepeatable && r.CreatedAt.Before(g.startedAt.Add(Youth)) {
 		e := fault.New(fault.NotReady, "request may be older than this incarnation")
 		e.RetryAfter = Youth
 		return e
--- a/internal/protocol/gate/gate_test.go
+++ b/internal/protocol/gate/gate_test.go
@@ -32,7 +32,7 @@
 		Incarnation: inc,
 		Deadline:    c.at.Add(time.Minute),
 		RetainUntil: c.at.Add(time.Hour),
-		Made:        c.at,
+		CreatedAt:   c.at,
 	}
 }
 
@@ -118,8 +118,8 @@
 	}{
 		{"another incarnation's", func(r *Request) { r.Incarnation = "inc-0" }, fault.WrongIncarnation},
 		{"past its deadline", func(r *Request) { r.Deadline = c.at }, fault.Deadline},
-		{"older than the gate", func(r *Request) { r.NotRepeatable, r.Made = true, old.Made }, fault.NotReady},
-		{"as old as the gate", func(r *Request) { r.NotRepeatable, r.Made = true, old.Made.Add(Youth-1) }, fault.NotReady},
+		{"older than the gate", func(r *Request) { r.NotRepeatable, r.CreatedAt = true, old.CreatedAt }, fault.NotReady},
+		{"as old as the gate", func(r *Request) { r.NotRepeatable, r.CreatedAt = true, old.CreatedAt.Add(Youth-1) }, fault.NotReady},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := fresh
--- a/internal/protocol/sidecar/sidecar.go
+++ b/internal/protocol/sidecar/sidecar.go
@@ -103,7 +103,7 @@
 		RetainUntil:   o.RetainUntil,
 		Priority:      o.Priority,
 		NotRepeatable: o.Key.Run == "",
-		Made:          madeAt(o.Key.ID),
+		CreatedAt:     madeAt(o.Key.ID),
 	}, false)
 	if err != nil {
 		return wire.OpenReply{}, err
@@ -233,7 +233,7 @@
 		RetainUntil:   c.RetainUntil,
 		Priority:      c.Priority,
 		NotRepeatable: c.NotRepeatable,
-		Made:          madeAt(c.Key.ID),
+		CreatedAt:     madeAt(c.Key.ID),
 	}, true)
 	if err != nil {
 		return wire.CallReply{}, err
