--- a/internal/protocol/gate/gate.go
+++ b/internal/protocol/gate/gate.go
@@ -18,12 +18,12 @@
 	// must remember it keeps that much longer: a late dispatch from an entry
 	// whose clock is behind would otherwise start after "not run" was said.
 	ClockSkew = 5 * time.Second
-	// Youth is how much older than a request that is not repeatable a gate's
+	// MinIncarnationLead is how much older than a request that is not repeatable a gate's
 	// incarnation must be to run it. A gate tells truly that such a request
 	// never ran only if its predecessor cannot have met it; so each incarnation
 	// runs only ids made after its start, allowing for a caller's clock that is
 	// ahead of an entry's by two seconds, and an entry's by one.
-	Youth = 3 * time.Second
+	MinIncarnationLead = 3 * time.Second
 	// ewmaWeight is the weight of the newest service time.
 	ewmaWeight = 0.1
 )
@@ -153,9 +153,9 @@
 	if g.leaving {
 		return fault.New(fault.Leaving, "backend server is leaving")
 	}
-	if r.NotRepeatable && r.CreatedAt.Before(g.startedAt.Add(Youth)) {
+	if r.NotRepeatable && r.CreatedAt.Before(g.startedAt.Add(MinIncarnationLead)) {
 		e := fault.New(fault.NotReady, "request may be older than this incarnation")
-		e.RetryAfter = Youth
+		e.RetryAfter = MinIncarnationLead
 		return e
 	}
 	rec, known := g.records[r.Key]
--- a/internal/protocol/gate/gate_test.go
+++ b/internal/protocol/gate/gate_test.go
@@ -43,7 +43,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		c := newClock()
 		g := New(inc, 2, 3, c.now)
-		c.at = c.at.Add(Youth)
+		c.at = c.at.Add(MinIncarnationLead)
 		tickets := []*Ticket{}
 		denied := map[wire.RunKey]bool{}
 		starts := map[wire.RunKey]int{}
@@ -119,7 +119,7 @@
 		{"another incarnation's", func(r *Request) { r.Incarnation = "inc-0" }, fault.WrongIncarnation},
 		{"past its deadline", func(r *Request) { r.Deadline = c.at }, fault.Deadline},
 		{"older than the gate", func(r *Request) { r.NotRepeatable, r.CreatedAt = true, old.CreatedAt }, fault.NotReady},
-		{"as old as the gate", func(r *Request) { r.NotRepeatable, r.CreatedAt = true, old.CreatedAt.Add(Youth-1) }, fault.NotReady},
+		{"as old as the gate", func(r *Request) { r.NotRepeatable, r.CreatedAt = true, old.CreatedAt.Add(MinIncarnationLead-1) }, fault.NotReady},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := fresh
--- a/internal/protocol/owner/once.go
+++ b/internal/protocol/owner/once.go
@@ -123,7 +123,7 @@
 		return o.follow(ctx, j, addr)
 	}
 	gates, complete := o.Table.Service(j.ask.Service)
-	if !complete || len(gates) == 0 || len(gates) > maxWitnesses || o.Table.ListAge() > gate.Youth {
+	if !complete || len(gates) == 0 || len(gates) > maxWitnesses || o.Table.ListAge() > gate.MinIncarnationLead {
 		return fault.CutOff(e, "not handed over here; whether it ran before cannot be told without the ledger")
 	}
 	unknown := ""
@@ -146,7 +146,7 @@
 // that is not repeatable. It goes by the time in the incarnation, a ULID.
 func mayRunOnce(m membership.Member, j *job) bool {
 	u, err := ulid.ParseStrict(m.Incarnation)
-	return err == nil && !j.made.Before(ulid.Time(u.Time()).Add(gate.Youth))
+	return err == nil && !j.made.Before(ulid.Time(u.Time()).Add(gate.MinIncarnationLead))
 }
 
 // findOwner asks the other entries for one that knows a request.
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -79,7 +79,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	w := newWorld(ctx, t, seed)
-	time.Sleep(2*world.Heartbeat + gate.Youth)
+	time.Sleep(2*world.Heartbeat + gate.MinIncarnationLead)
 	rec := &record{}
 	var callers sync.WaitGroup
 	end := time.Now().Add(*durationFlag)
