--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -91,7 +91,7 @@
 	}
 	b.Pace = limits.NewConcurrencyLimiter(d.load.Batch, d.settings.Sidecar.Capacity, d.load.BatchTime(), time.Now)
 	if b.Engine != nil {
-		d.gate.SetPace(b.Pace)
+		d.gate.SetConcurrencyLimiter(b.Pace)
 	}
 	d.sidecar = sidecar.New(d.settings.Listen.Link, d.gate, b, sender{d.node.Pool, d.data}, d.node.Events, time.Now)
 	d.node.Serve(d.describe(), d.gate.Load, d.sidecar.Heard)
--- a/internal/protocol/gate/gate.go
+++ b/internal/protocol/gate/gate.go
@@ -91,9 +91,9 @@
 	}
 }
 
-// SetPace lets the number of places follow what the engine serves well, up to
+// SetConcurrencyLimiter lets the number of places follow what the engine serves well, up to
 // the gate's capacity. It is called before the gate is used.
-func (g *Gate) SetPace(p *limits.ConcurrencyLimiter) { g.pace = p }
+func (g *Gate) SetConcurrencyLimiter(p *limits.ConcurrencyLimiter) { g.pace = p }
 
 // places is how many requests may run now.
 func (g *Gate) places() int {
--- a/internal/standin/world/sidecar.go
+++ b/internal/standin/world/sidecar.go
@@ -80,7 +80,7 @@
 	if u.Engine != nil {
 		b.Engine = m
 		b.Pace = limits.NewConcurrencyLimiter(u.spec.Batch, u.places, u.batchTime(), time.Now)
-		u.gate.SetPace(b.Pace)
+		u.gate.SetConcurrencyLimiter(b.Pace)
 		if _, err := u.Engine.EndAll(ctx, b.Fence); err != nil {
 			panic(err) // the stand-in honours the number just taken
 		}
