--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -89,9 +89,9 @@
 			return ctx.Err()
 		}
 	}
-	b.Pace = limits.NewConcurrencyLimiter(d.load.Batch, d.settings.Sidecar.Capacity, d.load.BatchTime(), time.Now)
+	b.Limiter = limits.NewConcurrencyLimiter(d.load.Batch, d.settings.Sidecar.Capacity, d.load.BatchTime(), time.Now)
 	if b.Engine != nil {
-		d.gate.SetConcurrencyLimiter(b.Pace)
+		d.gate.SetConcurrencyLimiter(b.Limiter)
 	}
 	d.sidecar = sidecar.New(d.settings.Listen.Link, d.gate, b, sender{d.node.Pool, d.data}, d.node.Events, time.Now)
 	d.node.Serve(d.describe(), d.gate.Load, d.sidecar.Heard)
--- a/internal/protocol/sidecar/sidecar.go
+++ b/internal/protocol/sidecar/sidecar.go
@@ -31,8 +31,8 @@
 	Engine platform.Engine
 	Plain  platform.Plain
 	Fence  int64
-	// Pace learns from the engine's steps how many sessions it serves well.
-	Pace *limits.ConcurrencyLimiter
+	// Limiter learns from the engine's steps how many sessions it serves well.
+	Limiter *limits.ConcurrencyLimiter
 }
 
 // Sidecar is one incarnation.
@@ -152,7 +152,7 @@
 		})
 		// Prompts take longer by their length; single positions tell the load.
 		if err == nil && len(inputs) == 1 {
-			s.backend.Pace.RecordStep(s.now().Sub(began), s.gate.Load().Active)
+			s.backend.Limiter.RecordStep(s.now().Sub(began), s.gate.Load().Active)
 		}
 		return out, err
 	}
--- a/internal/standin/world/sidecar.go
+++ b/internal/standin/world/sidecar.go
@@ -79,8 +79,8 @@
 	m := mortal{Engine: u.Engine, Plain: u.Plain, ctx: ctx}
 	if u.Engine != nil {
 		b.Engine = m
-		b.Pace = limits.NewConcurrencyLimiter(u.spec.Batch, u.places, u.batchTime(), time.Now)
-		u.gate.SetConcurrencyLimiter(b.Pace)
+		b.Limiter = limits.NewConcurrencyLimiter(u.spec.Batch, u.places, u.batchTime(), time.Now)
+		u.gate.SetConcurrencyLimiter(b.Limiter)
 		if _, err := u.Engine.EndAll(ctx, b.Fence); err != nil {
 			panic(err) // the stand-in honours the number just taken
 		}
