--- a/internal/protocol/sidecar/sidecar.go
+++ b/internal/protocol/sidecar/sidecar.go
@@ -76,12 +76,12 @@
 // Gate gives the sidecar's gate.
 func (s *Sidecar) Gate() *gate.Gate { return s.gate }
 
-// Heard notes that an entry is alive.
-func (s *Sidecar) Heard(entry string) { s.heard.Put(entry, s.now()) }
+// RecordContact notes that an entry is alive.
+func (s *Sidecar) RecordContact(entry string) { s.heard.Put(entry, s.now()) }
 
 // Open opens a stage or moves an open one to a higher epoch.
 func (s *Sidecar) Open(_ context.Context, from string, o wire.Open) (wire.OpenReply, error) {
-	s.Heard(from)
+	s.RecordContact(from)
 	if o.Index < 0 || o.Index >= len(o.Chain) || o.Prompt < 1 {
 		return wire.OpenReply{}, fault.New(fault.InvalidRequest, "stage %d of %d", o.Index, len(o.Chain))
 	}
@@ -178,7 +178,7 @@
 
 // Resume lets a stage send.
 func (s *Sidecar) Resume(_ context.Context, from string, r wire.Resume) (struct{}, error) {
-	s.Heard(from)
+	s.RecordContact(from)
 	ses, ok := s.sessions.Get(r.Key.String())
 	if !ok {
 		return struct{}{}, fault.New(fault.NotFound, "no stage is open for %s", r.Key)
@@ -221,7 +221,7 @@
 
 // Call carries out one call of the plain service.
 func (s *Sidecar) Call(ctx context.Context, from string, c wire.Call) (wire.CallReply, error) {
-	s.Heard(from)
+	s.RecordContact(from)
 	if s.backend.Plain == nil {
 		return wire.CallReply{}, fault.New(fault.InvalidRequest, "no plain service here")
 	}
--- a/internal/standin/world/sidecar.go
+++ b/internal/standin/world/sidecar.go
@@ -101,7 +101,7 @@
 		wire.MethodCall:    link.Handle(s.Call),
 		wire.MethodCancel:  link.Handle(s.Cancel),
 		wire.MethodHello: link.Handle(func(_ context.Context, from string, _ wire.Hello) (wire.HelloReply, error) {
-			s.Heard(from)
+			s.RecordContact(from)
 			return u.hello(w.cfg.Layers, inc, g), nil
 		}),
 	})
