--- a/internal/protocol/sidecar/sidecar.go
+++ b/internal/protocol/sidecar/sidecar.go
@@ -202,7 +202,7 @@
 // NoStage takes in that another stage does not know a request.
 func (s *Sidecar) NoStage(ctx context.Context, from string, n wire.NoStage) (struct{}, error) {
 	if ses, ok := s.sessions.Get(n.Key.String()); ok {
-		go ses.NextLost(ctx, from, n.Epoch)
+		go ses.ReportMissingStage(ctx, from, n.Epoch)
 	}
 	return struct{}{}, nil
 }
--- a/internal/protocol/stage/stage.go
+++ b/internal/protocol/stage/stage.go
@@ -210,9 +210,9 @@
 	_ = s.send.Failed(ctx, owner, f)
 }
 
-// NextLost takes in that the stage at addr does not know this request, and tells
+// ReportMissingStage takes in that the stage at addr does not know this request, and tells
 // the owner.
-func (s *Session) NextLost(ctx context.Context, addr string, epoch int64) {
+func (s *Session) ReportMissingStage(ctx context.Context, addr string, epoch int64) {
 	s.mu.Lock()
 	owner := s.open.Owner
 	f := wire.StageFailed{Key: s.key, Epoch: epoch, Address: addr, Cause: "no stage is open there"}
