--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -182,7 +182,7 @@
 	return s.pool.Notify(ctx, addr, wire.MethodNoStage, n)
 }
 
-func (s sender) Failed(ctx context.Context, addr string, f wire.StageFailed) error {
+func (s sender) StageFailed(ctx context.Context, addr string, f wire.StageFailed) error {
 	return s.pool.Notify(ctx, addr, wire.MethodStageFailed, f)
 }
 
--- a/internal/protocol/stage/send.go
+++ b/internal/protocol/stage/send.go
@@ -27,7 +27,7 @@
 	}
 	err := s.send.Forward(ctx, out.next, *out.forward)
 	if err != nil && ctx.Err() == nil {
-		_ = s.send.Failed(ctx, out.owner.Address, wire.StageFailed{
+		_ = s.send.StageFailed(ctx, out.owner.Address, wire.StageFailed{
 			Key:     s.key,
 			Epoch:   out.epoch,
 			Address: out.next.Address,
--- a/internal/protocol/stage/stage.go
+++ b/internal/protocol/stage/stage.go
@@ -31,8 +31,8 @@
 	Tokens(ctx context.Context, owner wire.Stage, t wire.Tokens) error
 	// NoStage tells the process at addr that what it forwarded has no stage.
 	NoStage(ctx context.Context, addr string, n wire.NoStage) error
-	// Failed tells the owner at addr that a stage cannot go on.
-	Failed(ctx context.Context, addr string, f wire.StageFailed) error
+	// StageFailed tells the owner at addr that a stage cannot go on.
+	StageFailed(ctx context.Context, addr string, f wire.StageFailed) error
 }
 
 // Session is one request at one stage.
@@ -207,7 +207,7 @@
 	owner := s.open.Owner
 	f := wire.StageFailed{Key: s.key, Epoch: s.open.Epoch, Address: s.hop().Address, Cause: err.Error()}
 	s.mu.Unlock()
-	_ = s.send.Failed(ctx, owner, f)
+	_ = s.send.StageFailed(ctx, owner, f)
 }
 
 // ReportMissingStage takes in that the stage at addr does not know this request, and tells
@@ -217,7 +217,7 @@
 	owner := s.open.Owner
 	f := wire.StageFailed{Key: s.key, Epoch: epoch, Address: addr, Cause: "no stage is open there"}
 	s.mu.Unlock()
-	_ = s.send.Failed(ctx, owner, f)
+	_ = s.send.StageFailed(ctx, owner, f)
 }
 
 func (s *Session) hop() wire.Stage { return s.open.Chain[s.open.Index] }
--- a/internal/protocol/stage/stage_test.go
+++ b/internal/protocol/stage/stage_test.go
@@ -88,7 +88,7 @@
 
 func (c *chain) NoStage(context.Context, string, wire.NoStage) error { return nil }
 
-func (c *chain) Failed(context.Context, string, wire.StageFailed) error {
+func (c *chain) StageFailed(context.Context, string, wire.StageFailed) error {
 	c.rt.Fatalf("a stage failed")
 	return nil
 }
--- a/internal/standin/world/network.go
+++ b/internal/standin/world/network.go
@@ -345,7 +345,7 @@
 	return p.Notify(ctx, addr, wire.MethodNoStage, n)
 }
 
-// Failed implements stage.Sender.
-func (p *peers) Failed(ctx context.Context, addr string, f wire.StageFailed) error {
+// StageFailed implements stage.Sender.
+func (p *peers) StageFailed(ctx context.Context, addr string, f wire.StageFailed) error {
 	return p.Notify(ctx, addr, wire.MethodStageFailed, f)
 }
