--- a/bench/recovery_test.go
+++ b/bench/recovery_test.go
@@ -85,9 +85,9 @@
 	return out
 }
 
-func ask(prompt, tokens int) owner.Ask {
+func ask(prompt, tokens int) owner.Submission {
 	body := bytes.Repeat([]byte("word "), prompt)
-	return owner.Ask{
+	return owner.Submission{
 		Customer:  world.Customer,
 		ID:        daemon.NewID(),
 		Service:   world.Sheets,
--- a/bench/retry_test.go
+++ b/bench/retry_test.go
@@ -48,7 +48,7 @@
 			n := sent
 			all.Go(func() {
 				e := w.Entry(n)
-				req, err := e.Owner.Submit(owner.Ask{Customer: world.Customer, ID: daemon.NewID(), Service: world.Notices, Body: fmt.Append(nil, n), Timeout: 5 * time.Second})
+				req, err := e.Owner.Submit(owner.Submission{Customer: world.Customer, ID: daemon.NewID(), Service: world.Notices, Body: fmt.Append(nil, n), Timeout: 5 * time.Second})
 				assert.NilError(t, err)
 				var o model.Outcome
 				for pos := int64(0); !o.Final(); {
--- a/bench/throughput_test.go
+++ b/bench/throughput_test.go
@@ -88,7 +88,7 @@
 	body := bytes.Repeat([]byte("word "), promptParts)
 	began := time.Now()
 	e := w.Entry(entry)
-	req, err := e.Owner.Submit(owner.Ask{
+	req, err := e.Owner.Submit(owner.Submission{
 		Customer:  customer,
 		ID:        daemon.NewID(),
 		Service:   world.Sheets,
--- a/internal/protocol/owner/intake_test.go
+++ b/internal/protocol/owner/intake_test.go
@@ -29,8 +29,8 @@
 	return w
 }
 
-func notice(id string) owner.Ask {
-	return owner.Ask{Customer: world.Customer, ID: id, Service: world.Notices, Body: []byte("round 4")}
+func notice(id string) owner.Submission {
+	return owner.Submission{Customer: world.Customer, ID: id, Service: world.Notices, Body: []byte("round 4")}
 }
 
 // A caller's request reaches an entry in a planned stop just after the entry has
--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -121,8 +121,8 @@
 	return &Owner{Deps: d, started: d.Now(), runs: shard.New[string, *run](), intake: newIntake()}
 }
 
-// Ask is a caller's request.
-type Ask struct {
+// Submission is a caller's request.
+type Submission struct {
 	Customer      string
 	ID            string
 	Service       string
@@ -134,7 +134,7 @@
 
 // job is an accepted request on its way.
 type job struct {
-	ask           Ask
+	ask           Submission
 	req           *requests.Request
 	rule          config.Rule
 	revision      int64 // of the configuration that gave the rule
@@ -162,7 +162,7 @@
 
 // Submit accepts a request or joins it to the same one sent before. An error
 // means that nothing was accepted and nothing ran.
-func (o *Owner) Submit(ask Ask) (*requests.Request, error) {
+func (o *Owner) Submit(ask Submission) (*requests.Request, error) {
 	if ask.ID == "" {
 		ask.ID = ulid.MustNew(ulid.Timestamp(o.Now()), rand.Reader).String()
 	}
@@ -201,7 +201,7 @@
 	return r, nil
 }
 
-func validate(ask Ask) error {
+func validate(ask Submission) error {
 	switch {
 	case ask.Customer == "":
 		return fault.New(fault.InvalidRequest, "customer is missing")
@@ -222,7 +222,7 @@
 }
 
 // rule gives what the customer's template says, and the revision it is of.
-func (o *Owner) rule(ask Ask) (int64, config.Rule, error) {
+func (o *Owner) rule(ask Submission) (int64, config.Rule, error) {
 	current := o.Config.Current()
 	t, ok := current.Template(ask.Customer)
 	if !ok {
@@ -294,7 +294,7 @@
 	return d
 }
 
-func (o *Owner) join(ask Ask, r *requests.Request) error {
+func (o *Owner) join(ask Submission, r *requests.Request) error {
 	if r.Content != content(ask) {
 		err := fault.New(fault.ConflictingID, "request id %q was used for another request", ask.ID)
 		o.Events.Add(r.Key, events.Rejected, err.Error())
@@ -304,14 +304,14 @@
 	return nil
 }
 
-func (o *Owner) reject(ask Ask, err error) error {
+func (o *Owner) reject(ask Submission, err error) error {
 	o.Events.Add(model.RequestKey{Customer: ask.Customer, ID: ask.ID}, events.Rejected, err.Error())
 	klog.V(1).InfoS("Submission refused", "request", ask.ID, "customer", ask.Customer, "service", ask.Service,
 		"err", err, "instance", o.Instance, "incarnation", o.Incarnation)
 	return err
 }
 
-func content(ask Ask) uint64 {
+func content(ask Submission) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(ask.Service)
 	_, _ = d.Write([]byte{0, byte(ask.MaxTokens), byte(ask.MaxTokens >> 8)})
--- a/internal/transport/api/requests.go
+++ b/internal/transport/api/requests.go
@@ -52,7 +52,7 @@
 		return connectError(err)
 	}
 	m := r.Msg
-	req, err := s.Owner.Submit(owner.Ask{
+	req, err := s.Owner.Submit(owner.Submission{
 		Customer:      m.Customer,
 		ID:            m.RequestId,
 		Service:       m.Service,
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -138,7 +138,7 @@
 // call is one caller: a sheet, a plain call, or a notice that must not be
 // repeated and is sent twice, through two entries.
 func call(w *world.World, rec *record, n, kind, at int, pause time.Duration, hurry bool) {
-	ask := owner.Ask{Customer: world.Customer, ID: daemon.NewID(), Service: world.Notices, Body: fmt.Appendf(nil, "body %d", n)}
+	ask := owner.Submission{Customer: world.Customer, ID: daemon.NewID(), Service: world.Notices, Body: fmt.Appendf(nil, "body %d", n)}
 	switch kind {
 	case 0, 1:
 		ask.Service = world.Sheets
@@ -160,7 +160,7 @@
 	}
 }
 
-func submit(w *world.World, rec *record, ask owner.Ask, at int) {
+func submit(w *world.World, rec *record, ask owner.Submission, at int) {
 	e := w.Entry(at)
 	req, err := e.Owner.Submit(ask)
 	if err != nil {
