--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -67,21 +67,21 @@
 type Deps struct {
 	Instance string // id of this entry
 	// Incarnation names this start of it, for logs.
-	Incarnation string
-	Address     string // its link address
-	Data        string // where its data streams end
-	Peers       Peers
-	Feeder      Feeder
-	Table       *membership.Table
-	Router      Router
-	Config      *config.Store
-	Rates       *limits.RateLimiter
-	Retries     *limits.RetryBudget
-	Room        *admission.Limiter
-	Grant       Granter
-	Requests    *requests.Store
-	Events      *events.Log
-	Now         func() time.Time
+	Incarnation      string
+	Address          string // its link address
+	Data             string // where its data streams end
+	Peers            Peers
+	Feeder           Feeder
+	Table            *membership.Table
+	Router           Router
+	Config           *config.Store
+	Rates            *limits.RateLimiter
+	Retries          *limits.RetryBudget
+	AdmissionLimiter *admission.Limiter
+	Grant            Granter
+	Requests         *requests.Store
+	Events           *events.Log
+	Now              func() time.Time
 	// Refresh brings the configuration up to that of the peer at addr.
 	Refresh func(ctx context.Context, addr string) error
 	// Observe is told of each final outcome.
@@ -361,7 +361,7 @@
 
 // serveAdmitted runs a pipeline request once there is room for it.
 func (o *Owner) serveAdmitted(ctx context.Context, j *job) model.Outcome {
-	err := o.Room.Acquire(ctx, admission.Request{
+	err := o.AdmissionLimiter.Acquire(ctx, admission.Request{
 		Customer: j.ask.Customer,
 		Priority: j.rule.Priority,
 		Deadline: j.req.Deadline,
@@ -370,7 +370,7 @@
 		return fault.NotRun(fault.From(err), "never handed over: refused at admission")
 	}
 	out := o.servePipeline(ctx, j, nil)
-	o.Room.Release(j.ask.Customer, out.State == model.NotRun)
+	o.AdmissionLimiter.Release(j.ask.Customer, out.State == model.NotRun)
 	return out
 }
 
--- a/internal/protocol/owner/pipeline.go
+++ b/internal/protocol/owner/pipeline.go
@@ -105,7 +105,7 @@
 		e := fault.From(err)
 		// One refusal is chance: loads lag. Several in a row mean that it is full.
 		if e.Kind == fault.Overloaded && try >= fullAfter {
-			r.o.Room.Overloaded()
+			r.o.AdmissionLimiter.Overloaded()
 		}
 		if r.notRepeatable || try == maxOpenTries || !e.Kind.Answer().Retryable {
 			return err
