--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -118,7 +118,7 @@
 		Table:            e.node.Table,
 		Router:           routing.New(e.node.Table, e.links(), time.Now, nil),
 		Config:           e.node.Config,
-		Rates:            limits.NewRateLimiter(e.sharers),
+		RateLimiter:      limits.NewRateLimiter(e.sharers),
 		Retries:          limits.NewRetryBudget(),
 		AdmissionLimiter: admission.NewLimiter(time.Now),
 		Grant:            e.grant,
--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -75,7 +75,7 @@
 	Table            *membership.Table
 	Router           Router
 	Config           *config.Store
-	Rates            *limits.RateLimiter
+	RateLimiter      *limits.RateLimiter
 	Retries          *limits.RetryBudget
 	AdmissionLimiter *admission.Limiter
 	Grant            Granter
@@ -270,7 +270,7 @@
 			return err
 		}
 	}
-	ok, wait := o.Rates.Allow(j.ask.Customer, j.ask.Service, j.rule.Rate, j.rule.Burst, o.Now())
+	ok, wait := o.RateLimiter.Allow(j.ask.Customer, j.ask.Service, j.rule.Rate, j.rule.Burst, o.Now())
 	if !ok {
 		e := fault.New(fault.RateLimited, "rate of %g a second for service %q is used up", j.rule.Rate, j.ask.Service)
 		e.RetryAfter = limits.Jitter(wait)
--- a/internal/standin/world/entry.go
+++ b/internal/standin/world/entry.go
@@ -54,7 +54,7 @@
 		Table:            table,
 		Router:           w.router(table),
 		Config:           cfg,
-		Rates:            limits.NewRateLimiter(func() int { return 1 }),
+		RateLimiter:      limits.NewRateLimiter(func() int { return 1 }),
 		Retries:          limits.NewRetryBudget(),
 		AdmissionLimiter: admission.NewLimiter(time.Now),
 		Grant:            led.Record,
