--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -119,7 +119,7 @@
 		Router:           routing.New(e.node.Table, e.links(), time.Now, nil),
 		Config:           e.node.Config,
 		RateLimiter:      limits.NewRateLimiter(e.sharers),
-		Retries:          limits.NewRetryBudget(),
+		RetryBudget:      limits.NewRetryBudget(),
 		AdmissionLimiter: admission.NewLimiter(time.Now),
 		Grant:            e.grant,
 		Requests:         e.store,
--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -76,7 +76,7 @@
 	Router           Router
 	Config           *config.Store
 	RateLimiter      *limits.RateLimiter
-	Retries          *limits.RetryBudget
+	RetryBudget      *limits.RetryBudget
 	AdmissionLimiter *admission.Limiter
 	Grant            Granter
 	Requests         *requests.Store
@@ -325,7 +325,7 @@
 	defer o.intake.leave()
 	ctx, cancel := context.WithDeadline(context.Background(), j.req.Deadline)
 	defer cancel()
-	o.Retries.RecordRequest()
+	o.RetryBudget.RecordRequest()
 	var out model.Outcome
 	switch {
 	case j.notRepeatable:
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -56,7 +56,7 @@
 	if !ran {
 		return e.Kind.Answer().Retryable && attempt < maxRefusals
 	}
-	return o.Retries.Take()
+	return o.RetryBudget.Take()
 }
 
 func giveUp(e *fault.Error, mayHaveRun bool, evidence string) model.Outcome {
--- a/internal/standin/world/entry.go
+++ b/internal/standin/world/entry.go
@@ -55,7 +55,7 @@
 		Router:           w.router(table),
 		Config:           cfg,
 		RateLimiter:      limits.NewRateLimiter(func() int { return 1 }),
-		Retries:          limits.NewRetryBudget(),
+		RetryBudget:      limits.NewRetryBudget(),
 		AdmissionLimiter: admission.NewLimiter(time.Now),
 		Grant:            led.Record,
 		Requests:         e.Store,
