--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -59,9 +59,9 @@
 	Describe(service string) (model.ServiceKind, int, bool)
 }
 
-// Granter asks the ledger for the one hand-over of a request; see package
+// RecordIntent asks the ledger for the one hand-over of a request; see package
 // ledger.
-type Granter func(ctx context.Context, in ledger.Intent, id string) (ledger.Intent, error)
+type RecordIntent func(ctx context.Context, in ledger.Intent, id string) (ledger.Intent, error)
 
 // Deps is what an Owner works with.
 type Deps struct {
@@ -78,7 +78,7 @@
 	RateLimiter      *limits.RateLimiter
 	RetryBudget      *limits.RetryBudget
 	AdmissionLimiter *admission.Limiter
-	Grant            Granter
+	Grant            RecordIntent
 	Requests         *requests.Store
 	Events           *events.Log
 	Now              func() time.Time
