--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -121,7 +121,7 @@
 		RateLimiter:      limits.NewRateLimiter(e.sharers),
 		RetryBudget:      limits.NewRetryBudget(),
 		AdmissionLimiter: admission.NewLimiter(time.Now),
-		Grant:            e.grant,
+		RecordIntent:     e.grant,
 		Requests:         e.store,
 		Events:           e.node.Events,
 		Now:              time.Now,
--- a/internal/protocol/owner/once.go
+++ b/internal/protocol/owner/once.go
@@ -39,7 +39,7 @@
 	for _, h := range plan {
 		in.Gates = append(in.Gates, ledger.Gate{Address: h.Address, Incarnation: h.Incarnation})
 	}
-	stored, err := o.Grant(ctx, in, j.ask.ID)
+	stored, err := o.RecordIntent(ctx, in, j.ask.ID)
 	if err != nil {
 		return o.withoutLedger(ctx, j, fault.From(err))
 	}
--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -78,7 +78,7 @@
 	RateLimiter      *limits.RateLimiter
 	RetryBudget      *limits.RetryBudget
 	AdmissionLimiter *admission.Limiter
-	Grant            RecordIntent
+	RecordIntent     RecordIntent
 	Requests         *requests.Store
 	Events           *events.Log
 	Now              func() time.Time
--- a/internal/standin/world/entry.go
+++ b/internal/standin/world/entry.go
@@ -57,7 +57,7 @@
 		RateLimiter:      limits.NewRateLimiter(func() int { return 1 }),
 		RetryBudget:      limits.NewRetryBudget(),
 		AdmissionLimiter: admission.NewLimiter(time.Now),
-		Grant:            led.Record,
+		RecordIntent:     led.Record,
 		Requests:         e.Store,
 		Events:           log,
 		Now:              time.Now,
