--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -32,9 +32,9 @@
 	MaxTokens   = 8192
 	MaxIDLength = 64
 	maxTimeout  = 10 * time.Minute
-	// MaxOnceTimeout bounds the time of a request that is not repeatable, as
+	// MaxNonRepeatableTimeout bounds the time of a request that is not repeatable, as
 	// gates must remember it that much longer than its id is accepted.
-	MaxOnceTimeout = 2 * time.Minute
+	MaxNonRepeatableTimeout = 2 * time.Minute
 )
 
 // Peers sends messages to other processes. A link.Pool is one.
@@ -192,7 +192,7 @@
 	j.req = r
 	j.remember = r.Deadline
 	if j.notRepeatable {
-		j.remember = j.made.Add(ledger.Window + MaxOnceTimeout)
+		j.remember = j.made.Add(ledger.Window + MaxNonRepeatableTimeout)
 	} else {
 		j.run = ulid.MustNew(ulid.Timestamp(j.began), rand.Reader).String()
 	}
@@ -289,7 +289,7 @@
 		d = j.ask.Timeout
 	}
 	if j.notRepeatable {
-		d = min(d, MaxOnceTimeout)
+		d = min(d, MaxNonRepeatableTimeout)
 	}
 	return d
 }
