--- a/internal/protocol/owner/chain.go
+++ b/internal/protocol/owner/chain.go
@@ -220,7 +220,7 @@
 
 // closeAll ends the request at every stage it was opened at.
 func (r *run) closeAll() {
-	ctx, cancel := context.WithTimeout(context.Background(), r.o.Timing.Call)
+	ctx, cancel := context.WithTimeout(context.Background(), r.o.Timing.CallTimeout)
 	defer cancel()
 	var g errgroup.Group
 	for addr := range r.used {
--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -91,8 +91,8 @@
 
 // Timing is how long the owner waits before it looks into a request.
 type Timing struct {
-	// Call bounds one control message.
-	Call time.Duration
+	// CallTimeout bounds one control message.
+	CallTimeout time.Duration
 	// Stall is how long a pipeline may bring no token before it is resynchronised.
 	Stall time.Duration
 	// Poll is how often an outcome elsewhere is asked for.
@@ -102,9 +102,9 @@
 // DefaultTiming suits instances of one region.
 func DefaultTiming() Timing {
 	return Timing{
-		Call:  500 * time.Millisecond,
-		Stall: time.Second,
-		Poll:  50 * time.Millisecond,
+		CallTimeout: 500 * time.Millisecond,
+		Stall:       time.Second,
+		Poll:        50 * time.Millisecond,
 	}
 }
 
@@ -379,7 +379,7 @@
 const outcomeCopies = 2
 
 func (o *Owner) copyOutcome(key model.RequestKey, out model.Outcome) {
-	ctx, cancel := context.WithTimeout(context.Background(), o.Timing.Call)
+	ctx, cancel := context.WithTimeout(context.Background(), o.Timing.CallTimeout)
 	defer cancel()
 	for _, addr := range o.copyHolders(key) {
 		_ = o.Peers.Notify(ctx, addr, wire.MethodOutcomeCopy, wire.OutcomeCopy{Key: key, Outcome: out})
@@ -442,7 +442,7 @@
 }
 
 func (o *Owner) call(ctx context.Context, addr string, m wire.Method, req, rep any) error {
-	ctx, cancel := context.WithTimeout(ctx, o.Timing.Call)
+	ctx, cancel := context.WithTimeout(ctx, o.Timing.CallTimeout)
 	defer cancel()
 	return o.Peers.Call(ctx, addr, m, req, rep)
 }
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -172,7 +172,7 @@
 // cancel asks a gate to keep a request from starting. It goes on a little past
 // the deadline, as its answer decides what the caller is told.
 func (o *Owner) cancel(ctx context.Context, j *job, gate wire.Stage) (wire.CancelReply, error) {
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*o.Timing.Call)
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*o.Timing.CallTimeout)
 	defer stop()
 	var rep wire.CancelReply
 	err := o.callTwice(ctx, gate.Address, wire.MethodCancel, wire.Cancel{
