--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -93,8 +93,8 @@
 type Timing struct {
 	// CallTimeout bounds one control message.
 	CallTimeout time.Duration
-	// Stall is how long a pipeline may bring no token before it is resynchronised.
-	Stall time.Duration
+	// StallTimeout is how long a pipeline may bring no token before it is resynchronised.
+	StallTimeout time.Duration
 	// Poll is how often an outcome elsewhere is asked for.
 	Poll time.Duration
 }
@@ -102,9 +102,9 @@
 // DefaultTiming suits instances of one region.
 func DefaultTiming() Timing {
 	return Timing{
-		CallTimeout: 500 * time.Millisecond,
-		Stall:       time.Second,
-		Poll:        50 * time.Millisecond,
+		CallTimeout:  500 * time.Millisecond,
+		StallTimeout: time.Second,
+		Poll:         50 * time.Millisecond,
 	}
 }
 
--- a/internal/protocol/owner/pipeline.go
+++ b/internal/protocol/owner/pipeline.go
@@ -149,7 +149,7 @@
 				told = r.o.Now()
 				go r.tellAlive(ctx, r.chain)
 			}
-			patience := beat.patience(r.o.Timing.Stall, have, repairs)
+			patience := beat.patience(r.o.Timing.StallTimeout, have, repairs)
 			if broken = r.lostMember(); broken == "" && r.o.Now().Sub(beat.at) > patience {
 				broken = r.look(ctx)
 				beat.at = r.o.Now().Add(minSilence - patience) // look again soon
