--- a/internal/protocol/owner/once.go
+++ b/internal/protocol/owner/once.go
@@ -185,7 +185,7 @@
 		if rep.Outcome.Final() {
 			return adopt(j, rep), true
 		}
-		if !wait.For(ctx, o.Timing.Poll) {
+		if !wait.For(ctx, o.Timing.PollInterval) {
 			return fault.CutOff(fault.New(fault.Deadline, "still in progress at entry %s", addr), "entry "+addr), true
 		}
 	}
--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -95,8 +95,8 @@
 	CallTimeout time.Duration
 	// StallTimeout is how long a pipeline may bring no token before it is resynchronised.
 	StallTimeout time.Duration
-	// Poll is how often an outcome elsewhere is asked for.
-	Poll time.Duration
+	// PollInterval is how often an outcome elsewhere is asked for.
+	PollInterval time.Duration
 }
 
 // DefaultTiming suits instances of one region.
@@ -104,7 +104,7 @@
 	return Timing{
 		CallTimeout:  500 * time.Millisecond,
 		StallTimeout: time.Second,
-		Poll:         50 * time.Millisecond,
+		PollInterval: 50 * time.Millisecond,
 	}
 }
 
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -163,7 +163,7 @@
 		case rep.State == wire.WasFinished:
 			return nil, true, fault.New(fault.BackendFailed, "backend server at %s failed", gate.Address)
 		}
-		if !wait.For(ctx, o.Timing.Poll) {
+		if !wait.For(ctx, o.Timing.PollInterval) {
 			return nil, true, fault.New(fault.Deadline, "still running at %s at the deadline", gate.Address)
 		}
 	}
