--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -248,7 +248,7 @@
 func (e *Entry) drain() {
 	close(e.draining)
 	e.node.Events.Add(model.RequestKey{}, events.DrainStarted, "")
-	klog.InfoS("Entry drains", "instance", e.settings.Instance, "running", e.owner.Serving())
+	klog.InfoS("Entry drains", "instance", e.settings.Instance, "running", e.owner.ActiveRequests())
 	time.Sleep(time.Duration(e.settings.Entry.DrainDelay))
 	<-e.owner.Drain()
 }
--- a/internal/protocol/owner/intake.go
+++ b/internal/protocol/owner/intake.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// Serving counts the requests whose outcome, and the copies of it, are not yet
+// ActiveRequests counts the requests whose outcome, and the copies of it, are not yet
 // out.
-func (o *Owner) Serving() int64 {
+func (o *Owner) ActiveRequests() int64 {
 	o.intake.mu.Lock()
 	defer o.intake.mu.Unlock()
 	return o.intake.running
