--- a/internal/coordination/membership/membership.go
+++ b/internal/coordination/membership/membership.go
@@ -114,8 +114,8 @@
 	return m
 }
 
-// Seen takes in a process's own word about itself.
-func (t *Table) Seen(in model.Instance, incarnation string, b Backend, rtt time.Duration) {
+// Observe takes in a process's own word about itself.
+func (t *Table) Observe(in model.Instance, incarnation string, b Backend, rtt time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := t.member(in.Address)
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -22,7 +22,7 @@
 // as live. The gate's word stands, and it is no candidate.
 func TestLeavingOutlivesAStaleList(t *testing.T) {
 	tb := New("self", time.Now)
-	tb.Seen(sidecar("a"), "1", offers("s"), 0)
+	tb.Observe(sidecar("a"), "1", offers("s"), 0)
 	tb.SeenLeaving("a")
 	tb.UpdateList([]model.Instance{sidecar("a")})
 	up, doubtful := tb.Candidates("s")
@@ -34,7 +34,7 @@
 func TestAnsweringMemberOutlivesTheList(t *testing.T) {
 	now := time.Now()
 	tb := New("self", func() time.Time { return now })
-	tb.Seen(sidecar("a"), "1", offers("s"), 0)
+	tb.Observe(sidecar("a"), "1", offers("s"), 0)
 	now = now.Add(time.Hour)
 	tb.UpdateList(nil)
 	up, _ := tb.Candidates("s")
@@ -51,14 +51,14 @@
 func TestMissesGoBeforeTheList(t *testing.T) {
 	tb := New("self", time.Now)
 	for _, a := range []string{"a", "b", "c"} {
-		tb.Seen(sidecar(a), "1", offers("s"), 0)
+		tb.Observe(sidecar(a), "1", offers("s"), 0)
 	}
 	assert.Assert(t, !tb.Missed("a"), "one miss may be the connection's fault")
 	assert.Assert(t, tb.Missed("a"))
 	tb.UpdateList([]model.Instance{sidecar("a"), sidecar("b"), sidecar("c")})
 	up, _ := tb.Candidates("s")
 	assert.Equal(t, len(up), 2)
-	tb.Seen(sidecar("a"), "2", offers("s"), 0)
+	tb.Observe(sidecar("a"), "2", offers("s"), 0)
 	up, _ = tb.Candidates("s")
 	assert.Equal(t, len(up), 3)
 }
@@ -68,10 +68,10 @@
 func TestServiceIsIncompleteUntilAllAreMet(t *testing.T) {
 	tb := New("self", time.Now)
 	tb.UpdateList([]model.Instance{sidecar("a"), sidecar("b")})
-	tb.Seen(sidecar("a"), "1", offers("s"), 0)
+	tb.Observe(sidecar("a"), "1", offers("s"), 0)
 	_, complete := tb.Service("s")
 	assert.Assert(t, !complete)
-	tb.Seen(sidecar("b"), "1", offers("other"), 0)
+	tb.Observe(sidecar("b"), "1", offers("other"), 0)
 	members, complete := tb.Service("s")
 	assert.Assert(t, complete && len(members) == 1)
 }
--- a/internal/coordination/routing/routing_test.go
+++ b/internal/coordination/routing/routing_test.go
@@ -16,7 +16,7 @@
 func near(_, _ model.Instance) time.Duration { return time.Millisecond }
 
 func addEngine(tb *membership.Table, name string, r model.LayerRange, active, capacity int, leaving bool) {
-	tb.Seen(model.Instance{ID: name, Role: model.RoleSidecar, Address: name}, "inc", membership.Backend{
+	tb.Observe(model.Instance{ID: name, Role: model.RoleSidecar, Address: name}, "inc", membership.Backend{
 		Service:  "s",
 		Kind:     model.KindPipeline,
 		Range:    r,
--- a/internal/standin/world/entry.go
+++ b/internal/standin/world/entry.go
@@ -114,7 +114,7 @@
 				table.Missed(addr)
 				return
 			}
-			table.Seen(*rep.Instance, rep.Incarnation, rep.Backend(), time.Since(began))
+			table.Observe(*rep.Instance, rep.Incarnation, rep.Backend(), time.Since(began))
 		})
 	}
 	wg.Wait()
--- a/internal/transport/mesh/mesh.go
+++ b/internal/transport/mesh/mesh.go
@@ -248,7 +248,7 @@
 		n.Table.SeenLoad(addr, membership.Load(rep.Load))
 		return true
 	}
-	n.Table.Seen(*rep.Instance, rep.Incarnation, rep.Backend(), n.now().Sub(began))
+	n.Table.Observe(*rep.Instance, rep.Incarnation, rep.Backend(), n.now().Sub(began))
 	return true
 }
 
