--- a/internal/coordination/membership/membership.go
+++ b/internal/coordination/membership/membership.go
@@ -131,8 +131,8 @@
 	m.SeenAt = t.now()
 }
 
-// SeenLoad takes in the load that came with a gate's reply.
-func (t *Table) SeenLoad(addr string, l Load) {
+// ObserveLoad takes in the load that came with a gate's reply.
+func (t *Table) ObserveLoad(addr string, l Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m, ok := t.members[addr]
--- a/internal/protocol/owner/chain.go
+++ b/internal/protocol/owner/chain.go
@@ -124,7 +124,7 @@
 			errs[i] = r.o.callTwice(ctx, h.Address, wire.MethodOpen, r.openMessage(i), &rep)
 			if errs[i] == nil {
 				next[i] = rep.Next
-				r.o.Table.SeenLoad(h.Address, membership.Load(rep.Load))
+				r.o.Table.ObserveLoad(h.Address, membership.Load(rep.Load))
 			}
 			return nil
 		})
@@ -228,7 +228,7 @@
 			var rep wire.CloseReply
 			err := r.o.callTwice(ctx, addr, wire.MethodClose, wire.Close{Key: r.runKey(), Epoch: r.epoch}, &rep)
 			if err == nil {
-				r.o.Table.SeenLoad(addr, membership.Load(rep.Load))
+				r.o.Table.ObserveLoad(addr, membership.Load(rep.Load))
 			}
 			return nil
 		})
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -92,7 +92,7 @@
 		Revision:      j.revision,
 	}, &rep)
 	if err == nil {
-		o.Table.SeenLoad(gate.Address, membership.Load(rep.Load))
+		o.Table.ObserveLoad(gate.Address, membership.Load(rep.Load))
 		return rep.Body, true, nil
 	}
 	e := fault.From(err)
--- a/internal/protocol/owner/watch.go
+++ b/internal/protocol/owner/watch.go
@@ -86,7 +86,7 @@
 	for _, h := range chain {
 		var rep wire.HelloReply
 		if r.o.call(ctx, h.Address, wire.MethodHello, wire.Hello{Known: h.Incarnation}, &rep) == nil {
-			r.o.Table.SeenLoad(h.Address, membership.Load(rep.Load))
+			r.o.Table.ObserveLoad(h.Address, membership.Load(rep.Load))
 		}
 	}
 }
--- a/internal/transport/mesh/mesh.go
+++ b/internal/transport/mesh/mesh.go
@@ -245,7 +245,7 @@
 		return false
 	}
 	if rep.Instance == nil {
-		n.Table.SeenLoad(addr, membership.Load(rep.Load))
+		n.Table.ObserveLoad(addr, membership.Load(rep.Load))
 		return true
 	}
 	n.Table.Observe(*rep.Instance, rep.Incarnation, rep.Backend(), n.now().Sub(began))
