--- a/internal/coordination/membership/membership.go
+++ b/internal/coordination/membership/membership.go
@@ -147,9 +147,9 @@
 	m.SeenAt = t.now()
 }
 
-// SeenRevision takes in the configuration revision that rode on a message. The
+// ObserveRevision takes in the configuration revision that rode on a message. The
 // sender may not be in the list yet, which lags.
-func (t *Table) SeenRevision(addr string, revision int64) {
+func (t *Table) ObserveRevision(addr string, revision int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if addr == "" || addr == t.self {
--- a/internal/transport/mesh/config.go
+++ b/internal/transport/mesh/config.go
@@ -59,7 +59,7 @@
 // seen takes in the revision that rode on a message from a peer.
 func (n *Node) seen(from string, revision int64) {
 	n.confirmed.Store(n.now().UnixNano())
-	n.Table.SeenRevision(from, revision)
+	n.Table.ObserveRevision(from, revision)
 	for max := n.seenMax.Load(); revision > max; max = n.seenMax.Load() {
 		if n.seenMax.CompareAndSwap(max, revision) {
 			break
