--- a/internal/coordination/membership/membership.go
+++ b/internal/coordination/membership/membership.go
@@ -159,8 +159,8 @@
 	m.Revision = max(m.Revision, revision)
 }
 
-// SeenLeaving takes in a gate's word that it leaves.
-func (t *Table) SeenLeaving(addr string) {
+// ObserveLeaving takes in a gate's word that it leaves.
+func (t *Table) ObserveLeaving(addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m, ok := t.members[addr]; ok {
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -23,7 +23,7 @@
 func TestLeavingOutlivesAStaleList(t *testing.T) {
 	tb := New("self", time.Now)
 	tb.Observe(sidecar("a"), "1", offers("s"), 0)
-	tb.SeenLeaving("a")
+	tb.ObserveLeaving("a")
 	tb.UpdateList([]model.Instance{sidecar("a")})
 	up, doubtful := tb.Candidates("s")
 	assert.Equal(t, len(up)+len(doubtful), 0)
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -135,7 +135,7 @@
 	case fault.Overloaded, fault.NoCapacity, fault.WrongIncarnation, fault.NotReady:
 		o.Table.Backoff(gate.Address, e.After())
 	case fault.Leaving:
-		o.Table.SeenLeaving(gate.Address)
+		o.Table.ObserveLeaving(gate.Address)
 	case fault.NotConnected:
 		o.Table.Missed(gate.Address)
 	case fault.StaleConfig:
