--- a/internal/coordination/membership/membership.go
+++ b/internal/coordination/membership/membership.go
@@ -168,9 +168,9 @@
 	}
 }
 
-// Missed records a contact that failed; it tells whether the member is now
+// RecordFailure records a contact that failed; it tells whether the member is now
 // taken to be down.
-func (t *Table) Missed(addr string) bool {
+func (t *Table) RecordFailure(addr string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m, ok := t.members[addr]
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -39,8 +39,8 @@
 	tb.UpdateList(nil)
 	up, _ := tb.Candidates("s")
 	assert.Equal(t, len(up), 1)
-	tb.Missed("a")
-	tb.Missed("a")
+	tb.RecordFailure("a")
+	tb.RecordFailure("a")
 	tb.UpdateList(nil)
 	_, known := tb.Get("a")
 	assert.Assert(t, !known, "a member that neither answers nor is listed is forgotten")
@@ -53,8 +53,8 @@
 	for _, a := range []string{"a", "b", "c"} {
 		tb.Observe(sidecar(a), "1", offers("s"), 0)
 	}
-	assert.Assert(t, !tb.Missed("a"), "one miss may be the connection's fault")
-	assert.Assert(t, tb.Missed("a"))
+	assert.Assert(t, !tb.RecordFailure("a"), "one miss may be the connection's fault")
+	assert.Assert(t, tb.RecordFailure("a"))
 	tb.UpdateList([]model.Instance{sidecar("a"), sidecar("b"), sidecar("c")})
 	up, _ := tb.Candidates("s")
 	assert.Equal(t, len(up), 2)
--- a/internal/coordination/routing/routing_test.go
+++ b/internal/coordination/routing/routing_test.go
@@ -76,8 +76,8 @@
 		name := fmt.Sprint("e", i)
 		addEngine(tb, name, model.LayerRange{To: 12}, 0, 4, false)
 		if i > 0 {
-			tb.Missed(name)
-			tb.Missed(name)
+			tb.RecordFailure(name)
+			tb.RecordFailure(name)
 		}
 	}
 	r := New(tb, Links{Time: near}, time.Now, func(int) int { return 0 })
--- a/internal/protocol/owner/chain.go
+++ b/internal/protocol/owner/chain.go
@@ -162,7 +162,7 @@
 		worst = err
 		e := fault.From(err)
 		if e.Kind == fault.Unreachable {
-			r.o.Table.Missed(h.Address)
+			r.o.Table.RecordFailure(h.Address)
 		}
 		r.o.refused(ctx, r.job, h, e)
 	}
@@ -187,7 +187,7 @@
 		g.Go(func() error {
 			err := r.o.callTwice(ctx, h.Address, wire.MethodResume, msg, nil)
 			if fault.Is(err, fault.Unreachable) {
-				r.o.Table.Missed(h.Address)
+				r.o.Table.RecordFailure(h.Address)
 			}
 			return err
 		})
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -137,7 +137,7 @@
 	case fault.Leaving:
 		o.Table.ObserveLeaving(gate.Address)
 	case fault.NotConnected:
-		o.Table.Missed(gate.Address)
+		o.Table.RecordFailure(gate.Address)
 	case fault.StaleConfig:
 		_ = o.Refresh(ctx, gate.Address)
 	}
--- a/internal/protocol/owner/watch.go
+++ b/internal/protocol/owner/watch.go
@@ -140,7 +140,7 @@
 	for i, h := range r.chain {
 		if silent[i] {
 			r.avoid[h.Address] = true
-			r.o.Table.Missed(h.Address)
+			r.o.Table.RecordFailure(h.Address)
 		}
 	}
 }
--- a/internal/standin/world/entry.go
+++ b/internal/standin/world/entry.go
@@ -111,7 +111,7 @@
 			began := time.Now()
 			var rep wire.HelloReply
 			if err := p.Call(call, addr, wire.MethodHello, wire.Hello{}, &rep); err != nil {
-				table.Missed(addr)
+				table.RecordFailure(addr)
 				return
 			}
 			table.Observe(*rep.Instance, rep.Incarnation, rep.Backend(), time.Since(began))
--- a/internal/transport/mesh/mesh.go
+++ b/internal/transport/mesh/mesh.go
@@ -239,7 +239,7 @@
 	var rep wire.HelloReply
 	if err := n.Pool.Call(ctx, addr, wire.MethodHello, hello, &rep); err != nil {
 		n.Pool.Reset(addr)
-		if n.Table.Missed(addr) {
+		if n.Table.RecordFailure(addr) {
 			klog.V(1).InfoS("Member does not answer", "address", addr, "err", err)
 		}
 		return false
