--- a/internal/coordination/membership/membership.go
+++ b/internal/coordination/membership/membership.go
@@ -181,8 +181,8 @@
 	return m.Down()
 }
 
-// Backoff records that a gate refused and when it may be tried again.
-func (t *Table) Backoff(addr string, d time.Duration) {
+// SetBackoff records that a gate refused and when it may be tried again.
+func (t *Table) SetBackoff(addr string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m, ok := t.members[addr]; ok {
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -133,7 +133,7 @@
 	o.Events.Add(j.key(), events.GateRefused, gate.Address+" "+e.Error())
 	switch e.Kind {
 	case fault.Overloaded, fault.NoCapacity, fault.WrongIncarnation, fault.NotReady:
-		o.Table.Backoff(gate.Address, e.After())
+		o.Table.SetBackoff(gate.Address, e.After())
 	case fault.Leaving:
 		o.Table.ObserveLeaving(gate.Address)
 	case fault.NotConnected:
