--- a/internal/coordination/membership/membership.go
+++ b/internal/coordination/membership/membership.go
@@ -202,10 +202,10 @@
 	})
 }
 
-// Service copies every member known to offer a service, whatever its state.
+// ServiceMembers copies every member known to offer a service, whatever its state.
 // It is complete only if each sidecar of the list was met: one that was not may
 // offer the service too.
-func (t *Table) Service(service string) (members []Member, complete bool) {
+func (t *Table) ServiceMembers(service string) (members []Member, complete bool) {
 	complete = true
 	members = t.filter(func(m *Member) bool {
 		if m.Instance.Role != model.RoleEntry && m.Backend.Service == "" {
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -69,10 +69,10 @@
 	tb := New("self", time.Now)
 	tb.UpdateList([]model.Instance{sidecar("a"), sidecar("b")})
 	tb.Observe(sidecar("a"), "1", offers("s"), 0)
-	_, complete := tb.Service("s")
+	_, complete := tb.ServiceMembers("s")
 	assert.Assert(t, !complete)
 	tb.Observe(sidecar("b"), "1", offers("other"), 0)
-	members, complete := tb.Service("s")
+	members, complete := tb.ServiceMembers("s")
 	assert.Assert(t, complete && len(members) == 1)
 }
 
--- a/internal/protocol/owner/once.go
+++ b/internal/protocol/owner/once.go
@@ -122,7 +122,7 @@
 	if addr, ok := o.findOwner(ctx, j.key()); ok {
 		return o.follow(ctx, j, addr)
 	}
-	gates, complete := o.Table.Service(j.ask.Service)
+	gates, complete := o.Table.ServiceMembers(j.ask.Service)
 	if !complete || len(gates) == 0 || len(gates) > maxWitnesses || o.Table.ListAge() > gate.MinIncarnationLead {
 		return fault.CutOff(e, "not handed over here; whether it ran before cannot be told without the ledger")
 	}
