--- a/internal/coordination/membership/membership.go
+++ b/internal/coordination/membership/membership.go
@@ -48,7 +48,7 @@
 	Backend     Backend
 	Revision    int64         // of the configuration it applied
 	RTT         time.Duration // smoothed round trip from here
-	Misses      int           // contacts failed in a row
+	Failures    int           // contacts failed in a row
 	SeenAt      time.Time     // last direct contact; zero if never
 	Listed      bool          // in the instance list when it was last read
 	ListedAt    time.Time
@@ -56,7 +56,7 @@
 }
 
 // Down tells whether direct evidence says that the member does not answer.
-func (m *Member) Down() bool { return m.Misses >= missesToDown }
+func (m *Member) Down() bool { return m.Failures >= missesToDown }
 
 // Leaving goes by the process's own word or the list, whichever comes first.
 func (m *Member) Leaving() bool { return m.Instance.Leaving || m.Backend.Leaving }
@@ -127,7 +127,7 @@
 	m.Incarnation = incarnation
 	m.Backend = b
 	m.RTT += (rtt - m.RTT) / 8
-	m.Misses = 0
+	m.Failures = 0
 	m.SeenAt = t.now()
 }
 
@@ -143,7 +143,7 @@
 	m.Backend.Queued = l.Queued
 	m.Backend.Capacity = l.Capacity
 	m.Backend.Leaving = l.Leaving
-	m.Misses = 0
+	m.Failures = 0
 	m.SeenAt = t.now()
 }
 
@@ -177,7 +177,7 @@
 	if !ok {
 		return true
 	}
-	m.Misses++
+	m.Failures++
 	return m.Down()
 }
 
--- a/internal/transport/mesh/mesh.go
+++ b/internal/transport/mesh/mesh.go
@@ -208,7 +208,7 @@
 	now := n.now()
 	for _, m := range all {
 		since := now.Sub(n.asked[m.Instance.Address])
-		urgent := m.SeenAt.IsZero() || m.Misses > 0
+		urgent := m.SeenAt.IsZero() || m.Failures > 0
 		if since >= interval || (urgent && since >= heartbeatEvery) {
 			out = append(out, m.Instance.Address)
 			n.asked[m.Instance.Address] = now
