--- a/internal/coordination/membership/membership.go
+++ b/internal/coordination/membership/membership.go
@@ -49,7 +49,7 @@
 	Revision    int64         // of the configuration it applied
 	RTT         time.Duration // smoothed round trip from here
 	Failures    int           // contacts failed in a row
-	SeenAt      time.Time     // last direct contact; zero if never
+	LastContact time.Time     // last direct contact; zero if never
 	Listed      bool          // in the instance list when it was last read
 	ListedAt    time.Time
 	BackoffTill time.Time // the gate asked not to be tried before
@@ -98,7 +98,7 @@
 		m.ListedAt = now
 	}
 	for addr, m := range t.members {
-		silent := m.SeenAt.IsZero() || m.Down()
+		silent := m.LastContact.IsZero() || m.Down()
 		if !m.Listed && silent && now.Sub(m.ListedAt) > forgetAfter {
 			delete(t.members, addr)
 		}
@@ -128,7 +128,7 @@
 	m.Backend = b
 	m.RTT += (rtt - m.RTT) / 8
 	m.Failures = 0
-	m.SeenAt = t.now()
+	m.LastContact = t.now()
 }
 
 // ObserveLoad takes in the load that came with a gate's reply.
@@ -144,7 +144,7 @@
 	m.Backend.Capacity = l.Capacity
 	m.Backend.Leaving = l.Leaving
 	m.Failures = 0
-	m.SeenAt = t.now()
+	m.LastContact = t.now()
 }
 
 // ObserveRevision takes in the configuration revision that rode on a message. The
@@ -240,7 +240,7 @@
 // members that seem down are offered too, after the others.
 func (t *Table) Candidates(service string) (up, doubtful []Member) {
 	all := t.filter(func(m *Member) bool {
-		return m.Backend.Service == service && !m.SeenAt.IsZero() && !m.Leaving()
+		return m.Backend.Service == service && !m.LastContact.IsZero() && !m.Leaving()
 	})
 	for _, m := range all {
 		if m.Down() {
--- a/internal/transport/api/operators.go
+++ b/internal/transport/api/operators.go
@@ -163,7 +163,7 @@
 			FromLayer:      int32(m.Backend.Range.From),
 			ToLayer:        int32(m.Backend.Range.To),
 			Leaving:        m.Leaving(),
-			Reachable:      !m.Down() && !m.SeenAt.IsZero(),
+			Reachable:      !m.Down() && !m.LastContact.IsZero(),
 			ConfigRevision: m.Revision,
 			Active:         int32(m.Backend.Active),
 			Capacity:       int32(m.Backend.Capacity),
--- a/internal/transport/mesh/mesh.go
+++ b/internal/transport/mesh/mesh.go
@@ -208,7 +208,7 @@
 	now := n.now()
 	for _, m := range all {
 		since := now.Sub(n.asked[m.Instance.Address])
-		urgent := m.SeenAt.IsZero() || m.Failures > 0
+		urgent := m.LastContact.IsZero() || m.Failures > 0
 		if since >= interval || (urgent && since >= heartbeatEvery) {
 			out = append(out, m.Instance.Address)
 			n.asked[m.Instance.Address] = now
@@ -233,7 +233,7 @@
 	ctx, cancel := context.WithTimeout(ctx, heartbeatWait)
 	defer cancel()
 	var hello wire.Hello
-	if m, ok := n.Table.Get(addr); ok && !m.SeenAt.IsZero() {
+	if m, ok := n.Table.Get(addr); ok && !m.LastContact.IsZero() {
 		hello.Known = m.Incarnation
 	}
 	var rep wire.HelloReply
