--- a/internal/coordination/membership/membership.go
+++ b/internal/coordination/membership/membership.go
@@ -51,7 +51,7 @@
 	Failures    int           // contacts failed in a row
 	LastContact time.Time     // last direct contact; zero if never
 	Listed      bool          // in the instance list when it was last read
-	ListedAt    time.Time
+	LastListed  time.Time
 	BackoffTill time.Time // the gate asked not to be tried before
 }
 
@@ -95,11 +95,11 @@
 		m.Instance = in
 		m.Instance.Leaving = in.Leaving || leaving
 		m.Listed = true
-		m.ListedAt = now
+		m.LastListed = now
 	}
 	for addr, m := range t.members {
 		silent := m.LastContact.IsZero() || m.Down()
-		if !m.Listed && silent && now.Sub(m.ListedAt) > forgetAfter {
+		if !m.Listed && silent && now.Sub(m.LastListed) > forgetAfter {
 			delete(t.members, addr)
 		}
 	}
@@ -108,7 +108,7 @@
 func (t *Table) member(addr string) *Member {
 	m, ok := t.members[addr]
 	if !ok {
-		m = &Member{Instance: model.Instance{Address: addr}, ListedAt: t.now()}
+		m = &Member{Instance: model.Instance{Address: addr}, LastListed: t.now()}
 		t.members[addr] = m
 	}
 	return m
