--- a/internal/coordination/membership/membership.go
+++ b/internal/coordination/membership/membership.go
@@ -43,16 +43,16 @@
 
 // Member is one process and the evidence about it.
 type Member struct {
-	Instance    model.Instance
-	Incarnation string
-	Backend     Backend
-	Revision    int64         // of the configuration it applied
-	RTT         time.Duration // smoothed round trip from here
-	Failures    int           // contacts failed in a row
-	LastContact time.Time     // last direct contact; zero if never
-	Listed      bool          // in the instance list when it was last read
-	LastListed  time.Time
-	BackoffTill time.Time // the gate asked not to be tried before
+	Instance     model.Instance
+	Incarnation  string
+	Backend      Backend
+	Revision     int64         // of the configuration it applied
+	RTT          time.Duration // smoothed round trip from here
+	Failures     int           // contacts failed in a row
+	LastContact  time.Time     // last direct contact; zero if never
+	Listed       bool          // in the instance list when it was last read
+	LastListed   time.Time
+	BackoffUntil time.Time // the gate asked not to be tried before
 }
 
 // Down tells whether direct evidence says that the member does not answer.
@@ -120,7 +120,7 @@
 	defer t.mu.Unlock()
 	m := t.member(in.Address)
 	if m.Incarnation != incarnation {
-		m.BackoffTill = time.Time{}
+		m.BackoffUntil = time.Time{}
 		m.RTT = rtt
 	}
 	m.Instance = in
@@ -186,7 +186,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m, ok := t.members[addr]; ok {
-		m.BackoffTill = t.now().Add(d)
+		m.BackoffUntil = t.now().Add(d)
 	}
 }
 
--- a/internal/coordination/routing/routing.go
+++ b/internal/coordination/routing/routing.go
@@ -176,7 +176,7 @@
 	var out []candidate
 	add := func(m membership.Member, penalty time.Duration) {
 		full := m.Backend.Kind == model.KindPipeline && m.Backend.Active >= m.Backend.Capacity
-		if avoid[m.Instance.Address] || m.BackoffTill.After(now) || full {
+		if avoid[m.Instance.Address] || m.BackoffUntil.After(now) || full {
 			return
 		}
 		out = append(out, candidate{Member: m, perLayer: perLayer(m), penalty: penalty})
