--- a/internal/coordination/ledger/ledger.go
+++ b/internal/coordination/ledger/ledger.go
@@ -26,8 +26,8 @@
 )
 
 const (
-	// Shards is over how many entries the intents spread at most.
-	Shards = 64
+	// ShardCount is over how many entries the intents spread at most.
+	ShardCount = 64
 	// pageSpan is the span of id times that share a page. A page is rewritten
 	// with each group, so it must stay small; short spans keep it so.
 	pageSpan = 5 * time.Second
@@ -75,7 +75,7 @@
 
 // ShardOf gives the shard of a key.
 func ShardOf(key string) int {
-	return int(xxhash.Sum64String(key) % Shards)
+	return int(xxhash.Sum64String(key) % ShardCount)
 }
 
 // Ledger stores intents for the shards that this process acts for.
--- a/internal/coordination/ledger/ledger_test.go
+++ b/internal/coordination/ledger/ledger_test.go
@@ -109,7 +109,7 @@
 			})
 		}
 		wg.Wait()
-		assert.Assert(t, kv.Calls().Swaps <= 2*Shards, "%d writes for %d intents", kv.Calls().Swaps, asks)
+		assert.Assert(t, kv.Calls().Swaps <= 2*ShardCount, "%d writes for %d intents", kv.Calls().Swaps, asks)
 	})
 }
 
