--- a/internal/coordination/ledger/ledger.go
+++ b/internal/coordination/ledger/ledger.go
@@ -31,9 +31,9 @@
 	// pageSpan is the span of id times that share a page. A page is rewritten
 	// with each group, so it must stay small; short spans keep it so.
 	pageSpan = 5 * time.Second
-	// Window is how old an id may be. Older ones are refused, so that pages
+	// MaxIDAge is how old an id may be. Older ones are refused, so that pages
 	// past it can be deleted without an intent being granted a second time.
-	Window = 3 * time.Minute
+	MaxIDAge = 3 * time.Minute
 	// MaxAhead is how far a caller's clock may be ahead of an entry's.
 	MaxAhead = 2 * time.Second
 	// pageKept is how much longer than Window a page stays, for entries whose
@@ -64,8 +64,8 @@
 		return time.Time{}, fault.New(fault.InvalidRequest, "a request that is not repeatable needs a ULID as its id")
 	}
 	at := ulid.Time(u.Time())
-	if now.Sub(at) > Window {
-		return at, fault.New(fault.ExpiredID, "id is %v old, older than %v: whether it ran before cannot be told here", now.Sub(at).Round(time.Second), Window)
+	if now.Sub(at) > MaxIDAge {
+		return at, fault.New(fault.ExpiredID, "id is %v old, older than %v: whether it ran before cannot be told here", now.Sub(at).Round(time.Second), MaxIDAge)
 	}
 	if at.Sub(now) > MaxAhead {
 		return at, fault.New(fault.InvalidRequest, "id is %v in the future", at.Sub(now).Round(time.Second))
@@ -147,7 +147,7 @@
 	defer l.mu.Unlock()
 	p, ok := l.pages[name]
 	if !ok {
-		p = &page{key: name, until: span.Add(pageSpan + Window + MaxAhead + pageKept)}
+		p = &page{key: name, until: span.Add(pageSpan + MaxIDAge + MaxAhead + pageKept)}
 		l.pages[name] = p
 	}
 	return p
--- a/internal/coordination/ledger/ledger_test.go
+++ b/internal/coordination/ledger/ledger_test.go
@@ -121,7 +121,7 @@
 		want fault.Kind
 	}{
 		{"no ULID", "sheet-1", fault.InvalidRequest},
-		{"too old", idAt(now.Add(-Window - time.Second)), fault.ExpiredID},
+		{"too old", idAt(now.Add(-MaxIDAge - time.Second)), fault.ExpiredID},
 		{"from the future", idAt(now.Add(MaxAhead + time.Second)), fault.InvalidRequest},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -143,7 +143,7 @@
 		assert.NilError(t, err)
 		l.Sweep(context.Background())
 		assert.Equal(t, len(kv.Keys("ledger/")), 1)
-		time.Sleep(Window + time.Minute)
+		time.Sleep(MaxIDAge + time.Minute)
 		l.Sweep(context.Background())
 		assert.Equal(t, len(kv.Keys("ledger/")), 0)
 	})
--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -192,7 +192,7 @@
 	j.req = r
 	j.remember = r.Deadline
 	if j.notRepeatable {
-		j.remember = j.made.Add(ledger.Window + MaxNonRepeatableTimeout)
+		j.remember = j.made.Add(ledger.MaxIDAge + MaxNonRepeatableTimeout)
 	} else {
 		j.run = ulid.MustNew(ulid.Timestamp(j.began), rand.Reader).String()
 	}
