--- a/internal/coordination/ledger/ledger.go
+++ b/internal/coordination/ledger/ledger.go
@@ -34,8 +34,8 @@
 	// MaxIDAge is how old an id may be. Older ones are refused, so that pages
 	// past it can be deleted without an intent being granted a second time.
 	MaxIDAge = 3 * time.Minute
-	// MaxAhead is how far a caller's clock may be ahead of an entry's.
-	MaxAhead = 2 * time.Second
+	// MaxClockAhead is how far a caller's clock may be ahead of an entry's.
+	MaxClockAhead = 2 * time.Second
 	// pageKept is how much longer than Window a page stays, for entries whose
 	// clock is behind.
 	pageKept = 30 * time.Second
@@ -67,7 +67,7 @@
 	if now.Sub(at) > MaxIDAge {
 		return at, fault.New(fault.ExpiredID, "id is %v old, older than %v: whether it ran before cannot be told here", now.Sub(at).Round(time.Second), MaxIDAge)
 	}
-	if at.Sub(now) > MaxAhead {
+	if at.Sub(now) > MaxClockAhead {
 		return at, fault.New(fault.InvalidRequest, "id is %v in the future", at.Sub(now).Round(time.Second))
 	}
 	return at, nil
@@ -147,7 +147,7 @@
 	defer l.mu.Unlock()
 	p, ok := l.pages[name]
 	if !ok {
-		p = &page{key: name, until: span.Add(pageSpan + MaxIDAge + MaxAhead + pageKept)}
+		p = &page{key: name, until: span.Add(pageSpan + MaxIDAge + MaxClockAhead + pageKept)}
 		l.pages[name] = p
 	}
 	return p
--- a/internal/coordination/ledger/ledger_test.go
+++ b/internal/coordination/ledger/ledger_test.go
@@ -122,7 +122,7 @@
 	}{
 		{"no ULID", "sheet-1", fault.InvalidRequest},
 		{"too old", idAt(now.Add(-MaxIDAge - time.Second)), fault.ExpiredID},
-		{"from the future", idAt(now.Add(MaxAhead + time.Second)), fault.InvalidRequest},
+		{"from the future", idAt(now.Add(MaxClockAhead + time.Second)), fault.InvalidRequest},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := CheckID(tc.id, now)
