--- a/internal/state/events/events.go
+++ b/internal/state/events/events.go
@@ -90,8 +90,8 @@
 	l.next = (l.next + 1) % len(l.ring)
 }
 
-// Of gives the events of one request in order.
-func (l *Log) Of(req model.RequestKey) []Event {
+// ForRequest gives the events of one request in order.
+func (l *Log) ForRequest(req model.RequestKey) []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Event
--- a/internal/transport/api/requests.go
+++ b/internal/transport/api/requests.go
@@ -128,7 +128,7 @@
 // GetTimeline implements the RequestService.
 func (s *Requests) GetTimeline(ctx context.Context, r *connect.Request[v1.GetTimelineRequest]) (*connect.Response[v1.GetTimelineResponse], error) {
 	key := model.RequestKey{Customer: r.Msg.Customer, ID: r.Msg.RequestId}
-	all := s.Node.Events.Of(key)
+	all := s.Node.Events.ForRequest(key)
 	out := &v1.GetTimelineResponse{}
 	for _, m := range s.Node.Table.All() {
 		var rep wire.EventsReply
--- a/internal/transport/mesh/mesh.go
+++ b/internal/transport/mesh/mesh.go
@@ -169,7 +169,7 @@
 }
 
 func (n *Node) eventsOf(_ context.Context, _ string, q wire.EventsQuery) (wire.EventsReply, error) {
-	return wire.EventsReply{Events: n.Events.Of(q.Key)}, nil
+	return wire.EventsReply{Events: n.Events.ForRequest(q.Key)}, nil
 }
 
 func (n *Node) readList(ctx context.Context) {
