--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -336,7 +336,7 @@
 		out = o.servePlain(ctx, j)
 	}
 	out.Entry = o.Instance
-	o.Events.Add(j.key(), events.OutcomeFixed, string(out.State)+" "+out.Kind)
+	o.Events.Add(j.key(), events.OutcomeRecorded, string(out.State)+" "+out.Kind)
 	o.log(j, out)
 	j.req.Finish(out)
 	o.Observe(j.ask.Service, out, o.Now().Sub(j.began))
