--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -184,7 +184,7 @@
 	if !o.intake.enter() {
 		return nil, o.reject(ask, fault.New(fault.Leaving, "entry is leaving"))
 	}
-	r, joined := o.Requests.Begin(key, content(ask), j.began.Add(j.timeout()))
+	r, joined := o.Requests.GetOrCreate(key, content(ask), j.began.Add(j.timeout()))
 	if joined {
 		o.intake.leave()
 		return r, o.join(ask, r)
--- a/internal/protocol/stage/stage_test.go
+++ b/internal/protocol/stage/stage_test.go
@@ -96,7 +96,7 @@
 func newChain(rt *rapid.T) *chain {
 	c := &chain{rt: rt}
 	store := requests.NewStore(time.Now, time.Hour)
-	c.answer, _ = store.Begin(model.RequestKey{Customer: "c", ID: "r"}, 0, time.Now())
+	c.answer, _ = store.GetOrCreate(model.RequestKey{Customer: "c", ID: "r"}, 0, time.Now())
 	c.sessions = make([]*Session, stages)
 	c.engines = make([]*engine, stages)
 	c.raise(-1)
--- a/internal/state/requests/requests.go
+++ b/internal/state/requests/requests.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// Begin finds the request under a key or makes a new one.
-func (s *Store) Begin(key model.RequestKey, content uint64, deadline time.Time) (r *Request, joined bool) {
+// GetOrCreate finds the request under a key or makes a new one.
+func (s *Store) GetOrCreate(key model.RequestKey, content uint64, deadline time.Time) (r *Request, joined bool) {
 	return s.all.GetOrPut(key.String(), func() *Request {
 		return &Request{
 			Key:      key,
--- a/internal/state/requests/requests_test.go
+++ b/internal/state/requests/requests_test.go
@@ -25,7 +25,7 @@
 func TestAppendKeepsPositions(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := NewStore(time.Now, time.Hour)
-		r, _ := s.Begin(model.RequestKey{Customer: "c", ID: "r"}, 0, time.Now())
+		r, _ := s.GetOrCreate(model.RequestKey{Customer: "c", ID: "r"}, 0, time.Now())
 		for n := rapid.IntRange(0, 30).Draw(rt, "messages"); n > 0; n-- {
 			from := rapid.IntRange(0, 20).Draw(rt, "from")
 			before := r.Len()
@@ -41,7 +41,7 @@
 // rather than a caller being told two things.
 func TestSecondOutcomePanics(t *testing.T) {
 	s := NewStore(time.Now, time.Hour)
-	r, _ := s.Begin(model.RequestKey{Customer: "c", ID: "r"}, 0, time.Now())
+	r, _ := s.GetOrCreate(model.RequestKey{Customer: "c", ID: "r"}, 0, time.Now())
 	r.Finish(model.Outcome{State: model.Ran})
 	_, ok := r.Append(0, parts(0, 1))
 	assert.Assert(t, !ok, "the answer grew after the outcome")
@@ -52,8 +52,8 @@
 // Two customers use the same request id. Neither sees the other's answer.
 func TestSameIDOfTwoCustomers(t *testing.T) {
 	s := NewStore(time.Now, time.Hour)
-	a, _ := s.Begin(model.RequestKey{Customer: "a", ID: "r"}, 0, time.Now())
-	b, joined := s.Begin(model.RequestKey{Customer: "b", ID: "r"}, 0, time.Now())
+	a, _ := s.GetOrCreate(model.RequestKey{Customer: "a", ID: "r"}, 0, time.Now())
+	b, joined := s.GetOrCreate(model.RequestKey{Customer: "b", ID: "r"}, 0, time.Now())
 	assert.Assert(t, !joined && a != b)
 	a.Append(0, parts(0, 3))
 	assert.Equal(t, b.Len(), int64(0))
@@ -63,7 +63,7 @@
 // before it is told the outcome.
 func TestOutcomeComesLast(t *testing.T) {
 	s := NewStore(time.Now, time.Hour)
-	r, _ := s.Begin(model.RequestKey{Customer: "c", ID: "r"}, 0, time.Now())
+	r, _ := s.GetOrCreate(model.RequestKey{Customer: "c", ID: "r"}, 0, time.Now())
 	r.Append(0, parts(0, 2))
 	r.Finish(model.Outcome{State: model.Ran})
 	got, o, err := r.Next(context.Background(), 0)
