--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -160,7 +160,7 @@
 		return e.owner.KnownOutcome(q.Key), nil
 	}))
 	srv.Register(wire.MethodOutcomeCopy, link.Handle(func(_ context.Context, _ string, c wire.OutcomeCopy) (struct{}, error) {
-		e.store.KeepCopy(c.Key, c.Outcome)
+		e.store.SetOutcomeCopy(c.Key, c.Outcome)
 		return struct{}{}, nil
 	}))
 	srv.Register(wire.MethodIntent, link.Handle(e.recordIntent))
--- a/internal/standin/world/entry.go
+++ b/internal/standin/world/entry.go
@@ -89,7 +89,7 @@
 			return e.Owner.KnownOutcome(q.Key), nil
 		}),
 		wire.MethodOutcomeCopy: link.Handle(func(_ context.Context, _ string, c wire.OutcomeCopy) (struct{}, error) {
-			e.Store.KeepCopy(c.Key, c.Outcome)
+			e.Store.SetOutcomeCopy(c.Key, c.Outcome)
 			return struct{}{}, nil
 		}),
 		wire.MethodHello: link.Handle(func(context.Context, string, wire.Hello) (wire.HelloReply, error) {
--- a/internal/state/requests/requests.go
+++ b/internal/state/requests/requests.go
@@ -148,8 +148,8 @@
 	return s.all.Get(key.String())
 }
 
-// KeepCopy stores another entry's outcome.
-func (s *Store) KeepCopy(key model.RequestKey, o model.Outcome) {
+// SetOutcomeCopy stores another entry's outcome.
+func (s *Store) SetOutcomeCopy(key model.RequestKey, o model.Outcome) {
 	s.copies.Put(key.String(), copied{o, s.now()})
 }
 
