--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -404,7 +404,7 @@
 		rep.Answer = r.Answer()
 		return rep
 	}
-	rep.Outcome, rep.Known = o.Requests.Copy(key)
+	rep.Outcome, rep.Known = o.Requests.OutcomeCopy(key)
 	return rep
 }
 
--- a/internal/state/requests/requests.go
+++ b/internal/state/requests/requests.go
@@ -153,8 +153,8 @@
 	s.copies.Put(key.String(), copied{o, s.now()})
 }
 
-// Copy finds another entry's outcome.
-func (s *Store) Copy(key model.RequestKey) (model.Outcome, bool) {
+// OutcomeCopy finds another entry's outcome.
+func (s *Store) OutcomeCopy(key model.RequestKey) (model.Outcome, bool) {
 	c, ok := s.copies.Get(key.String())
 	return c.outcome, ok
 }
