--- a/internal/coordination/follow/news.go
+++ b/internal/coordination/follow/news.go
@@ -14,7 +14,7 @@
 
 // Updates is the answer of a router that watches the store to one that polls it.
 type Updates struct {
-	replica.Answer
+	replica.Changes
 	// Age is how long before the answer the router last heard from the store. Elapsed
 	// is how long the router had the query by then.
 	Age, Elapsed time.Duration
@@ -45,7 +45,7 @@
 	// The age is read before the items and is that of the applied contents. An answer
 	// of the store whose changes are still being decoded does not count.
 	updates := Updates{Age: f.Clock() - time.Duration(f.syncedAt.Load()), Grace: f.grace()}
-	updates.Answer = f.Replica.Since(after)
+	updates.Changes = f.Replica.Since(after)
 	updates.Elapsed = f.Clock() - start
 	return updates, nil
 }
--- a/internal/state/replica/replica.go
+++ b/internal/state/replica/replica.go
@@ -34,8 +34,8 @@
 	return out
 }
 
-// Answer is what changed since a revision: everything that is there if Whole.
-type Answer struct {
+// Changes is what changed since a revision: everything that is there if Whole.
+type Changes struct {
 	Items []Item
 	// Revision is that of the store up to which the answer is complete.
 	Revision model.Revision
@@ -133,7 +133,7 @@
 }
 
 // Since gives what changed after a revision, in the order of the changes.
-func (r *Replica) Since(after model.Revision) Answer {
+func (r *Replica) Since(after model.Revision) Changes {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	whole := after < r.since
@@ -144,7 +144,7 @@
 		}
 	}
 	slices.SortFunc(items, func(a, b Item) int { return cmp.Compare(a.Revision, b.Revision) })
-	return Answer{Items: items, Revision: r.revision, Whole: whole}
+	return Changes{Items: items, Revision: r.revision, Whole: whole}
 }
 
 // Wait waits until something is known beyond a revision, at most for a time.
--- a/internal/state/replica/replica_test.go
+++ b/internal/state/replica/replica_test.go
@@ -12,7 +12,7 @@
 )
 
 // take brings what a process knows up to an answer, as a follower does.
-func take(known map[string]model.Revision, a Answer) {
+func take(known map[string]model.Revision, a Changes) {
 	if a.Whole {
 		clear(known)
 	}
--- a/internal/transport/peers/news.go
+++ b/internal/transport/peers/news.go
@@ -67,7 +67,7 @@
 		return follow.Updates{}, err
 	}
 	return follow.Updates{
-		Answer:  replica.Answer{Items: items, Revision: rep.Revision, Whole: rep.Whole},
+		Changes: replica.Changes{Items: items, Revision: rep.Revision, Whole: rep.Whole},
 		Age:     milliseconds(rep.AgeMS),
 		Elapsed: milliseconds(rep.ElapsedMS),
 		Grace:   milliseconds(rep.GraceMS),
@@ -83,7 +83,7 @@
 	if news.Whole {
 		klog.InfoS("the whole picture of the store is given to a peer", "peer", from, "after", ask.After, "revision", news.Revision, "items", len(news.Items))
 	}
-	items, err := n.encode(ask.After, news.Answer)
+	items, err := n.encode(ask.After, news.Changes)
 	return wire.RouterUpdates{
 		Revision:  news.Revision,
 		Whole:     news.Whole,
@@ -94,7 +94,7 @@
 	}, err
 }
 
-func (n *News) encode(after model.Revision, a replica.Answer) (json.RawMessage, error) {
+func (n *News) encode(after model.Revision, a replica.Changes) (json.RawMessage, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.last.items != nil && n.last.after == after && n.last.revision == a.Revision && n.last.whole == a.Whole {
--- a/internal/transport/peers/news_test.go
+++ b/internal/transport/peers/news_test.go
@@ -46,7 +46,7 @@
 		noise[i] = byte(rand.Uint32())
 	}
 	told := follow.Updates{
-		Answer: replica.Answer{Revision: 9, Items: []replica.Item{
+		Changes: replica.Changes{Revision: 9, Items: []replica.Item{
 			{Item: platform.Item{Key: "servers/a", Value: []byte("entry"), Revision: 5, Lease: 7}},
 			{Item: platform.Item{Key: "servers/b", Revision: 6, Removed: true}},
 			{Item: platform.Item{Key: "op/config", Value: routes, Revision: 7}},
@@ -90,8 +90,8 @@
 // A dozen routers ask for the same changes at one moment; the list is encoded once.
 func TestNewsAreEncodedOnce(t *testing.T) {
 	n := &News{}
-	answer := func(revision model.Revision) replica.Answer {
-		return replica.Answer{Revision: revision, Items: []replica.Item{{Item: platform.Item{Key: fmt.Sprint("k", revision), Revision: revision}}}}
+	answer := func(revision model.Revision) replica.Changes {
+		return replica.Changes{Revision: revision, Items: []replica.Item{{Item: platform.Item{Key: fmt.Sprint("k", revision), Revision: revision}}}}
 	}
 	first, err := n.encode(4, answer(5))
 	assert.NilError(t, err)
