--- a/internal/coordination/follow/news.go
+++ b/internal/coordination/follow/news.go
@@ -86,7 +86,7 @@
 }
 
 func (f *Follower) applyUpdates(updates Updates) {
-	if !updates.Whole {
+	if !updates.Full {
 		f.apply(updates.Items, updates.Revision)
 		return
 	}
--- a/internal/state/replica/replica.go
+++ b/internal/state/replica/replica.go
@@ -39,7 +39,7 @@
 	Items []Item
 	// Revision is that of the store up to which the answer is complete.
 	Revision model.Revision
-	Whole    bool
+	Full     bool
 }
 
 // Replica holds the newest item of each key. The zero value is empty and complete up
@@ -144,7 +144,7 @@
 		}
 	}
 	slices.SortFunc(items, func(a, b Item) int { return cmp.Compare(a.Revision, b.Revision) })
-	return Changes{Items: items, Revision: r.revision, Whole: whole}
+	return Changes{Items: items, Revision: r.revision, Full: whole}
 }
 
 // Wait waits until something is known beyond a revision, at most for a time.
--- a/internal/state/replica/replica_test.go
+++ b/internal/state/replica/replica_test.go
@@ -13,7 +13,7 @@
 
 // take brings what a process knows up to an answer, as a follower does.
 func take(known map[string]model.Revision, a Changes) {
-	if a.Whole {
+	if a.Full {
 		clear(known)
 	}
 	for _, it := range a.Items {
@@ -92,8 +92,8 @@
 		r.Change(Full([]platform.Item{{Key: key, Revision: rev}, {Key: key, Revision: rev + 1, Removed: true}}), rev+1)
 		assert.Assert(t, len(r.items) <= mostRemoved+1)
 	}
-	assert.Assert(t, r.Since(2).Whole)
-	assert.Assert(t, !r.Since(10*mostRemoved-20).Whole)
+	assert.Assert(t, r.Since(2).Full)
+	assert.Assert(t, !r.Since(10*mostRemoved-20).Full)
 }
 
 // A value that was not passed on is told as such, until it was read: then it is there.
--- a/internal/transport/peers/news.go
+++ b/internal/transport/peers/news.go
@@ -67,7 +67,7 @@
 		return follow.Updates{}, err
 	}
 	return follow.Updates{
-		Changes: replica.Changes{Items: items, Revision: rep.Revision, Whole: rep.Whole},
+		Changes: replica.Changes{Items: items, Revision: rep.Revision, Full: rep.Whole},
 		Age:     milliseconds(rep.AgeMS),
 		Elapsed: milliseconds(rep.ElapsedMS),
 		Grace:   milliseconds(rep.GraceMS),
@@ -80,13 +80,13 @@
 	if err != nil {
 		return wire.RouterUpdates{}, errors.WithStack(fault.New(fault.NotReady, "%v", err))
 	}
-	if news.Whole {
+	if news.Full {
 		klog.InfoS("the whole picture of the store is given to a peer", "peer", from, "after", ask.After, "revision", news.Revision, "items", len(news.Items))
 	}
 	items, err := n.encode(ask.After, news.Changes)
 	return wire.RouterUpdates{
 		Revision:  news.Revision,
-		Whole:     news.Whole,
+		Whole:     news.Full,
 		AgeMS:     roundUp(news.Age),
 		ElapsedMS: news.Elapsed.Milliseconds(),
 		GraceMS:   news.Grace.Milliseconds(),
@@ -97,7 +97,7 @@
 func (n *News) encode(after model.Revision, a replica.Changes) (json.RawMessage, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.last.items != nil && n.last.after == after && n.last.revision == a.Revision && n.last.whole == a.Whole {
+	if n.last.items != nil && n.last.after == after && n.last.revision == a.Revision && n.last.whole == a.Full {
 		return n.last.items, nil
 	}
 	items := make([]wire.RouterUpdate, 0, len(a.Items))
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode news")
 	}
-	n.last = encoded{after: after, revision: a.Revision, whole: a.Whole, items: raw}
+	n.last = encoded{after: after, revision: a.Revision, whole: a.Full, items: raw}
 	return raw, nil
 }
 
