--- a/internal/coordination/follow/follow.go
+++ b/internal/coordination/follow/follow.go
@@ -264,7 +264,7 @@
 	f.rangeTimeout = minRangeTimeout
 	f.recordStoreContact(start)
 	f.correctPeerRevision(advertised, page.Revision)
-	f.reset(replica.Full(page.Items), page.Revision)
+	f.reset(replica.ItemsWithValues(page.Items), page.Revision)
 	f.answerTime = start
 	f.synced = true
 	f.watching.Store(true)
@@ -346,7 +346,7 @@
 	now := f.Clock()
 	f.recordStoreContact(now)
 	f.correctPeerRevision(advertised, page.Revision)
-	f.apply(replica.Full(page.Items), page.Revision)
+	f.apply(replica.ItemsWithValues(page.Items), page.Revision)
 	f.answerTime = now
 	f.watching.Store(true)
 	f.changesApplied = len(page.Items) > 0
--- a/internal/coordination/follow/news.go
+++ b/internal/coordination/follow/news.go
@@ -139,6 +139,6 @@
 			continue
 		}
 		delete(f.pendingValues, key)
-		f.apply(replica.Full([]platform.Item{it}), f.Revision())
+		f.apply(replica.ItemsWithValues([]platform.Item{it}), f.Revision())
 	}
 }
--- a/internal/state/replica/replica.go
+++ b/internal/state/replica/replica.go
@@ -25,8 +25,8 @@
 	Omitted bool
 }
 
-// Full makes items of those whose values are all there.
-func Full(items []platform.Item) []Item {
+// ItemsWithValues makes items of those whose values are all there.
+func ItemsWithValues(items []platform.Item) []Item {
 	out := make([]Item, len(items))
 	for i, it := range items {
 		out[i] = Item{Item: it}
--- a/internal/state/replica/replica_test.go
+++ b/internal/state/replica/replica_test.go
@@ -43,11 +43,11 @@
 			case 0, 1:
 				revision++
 				store[key] = revision
-				r.Change(Full([]platform.Item{{Key: key, Revision: revision}}), revision)
+				r.Change(ItemsWithValues([]platform.Item{{Key: key, Revision: revision}}), revision)
 			case 2:
 				revision++
 				delete(store, key)
-				r.Change(Full([]platform.Item{{Key: key, Revision: revision, Removed: true}}), revision)
+				r.Change(ItemsWithValues([]platform.Item{{Key: key, Revision: revision, Removed: true}}), revision)
 			case 3: // changes that nobody told of, then the whole range
 				revision += 2
 				delete(store, key)
@@ -57,7 +57,7 @@
 				}
 				r.Reset(items, revision)
 			case 4: // late news of something older
-				r.Change(Full([]platform.Item{{Key: key, Revision: store[key] - 1}}), revision)
+				r.Change(ItemsWithValues([]platform.Item{{Key: key, Revision: store[key] - 1}}), revision)
 			case 5:
 				a := r.Since(at)
 				take(known, a)
@@ -77,7 +77,7 @@
 	var watcher Replica
 	watcher.Reset(nil, 1)
 	known := map[string]model.Revision{"server": 2}
-	watcher.Reset(Full([]platform.Item{{Key: "other", Revision: 4}}), 5) // it was removed at 3
+	watcher.Reset(ItemsWithValues([]platform.Item{{Key: "other", Revision: 4}}), 5) // it was removed at 3
 	take(known, watcher.Since(2))
 	assert.DeepEqual(t, known, map[string]model.Revision{"other": 4})
 }
@@ -89,7 +89,7 @@
 	r.Reset(nil, 1)
 	for rev := model.Revision(2); rev < 10*mostRemoved; rev += 2 {
 		key := fmt.Sprint(rev)
-		r.Change(Full([]platform.Item{{Key: key, Revision: rev}, {Key: key, Revision: rev + 1, Removed: true}}), rev+1)
+		r.Change(ItemsWithValues([]platform.Item{{Key: key, Revision: rev}, {Key: key, Revision: rev + 1, Removed: true}}), rev+1)
 		assert.Assert(t, len(r.items) <= mostRemoved+1)
 	}
 	assert.Assert(t, r.Since(2).Full)
@@ -101,7 +101,7 @@
 	var r Replica
 	r.Reset([]Item{{Item: platform.Item{Key: "large", Revision: 3}, Omitted: true}}, 3)
 	assert.Assert(t, r.Since(0).Items[0].Omitted)
-	r.Change(Full([]platform.Item{{Key: "large", Value: []byte("x"), Revision: 3}}), 3)
+	r.Change(ItemsWithValues([]platform.Item{{Key: "large", Value: []byte("x"), Revision: 3}}), 3)
 	a := r.Since(0)
 	assert.Assert(t, !a.Items[0].Omitted)
 	assert.Equal(t, string(a.Items[0].Value), "x")
