--- a/internal/coordination/follow/follow.go
+++ b/internal/coordination/follow/follow.go
@@ -300,7 +300,7 @@
 	}
 	revision = max(revision, f.Revision())
 	if f.Replica != nil {
-		f.Replica.Change(items, revision)
+		f.Replica.Apply(items, revision)
 	}
 	f.revision.Store(int64(revision))
 }
--- a/internal/state/replica/replica.go
+++ b/internal/state/replica/replica.go
@@ -68,8 +68,8 @@
 	r.advance(revision)
 }
 
-// Change takes in changes that are complete up to a revision.
-func (r *Replica) Change(items []Item, revision model.Revision) {
+// Apply takes in changes that are complete up to a revision.
+func (r *Replica) Apply(items []Item, revision model.Revision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.items == nil {
--- a/internal/state/replica/replica_test.go
+++ b/internal/state/replica/replica_test.go
@@ -43,11 +43,11 @@
 			case 0, 1:
 				revision++
 				store[key] = revision
-				r.Change(ItemsWithValues([]platform.Item{{Key: key, Revision: revision}}), revision)
+				r.Apply(ItemsWithValues([]platform.Item{{Key: key, Revision: revision}}), revision)
 			case 2:
 				revision++
 				delete(store, key)
-				r.Change(ItemsWithValues([]platform.Item{{Key: key, Revision: revision, Removed: true}}), revision)
+				r.Apply(ItemsWithValues([]platform.Item{{Key: key, Revision: revision, Removed: true}}), revision)
 			case 3: // changes that nobody told of, then the whole range
 				revision += 2
 				delete(store, key)
@@ -57,7 +57,7 @@
 				}
 				r.Reset(items, revision)
 			case 4: // late news of something older
-				r.Change(ItemsWithValues([]platform.Item{{Key: key, Revision: store[key] - 1}}), revision)
+				r.Apply(ItemsWithValues([]platform.Item{{Key: key, Revision: store[key] - 1}}), revision)
 			case 5:
 				a := r.Since(at)
 				take(known, a)
@@ -89,7 +89,7 @@
 	r.Reset(nil, 1)
 	for rev := model.Revision(2); rev < 10*mostRemoved; rev += 2 {
 		key := fmt.Sprint(rev)
-		r.Change(ItemsWithValues([]platform.Item{{Key: key, Revision: rev}, {Key: key, Revision: rev + 1, Removed: true}}), rev+1)
+		r.Apply(ItemsWithValues([]platform.Item{{Key: key, Revision: rev}, {Key: key, Revision: rev + 1, Removed: true}}), rev+1)
 		assert.Assert(t, len(r.items) <= mostRemoved+1)
 	}
 	assert.Assert(t, r.Since(2).Full)
@@ -101,10 +101,10 @@
 	var r Replica
 	r.Reset([]Item{{Item: platform.Item{Key: "large", Revision: 3}, Omitted: true}}, 3)
 	assert.Assert(t, r.Since(0).Items[0].Omitted)
-	r.Change(ItemsWithValues([]platform.Item{{Key: "large", Value: []byte("x"), Revision: 3}}), 3)
+	r.Apply(ItemsWithValues([]platform.Item{{Key: "large", Value: []byte("x"), Revision: 3}}), 3)
 	a := r.Since(0)
 	assert.Assert(t, !a.Items[0].Omitted)
 	assert.Equal(t, string(a.Items[0].Value), "x")
-	r.Change([]Item{{Item: platform.Item{Key: "large", Revision: 3}, Omitted: true}}, 4)
+	r.Apply([]Item{{Item: platform.Item{Key: "large", Revision: 3}, Omitted: true}}, 4)
 	assert.Assert(t, !r.Since(0).Items[0].Omitted)
 }
