--- a/internal/protocol/wire/router.go
+++ b/internal/protocol/wire/router.go
@@ -67,7 +67,7 @@
 // RouterUpdates is what changed, up to a revision; all that is there if Whole.
 type RouterUpdates struct {
 	Revision model.Revision `json:"revision"`
-	Whole    bool           `json:"whole,omitempty"`
+	Full     bool           `json:"whole,omitempty"`
 	// AgeMS is how long ago the store was last heard from, HeldMS how long the
 	// question was held, and GraceMS for how long removed entries may be believed in.
 	AgeMS     int64 `json:"age"`
--- a/internal/transport/peers/news.go
+++ b/internal/transport/peers/news.go
@@ -62,12 +62,12 @@
 		n.Pool.Reset(addr)
 		return follow.Updates{}, err
 	}
-	items, err := decodeItems(rep.Items, after, rep.Whole)
+	items, err := decodeItems(rep.Items, after, rep.Full)
 	if err != nil {
 		return follow.Updates{}, err
 	}
 	return follow.Updates{
-		Changes: replica.Changes{Items: items, Revision: rep.Revision, Full: rep.Whole},
+		Changes: replica.Changes{Items: items, Revision: rep.Revision, Full: rep.Full},
 		Age:     milliseconds(rep.AgeMS),
 		Elapsed: milliseconds(rep.ElapsedMS),
 		Grace:   milliseconds(rep.GraceMS),
@@ -86,7 +86,7 @@
 	items, err := n.encode(ask.After, news.Changes)
 	return wire.RouterUpdates{
 		Revision:  news.Revision,
-		Whole:     news.Full,
+		Full:      news.Full,
 		AgeMS:     roundUp(news.Age),
 		ElapsedMS: news.Elapsed.Milliseconds(),
 		GraceMS:   news.Grace.Milliseconds(),
