--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -111,7 +111,7 @@
 // heartbeats. With such an entry a draining server would get requests until its next
 // heartbeat.
 func overwrittenSince(known, b *model.BackendServer) bool {
-	return b.Revision.Era() > known.Revision.Era() && b.Born == known.Born && b.Beats < known.Beats
+	return b.Revision.Era() > known.Revision.Era() && b.Born == known.Born && b.HeartbeatCount < known.HeartbeatCount
 }
 
 // MarkMalformed records that an entry names no server, and reports whether that is new.
--- a/internal/coordination/catalog/incarnation.go
+++ b/internal/coordination/catalog/incarnation.go
@@ -120,8 +120,8 @@
 		return e.firstSeen.revision > other.firstSeen.revision
 	case a.Born != b.Born:
 		return a.Born > b.Born
-	case a.Beats != b.Beats:
-		return a.Beats < b.Beats
+	case a.HeartbeatCount != b.HeartbeatCount:
+		return a.HeartbeatCount < b.HeartbeatCount
 	case a.Revision != b.Revision:
 		return a.Revision > b.Revision
 	}
--- a/internal/coordination/catalog/incarnation_test.go
+++ b/internal/coordination/catalog/incarnation_test.go
@@ -151,7 +151,7 @@
 	_, now := clock()
 	c := New(now)
 	old, newer := server("old", "1:1", 9), server("new", "1:1", 5)
-	old.Beats, newer.Beats = 15, 3
+	old.HeartbeatCount, newer.HeartbeatCount = 15, 3
 	c.Replace([]model.BackendServer{old, newer}, nil, 0)
 	assert.Equal(t, c.Load().ByAddress("1:1").ID, "new")
 	c.Remove("new", 10, 0)
--- a/internal/coordination/catalog/restore_test.go
+++ b/internal/coordination/catalog/restore_test.go
@@ -23,13 +23,13 @@
 	at, now := clock()
 	c := New(now)
 	b := server("a", "1:1", revision(t, 1, 90))
-	b.Beats, b.Draining = 12, true
+	b.HeartbeatCount, b.Draining = 12, true
 	c.Put(b)
 	restored := server("a", "1:1", revision(t, 2, 40))
-	restored.Beats = 11
+	restored.HeartbeatCount = 11
 	c.Replace([]model.BackendServer{restored}, nil, 2*time.Second)
 	assert.Assert(t, c.Load().ByID("a").Draining)
-	b.Revision, b.Beats = revision(t, 2, 41), 13
+	b.Revision, b.HeartbeatCount = revision(t, 2, 41), 13
 	b.Draining = false
 	c.Put(b)
 	assert.Assert(t, !c.Load().ByID("a").Draining, "its later heartbeat")
--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -154,8 +154,8 @@
 	Card string
 	// Holds are the layers loaded; empty where none are.
 	Holds LayerRange
-	// Beats counts the heartbeats that it had written by then, since its start.
-	Beats int64
+	// HeartbeatCount counts the heartbeats that it had written by then, since its start.
+	HeartbeatCount int64 `json:"Beats"`
 	// Revision is the store's revision of the entry.
 	Revision Revision
 }
