--- a/internal/coordination/chains/cost.go
+++ b/internal/coordination/chains/cost.go
@@ -68,7 +68,7 @@
 	}
 	mbit := CrossDomainMbit(spec, tokens)
 	transfer := mbit / spec.PipeMbps
-	limit := maxUtilization(time.Duration(transfer*float64(time.Second)), maxEventGap, spec.Stride)
+	limit := maxUtilization(time.Duration(transfer*float64(time.Second)), maxEventGap, spec.StepsPerPass)
 	if !c.Interconnect.Allows(a, b, mbit, limit*spec.PipeMbps, routers) {
 		return math.Inf(1)
 	}
--- a/internal/coordination/chains/move.go
+++ b/internal/coordination/chains/move.go
@@ -119,7 +119,7 @@
 // and after are the failure domains of the adjacent stages; after is empty if none follows.
 func (r *replacement) cover(needed model.LayerRange, before, after string, avoid map[model.Incarnation]bool) []Stage {
 	spec := r.svc.Engine
-	crossing := crossDomainDelay.Seconds() * float64(max(spec.Stride, 1))
+	crossing := crossDomainDelay.Seconds() * float64(max(spec.StepsPerPass, 1))
 	if spec.PipeMbps > 0 {
 		crossing += CrossDomainMbit(spec, r.tokens) / spec.PipeMbps
 	}
@@ -131,7 +131,7 @@
 	for i := range cands {
 		b := cands[i].server
 		// The pause ends with the next event, which contains stride tokens.
-		cands[i].secondsPerLayer *= float64(max(spec.Stride, 1))
+		cands[i].secondsPerLayer *= float64(max(spec.StepsPerPass, 1))
 		if reserved[b.Incarnation()] {
 			cands[i].full = false // the stream already has memory reserved there
 			continue
@@ -151,7 +151,7 @@
 	s.crossing = r.crossingCosts(spec, cands, r.tokens, r.maxEventGap)
 	for i, row := range s.crossing {
 		for j := range row {
-			row[j] *= float64(max(spec.Stride, 1))
+			row[j] *= float64(max(spec.StepsPerPass, 1))
 			if i != j {
 				row[j] = math.Max(row[j], crossing)
 			}
@@ -205,7 +205,7 @@
 	inc := b.Incarnation()
 	step := layerSeconds(spec, card, Usage{Streams: c.Usage.Used(inc).Streams}, c.Usage.Slowdown(inc)) * float64(layers)
 	passes := float64(tokens) / float64(spec.Chunk)
-	return prefill*c.Usage.Slowdown(inc) + passes*step*float64(max(spec.Stride, 1))
+	return prefill*c.Usage.Slowdown(inc) + passes*step*float64(max(spec.StepsPerPass, 1))
 }
 
 // useResumeCosts replaces the costs of a search, in seconds per token, by the pause of a
@@ -213,7 +213,7 @@
 // tokens of one event.
 func (c *Chooser) useResumeCosts(s *search, tokens int) {
 	spec := s.spec
-	stride := float64(max(spec.Stride, 1))
+	stride := float64(max(spec.StepsPerPass, 1))
 	for i := range s.cands {
 		b := s.cands[i].server
 		s.cands[i].secondsPerLayer *= stride
--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -71,8 +71,8 @@
 	StepTime time.Duration
 	// PerRequest is added to a step for each request that is writing.
 	PerRequest time.Duration
-	// Stride is how many steps a pass runs.
-	Stride int
+	// StepsPerPass is how many steps a pass runs.
+	StepsPerPass int
 	// ReadRate is prompt tokens read a second over all layers, for a card of
 	// read factor 1.
 	ReadRate float64
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -22,7 +22,7 @@
 // eventInterval is the planned time between a stream's events.
 func (q *request) eventInterval(parts []chains.Stage) time.Duration {
 	spec := q.ticket.Service.Engine
-	return q.Chooser.TokenTime(spec, parts) * time.Duration(spec.Stride)
+	return q.Chooser.TokenTime(spec, parts) * time.Duration(spec.StepsPerPass)
 }
 
 // assess decides whether a stream whose event is overdue has its path checked.
