--- a/internal/coordination/chains/cost.go
+++ b/internal/coordination/chains/cost.go
@@ -10,7 +10,7 @@
 // layerSeconds returns the time in seconds that a token takes in one layer of an engine.
 // Active streams and prefill make it longer. slowdown multiplies it.
 func layerSeconds(spec *model.EngineSpec, card model.Card, used Usage, slowdown float64) float64 {
-	step := spec.StepTime.Seconds() + spec.PerRequest.Seconds()*used.Streams
+	step := spec.StepTime.Seconds() + spec.StepTimePerRequest.Seconds()*used.Streams
 	prefillLoad := math.Min(used.PrefillLoad*slowdown, maxPrefillLoad)
 	return step * card.Pace * slowdown / float64(spec.Layers) / (1 - prefillLoad)
 }
--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -69,8 +69,8 @@
 	KVTokenBytes float64
 	// StepTime is one token step over all layers, for a card of pace 1.
 	StepTime time.Duration
-	// PerRequest is added to a step for each request that is writing.
-	PerRequest time.Duration
+	// StepTimePerRequest is added to a step for each request that is writing.
+	StepTimePerRequest time.Duration
 	// StepsPerPass is how many steps a pass runs.
 	StepsPerPass int
 	// ReadRate is prompt tokens read a second over all layers, for a card of
