--- a/internal/coordination/chains/move.go
+++ b/internal/coordination/chains/move.go
@@ -164,10 +164,10 @@
 // prefill of tokens in a number of layers.
 func prefillSeconds(spec *model.EngineSpec, b *model.BackendServer, tokens, layers int) float64 {
 	card, ok := spec.Card(b.Card)
-	if !ok || spec.ReadRate <= 0 {
+	if !ok || spec.PrefillRate <= 0 {
 		return 0
 	}
-	return float64(tokens) / spec.ReadRate * card.ReadFactor * float64(layers) / float64(spec.Layers)
+	return float64(tokens) / spec.PrefillRate * card.ReadFactor * float64(layers) / float64(spec.Layers)
 }
 
 // recordLoad records the load of a move: prefill of all tokens at new stages, and traffic
--- a/internal/coordination/chains/slowstart_test.go
+++ b/internal/coordination/chains/slowstart_test.go
@@ -31,7 +31,7 @@
 	for r := range domains * each {
 		w := newWorld()
 		w.chooser.Self = fmt.Sprint(r)
-		w.svc.Engine.KVTokenBytes, w.svc.Engine.ReadRate = 459000, 210000
+		w.svc.Engine.KVTokenBytes, w.svc.Engine.PrefillRate = 459000, 210000
 		clock := func() time.Time { return now }
 		w.chooser.Usage = NewUsageTracker(clock)
 		w.chooser.Interconnect = NewInterconnect(clock)
--- a/internal/coordination/placement/bound.go
+++ b/internal/coordination/placement/bound.go
@@ -28,7 +28,7 @@
 		if e.Card.ReadFactor <= 0 {
 			return 0
 		}
-		return spec.ReadRate * float64(spec.Layers) / e.Card.ReadFactor
+		return spec.PrefillRate * float64(spec.Layers) / e.Card.ReadFactor
 	}
 }
 
--- a/internal/coordination/placement/bound_test.go
+++ b/internal/coordination/placement/bound_test.go
@@ -86,7 +86,7 @@
 // callers used of it on calm days. More would be room that nobody uses.
 func TestPlanAgainstItsBounds(t *testing.T) {
 	s := spec()
-	s.ReadRate = 245000
+	s.PrefillRate = 245000
 	all := site()
 	plan := BuildPlan(s, all)
 	memory := MaxFlow(s, plan, all, MemoryCapacity(s))
--- a/internal/coordination/placement/plan_test.go
+++ b/internal/coordination/placement/plan_test.go
@@ -117,7 +117,7 @@
 // whose memory holds the model 2.98, 2.21 and 2.83 times, no class of cards alone.
 func weakSpec() *model.EngineSpec {
 	return &model.EngineSpec{
-		Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 328000, StepTime: 850 * time.Microsecond, ReadRate: 353000,
+		Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 328000, StepTime: 850 * time.Microsecond, PrefillRate: 353000,
 		UsualPrompt: 772, UsualAnswer: 140,
 		Cards: []model.Card{{Name: "strong", MB: 36000, Pace: 3.1, ReadFactor: 3.2}, {Name: "large", MB: 21600, Pace: 16, ReadFactor: 8.2},
 			{Name: "small", MB: 14400, Pace: 15, ReadFactor: 15}},
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -54,7 +54,7 @@
 			Split: []model.ServiceShare{{Service: "s", Weight: 1}},
 		}},
 		Services: []model.Service{{Name: "s", Engine: &model.EngineSpec{
-			Layers: 12, LayerMB: 1000, KVTokenBytes: 1e6, StepTime: time.Millisecond, ReadRate: 1e5,
+			Layers: 12, LayerMB: 1000, KVTokenBytes: 1e6, StepTime: time.Millisecond, PrefillRate: 1e5,
 			Cards: []model.Card{{Name: "fast", MB: 16000, Pace: 2, ReadFactor: 2}},
 		}}},
 	}, nil)
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -61,7 +61,7 @@
 		LayerMB:      f.LayerMB,
 		KVTokenBytes: f.KVTokenBytes,
 		StepTime:     time.Duration(f.StepMS * float64(time.Millisecond)),
-		ReadRate:     f.ReadPerS,
+		PrefillRate:  f.ReadPerS,
 		UsualPrompt:  f.UsualPrompt,
 		UsualAnswer:  f.UsualAnswer,
 	}
--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -73,9 +73,9 @@
 	StepTimePerRequest time.Duration
 	// StepsPerPass is how many steps a pass runs.
 	StepsPerPass int
-	// ReadRate is prompt tokens read a second over all layers, for a card of
+	// PrefillRate is prompt tokens read a second over all layers, for a card of
 	// read factor 1.
-	ReadRate float64
+	PrefillRate float64
 	// Chunk is how many prompt tokens a pass reads at most; 0 for any number.
 	Chunk int
 	// UsualPrompt and UsualAnswer are mean token counts.
--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -39,7 +39,7 @@
 	q.ticket = routes.Admission{
 		Route: &model.Route{TargetLatency: 500 * time.Millisecond, MaxAttempts: 2},
 		Service: &model.Service{Name: "s", Engine: &model.EngineSpec{
-			Layers: 12, LayerMB: 1000, KVTokenBytes: 1e6, StepTime: time.Millisecond, ReadRate: 1e5,
+			Layers: 12, LayerMB: 1000, KVTokenBytes: 1e6, StepTime: time.Millisecond, PrefillRate: 1e5,
 			Cards: []model.Card{{Name: "fast", MB: 8000, Pace: 2, ReadFactor: 2}},
 		}},
 	}
--- a/test/fleet/harness_test.go
+++ b/test/fleet/harness_test.go
@@ -55,7 +55,7 @@
 
 func spec() *model.EngineSpec {
 	return &model.EngineSpec{
-		Slots: 64, Layers: layers, LayerMB: 1000, KVTokenBytes: 1e6, StepTime: time.Millisecond, StepsPerPass: 3, ReadRate: 1e5,
+		Slots: 64, Layers: layers, LayerMB: 1000, KVTokenBytes: 1e6, StepTime: time.Millisecond, StepsPerPass: 3, PrefillRate: 1e5,
 		UsualPrompt: 100, UsualAnswer: 60, LoadTime: time.Second, LoadsAtOnce: 4,
 		Cards: []model.Card{{Name: "fast", MB: 8000, Pace: 2, ReadFactor: 2}, {Name: "slow", MB: 8000, Pace: 9, ReadFactor: 9}},
 	}
