--- a/internal/coordination/chains/cost.go
+++ b/internal/coordination/chains/cost.go
@@ -12,7 +12,7 @@
 func layerSeconds(spec *model.EngineSpec, card model.Card, used Usage, slowdown float64) float64 {
 	step := spec.StepTime.Seconds() + spec.StepTimePerRequest.Seconds()*used.Streams
 	prefillLoad := math.Min(used.PrefillLoad*slowdown, maxPrefillLoad)
-	return step * card.Pace * slowdown / float64(spec.Layers) / (1 - prefillLoad)
+	return step * card.StepTimeFactor * slowdown / float64(spec.Layers) / (1 - prefillLoad)
 }
 
 // TokenTime returns the expected time per token of a chain without slowdowns.
--- a/internal/coordination/placement/balance.go
+++ b/internal/coordination/placement/balance.go
@@ -185,7 +185,7 @@
 		for l := held.From; l < min(held.To, len(own)); l++ {
 			enough = enough && own[l]-tokensIn(spec, e, held) >= least
 		}
-		if enough && (!ok || e.Card.Pace > who.Card.Pace) {
+		if enough && (!ok || e.Card.StepTimeFactor > who.Card.StepTimeFactor) {
 			who, ok = e, true
 		}
 	}
--- a/internal/coordination/placement/orders.go
+++ b/internal/coordination/placement/orders.go
@@ -117,7 +117,7 @@
 	for _, group := range byDomain(engines) {
 		for i, e := range group {
 			wave[e.Address] = true
-			classEnds := i+1 == len(group) || group[i+1].Card.Pace != e.Card.Pace
+			classEnds := i+1 == len(group) || group[i+1].Card.StepTimeFactor != e.Card.StepTimeFactor
 			if classEnds && len(UncoveredLayers(spec, plan, group[:i+1])) == 0 {
 				break
 			}
@@ -135,14 +135,14 @@
 	}
 	ca, _ := spec.Card(a.Card)
 	cb, _ := spec.Card(b.Card)
-	if !first[a.Address] && ca.Pace != cb.Pace {
-		return ca.Pace < cb.Pace
+	if !first[a.Address] && ca.StepTimeFactor != cb.StepTimeFactor {
+		return ca.StepTimeFactor < cb.StepTimeFactor
 	}
 	if a.FailureDomain != b.FailureDomain {
 		return a.FailureDomain < b.FailureDomain
 	}
-	if ca.Pace != cb.Pace {
-		return ca.Pace < cb.Pace
+	if ca.StepTimeFactor != cb.StepTimeFactor {
+		return ca.StepTimeFactor < cb.StepTimeFactor
 	}
 	return plan[a.Address].From < plan[b.Address].From
 }
--- a/internal/coordination/placement/plan.go
+++ b/internal/coordination/placement/plan.go
@@ -108,8 +108,8 @@
 		switch {
 		case a.Domain != b.Domain:
 			return a.Domain < b.Domain
-		case a.Card.Pace != b.Card.Pace:
-			return a.Card.Pace < b.Card.Pace
+		case a.Card.StepTimeFactor != b.Card.StepTimeFactor:
+			return a.Card.StepTimeFactor < b.Card.StepTimeFactor
 		case a.Card.MB != b.Card.MB:
 			return a.Card.MB > b.Card.MB
 		}
@@ -133,7 +133,7 @@
 	sum := 0.0
 	for i, e := range group {
 		sum += e.Card.MB
-		classEnds := i+1 == len(group) || group[i+1].Card.Pace > likePace*e.Card.Pace
+		classEnds := i+1 == len(group) || group[i+1].Card.StepTimeFactor > likePace*e.Card.StepTimeFactor
 		if classEnds && sum >= need {
 			return group[:i+1], group[i+1:]
 		}
--- a/internal/coordination/placement/repair.go
+++ b/internal/coordination/placement/repair.go
@@ -91,7 +91,7 @@
 	found := false
 	for _, group := range groups {
 		for _, e := range group {
-			if heldTwice(counts, plan[e.Address]) && (!found || e.Card.Pace > best.Card.Pace) {
+			if heldTwice(counts, plan[e.Address]) && (!found || e.Card.StepTimeFactor > best.Card.StepTimeFactor) {
 				best = e
 				found = true
 			}
--- a/internal/coordination/placement/whole.go
+++ b/internal/coordination/placement/whole.go
@@ -147,7 +147,7 @@
 	if n == 0 {
 		return math.Inf(1)
 	}
-	return spec.StepTime.Seconds()*e.Card.Pace/float64(spec.Layers) + partTime.Seconds()/float64(n)
+	return spec.StepTime.Seconds()*e.Card.StepTimeFactor/float64(spec.Layers) + partTime.Seconds()/float64(n)
 }
 
 // standIn gives the engines that are left over the layers that their failure
--- a/internal/experiment/baselines.go
+++ b/internal/experiment/baselines.go
@@ -64,7 +64,7 @@
 // cardsOf groups engines by card, the fastest first.
 func cardsOf(engines []placement.Engine) [][]placement.Engine {
 	sorted := append([]placement.Engine(nil), engines...)
-	sort.SliceStable(sorted, func(i, j int) bool { return sorted[i].Card.Pace < sorted[j].Card.Pace })
+	sort.SliceStable(sorted, func(i, j int) bool { return sorted[i].Card.StepTimeFactor < sorted[j].Card.StepTimeFactor })
 	var out [][]placement.Engine
 	for i, e := range sorted {
 		if i == 0 || sorted[i-1].Card.Name != e.Card.Name {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -145,8 +145,8 @@
 		pace := 0.0
 		for _, e := range engines {
 			held := plan[e.Address]
-			if held.From <= l && l < held.To && (pace == 0 || e.Card.Pace < pace) {
-				pace = e.Card.Pace
+			if held.From <= l && l < held.To && (pace == 0 || e.Card.StepTimeFactor < pace) {
+				pace = e.Card.StepTimeFactor
 			}
 		}
 		if pace == 0 {
