--- a/internal/coordination/chains/move.go
+++ b/internal/coordination/chains/move.go
@@ -167,7 +167,7 @@
 	if !ok || spec.PrefillRate <= 0 {
 		return 0
 	}
-	return float64(tokens) / spec.PrefillRate * card.ReadFactor * float64(layers) / float64(spec.Layers)
+	return float64(tokens) / spec.PrefillRate * card.PrefillFactor * float64(layers) / float64(spec.Layers)
 }
 
 // recordLoad records the load of a move: prefill of all tokens at new stages, and traffic
--- a/internal/coordination/placement/bound.go
+++ b/internal/coordination/placement/bound.go
@@ -25,10 +25,10 @@
 // PrefillCapacity is how many prompt tokens a second an engine reads, times layers.
 func PrefillCapacity(spec *model.EngineSpec) Capacity {
 	return func(e Engine, _ model.LayerRange) float64 {
-		if e.Card.ReadFactor <= 0 {
+		if e.Card.PrefillFactor <= 0 {
 			return 0
 		}
-		return spec.PrefillRate * float64(spec.Layers) / e.Card.ReadFactor
+		return spec.PrefillRate * float64(spec.Layers) / e.Card.PrefillFactor
 	}
 }
 
--- a/internal/coordination/placement/plan_test.go
+++ b/internal/coordination/placement/plan_test.go
@@ -13,9 +13,9 @@
 )
 
 var cards = map[string]model.Card{
-	"a100": {Name: "a100", MB: 72000, StepTimeFactor: 2.4, ReadFactor: 3.2},
-	"l40s": {Name: "l40s", MB: 43200, StepTimeFactor: 5.6, ReadFactor: 2.7},
-	"l4":   {Name: "l4", MB: 21600, StepTimeFactor: 16, ReadFactor: 8.2},
+	"a100": {Name: "a100", MB: 72000, StepTimeFactor: 2.4, PrefillFactor: 3.2},
+	"l40s": {Name: "l40s", MB: 43200, StepTimeFactor: 5.6, PrefillFactor: 2.7},
+	"l4":   {Name: "l4", MB: 21600, StepTimeFactor: 16, PrefillFactor: 8.2},
 }
 
 func spec() *model.EngineSpec {
@@ -119,8 +119,8 @@
 	return &model.EngineSpec{
 		Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 328000, StepTime: 850 * time.Microsecond, PrefillRate: 353000,
 		UsualPrompt: 772, UsualAnswer: 140,
-		Cards: []model.Card{{Name: "strong", MB: 36000, StepTimeFactor: 3.1, ReadFactor: 3.2}, {Name: "large", MB: 21600, StepTimeFactor: 16, ReadFactor: 8.2},
-			{Name: "small", MB: 14400, StepTimeFactor: 15, ReadFactor: 15}},
+		Cards: []model.Card{{Name: "strong", MB: 36000, StepTimeFactor: 3.1, PrefillFactor: 3.2}, {Name: "large", MB: 21600, StepTimeFactor: 16, PrefillFactor: 8.2},
+			{Name: "small", MB: 14400, StepTimeFactor: 15, PrefillFactor: 15}},
 	}
 }
 
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -55,7 +55,7 @@
 		}},
 		Services: []model.Service{{Name: "s", Engine: &model.EngineSpec{
 			Layers: 12, LayerMB: 1000, KVTokenBytes: 1e6, StepTime: time.Millisecond, PrefillRate: 1e5,
-			Cards: []model.Card{{Name: "fast", MB: 16000, StepTimeFactor: 2, ReadFactor: 2}},
+			Cards: []model.Card{{Name: "fast", MB: 16000, StepTimeFactor: 2, PrefillFactor: 2}},
 		}}},
 	}, nil)
 	r.catalog.Put(model.BackendServer{ID: "e", Service: "s", Address: "e:1", Card: "fast", Holds: model.LayerRange{To: 12}, Slots: 9})
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -69,7 +69,7 @@
 		if c.Name == "" || c.MB <= 0 || c.Pace <= 0 || c.ReadFactor <= 0 {
 			return Site{}, errors.Errorf("card[%d]: needs a name, and mb, pace and read_factor above 0", i)
 		}
-		spec.Cards = append(spec.Cards, model.Card{Name: c.Name, MB: c.MB, StepTimeFactor: c.Pace, ReadFactor: c.ReadFactor})
+		spec.Cards = append(spec.Cards, model.Card{Name: c.Name, MB: c.MB, StepTimeFactor: c.Pace, PrefillFactor: c.ReadFactor})
 	}
 	s := Site{Spec: spec}
 	for i, g := range f.Engines {
--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -96,8 +96,8 @@
 	Name string
 	// MB is its memory in megabytes.
 	MB float64
-	// StepTimeFactor and ReadFactor multiply the times of steps and of prompt reading.
-	StepTimeFactor, ReadFactor float64
+	// StepTimeFactor and PrefillFactor multiply the times of steps and of prompt reading.
+	StepTimeFactor, PrefillFactor float64
 }
 
 // Card finds a type of accelerator by its name.
--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -40,7 +40,7 @@
 		Route: &model.Route{TargetLatency: 500 * time.Millisecond, MaxAttempts: 2},
 		Service: &model.Service{Name: "s", Engine: &model.EngineSpec{
 			Layers: 12, LayerMB: 1000, KVTokenBytes: 1e6, StepTime: time.Millisecond, PrefillRate: 1e5,
-			Cards: []model.Card{{Name: "fast", MB: 8000, StepTimeFactor: 2, ReadFactor: 2}},
+			Cards: []model.Card{{Name: "fast", MB: 8000, StepTimeFactor: 2, PrefillFactor: 2}},
 		}},
 	}
 	return &stream{request: q, tokens: 100, ranOn: map[model.Incarnation]bool{}}, engine("second", model.LayerRange{From: 6, To: 12})
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -83,7 +83,7 @@
 func newSite(route model.Route, generates bool, do script) *site {
 	spec := &model.EngineSpec{
 		Layers: 12, LayerMB: 100, KVTokenBytes: 1e6, StepTime: time.Millisecond, PrefillRate: 1e5, StepsPerPass: 1,
-		Cards: []model.Card{{Name: "fast", MB: 80000, StepTimeFactor: 2, ReadFactor: 2}},
+		Cards: []model.Card{{Name: "fast", MB: 80000, StepTimeFactor: 2, PrefillFactor: 2}},
 	}
 	svc := model.Service{Name: "s"}
 	if generates {
--- a/test/faultsoak/site_test.go
+++ b/test/faultsoak/site_test.go
@@ -91,7 +91,7 @@
 
 func spec() *model.EngineSpec {
 	return &model.EngineSpec{Layers: layers, LayerMB: 1000, KVTokenBytes: 1e6,
-		Cards: []model.Card{{Name: "fast", MB: 8000, StepTimeFactor: 2, ReadFactor: 2}, {Name: "slow", MB: 8000, StepTimeFactor: 9, ReadFactor: 9}}}
+		Cards: []model.Card{{Name: "fast", MB: 8000, StepTimeFactor: 2, PrefillFactor: 2}, {Name: "slow", MB: 8000, StepTimeFactor: 9, PrefillFactor: 9}}}
 }
 
 func newSite(t *testing.T, rnd *rand.Rand) *site {
