--- a/internal/coordination/chains/move.go
+++ b/internal/coordination/chains/move.go
@@ -199,12 +199,12 @@
 func (c *Chooser) resumePrefillSeconds(spec *model.EngineSpec, b *model.BackendServer, tokens, layers int) float64 {
 	prefill := prefillSeconds(spec, b, tokens, layers)
 	card, ok := spec.Card(b.Card)
-	if !ok || spec.Chunk <= 0 {
+	if !ok || spec.PrefillChunk <= 0 {
 		return prefill
 	}
 	inc := b.Incarnation()
 	step := layerSeconds(spec, card, Usage{Streams: c.Usage.Used(inc).Streams}, c.Usage.Slowdown(inc)) * float64(layers)
-	passes := float64(tokens) / float64(spec.Chunk)
+	passes := float64(tokens) / float64(spec.PrefillChunk)
 	return prefill*c.Usage.Slowdown(inc) + passes*step*float64(max(spec.StepsPerPass, 1))
 }
 
--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -76,8 +76,8 @@
 	// PrefillRate is prompt tokens read a second over all layers, for a card of
 	// read factor 1.
 	PrefillRate float64
-	// Chunk is how many prompt tokens a pass reads at most; 0 for any number.
-	Chunk int
+	// PrefillChunk is how many prompt tokens a pass reads at most; 0 for any number.
+	PrefillChunk int
 	// UsualPrompt and UsualAnswer are mean token counts.
 	UsualPrompt, UsualAnswer int
 	// LoadTime is the time to load all layers, alone.
