--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -83,7 +83,7 @@
 		Planner:     name,
 		Streams:     memory / usual(spec),
 		StreamShare: share(memory, placement.MemoryBound(spec, all)),
-		Prompts:     reading / float64(max(spec.UsualPrompt, 1)),
+		Prompts:     reading / float64(max(spec.MeanPromptTokens, 1)),
 		PromptShare: share(reading, placement.PrefillBound(spec, all)),
 		Bare:        len(placement.UncoveredLayers(spec, plan, all)),
 	}
@@ -91,7 +91,7 @@
 		r.Domains = append(r.Domains, Domain{
 			Name:    group[0].Domain,
 			Streams: placement.MaxFlow(spec, plan, group, placement.MemoryCapacity(spec)) / usual(spec),
-			Prompts: placement.MaxFlow(spec, plan, group, placement.PrefillCapacity(spec)) / float64(max(spec.UsualPrompt, 1)),
+			Prompts: placement.MaxFlow(spec, plan, group, placement.PrefillCapacity(spec)) / float64(max(spec.MeanPromptTokens, 1)),
 			TokenMS: tokenMS(spec, plan, group),
 
 			Parts:     placement.MinStages(spec, plan, group),
@@ -127,7 +127,7 @@
 
 // usual is what a usual request holds, in tokens.
 func usual(spec *model.EngineSpec) float64 {
-	return float64(max(spec.UsualPrompt+spec.UsualAnswer, 1))
+	return float64(max(spec.MeanPromptTokens+spec.UsualAnswer, 1))
 }
 
 func share(of, bound float64) float64 {
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -57,13 +57,13 @@
 
 func (f file) site() (Site, error) {
 	spec := &model.EngineSpec{
-		Layers:       f.Layers,
-		LayerMB:      f.LayerMB,
-		KVTokenBytes: f.KVTokenBytes,
-		StepTime:     time.Duration(f.StepMS * float64(time.Millisecond)),
-		PrefillRate:  f.ReadPerS,
-		UsualPrompt:  f.UsualPrompt,
-		UsualAnswer:  f.UsualAnswer,
+		Layers:           f.Layers,
+		LayerMB:          f.LayerMB,
+		KVTokenBytes:     f.KVTokenBytes,
+		StepTime:         time.Duration(f.StepMS * float64(time.Millisecond)),
+		PrefillRate:      f.ReadPerS,
+		MeanPromptTokens: f.UsualPrompt,
+		UsualAnswer:      f.UsualAnswer,
 	}
 	for i, c := range f.Cards {
 		if c.Name == "" || c.MB <= 0 || c.Pace <= 0 || c.ReadFactor <= 0 {
--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -78,8 +78,8 @@
 	PrefillRate float64
 	// PrefillChunk is how many prompt tokens a pass reads at most; 0 for any number.
 	PrefillChunk int
-	// UsualPrompt and UsualAnswer are mean token counts.
-	UsualPrompt, UsualAnswer int
+	// MeanPromptTokens and UsualAnswer are mean token counts.
+	MeanPromptTokens, UsualAnswer int
 	// LoadTime is the time to load all layers, alone.
 	LoadTime time.Duration
 	// LoadsAtOnce is how many loads run without slowing each other down.
--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -47,7 +47,7 @@
 	if q.call.PromptTokens > 0 {
 		return q.call.PromptTokens
 	}
-	return q.ticket.Service.Engine.UsualPrompt
+	return q.ticket.Service.Engine.MeanPromptTokens
 }
 
 // mayResume decides whether the stream goes on elsewhere.
