--- a/internal/coordination/chains/cost.go
+++ b/internal/coordination/chains/cost.go
@@ -77,7 +77,7 @@
 	// transfers of other requests.
 	utilization := math.Min(c.Interconnect.Rate(a, b)/spec.PipeMbps, limit)
 	queueing := utilization / (2 * (1 - utilization)) * transfer
-	return crossDomainDelay.Seconds() + queueing + transfer/float64(max(spec.UsualAnswer, 1))
+	return crossDomainDelay.Seconds() + queueing + transfer/float64(max(spec.MeanAnswerTokens, 1))
 }
 
 // RecordStart records a stream that starts on a chain: the attempt at each engine, the
--- a/internal/coordination/placement/balance.go
+++ b/internal/coordination/placement/balance.go
@@ -99,7 +99,9 @@
 func (n need) bare() float64 { return bareStreams * n.usual() }
 
 // usual is what a usual request holds, in tokens.
-func (n need) usual() float64 { return float64(max(n.spec.MeanPromptTokens+n.spec.UsualAnswer, 1)) }
+func (n need) usual() float64 {
+	return float64(max(n.spec.MeanPromptTokens+n.spec.MeanAnswerTokens, 1))
+}
 
 // of is what an engine relieves with a range.
 func (n need) of(e Engine, held model.LayerRange) float64 {
--- a/internal/coordination/placement/plan_test.go
+++ b/internal/coordination/placement/plan_test.go
@@ -19,7 +19,7 @@
 }
 
 func spec() *model.EngineSpec {
-	s := &model.EngineSpec{Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 918000, MeanPromptTokens: 774, UsualAnswer: 200}
+	s := &model.EngineSpec{Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 918000, MeanPromptTokens: 774, MeanAnswerTokens: 200}
 	for _, c := range cards {
 		s.Cards = append(s.Cards, c)
 	}
@@ -118,7 +118,7 @@
 func weakSpec() *model.EngineSpec {
 	return &model.EngineSpec{
 		Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 328000, StepTime: 850 * time.Microsecond, PrefillRate: 353000,
-		MeanPromptTokens: 772, UsualAnswer: 140,
+		MeanPromptTokens: 772, MeanAnswerTokens: 140,
 		Cards: []model.Card{{Name: "strong", MB: 36000, StepTimeFactor: 3.1, PrefillFactor: 3.2}, {Name: "large", MB: 21600, StepTimeFactor: 16, PrefillFactor: 8.2},
 			{Name: "small", MB: 14400, StepTimeFactor: 15, PrefillFactor: 15}},
 	}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -127,7 +127,7 @@
 
 // usual is what a usual request holds, in tokens.
 func usual(spec *model.EngineSpec) float64 {
-	return float64(max(spec.MeanPromptTokens+spec.UsualAnswer, 1))
+	return float64(max(spec.MeanPromptTokens+spec.MeanAnswerTokens, 1))
 }
 
 func share(of, bound float64) float64 {
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -63,7 +63,7 @@
 		StepTime:         time.Duration(f.StepMS * float64(time.Millisecond)),
 		PrefillRate:      f.ReadPerS,
 		MeanPromptTokens: f.UsualPrompt,
-		UsualAnswer:      f.UsualAnswer,
+		MeanAnswerTokens: f.UsualAnswer,
 	}
 	for i, c := range f.Cards {
 		if c.Name == "" || c.MB <= 0 || c.Pace <= 0 || c.ReadFactor <= 0 {
--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -78,8 +78,8 @@
 	PrefillRate float64
 	// PrefillChunk is how many prompt tokens a pass reads at most; 0 for any number.
 	PrefillChunk int
-	// MeanPromptTokens and UsualAnswer are mean token counts.
-	MeanPromptTokens, UsualAnswer int
+	// MeanPromptTokens and MeanAnswerTokens are mean token counts.
+	MeanPromptTokens, MeanAnswerTokens int
 	// LoadTime is the time to load all layers, alone.
 	LoadTime time.Duration
 	// LoadsAtOnce is how many loads run without slowing each other down.
--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -34,7 +34,7 @@
 	spec := q.ticket.Service.Engine
 	answer := float64(q.call.AnswerHint)
 	if answer == 0 {
-		answer = float64(spec.UsualAnswer)
+		answer = float64(spec.MeanAnswerTokens)
 	}
 	answer *= answerMargin
 	if q.call.MaxAnswer > 0 {
