--- a/internal/coordination/placement/controller_test.go
+++ b/internal/coordination/placement/controller_test.go
@@ -46,7 +46,7 @@
 	s := &shop{t: t, store: standin.NewStore(), catalog: catalog.New(time.Now), holds: map[string]model.LayerRange{}, orders: map[string]int64{}, born: map[string]int64{}, result: OrderAccepted}
 	sp := spec()
 	sp.LoadTime = 14 * time.Second
-	sp.LoadsAtOnce = 5
+	sp.ConcurrentLoads = 5
 	s.token.Store(int64(s.store.Put(leader.Key, []byte(`{}`))))
 	s.c = &Controller{
 		Config: &routes.ActiveConfig{}, Catalog: s.catalog, Store: s.store, Engines: s, Now: time.Now,
--- a/internal/coordination/placement/mend_test.go
+++ b/internal/coordination/placement/mend_test.go
@@ -16,7 +16,7 @@
 	s := newShop(t)
 	spec := weakSpec()
 	spec.LoadTime = 14 * time.Second
-	spec.LoadsAtOnce = 9
+	spec.ConcurrentLoads = 9
 	s.config(spec)
 	s.add(weakSite())
 	s.run(12 * time.Second)
--- a/internal/coordination/placement/orders.go
+++ b/internal/coordination/placement/orders.go
@@ -72,7 +72,7 @@
 	now := c.Now()
 	most := len(servers)
 	if c.HasTraffic() {
-		most = svc.Engine.LoadsAtOnce
+		most = svc.Engine.ConcurrentLoads
 	}
 	loading := 0
 	var due []*model.BackendServer
@@ -103,7 +103,7 @@
 	for _, b := range due {
 		want := plan[b.Address]
 		share := float64(want.Len()) / float64(max(svc.Engine.Layers, 1))
-		crowd := max(float64(len(due)+loading)/float64(svc.Engine.LoadsAtOnce), 1)
+		crowd := max(float64(len(due)+loading)/float64(svc.Engine.ConcurrentLoads), 1)
 		takes := time.Duration(float64(svc.Engine.LoadTime) * share * crowd)
 		c.pending[b.Incarnation()] = order{address: b.Address, want: want, until: now.Add(takes + loadSlack)}
 	}
--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -82,8 +82,8 @@
 	MeanPromptTokens, MeanAnswerTokens int
 	// LoadTime is the time to load all layers, alone.
 	LoadTime time.Duration
-	// LoadsAtOnce is how many loads run without slowing each other down.
-	LoadsAtOnce int
+	// ConcurrentLoads is how many loads run without slowing each other down.
+	ConcurrentLoads int
 	// ActivationBytes pass between two engines for each token.
 	ActivationBytes float64
 	// PipeMbps is the shared rate between two failure domains, in Mbit/s.
--- a/test/fleet/harness_test.go
+++ b/test/fleet/harness_test.go
@@ -56,7 +56,7 @@
 func spec() *model.EngineSpec {
 	return &model.EngineSpec{
 		Slots: 64, Layers: layers, LayerMB: 1000, KVTokenBytes: 1e6, StepTime: time.Millisecond, StepsPerPass: 3, PrefillRate: 1e5,
-		MeanPromptTokens: 100, MeanAnswerTokens: 60, LoadTime: time.Second, LoadsAtOnce: 4,
+		MeanPromptTokens: 100, MeanAnswerTokens: 60, LoadTime: time.Second, ConcurrentLoads: 4,
 		Cards: []model.Card{{Name: "fast", MB: 8000, StepTimeFactor: 2, PrefillFactor: 2}, {Name: "slow", MB: 8000, StepTimeFactor: 9, PrefillFactor: 9}},
 	}
 }
