--- a/internal/coordination/chains/chains_test.go
+++ b/internal/coordination/chains/chains_test.go
@@ -17,7 +17,7 @@
 	return &model.Service{Name: "s", Engine: &model.EngineSpec{
 		Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 918000,
 		StepTime: 1020 * time.Microsecond, StepTimePerRequest: 7140 * time.Nanosecond, StepsPerPass: 3,
-		PrefillRate: 105000, MeanPromptTokens: 774, MeanAnswerTokens: 200, ActivationBytes: 45900, PipeMbps: 26000,
+		PrefillRate: 105000, MeanPromptTokens: 774, MeanAnswerTokens: 200, ActivationBytes: 45900, InterconnectMbps: 26000,
 		Cards: []model.Card{{Name: "a100", MB: 72000, StepTimeFactor: 2.4, PrefillFactor: 3.2}, {Name: "l40s", MB: 43200, StepTimeFactor: 5.6, PrefillFactor: 2.7}, {Name: "l4", MB: 21600, StepTimeFactor: 16, PrefillFactor: 8.2}},
 	}}
 }
@@ -316,7 +316,7 @@
 // needs a transfer of all tokens between domains.
 func TestReplaceMinimizesPause(t *testing.T) {
 	w := newWorld()
-	w.svc.Engine.PipeMbps = 6400
+	w.svc.Engine.InterconnectMbps = 6400
 	w.add("first", "a", "a100", 0, 36)
 	w.add("lost", "a", "l40s", 36, 47)
 	w.add("last", "a", "a100", 47, 80)
--- a/internal/coordination/chains/cost.go
+++ b/internal/coordination/chains/cost.go
@@ -63,19 +63,19 @@
 	if a == b {
 		return hopDelay.Seconds()
 	}
-	if spec.PipeMbps <= 0 {
+	if spec.InterconnectMbps <= 0 {
 		return crossDomainDelay.Seconds()
 	}
 	mbit := CrossDomainMbit(spec, tokens)
-	transfer := mbit / spec.PipeMbps
+	transfer := mbit / spec.InterconnectMbps
 	limit := maxUtilization(time.Duration(transfer*float64(time.Second)), maxEventGap, spec.StepsPerPass)
-	if !c.Interconnect.Allows(a, b, mbit, limit*spec.PipeMbps, routers) {
+	if !c.Interconnect.Allows(a, b, mbit, limit*spec.InterconnectMbps, routers) {
 		return math.Inf(1)
 	}
 	// The transfer of the prompt delays the first event. To compare with times per token,
 	// it is spread over the tokens of a usual answer. In addition each token waits for
 	// transfers of other requests.
-	utilization := math.Min(c.Interconnect.Rate(a, b)/spec.PipeMbps, limit)
+	utilization := math.Min(c.Interconnect.Rate(a, b)/spec.InterconnectMbps, limit)
 	queueing := utilization / (2 * (1 - utilization)) * transfer
 	return crossDomainDelay.Seconds() + queueing + transfer/float64(max(spec.MeanAnswerTokens, 1))
 }
--- a/internal/coordination/chains/move.go
+++ b/internal/coordination/chains/move.go
@@ -120,8 +120,8 @@
 func (r *replacement) cover(needed model.LayerRange, before, after string, avoid map[model.Incarnation]bool) []Stage {
 	spec := r.svc.Engine
 	crossing := crossDomainDelay.Seconds() * float64(max(spec.StepsPerPass, 1))
-	if spec.PipeMbps > 0 {
-		crossing += CrossDomainMbit(spec, r.tokens) / spec.PipeMbps
+	if spec.InterconnectMbps > 0 {
+		crossing += CrossDomainMbit(spec, r.tokens) / spec.InterconnectMbps
 	}
 	reserved := map[model.Incarnation]bool{}
 	for _, s := range r.stages {
@@ -222,8 +222,8 @@
 	for i, row := range s.crossing {
 		for j := range row {
 			row[j] *= stride
-			if i != j && spec.PipeMbps > 0 {
-				row[j] += CrossDomainMbit(spec, tokens) / spec.PipeMbps
+			if i != j && spec.InterconnectMbps > 0 {
+				row[j] += CrossDomainMbit(spec, tokens) / spec.InterconnectMbps
 			}
 		}
 	}
--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -86,9 +86,9 @@
 	ConcurrentLoads int
 	// ActivationBytes pass between two engines for each token.
 	ActivationBytes float64
-	// PipeMbps is the shared rate between two failure domains, in Mbit/s.
-	PipeMbps float64
-	Cards    []Card
+	// InterconnectMbps is the shared rate between two failure domains, in Mbit/s.
+	InterconnectMbps float64
+	Cards            []Card
 }
 
 // Card is one type of accelerator.
