--- a/internal/coordination/keepalive/keepalive.go
+++ b/internal/coordination/keepalive/keepalive.go
@@ -77,7 +77,7 @@
 	case l.phase == Serving:
 		return time.Time{}
 	case l.phase == ReadingHeader:
-		return l.since.Add(limits.HeaderTime)
+		return l.since.Add(limits.HeaderTimeout)
 	case l.retired:
 		return longAgo
 	}
--- a/internal/coordination/keepalive/keepalive_test.go
+++ b/internal/coordination/keepalive/keepalive_test.go
@@ -12,7 +12,7 @@
 
 var (
 	start  = time.Unix(1000, 0)
-	limits = model.CallerLimits{HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}
+	limits = model.CallerLimits{HeaderTimeout: 3 * time.Second, IdleTime: 15 * time.Second}
 )
 
 func TestRestEndsAfterTheIdleTimeAndAMargin(t *testing.T) {
@@ -59,7 +59,7 @@
 	l.StartIdle(start)
 	l.BytesRead(start.Add(time.Second))
 	l.BytesRead(start.Add(2 * time.Second))
-	assert.Equal(t, l.Deadline(limits), start.Add(time.Second+limits.HeaderTime))
+	assert.Equal(t, l.Deadline(limits), start.Add(time.Second+limits.HeaderTimeout))
 }
 
 // A router stops: connections at rest end at once, those with a head under way don't,
--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -123,10 +123,10 @@
 
 // CallerLimits bound what callers may send; zero means no bound.
 type CallerLimits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderTime  time.Duration
-	IdleTime    time.Duration
+	HeaderBytes   int
+	BodyBytes     int64
+	HeaderTimeout time.Duration
+	IdleTime      time.Duration
 }
 
 // RouteCustomer is a customer as the operator's configuration knows it.
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -89,7 +89,7 @@
 }
 
 func (s *Server) limits() model.CallerLimits {
-	l := model.CallerLimits{HeaderBytes: headerCeiling, BodyBytes: defaultBody, HeaderTime: defaultHeaderTime, IdleTime: defaultIdle}
+	l := model.CallerLimits{HeaderBytes: headerCeiling, BodyBytes: defaultBody, HeaderTimeout: defaultHeaderTime, IdleTime: defaultIdle}
 	table := s.Config.Load()
 	if table == nil {
 		return l
@@ -101,8 +101,8 @@
 	if c.BodyBytes > 0 {
 		l.BodyBytes = c.BodyBytes
 	}
-	if c.HeaderTime > 0 {
-		l.HeaderTime = c.HeaderTime
+	if c.HeaderTimeout > 0 {
+		l.HeaderTimeout = c.HeaderTimeout
 	}
 	if c.IdleTime > 0 {
 		l.IdleTime = c.IdleTime
@@ -178,7 +178,7 @@
 	if r.ContentLength > l.BodyBytes {
 		return nil, http.StatusRequestEntityTooLarge, errors.New("body is too large")
 	}
-	_ = rc.SetReadDeadline(time.Now().Add(l.HeaderTime + bodyTime))
+	_ = rc.SetReadDeadline(time.Now().Add(l.HeaderTimeout + bodyTime))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, l.BodyBytes))
 	_ = rc.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
