--- a/internal/coordination/keepalive/keepalive.go
+++ b/internal/coordination/keepalive/keepalive.go
@@ -81,7 +81,7 @@
 	case l.retired:
 		return longAgo
 	}
-	return l.since.Add(limits.IdleTime + IdleMargin(limits.IdleTime))
+	return l.since.Add(limits.IdleTimeout + IdleMargin(limits.IdleTimeout))
 }
 
 // Expired decides at now whether the phase's time is over. Where bytes of the caller have
--- a/internal/coordination/keepalive/keepalive_test.go
+++ b/internal/coordination/keepalive/keepalive_test.go
@@ -12,13 +12,13 @@
 
 var (
 	start  = time.Unix(1000, 0)
-	limits = model.CallerLimits{HeaderTimeout: 3 * time.Second, IdleTime: 15 * time.Second}
+	limits = model.CallerLimits{HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 )
 
 func TestRestEndsAfterTheIdleTimeAndAMargin(t *testing.T) {
 	var l ConnState
 	l.StartIdle(start)
-	until := start.Add(limits.IdleTime + IdleMargin(limits.IdleTime))
+	until := start.Add(limits.IdleTimeout + IdleMargin(limits.IdleTimeout))
 	assert.Assert(t, !l.Expired(until.Add(-1), limits, false))
 	assert.Assert(t, l.Expired(until, limits, false))
 }
@@ -28,7 +28,7 @@
 func TestMarginCoversCallersThatRestLonger(t *testing.T) {
 	var l ConnState
 	l.StartIdle(start)
-	assert.Assert(t, !l.Expired(start.Add(limits.IdleTime*4/3), limits, false))
+	assert.Assert(t, !l.Expired(start.Add(limits.IdleTimeout*4/3), limits, false))
 	assert.Equal(t, IdleMargin(100*time.Millisecond), time.Second)
 }
 
@@ -48,7 +48,7 @@
 	var l ConnState
 	l.StartIdle(start)
 	longer := limits
-	longer.IdleTime = time.Hour
+	longer.IdleTimeout = time.Hour
 	assert.Assert(t, !l.Expired(start.Add(time.Minute), longer, false))
 	assert.Assert(t, l.Expired(start.Add(time.Minute), limits, false))
 }
--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -126,7 +126,7 @@
 	HeaderBytes   int
 	BodyBytes     int64
 	HeaderTimeout time.Duration
-	IdleTime      time.Duration
+	IdleTimeout   time.Duration
 }
 
 // RouteCustomer is a customer as the operator's configuration knows it.
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -89,7 +89,7 @@
 }
 
 func (s *Server) limits() model.CallerLimits {
-	l := model.CallerLimits{HeaderBytes: headerCeiling, BodyBytes: defaultBody, HeaderTimeout: defaultHeaderTime, IdleTime: defaultIdle}
+	l := model.CallerLimits{HeaderBytes: headerCeiling, BodyBytes: defaultBody, HeaderTimeout: defaultHeaderTime, IdleTimeout: defaultIdle}
 	table := s.Config.Load()
 	if table == nil {
 		return l
@@ -104,8 +104,8 @@
 	if c.HeaderTimeout > 0 {
 		l.HeaderTimeout = c.HeaderTimeout
 	}
-	if c.IdleTime > 0 {
-		l.IdleTime = c.IdleTime
+	if c.IdleTimeout > 0 {
+		l.IdleTimeout = c.IdleTimeout
 	}
 	return l
 }
--- a/internal/transport/front/front_test.go
+++ b/internal/transport/front/front_test.go
@@ -54,7 +54,7 @@
 		Version:  version,
 		Routes:   []model.Route{{Name: "r", Host: "h", Prefix: "/", Kind: model.RouteNotRepeatable, MaxAttempts: 1, Split: []model.ServiceShare{{Service: "s", Weight: 1}}}},
 		Services: []model.Service{{Name: "s"}},
-		Limits:   model.CallerLimits{HeaderBytes: 2000, BodyBytes: 100, HeaderTimeout: 300 * time.Millisecond, IdleTime: idle},
+		Limits:   model.CallerLimits{HeaderBytes: 2000, BodyBytes: 100, HeaderTimeout: 300 * time.Millisecond, IdleTimeout: idle},
 	}
 }
 
