--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -199,8 +199,8 @@
 	Deadline time.Time
 	// ResumeAfter is the last event that the caller has; empty for none.
 	ResumeAfter string
-	// PromptTokens and MaxAnswer are the request's size in tokens.
-	PromptTokens, MaxAnswer int
+	// PromptTokens and MaxAnswerTokens are the request's size in tokens.
+	PromptTokens, MaxAnswerTokens int
 	// AnswerHint is the caller's guess of the answer's tokens; 0 for none.
 	AnswerHint int
 	// Session is the last shared part of the prompt; empty for none.
--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -37,8 +37,8 @@
 		answer = float64(spec.MeanAnswerTokens)
 	}
 	answer *= answerMargin
-	if q.call.MaxAnswer > 0 {
-		answer = min(answer, float64(q.call.MaxAnswer))
+	if q.call.MaxAnswerTokens > 0 {
+		answer = min(answer, float64(q.call.MaxAnswerTokens))
 	}
 	return q.promptTokens() + int(answer)
 }
--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -106,7 +106,7 @@
 			}
 			ctx, leave := context.WithCancel(t.Context())
 			time.AfterFunc(100*time.Millisecond, leave)
-			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/", MaxAnswer: 5}, &listener{})
+			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/", MaxAnswerTokens: 5}, &listener{})
 			end := log.of("request ended")
 			assert.Equal(t, len(end), 1)
 			assert.Check(t, strings.Contains(end[0], `progress="`+at.progress+`"`), end[0])
