--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -201,8 +201,8 @@
 	ResumeAfter string
 	// PromptTokens and MaxAnswerTokens are the request's size in tokens.
 	PromptTokens, MaxAnswerTokens int
-	// AnswerHint is the caller's guess of the answer's tokens; 0 for none.
-	AnswerHint int
+	// AnswerTokensHint is the caller's guess of the answer's tokens; 0 for none.
+	AnswerTokensHint int
 	// Session is the last shared part of the prompt; empty for none.
 	Session string
 }
--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -32,7 +32,7 @@
 // the caller guesses it or as is usual.
 func (q *request) size() int {
 	spec := q.ticket.Service.Engine
-	answer := float64(q.call.AnswerHint)
+	answer := float64(q.call.AnswerTokensHint)
 	if answer == 0 {
 		answer = float64(spec.MeanAnswerTokens)
 	}
