--- a/internal/coordination/placement/controller_test.go
+++ b/internal/coordination/placement/controller_test.go
@@ -92,7 +92,7 @@
 func (s *shop) Report(_ context.Context, b *model.BackendServer) (model.EngineReport, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return model.EngineReport{Born: s.born[b.ID], Holds: s.holds[b.ID], Orders: s.orders[b.ID]}, nil
+	return model.EngineReport{Born: s.born[b.ID], Holds: s.holds[b.ID], OrderCount: s.orders[b.ID]}, nil
 }
 
 func (s *shop) Place(_ context.Context, b *model.BackendServer, held model.LayerRange, fence, expected int64) (OrderResult, error) {
--- a/internal/coordination/placement/orders.go
+++ b/internal/coordination/placement/orders.go
@@ -172,9 +172,9 @@
 		c.pause(b.Incarnation(), want, 0)
 		return
 	}
-	result, err := c.Engines.Place(ctx, b, want, int64(token), report.Orders)
+	result, err := c.Engines.Place(ctx, b, want, int64(token), report.OrderCount)
 	klog.InfoS("order given", "server", b.Incarnation(), "address", b.Address, "card", b.Card, "from", b.Holds.String(), "to", want.String(),
-		"token", token, "expected", report.Orders, "result", int(result), "err", err)
+		"token", token, "expected", report.OrderCount, "result", int(result), "err", err)
 	switch result {
 	case OrderAccepted, OrderUnknown:
 		c.noteGiven(b.Incarnation())
--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -170,8 +170,8 @@
 	Holds LayerRange
 	// Busy says that an order is in progress.
 	Busy bool
-	// Orders is how many orders it has begun since its start.
-	Orders int64
+	// OrderCount is how many orders it has begun since its start.
+	OrderCount int64
 	// Active and Queued count the requests that it received as the first
 	// engine of a chain.
 	Active, Queued int
