--- a/internal/coordination/chains/cost.go
+++ b/internal/coordination/chains/cost.go
@@ -10,9 +10,9 @@
 // layerSeconds returns the time in seconds that a token takes in one layer of an engine.
 // Active streams and prefill make it longer. slowdown multiplies it.
 func layerSeconds(spec *model.EngineSpec, card model.Card, used Usage, slowdown float64) float64 {
-	step := spec.StepTime.Seconds() + spec.PerRequest.Seconds()*used.Streams
+	step := spec.StepTime.Seconds() + spec.StepTimePerRequest.Seconds()*used.Streams
 	prefillLoad := math.Min(used.PrefillLoad*slowdown, maxPrefillLoad)
-	return step * card.Pace * slowdown / float64(spec.Layers) / (1 - prefillLoad)
+	return step * card.StepTimeFactor * slowdown / float64(spec.Layers) / (1 - prefillLoad)
 }
 
 // TokenTime returns the expected time per token of a chain without slowdowns.
@@ -63,21 +63,21 @@
 	if a == b {
 		return hopDelay.Seconds()
 	}
-	if spec.PipeMbps <= 0 {
+	if spec.InterconnectMbps <= 0 {
 		return crossDomainDelay.Seconds()
 	}
 	mbit := CrossDomainMbit(spec, tokens)
-	transfer := mbit / spec.PipeMbps
-	limit := maxUtilization(time.Duration(transfer*float64(time.Second)), maxEventGap, spec.Stride)
-	if !c.Interconnect.Allows(a, b, mbit, limit*spec.PipeMbps, routers) {
+	transfer := mbit / spec.InterconnectMbps
+	limit := maxUtilization(time.Duration(transfer*float64(time.Second)), maxEventGap, spec.StepsPerPass)
+	if !c.Interconnect.Allows(a, b, mbit, limit*spec.InterconnectMbps, routers) {
 		return math.Inf(1)
 	}
 	// The transfer of the prompt delays the first event. To compare with times per token,
 	// it is spread over the tokens of a usual answer. In addition each token waits for
 	// transfers of other requests.
-	utilization := math.Min(c.Interconnect.Rate(a, b)/spec.PipeMbps, limit)
+	utilization := math.Min(c.Interconnect.Rate(a, b)/spec.InterconnectMbps, limit)
 	queueing := utilization / (2 * (1 - utilization)) * transfer
-	return crossDomainDelay.Seconds() + queueing + transfer/float64(max(spec.UsualAnswer, 1))
+	return crossDomainDelay.Seconds() + queueing + transfer/float64(max(spec.MeanAnswerTokens, 1))
 }
 
 // RecordStart records a stream that starts on a chain: the attempt at each engine, the
--- a/internal/coordination/chains/move.go
+++ b/internal/coordination/chains/move.go
@@ -119,9 +119,9 @@
 // and after are the failure domains of the adjacent stages; after is empty if none follows.
 func (r *replacement) cover(needed model.LayerRange, before, after string, avoid map[model.Incarnation]bool) []Stage {
 	spec := r.svc.Engine
-	crossing := crossDomainDelay.Seconds() * float64(max(spec.Stride, 1))
-	if spec.PipeMbps > 0 {
-		crossing += CrossDomainMbit(spec, r.tokens) / spec.PipeMbps
+	crossing := crossDomainDelay.Seconds() * float64(max(spec.StepsPerPass, 1))
+	if spec.InterconnectMbps > 0 {
+		crossing += CrossDomainMbit(spec, r.tokens) / spec.InterconnectMbps
 	}
 	reserved := map[model.Incarnation]bool{}
 	for _, s := range r.stages {
@@ -131,7 +131,7 @@
 	for i := range cands {
 		b := cands[i].server
 		// The pause ends with the next event, which contains stride tokens.
-		cands[i].secondsPerLayer *= float64(max(spec.Stride, 1))
+		cands[i].secondsPerLayer *= float64(max(spec.StepsPerPass, 1))
 		if reserved[b.Incarnation()] {
 			cands[i].full = false // the stream already has memory reserved there
 			continue
@@ -151,7 +151,7 @@
 	s.crossing = r.crossingCosts(spec, cands, r.tokens, r.maxEventGap)
 	for i, row := range s.crossing {
 		for j := range row {
-			row[j] *= float64(max(spec.Stride, 1))
+			row[j] *= float64(max(spec.StepsPerPass, 1))
 			if i != j {
 				row[j] = math.Max(row[j], crossing)
 			}
@@ -164,10 +164,10 @@
 // prefill of tokens in a number of layers.
 func prefillSeconds(spec *model.EngineSpec, b *model.BackendServer, tokens, layers int) float64 {
 	card, ok := spec.Card(b.Card)
-	if !ok || spec.ReadRate <= 0 {
+	if !ok || spec.PrefillRate <= 0 {
 		return 0
 	}
-	return float64(tokens) / spec.ReadRate * card.ReadFactor * float64(layers) / float64(spec.Layers)
+	return float64(tokens) / spec.PrefillRate * card.PrefillFactor * float64(layers) / float64(spec.Layers)
 }
 
 // recordLoad records the load of a move: prefill of all tokens at new stages, and traffic
@@ -199,13 +199,13 @@
 func (c *Chooser) resumePrefillSeconds(spec *model.EngineSpec, b *model.BackendServer, tokens, layers int) float64 {
 	prefill := prefillSeconds(spec, b, tokens, layers)
 	card, ok := spec.Card(b.Card)
-	if !ok || spec.Chunk <= 0 {
+	if !ok || spec.PrefillChunk <= 0 {
 		return prefill
 	}
 	inc := b.Incarnation()
 	step := layerSeconds(spec, card, Usage{Streams: c.Usage.Used(inc).Streams}, c.Usage.Slowdown(inc)) * float64(layers)
-	passes := float64(tokens) / float64(spec.Chunk)
-	return prefill*c.Usage.Slowdown(inc) + passes*step*float64(max(spec.Stride, 1))
+	passes := float64(tokens) / float64(spec.PrefillChunk)
+	return prefill*c.Usage.Slowdown(inc) + passes*step*float64(max(spec.StepsPerPass, 1))
 }
 
 // useResumeCosts replaces the costs of a search, in seconds per token, by the pause of a
@@ -213,7 +213,7 @@
 // tokens of one event.
 func (c *Chooser) useResumeCosts(s *search, tokens int) {
 	spec := s.spec
-	stride := float64(max(spec.Stride, 1))
+	stride := float64(max(spec.StepsPerPass, 1))
 	for i := range s.cands {
 		b := s.cands[i].server
 		s.cands[i].secondsPerLayer *= stride
@@ -222,8 +222,8 @@
 	for i, row := range s.crossing {
 		for j := range row {
 			row[j] *= stride
-			if i != j && spec.PipeMbps > 0 {
-				row[j] += CrossDomainMbit(spec, tokens) / spec.PipeMbps
+			if i != j && spec.InterconnectMbps > 0 {
+				row[j] += CrossDomainMbit(spec, tokens) / spec.InterconnectMbps
 			}
 		}
 	}
--- a/internal/coordination/chains/slowstart_test.go
+++ b/internal/coordination/chains/slowstart_test.go
@@ -31,7 +31,7 @@
 	for r := range domains * each {
 		f := newFixture()
 		f.chooser.Self = fmt.Sprint(r)
-		f.svc.Engine.KVTokenBytes, f.svc.Engine.ReadRate = 459000, 210000
+		f.svc.Engine.KVTokenBytes, f.svc.Engine.PrefillRate = 459000, 210000
 		clock := func() time.Time { return now }
 		f.chooser.Usage = NewUsageTracker(clock)
 		f.chooser.Interconnect = NewInterconnect(clock)
--- a/internal/coordination/keepalive/keepalive.go
+++ b/internal/coordination/keepalive/keepalive.go
@@ -75,11 +75,11 @@
 	case s.phase == Serving:
 		return time.Time{}
 	case s.phase == ReadingHeader:
-		return s.phaseStart.Add(limits.HeaderTime)
+		return s.phaseStart.Add(limits.HeaderTimeout)
 	case s.closeWhenIdle:
 		return pastDeadline
 	}
-	return s.phaseStart.Add(limits.IdleTime + IdleMargin(limits.IdleTime))
+	return s.phaseStart.Add(limits.IdleTimeout + IdleMargin(limits.IdleTimeout))
 }
 
 // Expired reports whether the deadline has passed. A connection on which unread bytes have
--- a/internal/coordination/keepalive/keepalive_test.go
+++ b/internal/coordination/keepalive/keepalive_test.go
@@ -12,13 +12,13 @@
 
 var (
 	startTime = time.Unix(1000, 0)
-	limits    = model.CallerLimits{HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}
+	limits    = model.CallerLimits{HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 )
 
 func TestIdleConnectionExpiresAfterTimeoutAndMargin(t *testing.T) {
 	var l ConnState
 	l.StartIdle(startTime)
-	until := startTime.Add(limits.IdleTime + IdleMargin(limits.IdleTime))
+	until := startTime.Add(limits.IdleTimeout + IdleMargin(limits.IdleTimeout))
 	assert.Assert(t, !l.Expired(until.Add(-1), limits, false))
 	assert.Assert(t, l.Expired(until, limits, false))
 }
@@ -28,7 +28,7 @@
 func TestMarginCoversCallersThatIdleLonger(t *testing.T) {
 	var l ConnState
 	l.StartIdle(startTime)
-	assert.Assert(t, !l.Expired(startTime.Add(limits.IdleTime*4/3), limits, false))
+	assert.Assert(t, !l.Expired(startTime.Add(limits.IdleTimeout*4/3), limits, false))
 	assert.Equal(t, IdleMargin(100*time.Millisecond), time.Second)
 }
 
@@ -47,7 +47,7 @@
 	var l ConnState
 	l.StartIdle(startTime)
 	longer := limits
-	longer.IdleTime = time.Hour
+	longer.IdleTimeout = time.Hour
 	assert.Assert(t, !l.Expired(startTime.Add(time.Minute), longer, false))
 	assert.Assert(t, l.Expired(startTime.Add(time.Minute), limits, false))
 }
@@ -58,7 +58,7 @@
 	l.StartIdle(startTime)
 	l.BytesRead(startTime.Add(time.Second))
 	l.BytesRead(startTime.Add(2 * time.Second))
-	assert.Equal(t, l.Deadline(limits), startTime.Add(time.Second+limits.HeaderTime))
+	assert.Equal(t, l.Deadline(limits), startTime.Add(time.Second+limits.HeaderTimeout))
 }
 
 // On shutdown idle connections expire at once, others after their header or request.
--- a/internal/coordination/ledger/ledger_test.go
+++ b/internal/coordination/ledger/ledger_test.go
@@ -109,7 +109,7 @@
 			})
 		}
 		wg.Wait()
-		assert.Assert(t, kv.Calls().Swaps <= 2*Shards, "%d writes for %d intents", kv.Calls().Swaps, asks)
+		assert.Assert(t, kv.Calls().Swaps <= 2*ShardCount, "%d writes for %d intents", kv.Calls().Swaps, asks)
 	})
 }
 
@@ -121,8 +121,8 @@
 		want fault.Kind
 	}{
 		{"no ULID", "sheet-1", fault.InvalidRequest},
-		{"too old", idAt(now.Add(-Window - time.Second)), fault.ExpiredID},
-		{"from the future", idAt(now.Add(MaxAhead + time.Second)), fault.InvalidRequest},
+		{"too old", idAt(now.Add(-MaxIDAge - time.Second)), fault.ExpiredID},
+		{"from the future", idAt(now.Add(MaxClockAhead + time.Second)), fault.InvalidRequest},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := CheckID(tc.id, now)
@@ -143,7 +143,7 @@
 		assert.NilError(t, err)
 		l.Sweep(context.Background())
 		assert.Equal(t, len(kv.Keys("ledger/")), 1)
-		time.Sleep(Window + time.Minute)
+		time.Sleep(MaxIDAge + time.Minute)
 		l.Sweep(context.Background())
 		assert.Equal(t, len(kv.Keys("ledger/")), 0)
 	})
--- a/internal/coordination/membership/membership.go
+++ b/internal/coordination/membership/membership.go
@@ -43,20 +43,20 @@
 
 // Member is one process and the evidence about it.
 type Member struct {
-	Instance    model.Instance
-	Incarnation string
-	Backend     Backend
-	Revision    int64         // of the configuration it applied
-	RTT         time.Duration // smoothed round trip from here
-	Misses      int           // contacts failed in a row
-	SeenAt      time.Time     // last direct contact; zero if never
-	Listed      bool          // in the instance list when it was last read
-	ListedAt    time.Time
-	BackoffTill time.Time // the gate asked not to be tried before
+	Instance     model.Instance
+	Incarnation  string
+	Backend      Backend
+	Revision     int64         // of the configuration it applied
+	RTT          time.Duration // smoothed round trip from here
+	Failures     int           // contacts failed in a row
+	LastContact  time.Time     // last direct contact; zero if never
+	Listed       bool          // in the instance list when it was last read
+	LastListed   time.Time
+	BackoffUntil time.Time // the gate asked not to be tried before
 }
 
 // Down tells whether direct evidence says that the member does not answer.
-func (m *Member) Down() bool { return m.Misses >= missesToDown }
+func (m *Member) Down() bool { return m.Failures >= missesToDown }
 
 // Leaving goes by the process's own word or the list, whichever comes first.
 func (m *Member) Leaving() bool { return m.Instance.Leaving || m.Backend.Leaving }
@@ -95,11 +95,11 @@
 		m.Instance = in
 		m.Instance.Leaving = in.Leaving || leaving
 		m.Listed = true
-		m.ListedAt = now
+		m.LastListed = now
 	}
 	for addr, m := range t.members {
-		silent := m.SeenAt.IsZero() || m.Down()
-		if !m.Listed && silent && now.Sub(m.ListedAt) > forgetAfter {
+		silent := m.LastContact.IsZero() || m.Down()
+		if !m.Listed && silent && now.Sub(m.LastListed) > forgetAfter {
 			delete(t.members, addr)
 		}
 	}
@@ -108,31 +108,31 @@
 func (t *Table) member(addr string) *Member {
 	m, ok := t.members[addr]
 	if !ok {
-		m = &Member{Instance: model.Instance{Address: addr}, ListedAt: t.now()}
+		m = &Member{Instance: model.Instance{Address: addr}, LastListed: t.now()}
 		t.members[addr] = m
 	}
 	return m
 }
 
-// Seen takes in a process's own word about itself.
-func (t *Table) Seen(in model.Instance, incarnation string, b Backend, rtt time.Duration) {
+// Observe takes in a process's own word about itself.
+func (t *Table) Observe(in model.Instance, incarnation string, b Backend, rtt time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := t.member(in.Address)
 	if m.Incarnation != incarnation {
-		m.BackoffTill = time.Time{}
+		m.BackoffUntil = time.Time{}
 		m.RTT = rtt
 	}
 	m.Instance = in
 	m.Incarnation = incarnation
 	m.Backend = b
 	m.RTT += (rtt - m.RTT) / 8
-	m.Misses = 0
-	m.SeenAt = t.now()
+	m.Failures = 0
+	m.LastContact = t.now()
 }
 
-// SeenLoad takes in the load that came with a gate's reply.
-func (t *Table) SeenLoad(addr string, l Load) {
+// ObserveLoad takes in the load that came with a gate's reply.
+func (t *Table) ObserveLoad(addr string, l Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m, ok := t.members[addr]
@@ -143,13 +143,13 @@
 	m.Backend.Queued = l.Queued
 	m.Backend.Capacity = l.Capacity
 	m.Backend.Leaving = l.Leaving
-	m.Misses = 0
-	m.SeenAt = t.now()
+	m.Failures = 0
+	m.LastContact = t.now()
 }
 
-// SeenRevision takes in the configuration revision that rode on a message. The
+// ObserveRevision takes in the configuration revision that rode on a message. The
 // sender may not be in the list yet, which lags.
-func (t *Table) SeenRevision(addr string, revision int64) {
+func (t *Table) ObserveRevision(addr string, revision int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if addr == "" || addr == t.self {
@@ -159,8 +159,8 @@
 	m.Revision = max(m.Revision, revision)
 }
 
-// SeenLeaving takes in a gate's word that it leaves.
-func (t *Table) SeenLeaving(addr string) {
+// ObserveLeaving takes in a gate's word that it leaves.
+func (t *Table) ObserveLeaving(addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m, ok := t.members[addr]; ok {
@@ -168,25 +168,25 @@
 	}
 }
 
-// Missed records a contact that failed; it tells whether the member is now
+// RecordFailure records a contact that failed; it tells whether the member is now
 // taken to be down.
-func (t *Table) Missed(addr string) bool {
+func (t *Table) RecordFailure(addr string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m, ok := t.members[addr]
 	if !ok {
 		return true
 	}
-	m.Misses++
+	m.Failures++
 	return m.Down()
 }
 
-// Backoff records that a gate refused and when it may be tried again.
-func (t *Table) Backoff(addr string, d time.Duration) {
+// SetBackoff records that a gate refused and when it may be tried again.
+func (t *Table) SetBackoff(addr string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m, ok := t.members[addr]; ok {
-		m.BackoffTill = t.now().Add(d)
+		m.BackoffUntil = t.now().Add(d)
 	}
 }
 
@@ -202,10 +202,10 @@
 	})
 }
 
-// Service copies every member known to offer a service, whatever its state.
+// ServiceMembers copies every member known to offer a service, whatever its state.
 // It is complete only if each sidecar of the list was met: one that was not may
 // offer the service too.
-func (t *Table) Service(service string) (members []Member, complete bool) {
+func (t *Table) ServiceMembers(service string) (members []Member, complete bool) {
 	complete = true
 	members = t.filter(func(m *Member) bool {
 		if m.Instance.Role != model.RoleEntry && m.Backend.Service == "" {
@@ -240,7 +240,7 @@
 // members that seem down are offered too, after the others.
 func (t *Table) Candidates(service string) (up, doubtful []Member) {
 	all := t.filter(func(m *Member) bool {
-		return m.Backend.Service == service && !m.SeenAt.IsZero() && !m.Leaving()
+		return m.Backend.Service == service && !m.LastContact.IsZero() && !m.Leaving()
 	})
 	for _, m := range all {
 		if m.Down() {
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -22,8 +22,8 @@
 // as live. The gate's word stands, and it is no candidate.
 func TestLeavingOutlivesAStaleList(t *testing.T) {
 	tb := New("self", time.Now)
-	tb.Seen(sidecar("a"), "1", offers("s"), 0)
-	tb.SeenLeaving("a")
+	tb.Observe(sidecar("a"), "1", offers("s"), 0)
+	tb.ObserveLeaving("a")
 	tb.UpdateList([]model.Instance{sidecar("a")})
 	up, doubtful := tb.Candidates("s")
 	assert.Equal(t, len(up)+len(doubtful), 0)
@@ -34,13 +34,13 @@
 func TestAnsweringMemberOutlivesTheList(t *testing.T) {
 	now := time.Now()
 	tb := New("self", func() time.Time { return now })
-	tb.Seen(sidecar("a"), "1", offers("s"), 0)
+	tb.Observe(sidecar("a"), "1", offers("s"), 0)
 	now = now.Add(time.Hour)
 	tb.UpdateList(nil)
 	up, _ := tb.Candidates("s")
 	assert.Equal(t, len(up), 1)
-	tb.Missed("a")
-	tb.Missed("a")
+	tb.RecordFailure("a")
+	tb.RecordFailure("a")
 	tb.UpdateList(nil)
 	_, known := tb.Get("a")
 	assert.Assert(t, !known, "a member that neither answers nor is listed is forgotten")
@@ -51,14 +51,14 @@
 func TestMissesGoBeforeTheList(t *testing.T) {
 	tb := New("self", time.Now)
 	for _, a := range []string{"a", "b", "c"} {
-		tb.Seen(sidecar(a), "1", offers("s"), 0)
+		tb.Observe(sidecar(a), "1", offers("s"), 0)
 	}
-	assert.Assert(t, !tb.Missed("a"), "one miss may be the connection's fault")
-	assert.Assert(t, tb.Missed("a"))
+	assert.Assert(t, !tb.RecordFailure("a"), "one miss may be the connection's fault")
+	assert.Assert(t, tb.RecordFailure("a"))
 	tb.UpdateList([]model.Instance{sidecar("a"), sidecar("b"), sidecar("c")})
 	up, _ := tb.Candidates("s")
 	assert.Equal(t, len(up), 2)
-	tb.Seen(sidecar("a"), "2", offers("s"), 0)
+	tb.Observe(sidecar("a"), "2", offers("s"), 0)
 	up, _ = tb.Candidates("s")
 	assert.Equal(t, len(up), 3)
 }
@@ -68,11 +68,11 @@
 func TestServiceIsIncompleteUntilAllAreMet(t *testing.T) {
 	tb := New("self", time.Now)
 	tb.UpdateList([]model.Instance{sidecar("a"), sidecar("b")})
-	tb.Seen(sidecar("a"), "1", offers("s"), 0)
-	_, complete := tb.Service("s")
+	tb.Observe(sidecar("a"), "1", offers("s"), 0)
+	_, complete := tb.ServiceMembers("s")
 	assert.Assert(t, !complete)
-	tb.Seen(sidecar("b"), "1", offers("other"), 0)
-	members, complete := tb.Service("s")
+	tb.Observe(sidecar("b"), "1", offers("other"), 0)
+	members, complete := tb.ServiceMembers("s")
 	assert.Assert(t, complete && len(members) == 1)
 }
 
--- a/internal/coordination/placement/balance.go
+++ b/internal/coordination/placement/balance.go
@@ -100,7 +100,7 @@
 
 // typicalTokens returns the number of tokens of a typical request.
 func (b placementBenefit) typicalTokens() float64 {
-	return float64(max(b.spec.UsualPrompt+b.spec.UsualAnswer, 1))
+	return float64(max(b.spec.MeanPromptTokens+b.spec.MeanAnswerTokens, 1))
 }
 
 // rangeBenefit returns the benefit of an engine that holds a range.
@@ -186,7 +186,7 @@
 		for l := held.From; l < min(held.To, len(capacity)); l++ {
 			spare = spare && capacity[l]-rangeCapacity(spec, e, held) >= minTokens
 		}
-		if spare && (!ok || e.Card.Pace > best.Card.Pace) {
+		if spare && (!ok || e.Card.StepTimeFactor > best.Card.StepTimeFactor) {
 			best, ok = e, true
 		}
 	}
--- a/internal/coordination/placement/bound_test.go
+++ b/internal/coordination/placement/bound_test.go
@@ -84,7 +84,7 @@
 // requires, and keeps most of the prefill rate.
 func TestPlanStaysWithinItsBounds(t *testing.T) {
 	s := testSpec()
-	s.ReadRate = 245000
+	s.PrefillRate = 245000
 	all := mixedEngines()
 	plan := BuildPlan(s, all)
 	memory := MaxFlow(s, plan, all, MemoryCapacity(s))
--- a/internal/coordination/placement/controller_test.go
+++ b/internal/coordination/placement/controller_test.go
@@ -46,7 +46,7 @@
 	s := &testCluster{t: t, store: standin.NewStore(), catalog: catalog.New(time.Now), holds: map[string]model.LayerRange{}, orders: map[string]int64{}, born: map[string]int64{}, result: OrderAccepted}
 	sp := testSpec()
 	sp.LoadTime = 14 * time.Second
-	sp.LoadsAtOnce = 5
+	sp.ConcurrentLoads = 5
 	s.token.Store(int64(s.store.Put(leader.Key, []byte(`{}`))))
 	s.c = &Controller{
 		Config: &routes.ActiveConfig{}, Catalog: s.catalog, Store: s.store, Engines: s, Now: time.Now,
@@ -92,7 +92,7 @@
 func (s *testCluster) Report(_ context.Context, b *model.BackendServer) (model.EngineReport, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return model.EngineReport{Born: s.born[b.ID], Holds: s.holds[b.ID], Orders: s.orders[b.ID]}, nil
+	return model.EngineReport{Born: s.born[b.ID], Holds: s.holds[b.ID], OrderCount: s.orders[b.ID]}, nil
 }
 
 func (s *testCluster) Place(_ context.Context, b *model.BackendServer, held model.LayerRange, fence, expected int64) (OrderResult, error) {
--- a/internal/coordination/placement/mend_test.go
+++ b/internal/coordination/placement/mend_test.go
@@ -16,7 +16,7 @@
 	s := newTestCluster(t)
 	spec := weakSpec()
 	spec.LoadTime = 14 * time.Second
-	spec.LoadsAtOnce = 9
+	spec.ConcurrentLoads = 9
 	s.publishConfig(spec)
 	s.add(weakEngines())
 	s.run(12 * time.Second)
--- a/internal/coordination/placement/orders.go
+++ b/internal/coordination/placement/orders.go
@@ -75,7 +75,7 @@
 	now := c.Now()
 	maxLoads := len(servers)
 	if c.HasTraffic() {
-		maxLoads = svc.Engine.LoadsAtOnce
+		maxLoads = svc.Engine.ConcurrentLoads
 	}
 	loading := 0
 	var due []*model.BackendServer
@@ -106,7 +106,7 @@
 	for _, b := range due {
 		want := plan[b.Address]
 		share := float64(want.Len()) / float64(max(svc.Engine.Layers, 1))
-		contention := max(float64(len(due)+loading)/float64(svc.Engine.LoadsAtOnce), 1)
+		contention := max(float64(len(due)+loading)/float64(svc.Engine.ConcurrentLoads), 1)
 		loadTime := time.Duration(float64(svc.Engine.LoadTime) * share * contention)
 		c.pending[b.Incarnation()] = order{address: b.Address, want: want, deadline: now.Add(loadTime + loadMargin)}
 	}
@@ -120,7 +120,7 @@
 	for _, group := range groupByDomain(engines) {
 		for i, e := range group {
 			members[e.Address] = true
-			classEnds := i+1 == len(group) || group[i+1].Card.Pace != e.Card.Pace
+			classEnds := i+1 == len(group) || group[i+1].Card.StepTimeFactor != e.Card.StepTimeFactor
 			if classEnds && len(UncoveredLayers(spec, plan, group[:i+1])) == 0 {
 				break
 			}
@@ -137,14 +137,14 @@
 	}
 	ca, _ := spec.Card(a.Card)
 	cb, _ := spec.Card(b.Card)
-	if !first[a.Address] && ca.Pace != cb.Pace {
-		return ca.Pace < cb.Pace
+	if !first[a.Address] && ca.StepTimeFactor != cb.StepTimeFactor {
+		return ca.StepTimeFactor < cb.StepTimeFactor
 	}
 	if a.FailureDomain != b.FailureDomain {
 		return a.FailureDomain < b.FailureDomain
 	}
-	if ca.Pace != cb.Pace {
-		return ca.Pace < cb.Pace
+	if ca.StepTimeFactor != cb.StepTimeFactor {
+		return ca.StepTimeFactor < cb.StepTimeFactor
 	}
 	return plan[a.Address].From < plan[b.Address].From
 }
@@ -174,9 +174,9 @@
 		c.delayOrder(b.Incarnation(), want, 0)
 		return
 	}
-	result, err := c.Engines.Place(ctx, b, want, int64(token), report.Orders)
+	result, err := c.Engines.Place(ctx, b, want, int64(token), report.OrderCount)
 	klog.InfoS("order sent", "server", b.Incarnation(), "address", b.Address, "card", b.Card, "from", b.Holds.String(), "to", want.String(),
-		"token", token, "expected", report.Orders, "result", int(result), "err", err)
+		"token", token, "expected", report.OrderCount, "result", int(result), "err", err)
 	switch result {
 	case OrderAccepted, OrderUnknown:
 		c.markSent(b.Incarnation())
--- a/internal/coordination/placement/plan_test.go
+++ b/internal/coordination/placement/plan_test.go
@@ -13,13 +13,13 @@
 )
 
 var cards = map[string]model.Card{
-	"a100": {Name: "a100", MB: 72000, Pace: 2.4, ReadFactor: 3.2},
-	"l40s": {Name: "l40s", MB: 43200, Pace: 5.6, ReadFactor: 2.7},
-	"l4":   {Name: "l4", MB: 21600, Pace: 16, ReadFactor: 8.2},
+	"a100": {Name: "a100", MB: 72000, StepTimeFactor: 2.4, PrefillFactor: 3.2},
+	"l40s": {Name: "l40s", MB: 43200, StepTimeFactor: 5.6, PrefillFactor: 2.7},
+	"l4":   {Name: "l4", MB: 21600, StepTimeFactor: 16, PrefillFactor: 8.2},
 }
 
 func testSpec() *model.EngineSpec {
-	s := &model.EngineSpec{Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 918000, UsualPrompt: 774, UsualAnswer: 200}
+	s := &model.EngineSpec{Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 918000, MeanPromptTokens: 774, MeanAnswerTokens: 200}
 	for _, c := range cards {
 		s.Cards = append(s.Cards, c)
 	}
@@ -116,10 +116,10 @@
 // strong ones. No class of cards alone can hold the model.
 func weakSpec() *model.EngineSpec {
 	return &model.EngineSpec{
-		Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 328000, StepTime: 850 * time.Microsecond, ReadRate: 353000,
-		UsualPrompt: 772, UsualAnswer: 140,
-		Cards: []model.Card{{Name: "strong", MB: 36000, Pace: 3.1, ReadFactor: 3.2}, {Name: "large", MB: 21600, Pace: 16, ReadFactor: 8.2},
-			{Name: "small", MB: 14400, Pace: 15, ReadFactor: 15}},
+		Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 328000, StepTime: 850 * time.Microsecond, PrefillRate: 353000,
+		MeanPromptTokens: 772, MeanAnswerTokens: 140,
+		Cards: []model.Card{{Name: "strong", MB: 36000, StepTimeFactor: 3.1, PrefillFactor: 3.2}, {Name: "large", MB: 21600, StepTimeFactor: 16, PrefillFactor: 8.2},
+			{Name: "small", MB: 14400, StepTimeFactor: 15, PrefillFactor: 15}},
 	}
 }
 
--- a/internal/coordination/placement/whole.go
+++ b/internal/coordination/placement/whole.go
@@ -149,7 +149,7 @@
 	if n == 0 {
 		return math.Inf(1)
 	}
-	return spec.StepTime.Seconds()*e.Card.Pace/float64(spec.Layers) + hopTime.Seconds()/float64(n)
+	return spec.StepTime.Seconds()*e.Card.StepTimeFactor/float64(spec.Layers) + hopTime.Seconds()/float64(n)
 }
 
 // placeStandbys assigns the remaining engines the layers that their failure domain covers
--- a/internal/coordination/routing/routing_test.go
+++ b/internal/coordination/routing/routing_test.go
@@ -16,7 +16,7 @@
 func constantLinkTime(_, _ model.Instance) time.Duration { return time.Millisecond }
 
 func addEngine(tb *membership.Table, name string, r model.LayerRange, active, capacity int, leaving bool) {
-	tb.Seen(model.Instance{ID: name, Role: model.RoleSidecar, Address: name}, "inc", membership.Backend{
+	tb.Observe(model.Instance{ID: name, Role: model.RoleSidecar, Address: name}, "inc", membership.Backend{
 		Service:  "s",
 		Kind:     model.KindPipeline,
 		Range:    r,
@@ -75,8 +75,8 @@
 		name := fmt.Sprint("e", i)
 		addEngine(tb, name, model.LayerRange{To: 12}, 0, 4, false)
 		if i > 0 {
-			tb.Missed(name)
-			tb.Missed(name)
+			tb.RecordFailure(name)
+			tb.RecordFailure(name)
 		}
 	}
 	r := New(tb, Links{Time: constantLinkTime}, time.Now, func(int) int { return 0 })
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -109,25 +109,25 @@
 	})
 	e.data = data.NewPool(e.node.Stamp())
 	e.owner = owner.New(owner.Deps{
-		Instance:    s.Instance,
-		Incarnation: e.node.Incarnation,
-		Address:     s.Listen.Link,
-		Data:        s.Listen.HTTP,
-		Peers:       e.node.Pool,
-		Feeder:      sender{e.node.Pool, e.data},
-		Table:       e.node.Table,
-		Router:      routing.New(e.node.Table, e.links(), time.Now, nil),
-		Config:      e.node.Config,
-		Rates:       limits.NewRateLimiter(e.sharers),
-		Retries:     limits.NewRetryBudget(),
-		Room:        admission.NewLimiter(time.Now),
-		Grant:       e.grant,
-		Requests:    e.store,
-		Events:      e.node.Events,
-		Now:         time.Now,
-		Refresh:     e.node.FetchConfig,
-		Observe:     e.metrics.outcome,
-		Timing:      owner.DefaultTiming(),
+		Instance:         s.Instance,
+		Incarnation:      e.node.Incarnation,
+		Address:          s.Listen.Link,
+		Data:             s.Listen.HTTP,
+		Peers:            e.node.Pool,
+		Feeder:           sender{e.node.Pool, e.data},
+		Table:            e.node.Table,
+		Router:           routing.New(e.node.Table, e.links(), time.Now, nil),
+		Config:           e.node.Config,
+		RateLimiter:      limits.NewRateLimiter(e.sharers),
+		RetryBudget:      limits.NewRetryBudget(),
+		AdmissionLimiter: admission.NewLimiter(time.Now),
+		RecordIntent:     e.grant,
+		Requests:         e.store,
+		Events:           e.node.Events,
+		Now:              time.Now,
+		Refresh:          e.node.FetchConfig,
+		Observe:          e.metrics.outcome,
+		Timing:           owner.DefaultTiming(),
 	})
 	e.register()
 	return e
@@ -160,7 +160,7 @@
 		return e.owner.KnownOutcome(q.Key), nil
 	}))
 	srv.Register(wire.MethodOutcomeCopy, link.Handle(func(_ context.Context, _ string, c wire.OutcomeCopy) (struct{}, error) {
-		e.store.KeepCopy(c.Key, c.Outcome)
+		e.store.SetOutcomeCopy(c.Key, c.Outcome)
 		return struct{}{}, nil
 	}))
 	srv.Register(wire.MethodIntent, link.Handle(e.recordIntent))
@@ -248,7 +248,7 @@
 func (e *Entry) drain() {
 	close(e.draining)
 	e.node.Events.Add(model.RequestKey{}, events.DrainStarted, "")
-	klog.InfoS("Entry drains", "instance", e.settings.Instance, "running", e.owner.Serving())
+	klog.InfoS("Entry drains", "instance", e.settings.Instance, "running", e.owner.ActiveRequests())
 	time.Sleep(time.Duration(e.settings.Entry.DrainDelay))
 	<-e.owner.Drain()
 }
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -89,12 +89,12 @@
 			return ctx.Err()
 		}
 	}
-	b.Pace = limits.NewConcurrencyLimiter(d.load.Batch, d.settings.Sidecar.Capacity, d.load.BatchTime(), time.Now)
+	b.Limiter = limits.NewConcurrencyLimiter(d.load.Batch, d.settings.Sidecar.Capacity, d.load.BatchTime(), time.Now)
 	if b.Engine != nil {
-		d.gate.SetPace(b.Pace)
+		d.gate.SetConcurrencyLimiter(b.Limiter)
 	}
 	d.sidecar = sidecar.New(d.settings.Listen.Link, d.gate, b, sender{d.node.Pool, d.data}, d.node.Events, time.Now)
-	d.node.Serve(d.describe(), d.gate.Load, d.sidecar.Heard)
+	d.node.Serve(d.describe(), d.gate.Load, d.sidecar.RecordContact)
 	d.register()
 	return nil
 }
@@ -170,11 +170,11 @@
 	data *data.Pool
 }
 
-func (s sender) Forward(_ context.Context, to wire.Hop, f wire.Forward) error {
+func (s sender) Forward(_ context.Context, to wire.Stage, f wire.Forward) error {
 	return s.data.Forward(to.Data, f)
 }
 
-func (s sender) Tokens(_ context.Context, owner wire.Hop, t wire.Tokens) error {
+func (s sender) Tokens(_ context.Context, owner wire.Stage, t wire.Tokens) error {
 	return s.data.Tokens(owner.Data, t)
 }
 
@@ -182,7 +182,7 @@
 	return s.pool.Notify(ctx, addr, wire.MethodNoStage, n)
 }
 
-func (s sender) Failed(ctx context.Context, addr string, f wire.StageFailed) error {
+func (s sender) StageFailed(ctx context.Context, addr string, f wire.StageFailed) error {
 	return s.pool.Notify(ctx, addr, wire.MethodStageFailed, f)
 }
 
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -57,19 +57,19 @@
 
 func (f file) site() (Site, error) {
 	spec := &model.EngineSpec{
-		Layers:       f.Layers,
-		LayerMB:      f.LayerMB,
-		KVTokenBytes: f.KVTokenBytes,
-		StepTime:     time.Duration(f.StepMS * float64(time.Millisecond)),
-		ReadRate:     f.ReadPerS,
-		UsualPrompt:  f.UsualPrompt,
-		UsualAnswer:  f.UsualAnswer,
+		Layers:           f.Layers,
+		LayerMB:          f.LayerMB,
+		KVTokenBytes:     f.KVTokenBytes,
+		StepTime:         time.Duration(f.StepMS * float64(time.Millisecond)),
+		PrefillRate:      f.ReadPerS,
+		MeanPromptTokens: f.UsualPrompt,
+		MeanAnswerTokens: f.UsualAnswer,
 	}
 	for i, c := range f.Cards {
 		if c.Name == "" || c.MB <= 0 || c.Pace <= 0 || c.ReadFactor <= 0 {
 			return Site{}, errors.Errorf("card[%d]: needs a name, and mb, pace and read_factor above 0", i)
 		}
-		spec.Cards = append(spec.Cards, model.Card{Name: c.Name, MB: c.MB, Pace: c.Pace, ReadFactor: c.ReadFactor})
+		spec.Cards = append(spec.Cards, model.Card{Name: c.Name, MB: c.MB, StepTimeFactor: c.Pace, PrefillFactor: c.ReadFactor})
 	}
 	s := Site{Spec: spec}
 	for i, g := range f.Engines {
--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -69,26 +69,26 @@
 	KVTokenBytes float64
 	// StepTime is one token step over all layers, for a card of pace 1.
 	StepTime time.Duration
-	// PerRequest is added to a step for each request that is writing.
-	PerRequest time.Duration
-	// Stride is how many steps a pass runs.
-	Stride int
-	// ReadRate is prompt tokens read a second over all layers, for a card of
+	// StepTimePerRequest is added to a step for each request that is writing.
+	StepTimePerRequest time.Duration
+	// StepsPerPass is how many steps a pass runs.
+	StepsPerPass int
+	// PrefillRate is prompt tokens read a second over all layers, for a card of
 	// read factor 1.
-	ReadRate float64
-	// Chunk is how many prompt tokens a pass reads at most; 0 for any number.
-	Chunk int
-	// UsualPrompt and UsualAnswer are mean token counts.
-	UsualPrompt, UsualAnswer int
+	PrefillRate float64
+	// PrefillChunk is how many prompt tokens a pass reads at most; 0 for any number.
+	PrefillChunk int
+	// MeanPromptTokens and MeanAnswerTokens are mean token counts.
+	MeanPromptTokens, MeanAnswerTokens int
 	// LoadTime is the time to load all layers, alone.
 	LoadTime time.Duration
-	// LoadsAtOnce is how many loads run without slowing each other down.
-	LoadsAtOnce int
+	// ConcurrentLoads is how many loads run without slowing each other down.
+	ConcurrentLoads int
 	// ActivationBytes pass between two engines for each token.
 	ActivationBytes float64
-	// PipeMbps is the shared rate between two failure domains, in Mbit/s.
-	PipeMbps float64
-	Cards    []Card
+	// InterconnectMbps is the shared rate between two failure domains, in Mbit/s.
+	InterconnectMbps float64
+	Cards            []Card
 }
 
 // Card is one type of accelerator.
@@ -96,8 +96,8 @@
 	Name string
 	// MB is its memory in megabytes.
 	MB float64
-	// Pace and ReadFactor multiply the times of steps and of prompt reading.
-	Pace, ReadFactor float64
+	// StepTimeFactor and PrefillFactor multiply the times of steps and of prompt reading.
+	StepTimeFactor, PrefillFactor float64
 }
 
 // Card finds a type of accelerator by its name.
@@ -123,10 +123,10 @@
 
 // CallerLimits bound what callers may send; zero means no bound.
 type CallerLimits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderTime  time.Duration
-	IdleTime    time.Duration
+	HeaderBytes   int
+	BodyBytes     int64
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
 
 // RouteCustomer is a customer as the operator's configuration knows it.
@@ -154,8 +154,8 @@
 	Card string
 	// Holds are the layers loaded; empty where none are.
 	Holds LayerRange
-	// Beats counts the heartbeats that it had written by then, since its start.
-	Beats int64
+	// HeartbeatCount counts the heartbeats that it had written by then, since its start.
+	HeartbeatCount int64 `json:"Beats"`
 	// Revision is the store's revision of the entry.
 	Revision Revision
 }
@@ -170,8 +170,8 @@
 	Holds LayerRange
 	// Busy says that an order is in progress.
 	Busy bool
-	// Orders is how many orders it has begun since its start.
-	Orders int64
+	// OrderCount is how many orders it has begun since its start.
+	OrderCount int64
 	// Active and Queued count the requests that it received as the first
 	// engine of a chain.
 	Active, Queued int
@@ -199,10 +199,10 @@
 	Deadline time.Time
 	// ResumeAfter is the last event that the caller has; empty for none.
 	ResumeAfter string
-	// PromptTokens and MaxAnswer are the request's size in tokens.
-	PromptTokens, MaxAnswer int
-	// AnswerHint is the caller's guess of the answer's tokens; 0 for none.
-	AnswerHint int
+	// PromptTokens and MaxAnswerTokens are the request's size in tokens.
+	PromptTokens, MaxAnswerTokens int
+	// AnswerTokensHint is the caller's guess of the answer's tokens; 0 for none.
+	AnswerTokensHint int
 	// Session is the last shared part of the prompt; empty for none.
 	Session string
 }
--- a/internal/protocol/gate/gate.go
+++ b/internal/protocol/gate/gate.go
@@ -18,12 +18,12 @@
 	// must remember it keeps that much longer: a late dispatch from an entry
 	// whose clock is behind would otherwise start after "not run" was said.
 	ClockSkew = 5 * time.Second
-	// Youth is how much older than a request that is not repeatable a gate's
+	// MinIncarnationLead is how much older than a request that is not repeatable a gate's
 	// incarnation must be to run it. A gate tells truly that such a request
 	// never ran only if its predecessor cannot have met it; so each incarnation
 	// runs only ids made after its start, allowing for a caller's clock that is
 	// ahead of an entry's by two seconds, and an entry's by one.
-	Youth = 3 * time.Second
+	MinIncarnationLead = 3 * time.Second
 	// ewmaWeight is the weight of the newest service time.
 	ewmaWeight = 0.1
 )
@@ -52,10 +52,10 @@
 	Attempt       int64
 	Incarnation   string
 	Deadline      time.Time
-	Remember      time.Time // until when the gate must know what became of it
+	RetainUntil   time.Time // until when the gate must know what became of it
 	Priority      int
 	NotRepeatable bool
-	Made          time.Time // time in the id of a request that is not repeatable
+	CreatedAt     time.Time // time in the id of a request that is not repeatable
 }
 
 // Gate is the gate of one sidecar incarnation.
@@ -91,9 +91,9 @@
 	}
 }
 
-// SetPace lets the number of places follow what the engine serves well, up to
+// SetConcurrencyLimiter lets the number of places follow what the engine serves well, up to
 // the gate's capacity. It is called before the gate is used.
-func (g *Gate) SetPace(p *limits.ConcurrencyLimiter) { g.pace = p }
+func (g *Gate) SetConcurrencyLimiter(p *limits.ConcurrencyLimiter) { g.pace = p }
 
 // places is how many requests may run now.
 func (g *Gate) places() int {
@@ -130,7 +130,7 @@
 		phase:         reserved,
 		attempt:       r.Attempt,
 		notRepeatable: r.NotRepeatable,
-		keepUntil:     r.Remember.Add(ClockSkew),
+		keepUntil:     r.RetainUntil.Add(ClockSkew),
 	}
 	g.records[r.Key] = rec
 	t := &Ticket{gate: g, req: r, rec: rec, ready: make(chan struct{}), shed: make(chan struct{})}
@@ -153,9 +153,9 @@
 	if g.leaving {
 		return fault.New(fault.Leaving, "backend server is leaving")
 	}
-	if r.NotRepeatable && r.Made.Before(g.startedAt.Add(Youth)) {
+	if r.NotRepeatable && r.CreatedAt.Before(g.startedAt.Add(MinIncarnationLead)) {
 		e := fault.New(fault.NotReady, "request may be older than this incarnation")
-		e.RetryAfter = Youth
+		e.RetryAfter = MinIncarnationLead
 		return e
 	}
 	rec, known := g.records[r.Key]
@@ -305,18 +305,18 @@
 	}
 	rec, known := g.records[c.Key]
 	if known && rec.phase == finished {
-		return wire.CancelReply{Verdict: wire.WasFinished, Body: rec.answer}, nil
+		return wire.CancelReply{State: wire.WasFinished, Body: rec.answer}, nil
 	}
 	if known && rec.phase == started {
-		return wire.CancelReply{Verdict: wire.WasStarted}, nil
+		return wire.CancelReply{State: wire.WasStarted}, nil
 	}
 	if !known {
 		rec = &record{}
 		g.records[c.Key] = rec
 	}
 	rec.phase = tombstone
-	rec.keepUntil = c.Remember.Add(ClockSkew)
-	return wire.CancelReply{Verdict: wire.NeverStarted}, nil
+	rec.keepUntil = c.RetainUntil.Add(ClockSkew)
+	return wire.CancelReply{State: wire.NeverStarted}, nil
 }
 
 // Load is what the gate says of itself.
--- a/internal/protocol/gate/gate_test.go
+++ b/internal/protocol/gate/gate_test.go
@@ -31,8 +31,8 @@
 		Attempt:     1,
 		Incarnation: inc,
 		Deadline:    c.at.Add(time.Minute),
-		Remember:    c.at.Add(time.Hour),
-		Made:        c.at,
+		RetainUntil: c.at.Add(time.Hour),
+		CreatedAt:   c.at,
 	}
 }
 
@@ -43,7 +43,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		c := newClock()
 		g := New(inc, 2, 3, c.now)
-		c.at = c.at.Add(Youth)
+		c.at = c.at.Add(MinIncarnationLead)
 		tickets := []*Ticket{}
 		denied := map[wire.RunKey]bool{}
 		starts := map[wire.RunKey]int{}
@@ -90,9 +90,9 @@
 			},
 			"cancel": func(rt *rapid.T) {
 				k := anyKey()
-				rep, err := g.Cancel(wire.Cancel{Key: k, Incarnation: inc, Remember: c.at.Add(time.Hour)})
+				rep, err := g.Cancel(wire.Cancel{Key: k, Incarnation: inc, RetainUntil: c.at.Add(time.Hour)})
 				assert.NilError(rt, err)
-				if rep.Verdict == wire.NeverStarted {
+				if rep.State == wire.NeverStarted {
 					assert.Assert(rt, k.Run != "" || starts[k] == 0, "%v started, the gate says never", k)
 					denied[k] = true
 				}
@@ -118,8 +118,8 @@
 	}{
 		{"another incarnation's", func(r *Request) { r.Incarnation = "inc-0" }, fault.WrongIncarnation},
 		{"past its deadline", func(r *Request) { r.Deadline = c.at }, fault.Deadline},
-		{"older than the gate", func(r *Request) { r.NotRepeatable, r.Made = true, old.Made }, fault.NotReady},
-		{"as old as the gate", func(r *Request) { r.NotRepeatable, r.Made = true, old.Made.Add(Youth-1) }, fault.NotReady},
+		{"older than the gate", func(r *Request) { r.NotRepeatable, r.CreatedAt = true, old.CreatedAt }, fault.NotReady},
+		{"as old as the gate", func(r *Request) { r.NotRepeatable, r.CreatedAt = true, old.CreatedAt.Add(MinIncarnationLead-1) }, fault.NotReady},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := fresh
--- a/internal/protocol/owner/chain.go
+++ b/internal/protocol/owner/chain.go
@@ -78,7 +78,7 @@
 		r.chain = hopsOf(chain)
 		return nil
 	}
-	var next []wire.Hop
+	var next []wire.Stage
 	for _, h := range r.chain {
 		if r.stands(h) {
 			next = append(next, h)
@@ -96,7 +96,7 @@
 
 // without is avoid with the members of the chain added: a member takes part
 // once, as a session has one range.
-func (r *run) without(chain []wire.Hop) map[string]bool {
+func (r *run) without(chain []wire.Stage) map[string]bool {
 	out := map[string]bool{}
 	for a, bad := range r.avoid {
 		out[a] = bad
@@ -107,7 +107,7 @@
 	return out
 }
 
-func (r *run) stands(h wire.Hop) bool {
+func (r *run) stands(h wire.Stage) bool {
 	m, ok := r.o.Table.Get(h.Address)
 	return ok && !r.avoid[h.Address] && !m.Down() && m.Incarnation == h.Incarnation
 }
@@ -124,7 +124,7 @@
 			errs[i] = r.o.callTwice(ctx, h.Address, wire.MethodOpen, r.openMessage(i), &rep)
 			if errs[i] == nil {
 				next[i] = rep.Next
-				r.o.Table.SeenLoad(h.Address, membership.Load(rep.Load))
+				r.o.Table.ObserveLoad(h.Address, membership.Load(rep.Load))
 			}
 			return nil
 		})
@@ -135,17 +135,17 @@
 
 func (r *run) openMessage(i int) wire.Open {
 	return wire.Open{
-		Key:       r.runKey(),
-		Epoch:     r.epoch,
-		Chain:     r.chain,
-		Index:     i,
-		Owner:     r.o.Address,
-		OwnerData: r.o.Data,
-		Prompt:    int64(len(r.prompt)),
-		Tokens:    int64(r.ask.MaxTokens),
-		Deadline:  r.req.Deadline,
-		Remember:  r.remember,
-		Priority:  r.rule.Priority,
+		Key:         r.runKey(),
+		Epoch:       r.epoch,
+		Chain:       r.chain,
+		Index:       i,
+		Owner:       r.o.Address,
+		OwnerData:   r.o.Data,
+		Prompt:      int64(len(r.prompt)),
+		Tokens:      int64(r.ask.MaxTokens),
+		Deadline:    r.req.Deadline,
+		RetainUntil: r.remember,
+		Priority:    r.rule.Priority,
 	}
 }
 
@@ -162,7 +162,7 @@
 		worst = err
 		e := fault.From(err)
 		if e.Kind == fault.Unreachable {
-			r.o.Table.Missed(h.Address)
+			r.o.Table.RecordFailure(h.Address)
 		}
 		r.o.refused(ctx, r.job, h, e)
 	}
@@ -187,7 +187,7 @@
 		g.Go(func() error {
 			err := r.o.callTwice(ctx, h.Address, wire.MethodResume, msg, nil)
 			if fault.Is(err, fault.Unreachable) {
-				r.o.Table.Missed(h.Address)
+				r.o.Table.RecordFailure(h.Address)
 			}
 			return err
 		})
@@ -220,7 +220,7 @@
 
 // closeAll ends the request at every stage it was opened at.
 func (r *run) closeAll() {
-	ctx, cancel := context.WithTimeout(context.Background(), r.o.Timing.Call)
+	ctx, cancel := context.WithTimeout(context.Background(), r.o.Timing.CallTimeout)
 	defer cancel()
 	var g errgroup.Group
 	for addr := range r.used {
@@ -228,7 +228,7 @@
 			var rep wire.CloseReply
 			err := r.o.callTwice(ctx, addr, wire.MethodClose, wire.Close{Key: r.runKey(), Epoch: r.epoch}, &rep)
 			if err == nil {
-				r.o.Table.SeenLoad(addr, membership.Load(rep.Load))
+				r.o.Table.ObserveLoad(addr, membership.Load(rep.Load))
 			}
 			return nil
 		})
@@ -236,15 +236,15 @@
 	_ = g.Wait()
 }
 
-func hopsOf(chain []routing.Stage) []wire.Hop {
-	out := make([]wire.Hop, 0, len(chain))
+func hopsOf(chain []routing.Stage) []wire.Stage {
+	out := make([]wire.Stage, 0, len(chain))
 	for _, s := range chain {
 		out = append(out, hopOf(s.Member, s.Range))
 	}
 	return out
 }
 
-func describe(chain []wire.Hop) string {
+func describe(chain []wire.Stage) string {
 	s := ""
 	for i, h := range chain {
 		if i > 0 {
--- a/internal/protocol/owner/once.go
+++ b/internal/protocol/owner/once.go
@@ -39,7 +39,7 @@
 	for _, h := range plan {
 		in.Gates = append(in.Gates, ledger.Gate{Address: h.Address, Incarnation: h.Incarnation})
 	}
-	stored, err := o.Grant(ctx, in, j.ask.ID)
+	stored, err := o.RecordIntent(ctx, in, j.ask.ID)
 	if err != nil {
 		return o.withoutLedger(ctx, j, fault.From(err))
 	}
@@ -58,7 +58,7 @@
 
 // plan names the gates: some to choose from for a plain service, the whole
 // chain for a pipeline.
-func (o *Owner) plan(j *job) ([]wire.Hop, error) {
+func (o *Owner) plan(j *job) ([]wire.Stage, error) {
 	if j.kind == model.KindPipeline {
 		chain, err := o.Router.Chain(routing.ChainRequest{Service: j.ask.Service, Layers: model.LayerRange{To: j.layers}, Positions: j.positions()})
 		if err != nil {
@@ -67,7 +67,7 @@
 		return hopsOf(chain), nil
 	}
 	avoid := map[string]bool{}
-	var plan []wire.Hop
+	var plan []wire.Stage
 	for len(plan) < gatesPerIntent {
 		m, err := o.Router.PlainServer(j.ask.Service, avoid)
 		if err != nil && len(plan) == 0 {
@@ -89,7 +89,7 @@
 
 // handOverOnce goes on to the next gate only with proof that the one before
 // never started it.
-func (o *Owner) handOverOnce(ctx context.Context, j *job, plan []wire.Hop) model.Outcome {
+func (o *Owner) handOverOnce(ctx context.Context, j *job, plan []wire.Stage) model.Outcome {
 	var last *fault.Error
 	for i, gate := range plan {
 		body, ran, err := o.dispatch(ctx, j, gate, int64(i+1))
@@ -122,8 +122,8 @@
 	if addr, ok := o.findOwner(ctx, j.key()); ok {
 		return o.follow(ctx, j, addr)
 	}
-	gates, complete := o.Table.Service(j.ask.Service)
-	if !complete || len(gates) == 0 || len(gates) > maxWitnesses || o.Table.ListAge() > gate.Youth {
+	gates, complete := o.Table.ServiceMembers(j.ask.Service)
+	if !complete || len(gates) == 0 || len(gates) > maxWitnesses || o.Table.ListAge() > gate.MinIncarnationLead {
 		return fault.CutOff(e, "not handed over here; whether it ran before cannot be told without the ledger")
 	}
 	unknown := ""
@@ -146,7 +146,7 @@
 // that is not repeatable. It goes by the time in the incarnation, a ULID.
 func mayRunOnce(m membership.Member, j *job) bool {
 	u, err := ulid.ParseStrict(m.Incarnation)
-	return err == nil && !j.made.Before(ulid.Time(u.Time()).Add(gate.Youth))
+	return err == nil && !j.made.Before(ulid.Time(u.Time()).Add(gate.MinIncarnationLead))
 }
 
 // findOwner asks the other entries for one that knows a request.
@@ -185,7 +185,7 @@
 		if rep.Outcome.Final() {
 			return adopt(j, rep), true
 		}
-		if !wait.For(ctx, o.Timing.Poll) {
+		if !wait.For(ctx, o.Timing.PollInterval) {
 			return fault.CutOff(fault.New(fault.Deadline, "still in progress at entry %s", addr), "entry "+addr), true
 		}
 	}
@@ -228,7 +228,7 @@
 func (o *Owner) askGates(ctx context.Context, j *job, in ledger.Intent) model.Outcome {
 	unknown := ""
 	for _, g := range in.Gates {
-		gate := wire.Hop{Address: g.Address, Incarnation: g.Incarnation}
+		gate := wire.Stage{Address: g.Address, Incarnation: g.Incarnation}
 		body, ran, err := o.settle(ctx, j, gate, fault.New(fault.Unreachable, "entry %s is gone", in.Owner))
 		if err == nil {
 			return o.complete(j, gate, body)
--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -32,9 +32,9 @@
 	MaxTokens   = 8192
 	MaxIDLength = 64
 	maxTimeout  = 10 * time.Minute
-	// MaxOnceTimeout bounds the time of a request that is not repeatable, as
+	// MaxNonRepeatableTimeout bounds the time of a request that is not repeatable, as
 	// gates must remember it that much longer than its id is accepted.
-	MaxOnceTimeout = 2 * time.Minute
+	MaxNonRepeatableTimeout = 2 * time.Minute
 )
 
 // Peers sends messages to other processes. A link.Pool is one.
@@ -46,7 +46,7 @@
 
 // Feeder sends inputs to a chain's first stage.
 type Feeder interface {
-	Forward(ctx context.Context, to wire.Hop, f wire.Forward) error
+	Forward(ctx context.Context, to wire.Stage, f wire.Forward) error
 }
 
 // Router chooses where work goes; see package routing.
@@ -59,29 +59,29 @@
 	Describe(service string) (model.ServiceKind, int, bool)
 }
 
-// Granter asks the ledger for the one hand-over of a request; see package
+// RecordIntent asks the ledger for the one hand-over of a request; see package
 // ledger.
-type Granter func(ctx context.Context, in ledger.Intent, id string) (ledger.Intent, error)
+type RecordIntent func(ctx context.Context, in ledger.Intent, id string) (ledger.Intent, error)
 
 // Deps is what an Owner works with.
 type Deps struct {
 	Instance string // id of this entry
 	// Incarnation names this start of it, for logs.
-	Incarnation string
-	Address     string // its link address
-	Data        string // where its data streams end
-	Peers       Peers
-	Feeder      Feeder
-	Table       *membership.Table
-	Router      Router
-	Config      *config.Store
-	Rates       *limits.RateLimiter
-	Retries     *limits.RetryBudget
-	Room        *admission.Limiter
-	Grant       Granter
-	Requests    *requests.Store
-	Events      *events.Log
-	Now         func() time.Time
+	Incarnation      string
+	Address          string // its link address
+	Data             string // where its data streams end
+	Peers            Peers
+	Feeder           Feeder
+	Table            *membership.Table
+	Router           Router
+	Config           *config.Store
+	RateLimiter      *limits.RateLimiter
+	RetryBudget      *limits.RetryBudget
+	AdmissionLimiter *admission.Limiter
+	RecordIntent     RecordIntent
+	Requests         *requests.Store
+	Events           *events.Log
+	Now              func() time.Time
 	// Refresh brings the configuration up to that of the peer at addr.
 	Refresh func(ctx context.Context, addr string) error
 	// Observe is told of each final outcome.
@@ -91,20 +91,20 @@
 
 // Timing is how long the owner waits before it looks into a request.
 type Timing struct {
-	// Call bounds one control message.
-	Call time.Duration
-	// Stall is how long a pipeline may bring no token before it is resynchronised.
-	Stall time.Duration
-	// Poll is how often an outcome elsewhere is asked for.
-	Poll time.Duration
+	// CallTimeout bounds one control message.
+	CallTimeout time.Duration
+	// StallTimeout is how long a pipeline may bring no token before it is resynchronised.
+	StallTimeout time.Duration
+	// PollInterval is how often an outcome elsewhere is asked for.
+	PollInterval time.Duration
 }
 
 // DefaultTiming suits instances of one region.
 func DefaultTiming() Timing {
 	return Timing{
-		Call:  500 * time.Millisecond,
-		Stall: time.Second,
-		Poll:  50 * time.Millisecond,
+		CallTimeout:  500 * time.Millisecond,
+		StallTimeout: time.Second,
+		PollInterval: 50 * time.Millisecond,
 	}
 }
 
@@ -121,8 +121,8 @@
 	return &Owner{Deps: d, started: d.Now(), runs: shard.New[string, *run](), intake: newIntake()}
 }
 
-// Ask is a caller's request.
-type Ask struct {
+// Submission is a caller's request.
+type Submission struct {
 	Customer      string
 	ID            string
 	Service       string
@@ -134,7 +134,7 @@
 
 // job is an accepted request on its way.
 type job struct {
-	ask           Ask
+	ask           Submission
 	req           *requests.Request
 	rule          config.Rule
 	revision      int64 // of the configuration that gave the rule
@@ -162,7 +162,7 @@
 
 // Submit accepts a request or joins it to the same one sent before. An error
 // means that nothing was accepted and nothing ran.
-func (o *Owner) Submit(ask Ask) (*requests.Request, error) {
+func (o *Owner) Submit(ask Submission) (*requests.Request, error) {
 	if ask.ID == "" {
 		ask.ID = ulid.MustNew(ulid.Timestamp(o.Now()), rand.Reader).String()
 	}
@@ -184,7 +184,7 @@
 	if !o.intake.enter() {
 		return nil, o.reject(ask, fault.New(fault.Leaving, "entry is leaving"))
 	}
-	r, joined := o.Requests.Begin(key, content(ask), j.began.Add(j.timeout()))
+	r, joined := o.Requests.GetOrCreate(key, content(ask), j.began.Add(j.timeout()))
 	if joined {
 		o.intake.leave()
 		return r, o.join(ask, r)
@@ -192,7 +192,7 @@
 	j.req = r
 	j.remember = r.Deadline
 	if j.notRepeatable {
-		j.remember = j.made.Add(ledger.Window + MaxOnceTimeout)
+		j.remember = j.made.Add(ledger.MaxIDAge + MaxNonRepeatableTimeout)
 	} else {
 		j.run = ulid.MustNew(ulid.Timestamp(j.began), rand.Reader).String()
 	}
@@ -201,7 +201,7 @@
 	return r, nil
 }
 
-func validate(ask Ask) error {
+func validate(ask Submission) error {
 	switch {
 	case ask.Customer == "":
 		return fault.New(fault.InvalidRequest, "customer is missing")
@@ -222,7 +222,7 @@
 }
 
 // rule gives what the customer's template says, and the revision it is of.
-func (o *Owner) rule(ask Ask) (int64, config.Rule, error) {
+func (o *Owner) rule(ask Submission) (int64, config.Rule, error) {
 	current := o.Config.Current()
 	t, ok := current.Template(ask.Customer)
 	if !ok {
@@ -270,7 +270,7 @@
 			return err
 		}
 	}
-	ok, wait := o.Rates.Allow(j.ask.Customer, j.ask.Service, j.rule.Rate, j.rule.Burst, o.Now())
+	ok, wait := o.RateLimiter.Allow(j.ask.Customer, j.ask.Service, j.rule.Rate, j.rule.Burst, o.Now())
 	if !ok {
 		e := fault.New(fault.RateLimited, "rate of %g a second for service %q is used up", j.rule.Rate, j.ask.Service)
 		e.RetryAfter = limits.Jitter(wait)
@@ -289,12 +289,12 @@
 		d = j.ask.Timeout
 	}
 	if j.notRepeatable {
-		d = min(d, MaxOnceTimeout)
+		d = min(d, MaxNonRepeatableTimeout)
 	}
 	return d
 }
 
-func (o *Owner) join(ask Ask, r *requests.Request) error {
+func (o *Owner) join(ask Submission, r *requests.Request) error {
 	if r.Content != content(ask) {
 		err := fault.New(fault.ConflictingID, "request id %q was used for another request", ask.ID)
 		o.Events.Add(r.Key, events.Rejected, err.Error())
@@ -304,14 +304,14 @@
 	return nil
 }
 
-func (o *Owner) reject(ask Ask, err error) error {
+func (o *Owner) reject(ask Submission, err error) error {
 	o.Events.Add(model.RequestKey{Customer: ask.Customer, ID: ask.ID}, events.Rejected, err.Error())
 	klog.V(1).InfoS("Submission refused", "request", ask.ID, "customer", ask.Customer, "service", ask.Service,
 		"err", err, "instance", o.Instance, "incarnation", o.Incarnation)
 	return err
 }
 
-func content(ask Ask) uint64 {
+func content(ask Submission) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(ask.Service)
 	_, _ = d.Write([]byte{0, byte(ask.MaxTokens), byte(ask.MaxTokens >> 8)})
@@ -325,7 +325,7 @@
 	defer o.intake.leave()
 	ctx, cancel := context.WithDeadline(context.Background(), j.req.Deadline)
 	defer cancel()
-	o.Retries.RecordRequest()
+	o.RetryBudget.RecordRequest()
 	var out model.Outcome
 	switch {
 	case j.notRepeatable:
@@ -336,7 +336,7 @@
 		out = o.servePlain(ctx, j)
 	}
 	out.Entry = o.Instance
-	o.Events.Add(j.key(), events.OutcomeFixed, string(out.State)+" "+out.Kind)
+	o.Events.Add(j.key(), events.OutcomeRecorded, string(out.State)+" "+out.Kind)
 	o.log(j, out)
 	j.req.Finish(out)
 	o.Observe(j.ask.Service, out, o.Now().Sub(j.began))
@@ -361,7 +361,7 @@
 
 // serveAdmitted runs a pipeline request once there is room for it.
 func (o *Owner) serveAdmitted(ctx context.Context, j *job) model.Outcome {
-	err := o.Room.Acquire(ctx, admission.Request{
+	err := o.AdmissionLimiter.Acquire(ctx, admission.Request{
 		Customer: j.ask.Customer,
 		Priority: j.rule.Priority,
 		Deadline: j.req.Deadline,
@@ -370,7 +370,7 @@
 		return fault.NotRun(fault.From(err), "never handed over: refused at admission")
 	}
 	out := o.servePipeline(ctx, j, nil)
-	o.Room.Release(j.ask.Customer, out.State == model.NotRun)
+	o.AdmissionLimiter.Release(j.ask.Customer, out.State == model.NotRun)
 	return out
 }
 
@@ -379,7 +379,7 @@
 const outcomeCopies = 2
 
 func (o *Owner) copyOutcome(key model.RequestKey, out model.Outcome) {
-	ctx, cancel := context.WithTimeout(context.Background(), o.Timing.Call)
+	ctx, cancel := context.WithTimeout(context.Background(), o.Timing.CallTimeout)
 	defer cancel()
 	for _, addr := range o.copyHolders(key) {
 		_ = o.Peers.Notify(ctx, addr, wire.MethodOutcomeCopy, wire.OutcomeCopy{Key: key, Outcome: out})
@@ -404,7 +404,7 @@
 		rep.Answer = r.Answer()
 		return rep
 	}
-	rep.Outcome, rep.Known = o.Requests.Copy(key)
+	rep.Outcome, rep.Known = o.Requests.OutcomeCopy(key)
 	return rep
 }
 
@@ -442,7 +442,7 @@
 }
 
 func (o *Owner) call(ctx context.Context, addr string, m wire.Method, req, rep any) error {
-	ctx, cancel := context.WithTimeout(ctx, o.Timing.Call)
+	ctx, cancel := context.WithTimeout(ctx, o.Timing.CallTimeout)
 	defer cancel()
 	return o.Peers.Call(ctx, addr, m, req, rep)
 }
--- a/internal/protocol/owner/pipeline.go
+++ b/internal/protocol/owner/pipeline.go
@@ -35,7 +35,7 @@
 	o      *Owner
 	prompt [][]byte
 	epoch  int64
-	chain  []wire.Hop
+	chain  []wire.Stage
 	// used are the stages that were ever opened, to be closed at the end.
 	used map[string]bool
 	// avoid are stages that failed this request.
@@ -53,7 +53,7 @@
 
 // servePipeline runs a request over a chain. A request that is not repeatable
 // comes with its plan, which it must keep to.
-func (o *Owner) servePipeline(ctx context.Context, j *job, plan []wire.Hop) model.Outcome {
+func (o *Owner) servePipeline(ctx context.Context, j *job, plan []wire.Stage) model.Outcome {
 	r := &run{
 		job:      j,
 		o:        o,
@@ -105,7 +105,7 @@
 		e := fault.From(err)
 		// One refusal is chance: loads lag. Several in a row mean that it is full.
 		if e.Kind == fault.Overloaded && try >= fullAfter {
-			r.o.Room.Overloaded()
+			r.o.AdmissionLimiter.Overloaded()
 		}
 		if r.notRepeatable || try == maxOpenTries || !e.Kind.Answer().Retryable {
 			return err
@@ -149,7 +149,7 @@
 				told = r.o.Now()
 				go r.tellAlive(ctx, r.chain)
 			}
-			patience := beat.patience(r.o.Timing.Stall, have, repairs)
+			patience := beat.patience(r.o.Timing.StallTimeout, have, repairs)
 			if broken = r.lostMember(); broken == "" && r.o.Now().Sub(beat.at) > patience {
 				broken = r.look(ctx)
 				beat.at = r.o.Now().Add(minSilence - patience) // look again soon
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -56,7 +56,7 @@
 	if !ran {
 		return e.Kind.Answer().Retryable && attempt < maxRefusals
 	}
-	return o.Retries.Take()
+	return o.RetryBudget.Take()
 }
 
 func giveUp(e *fault.Error, mayHaveRun bool, evidence string) model.Outcome {
@@ -66,14 +66,14 @@
 	return fault.NotRun(e, evidence+": never handed over")
 }
 
-func (o *Owner) complete(j *job, gate wire.Hop, body []byte) model.Outcome {
+func (o *Owner) complete(j *job, gate wire.Stage, body []byte) model.Outcome {
 	j.req.Append(0, [][]byte{body})
 	return model.Outcome{State: model.Ran, Evidence: "answer from gate " + gate.Address}
 }
 
 // dispatch makes one attempt at one gate. With an error, ran tells whether the
 // backend server may have run it; false is proof.
-func (o *Owner) dispatch(ctx context.Context, j *job, gate wire.Hop, attempt int64) (body []byte, ran bool, err error) {
+func (o *Owner) dispatch(ctx context.Context, j *job, gate wire.Stage, attempt int64) (body []byte, ran bool, err error) {
 	if err := o.readmit(j); err != nil {
 		return nil, false, err
 	}
@@ -86,13 +86,13 @@
 		Incarnation:   gate.Incarnation,
 		Body:          j.ask.Body,
 		Deadline:      j.req.Deadline,
-		Remember:      j.remember,
+		RetainUntil:   j.remember,
 		Priority:      j.rule.Priority,
 		NotRepeatable: j.notRepeatable,
 		Revision:      j.revision,
 	}, &rep)
 	if err == nil {
-		o.Table.SeenLoad(gate.Address, membership.Load(rep.Load))
+		o.Table.ObserveLoad(gate.Address, membership.Load(rep.Load))
 		return rep.Body, true, nil
 	}
 	e := fault.From(err)
@@ -106,7 +106,7 @@
 // whileUp gives a context that ends when the gate is found down or replaced. A
 // frozen gate keeps its connection open, and a call to it would otherwise be
 // waited for until the deadline, with no time left to try another.
-func (o *Owner) whileUp(ctx context.Context, gate wire.Hop) (context.Context, context.CancelFunc) {
+func (o *Owner) whileUp(ctx context.Context, gate wire.Stage) (context.Context, context.CancelFunc) {
 	call, cancel := context.WithCancel(ctx)
 	go func() {
 		for wait.For(call, watchEvery) {
@@ -129,15 +129,15 @@
 	return false
 }
 
-func (o *Owner) refused(ctx context.Context, j *job, gate wire.Hop, e *fault.Error) {
+func (o *Owner) refused(ctx context.Context, j *job, gate wire.Stage, e *fault.Error) {
 	o.Events.Add(j.key(), events.GateRefused, gate.Address+" "+e.Error())
 	switch e.Kind {
 	case fault.Overloaded, fault.NoCapacity, fault.WrongIncarnation, fault.NotReady:
-		o.Table.Backoff(gate.Address, e.After())
+		o.Table.SetBackoff(gate.Address, e.After())
 	case fault.Leaving:
-		o.Table.SeenLeaving(gate.Address)
+		o.Table.ObserveLeaving(gate.Address)
 	case fault.NotConnected:
-		o.Table.Missed(gate.Address)
+		o.Table.RecordFailure(gate.Address)
 	case fault.StaleConfig:
 		_ = o.Refresh(ctx, gate.Address)
 	}
@@ -146,7 +146,7 @@
 // settle finds out what became of a dispatch whose answer was lost: the gate's
 // tombstone or its memory is the proof. A backend server that failed the call
 // may have run it.
-func (o *Owner) settle(ctx context.Context, j *job, gate wire.Hop, e *fault.Error) ([]byte, bool, error) {
+func (o *Owner) settle(ctx context.Context, j *job, gate wire.Stage, e *fault.Error) ([]byte, bool, error) {
 	if e.Kind != fault.Unreachable {
 		return nil, true, e
 	}
@@ -155,15 +155,15 @@
 		switch {
 		case err != nil:
 			return nil, true, fault.New(fault.BackendLost, "gate %s gives no answer: %s", gate.Address, e.Msg)
-		case rep.Verdict == wire.NeverStarted:
+		case rep.State == wire.NeverStarted:
 			o.Events.Add(j.key(), events.Tombstoned, gate.Address)
 			return nil, false, fault.New(fault.BackendLost, "gate %s never started it", gate.Address)
-		case rep.Verdict == wire.WasFinished && rep.Body != nil:
+		case rep.State == wire.WasFinished && rep.Body != nil:
 			return rep.Body, true, nil
-		case rep.Verdict == wire.WasFinished:
+		case rep.State == wire.WasFinished:
 			return nil, true, fault.New(fault.BackendFailed, "backend server at %s failed", gate.Address)
 		}
-		if !wait.For(ctx, o.Timing.Poll) {
+		if !wait.For(ctx, o.Timing.PollInterval) {
 			return nil, true, fault.New(fault.Deadline, "still running at %s at the deadline", gate.Address)
 		}
 	}
@@ -171,18 +171,18 @@
 
 // cancel asks a gate to keep a request from starting. It goes on a little past
 // the deadline, as its answer decides what the caller is told.
-func (o *Owner) cancel(ctx context.Context, j *job, gate wire.Hop) (wire.CancelReply, error) {
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*o.Timing.Call)
+func (o *Owner) cancel(ctx context.Context, j *job, gate wire.Stage) (wire.CancelReply, error) {
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*o.Timing.CallTimeout)
 	defer stop()
 	var rep wire.CancelReply
 	err := o.callTwice(ctx, gate.Address, wire.MethodCancel, wire.Cancel{
 		Key:         j.runKey(),
 		Incarnation: gate.Incarnation,
-		Remember:    j.remember,
+		RetainUntil: j.remember,
 	}, &rep)
 	return rep, err
 }
 
-func hopOf(m membership.Member, r model.LayerRange) wire.Hop {
-	return wire.Hop{Address: m.Instance.Address, Data: m.Backend.Data, Incarnation: m.Incarnation, Range: r}
+func hopOf(m membership.Member, r model.LayerRange) wire.Stage {
+	return wire.Stage{Address: m.Instance.Address, Data: m.Backend.Data, Incarnation: m.Incarnation, Range: r}
 }
--- a/internal/protocol/owner/watch.go
+++ b/internal/protocol/owner/watch.go
@@ -82,11 +82,11 @@
 const tellEvery = 5 * time.Second
 
 // tellAlive sends a heartbeat to each stage of a chain.
-func (r *run) tellAlive(ctx context.Context, chain []wire.Hop) {
+func (r *run) tellAlive(ctx context.Context, chain []wire.Stage) {
 	for _, h := range chain {
 		var rep wire.HelloReply
 		if r.o.call(ctx, h.Address, wire.MethodHello, wire.Hello{Known: h.Incarnation}, &rep) == nil {
-			r.o.Table.SeenLoad(h.Address, membership.Load(rep.Load))
+			r.o.Table.ObserveLoad(h.Address, membership.Load(rep.Load))
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	for i, h := range r.chain {
 		if silent[i] {
 			r.avoid[h.Address] = true
-			r.o.Table.Missed(h.Address)
+			r.o.Table.RecordFailure(h.Address)
 		}
 	}
 }
--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -32,13 +32,13 @@
 // and of the response, as estimated by the caller or as usual for the service.
 func (q *request) expectedTokens() int {
 	spec := q.admitted.Service.Engine
-	responseTokens := float64(q.call.AnswerHint)
+	responseTokens := float64(q.call.AnswerTokensHint)
 	if responseTokens == 0 {
-		responseTokens = float64(spec.UsualAnswer)
+		responseTokens = float64(spec.MeanAnswerTokens)
 	}
 	responseTokens *= responseTokenMargin
-	if q.call.MaxAnswer > 0 {
-		responseTokens = min(responseTokens, float64(q.call.MaxAnswer))
+	if q.call.MaxAnswerTokens > 0 {
+		responseTokens = min(responseTokens, float64(q.call.MaxAnswerTokens))
 	}
 	return q.promptTokens() + int(responseTokens)
 }
@@ -47,7 +47,7 @@
 	if q.call.PromptTokens > 0 {
 		return q.call.PromptTokens
 	}
-	return q.admitted.Service.Engine.UsualPrompt
+	return q.admitted.Service.Engine.MeanPromptTokens
 }
 
 // allowResume returns whether the stream may be resumed at another chain, and takes a
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -22,7 +22,7 @@
 // eventInterval returns the planned interval between a stream's events.
 func (q *request) eventInterval(stages []chains.Stage) time.Duration {
 	spec := q.admitted.Service.Engine
-	return q.Chooser.TokenTime(spec, stages) * time.Duration(spec.Stride)
+	return q.Chooser.TokenTime(spec, stages) * time.Duration(spec.StepsPerPass)
 }
 
 // assess checks the path of a stream whose event is overdue, if the detector asks for it.
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -82,8 +82,8 @@
 
 func newFixture(route model.Route, isEngine bool, do fakeBackend) *fixture {
 	spec := &model.EngineSpec{
-		Layers: 12, LayerMB: 100, KVTokenBytes: 1e6, StepTime: time.Millisecond, ReadRate: 1e5, Stride: 1,
-		Cards: []model.Card{{Name: "fast", MB: 80000, Pace: 2, ReadFactor: 2}},
+		Layers: 12, LayerMB: 100, KVTokenBytes: 1e6, StepTime: time.Millisecond, PrefillRate: 1e5, StepsPerPass: 1,
+		Cards: []model.Card{{Name: "fast", MB: 80000, StepTimeFactor: 2, PrefillFactor: 2}},
 	}
 	svc := model.Service{Name: "s"}
 	if isEngine {
--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -105,7 +105,7 @@
 			}
 			ctx, disconnect := context.WithCancel(t.Context())
 			time.AfterFunc(100*time.Millisecond, disconnect)
-			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/", MaxAnswer: 5}, &recordingWriter{})
+			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/", MaxAnswerTokens: 5}, &recordingWriter{})
 			end := log.linesWith("request ended")
 			assert.Equal(t, len(end), 1)
 			assert.Check(t, strings.Contains(end[0], `progress="`+at.progress+`"`), end[0])
--- a/internal/protocol/sidecar/sidecar.go
+++ b/internal/protocol/sidecar/sidecar.go
@@ -31,8 +31,8 @@
 	Engine platform.Engine
 	Plain  platform.Plain
 	Fence  int64
-	// Pace learns from the engine's steps how many sessions it serves well.
-	Pace *limits.ConcurrencyLimiter
+	// Limiter learns from the engine's steps how many sessions it serves well.
+	Limiter *limits.ConcurrencyLimiter
 }
 
 // Sidecar is one incarnation.
@@ -76,12 +76,12 @@
 // Gate gives the sidecar's gate.
 func (s *Sidecar) Gate() *gate.Gate { return s.gate }
 
-// Heard notes that an entry is alive.
-func (s *Sidecar) Heard(entry string) { s.heard.Put(entry, s.now()) }
+// RecordContact notes that an entry is alive.
+func (s *Sidecar) RecordContact(entry string) { s.heard.Put(entry, s.now()) }
 
 // Open opens a stage or moves an open one to a higher epoch.
 func (s *Sidecar) Open(_ context.Context, from string, o wire.Open) (wire.OpenReply, error) {
-	s.Heard(from)
+	s.RecordContact(from)
 	if o.Index < 0 || o.Index >= len(o.Chain) || o.Prompt < 1 {
 		return wire.OpenReply{}, fault.New(fault.InvalidRequest, "stage %d of %d", o.Index, len(o.Chain))
 	}
@@ -100,10 +100,10 @@
 		Attempt:       o.Epoch,
 		Incarnation:   o.Chain[o.Index].Incarnation,
 		Deadline:      o.Deadline,
-		Remember:      o.Remember,
+		RetainUntil:   o.RetainUntil,
 		Priority:      o.Priority,
 		NotRepeatable: o.Key.Run == "",
-		Made:          madeAt(o.Key.ID),
+		CreatedAt:     madeAt(o.Key.ID),
 	}, false)
 	if err != nil {
 		return wire.OpenReply{}, err
@@ -152,7 +152,7 @@
 		})
 		// Prompts take longer by their length; single positions tell the load.
 		if err == nil && len(inputs) == 1 {
-			s.backend.Pace.RecordStep(s.now().Sub(began), s.gate.Load().Active)
+			s.backend.Limiter.RecordStep(s.now().Sub(began), s.gate.Load().Active)
 		}
 		return out, err
 	}
@@ -178,7 +178,7 @@
 
 // Resume lets a stage send.
 func (s *Sidecar) Resume(_ context.Context, from string, r wire.Resume) (struct{}, error) {
-	s.Heard(from)
+	s.RecordContact(from)
 	ses, ok := s.sessions.Get(r.Key.String())
 	if !ok {
 		return struct{}{}, fault.New(fault.NotFound, "no stage is open for %s", r.Key)
@@ -202,7 +202,7 @@
 // NoStage takes in that another stage does not know a request.
 func (s *Sidecar) NoStage(ctx context.Context, from string, n wire.NoStage) (struct{}, error) {
 	if ses, ok := s.sessions.Get(n.Key.String()); ok {
-		go ses.NextLost(ctx, from, n.Epoch)
+		go ses.ReportMissingStage(ctx, from, n.Epoch)
 	}
 	return struct{}{}, nil
 }
@@ -221,7 +221,7 @@
 
 // Call carries out one call of the plain service.
 func (s *Sidecar) Call(ctx context.Context, from string, c wire.Call) (wire.CallReply, error) {
-	s.Heard(from)
+	s.RecordContact(from)
 	if s.backend.Plain == nil {
 		return wire.CallReply{}, fault.New(fault.InvalidRequest, "no plain service here")
 	}
@@ -230,10 +230,10 @@
 		Attempt:       c.Attempt,
 		Incarnation:   c.Incarnation,
 		Deadline:      c.Deadline,
-		Remember:      c.Remember,
+		RetainUntil:   c.RetainUntil,
 		Priority:      c.Priority,
 		NotRepeatable: c.NotRepeatable,
-		Made:          madeAt(c.Key.ID),
+		CreatedAt:     madeAt(c.Key.ID),
 	}, true)
 	if err != nil {
 		return wire.CallReply{}, err
@@ -282,7 +282,7 @@
 // Cancel keeps a request from starting and tells what the gate knows of it.
 func (s *Sidecar) Cancel(_ context.Context, _ string, c wire.Cancel) (wire.CancelReply, error) {
 	rep, err := s.gate.Cancel(c)
-	if err == nil && rep.Verdict == wire.NeverStarted {
+	if err == nil && rep.State == wire.NeverStarted {
 		s.events.Add(c.Key.RequestKey, events.Tombstoned, "")
 	}
 	return rep, err
--- a/internal/protocol/stage/stage.go
+++ b/internal/protocol/stage/stage.go
@@ -26,13 +26,13 @@
 // Sender passes results on.
 type Sender interface {
 	// Forward sends inputs to a stage.
-	Forward(ctx context.Context, to wire.Hop, f wire.Forward) error
+	Forward(ctx context.Context, to wire.Stage, f wire.Forward) error
 	// Tokens sends generated tokens to the owner of a request.
-	Tokens(ctx context.Context, owner wire.Hop, t wire.Tokens) error
+	Tokens(ctx context.Context, owner wire.Stage, t wire.Tokens) error
 	// NoStage tells the process at addr that what it forwarded has no stage.
 	NoStage(ctx context.Context, addr string, n wire.NoStage) error
-	// Failed tells the owner at addr that a stage cannot go on.
-	Failed(ctx context.Context, addr string, f wire.StageFailed) error
+	// StageFailed tells the owner at addr that a stage cannot go on.
+	StageFailed(ctx context.Context, addr string, f wire.StageFailed) error
 }
 
 // Session is one request at one stage.
@@ -207,20 +207,20 @@
 	owner := s.open.Owner
 	f := wire.StageFailed{Key: s.key, Epoch: s.open.Epoch, Address: s.hop().Address, Cause: err.Error()}
 	s.mu.Unlock()
-	_ = s.send.Failed(ctx, owner, f)
+	_ = s.send.StageFailed(ctx, owner, f)
 }
 
-// NextLost takes in that the stage at addr does not know this request, and tells
+// ReportMissingStage takes in that the stage at addr does not know this request, and tells
 // the owner.
-func (s *Session) NextLost(ctx context.Context, addr string, epoch int64) {
+func (s *Session) ReportMissingStage(ctx context.Context, addr string, epoch int64) {
 	s.mu.Lock()
 	owner := s.open.Owner
 	f := wire.StageFailed{Key: s.key, Epoch: epoch, Address: addr, Cause: "no stage is open there"}
 	s.mu.Unlock()
-	_ = s.send.Failed(ctx, owner, f)
+	_ = s.send.StageFailed(ctx, owner, f)
 }
 
-func (s *Session) hop() wire.Hop { return s.open.Chain[s.open.Index] }
+func (s *Session) hop() wire.Stage { return s.open.Chain[s.open.Index] }
 
 func (s *Session) last() bool { return s.open.Index == len(s.open.Chain)-1 }
 
--- a/internal/protocol/stage/stage_test.go
+++ b/internal/protocol/stage/stage_test.go
@@ -76,19 +76,19 @@
 	answer   *requests.Request
 }
 
-func (c *chain) Forward(_ context.Context, to wire.Hop, f wire.Forward) error {
+func (c *chain) Forward(_ context.Context, to wire.Stage, f wire.Forward) error {
 	c.flying = append(c.flying, message{to: to.Address, forward: &f})
 	return nil
 }
 
-func (c *chain) Tokens(_ context.Context, to wire.Hop, t wire.Tokens) error {
+func (c *chain) Tokens(_ context.Context, to wire.Stage, t wire.Tokens) error {
 	c.flying = append(c.flying, message{to: to.Address, tokens: &t})
 	return nil
 }
 
 func (c *chain) NoStage(context.Context, string, wire.NoStage) error { return nil }
 
-func (c *chain) Failed(context.Context, string, wire.StageFailed) error {
+func (c *chain) StageFailed(context.Context, string, wire.StageFailed) error {
 	c.rt.Fatalf("a stage failed")
 	return nil
 }
@@ -96,17 +96,17 @@
 func newChain(rt *rapid.T) *chain {
 	c := &chain{rt: rt}
 	store := requests.NewStore(time.Now, time.Hour)
-	c.answer, _ = store.Begin(model.RequestKey{Customer: "c", ID: "r"}, 0, time.Now())
+	c.answer, _ = store.GetOrCreate(model.RequestKey{Customer: "c", ID: "r"}, 0, time.Now())
 	c.sessions = make([]*Session, stages)
 	c.engines = make([]*engine, stages)
 	c.raise(-1)
 	return c
 }
 
-func (c *chain) hops() []wire.Hop {
-	var out []wire.Hop
+func (c *chain) hops() []wire.Stage {
+	var out []wire.Stage
 	for i := range c.sessions {
-		out = append(out, wire.Hop{Address: fmt.Sprint(i), Range: model.LayerRange{From: i, To: i + 1}})
+		out = append(out, wire.Stage{Address: fmt.Sprint(i), Range: model.LayerRange{From: i, To: i + 1}})
 	}
 	return out
 }
--- a/internal/protocol/wire/heartbeat.go
+++ b/internal/protocol/wire/heartbeat.go
@@ -4,66 +4,66 @@
 
 // RouterHeartbeat is what a router tells its peers a few times a second.
 type RouterHeartbeat struct {
-	// EveryMS is how long until the next message.
-	EveryMS int64
+	// IntervalMS is how long until the next message.
+	IntervalMS int64
 	// Config is the version in force, and ConfigAgeMS how long ago it was known to
 	// be the newest.
 	Config      int64
 	ConfigAgeMS int64
 	// Revision is that of the store up to which its picture is complete.
 	Revision model.Revision
-	// Uses are what its streams take.
-	Uses []RouterUse
+	// Usage are what its streams take.
+	Usage []EngineUsage
 	// Slow are engines that said to be slower than their cards, by how much.
 	Slow map[model.Incarnation]float64
-	// Pipes is what its streams move between failure domains.
-	Pipes []RouterPipe
+	// Interconnects is what its streams move between failure domains.
+	Interconnects []InterconnectRate
 	// Suspects are engines that do not do their work, with the milliseconds
 	// for which the suspicion still holds.
 	Suspects map[model.Incarnation]int64
 	// Refusing are engines that answer but refuse work, with the milliseconds
 	// for which they should get none.
 	Refusing map[model.Incarnation]int64
-	// Spares are repeated sends that it could lend, by service.
-	Spares map[string]int
-	// Traffic says that it has seen callers' requests.
-	Traffic bool
+	// SpareTokens are repeated sends that it could lend, by service.
+	SpareTokens map[string]int
+	// HasTraffic says that it has seen callers' requests.
+	HasTraffic bool
 }
 
-// RouterPipe is the traffic between two failure domains, in Mbit/s.
-type RouterPipe struct {
+// InterconnectRate is the traffic between two failure domains, in Mbit/s.
+type InterconnectRate struct {
 	A, B string
 	Rate float64
 }
 
-// RouterUse is what a router's streams take of one engine.
-type RouterUse struct {
-	Server      model.Incarnation
-	TokenLayers int64
-	Streams     int64
-	Firsts      int64
-	// Reading is the share of the engine's time that goes into reading prompts.
-	Reading float64
+// EngineUsage is what a router's streams take of one engine.
+type EngineUsage struct {
+	Server            model.Incarnation
+	TokenLayers       int64
+	Streams           int64
+	FirstStageStreams int64
+	// PrefillLoad is the share of the engine's time that goes into reading prompts.
+	PrefillLoad float64
 }
 
 // Pack writes the message for Notice.
 func (b *RouterHeartbeat) Pack() []byte {
 	p := &packer{}
-	p.number(b.EveryMS)
+	p.number(b.IntervalMS)
 	p.number(b.Config)
 	p.number(b.ConfigAgeMS)
 	p.number(int64(b.Revision))
-	p.flag(b.Traffic)
-	p.number(int64(len(b.Uses)))
-	for _, u := range b.Uses {
+	p.flag(b.HasTraffic)
+	p.number(int64(len(b.Usage)))
+	for _, u := range b.Usage {
 		p.incarnation(u.Server)
 		p.number(u.TokenLayers)
 		p.number(u.Streams)
-		p.number(u.Firsts)
-		p.fraction(u.Reading)
+		p.number(u.FirstStageStreams)
+		p.fraction(u.PrefillLoad)
 	}
-	p.number(int64(len(b.Pipes)))
-	for _, l := range b.Pipes {
+	p.number(int64(len(b.Interconnects)))
+	for _, l := range b.Interconnects {
 		p.text(l.A)
 		p.text(l.B)
 		p.fraction(l.Rate)
@@ -71,7 +71,7 @@
 	packEach(p, b.Slow, p.incarnation, p.fraction)
 	packEach(p, b.Suspects, p.incarnation, p.number)
 	packEach(p, b.Refusing, p.incarnation, p.number)
-	packEach(p, b.Spares, p.text, func(n int) { p.number(int64(n)) })
+	packEach(p, b.SpareTokens, p.text, func(n int) { p.number(int64(n)) })
 	return p.b
 }
 
@@ -79,24 +79,24 @@
 func UnpackRouterHeartbeat(raw []byte) (RouterHeartbeat, error) {
 	u := &unpacker{b: raw}
 	b := RouterHeartbeat{
-		EveryMS:     u.number(),
+		IntervalMS:  u.number(),
 		Config:      u.number(),
 		ConfigAgeMS: u.number(),
 		Revision:    model.Revision(u.number()),
-		Traffic:     u.flag(),
+		HasTraffic:  u.flag(),
 	}
-	b.Uses = make([]RouterUse, u.count())
-	for i := range b.Uses {
-		b.Uses[i] = RouterUse{Server: u.incarnation(), TokenLayers: u.number(), Streams: u.number(), Firsts: u.number(), Reading: u.fraction()}
+	b.Usage = make([]EngineUsage, u.count())
+	for i := range b.Usage {
+		b.Usage[i] = EngineUsage{Server: u.incarnation(), TokenLayers: u.number(), Streams: u.number(), FirstStageStreams: u.number(), PrefillLoad: u.fraction()}
 	}
-	b.Pipes = make([]RouterPipe, u.count())
-	for i := range b.Pipes {
-		b.Pipes[i] = RouterPipe{A: u.text(), B: u.text(), Rate: u.fraction()}
+	b.Interconnects = make([]InterconnectRate, u.count())
+	for i := range b.Interconnects {
+		b.Interconnects[i] = InterconnectRate{A: u.text(), B: u.text(), Rate: u.fraction()}
 	}
 	b.Slow = unpackEach(u, u.incarnation, u.fraction)
 	b.Suspects = unpackEach(u, u.incarnation, u.number)
 	b.Refusing = unpackEach(u, u.incarnation, u.number)
-	b.Spares = unpackEach(u, u.text, func() int { return int(u.number()) })
+	b.SpareTokens = unpackEach(u, u.text, func() int { return int(u.number()) })
 	return b, u.err
 }
 
--- a/internal/protocol/wire/heartbeat_test.go
+++ b/internal/protocol/wire/heartbeat_test.go
@@ -28,17 +28,17 @@
 			return model.Incarnation{ID: text.Draw(t, "id"), Born: number.Draw(t, "born")}
 		})
 		b := RouterHeartbeat{
-			EveryMS: number.Draw(t, "every"), Config: number.Draw(t, "config"), ConfigAgeMS: number.Draw(t, "age"),
-			Revision: model.Revision(number.Draw(t, "revision")), Traffic: rapid.Bool().Draw(t, "traffic"),
-			Uses: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) RouterUse {
-				return RouterUse{Server: engine.Draw(t, "server"), TokenLayers: number.Draw(t, "tokens"), Streams: number.Draw(t, "streams"),
-					Firsts: number.Draw(t, "firsts"), Reading: fraction.Draw(t, "reading")}
+			IntervalMS: number.Draw(t, "every"), Config: number.Draw(t, "config"), ConfigAgeMS: number.Draw(t, "age"),
+			Revision: model.Revision(number.Draw(t, "revision")), HasTraffic: rapid.Bool().Draw(t, "traffic"),
+			Usage: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) EngineUsage {
+				return EngineUsage{Server: engine.Draw(t, "server"), TokenLayers: number.Draw(t, "tokens"), Streams: number.Draw(t, "streams"),
+					FirstStageStreams: number.Draw(t, "firsts"), PrefillLoad: fraction.Draw(t, "reading")}
 			}), 0, 60).Draw(t, "uses"),
-			Pipes: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) RouterPipe {
-				return RouterPipe{A: text.Draw(t, "a"), B: text.Draw(t, "b"), Rate: fraction.Draw(t, "rate")}
+			Interconnects: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) InterconnectRate {
+				return InterconnectRate{A: text.Draw(t, "a"), B: text.Draw(t, "b"), Rate: fraction.Draw(t, "rate")}
 			}), 0, 6).Draw(t, "pipes"),
 			Slow: figures(t, "slow", engine, fraction), Suspects: figures(t, "suspects", engine, number), Refusing: figures(t, "refusing", engine, number),
-			Spares: figures(t, "spares", rapid.StringN(0, 12, 40), rapid.IntRange(0, 1<<30)),
+			SpareTokens: figures(t, "spares", rapid.StringN(0, 12, 40), rapid.IntRange(0, 1<<30)),
 		}
 		got, err := UnpackRouterHeartbeat(b.Pack())
 		assert.NilError(t, err)
@@ -48,8 +48,8 @@
 
 // A message that stops anywhere is an error, never a shorter truth.
 func TestCutBeatIsRefused(t *testing.T) {
-	b := RouterHeartbeat{EveryMS: 250, Config: 300, Uses: []RouterUse{{Server: model.Incarnation{ID: "i-1", Born: 1700000000000}, TokenLayers: 5000, Streams: 2, Reading: 0.25}},
-		Pipes: []RouterPipe{{A: "a", B: "b", Rate: 12}}, Spares: map[string]int{"s": 300}}
+	b := RouterHeartbeat{IntervalMS: 250, Config: 300, Usage: []EngineUsage{{Server: model.Incarnation{ID: "i-1", Born: 1700000000000}, TokenLayers: 5000, Streams: 2, PrefillLoad: 0.25}},
+		Interconnects: []InterconnectRate{{A: "a", B: "b", Rate: 12}}, SpareTokens: map[string]int{"s": 300}}
 	raw := b.Pack()
 	for n := range raw {
 		_, err := UnpackRouterHeartbeat(raw[:n])
@@ -60,14 +60,14 @@
 // Whatever bytes come, reading them ends and takes no more memory than they give
 // grounds for.
 func FuzzBeat(f *testing.F) {
-	f.Add((&RouterHeartbeat{Config: 2, Spares: map[string]int{"s": 3}}).Pack())
+	f.Add((&RouterHeartbeat{Config: 2, SpareTokens: map[string]int{"s": 3}}).Pack())
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		b, err := UnpackRouterHeartbeat(raw)
 		if err == nil {
 			again, err := UnpackRouterHeartbeat(b.Pack())
 			assert.NilError(t, err)
-			assert.Equal(t, len(again.Uses), len(b.Uses))
+			assert.Equal(t, len(again.Usage), len(b.Usage))
 		}
 	})
 }
@@ -79,10 +79,10 @@
 // a millisecond, more than all of its callers' streams together.
 func TestBeatIsCheapToRead(t *testing.T) {
 	const engines, names = 40, 40 + 4 + 1
-	b := RouterHeartbeat{EveryMS: 250, Config: 300, ConfigAgeMS: 120, Revision: 4711, Traffic: true, Spares: map[string]int{"planner": 5},
-		Pipes: []RouterPipe{{A: "domain-1", B: "domain-2", Rate: 123.456}, {A: "domain-1", B: "domain-3", Rate: 9}}}
+	b := RouterHeartbeat{IntervalMS: 250, Config: 300, ConfigAgeMS: 120, Revision: 4711, HasTraffic: true, SpareTokens: map[string]int{"planner": 5},
+		Interconnects: []InterconnectRate{{A: "domain-1", B: "domain-2", Rate: 123.456}, {A: "domain-1", B: "domain-3", Rate: 9}}}
 	for i := range engines {
-		b.Uses = append(b.Uses, RouterUse{Server: model.Incarnation{ID: fmt.Sprintf("i-%010x", 7919*i), Born: 1700000000000 + int64(i)}, TokenLayers: 12345, Streams: 3, Firsts: 1, Reading: 0.02})
+		b.Usage = append(b.Usage, EngineUsage{Server: model.Incarnation{ID: fmt.Sprintf("i-%010x", 7919*i), Born: 1700000000000 + int64(i)}, TokenLayers: 12345, Streams: 3, FirstStageStreams: 1, PrefillLoad: 0.02})
 	}
 	raw := b.Pack()
 	const segment = 1400
--- a/internal/protocol/wire/router.go
+++ b/internal/protocol/wire/router.go
@@ -8,19 +8,19 @@
 
 // Methods answered by routers.
 const (
-	MethodRouterHeartbeat Method = "router.beat" // notification
-	MethodRouterConfig    Method = "router.config"
-	MethodRouterLend      Method = "router.lend"
-	MethodRouterGone      Method = "router.gone" // notification
-	MethodRouterNews      Method = "router.news"
+	MethodRouterHeartbeat  Method = "router.beat" // notification
+	MethodRouterConfig     Method = "router.config"
+	MethodRouterBorrow     Method = "router.lend"
+	MethodRouterEngineExit Method = "router.gone" // notification
+	MethodRouterUpdates    Method = "router.news"
 	// MethodRouterQuarantine tells of requests under which servers end; notification.
 	MethodRouterQuarantine Method = "router.quarantine"
 	MethodRouterTrial      Method = "router.trial"
 )
 
-// RouterAsk asks a router for the configuration in force, and for the backend
+// RouterConfigRequest asks a router for the configuration in force, and for the backend
 // servers that it knows where the sender knows none: those are most of the answer.
-type RouterAsk struct {
+type RouterConfigRequest struct {
 	Servers bool `json:"servers,omitempty"`
 	// VersionOnly asks for nothing but the version.
 	VersionOnly bool `json:"versionOnly,omitempty"`
@@ -34,51 +34,51 @@
 	Servers []model.BackendServer `json:"servers,omitempty"`
 }
 
-// RouterLend asks a router to lend repeated sends of its part of the budget.
-type RouterLend struct {
+// RouterBorrowRequest asks a router to lend repeated sends of its part of the budget.
+type RouterBorrowRequest struct {
 	Service string `json:"s"`
 	Want    int    `json:"n"`
 }
 
-// RouterLent is how many it lent; they count as spent there.
-type RouterLent struct {
-	Lent int `json:"n"`
+// RouterBorrowReply is how many it lent; they count as spent there.
+type RouterBorrowReply struct {
+	Granted int `json:"n"`
 }
 
-// RouterGone names an engine whose process ended.
-type RouterGone struct {
+// RouterEngineExit names an engine whose process ended.
+type RouterEngineExit struct {
 	Server model.Incarnation `json:"s"`
 }
 
-// RouterTrial asks the router that keeps trials whether a suspect may run at servers,
+// RouterTrialRequest asks the router that keeps trials whether a suspect may run at servers,
 // alone among its kind.
-type RouterTrial struct {
-	Work    model.Fingerprint   `json:"w"`
-	Servers []model.Incarnation `json:"s"`
+type RouterTrialRequest struct {
+	Fingerprint model.Fingerprint   `json:"w"`
+	Servers     []model.Incarnation `json:"s"`
 }
 
-// RouterNewsAsk asks a router that watches the store for what changed after a
+// RouterUpdatesRequest asks a router that watches the store for what changed after a
 // revision, and to wait for it.
-type RouterNewsAsk struct {
+type RouterUpdatesRequest struct {
 	After  model.Revision `json:"after"`
 	WaitMS int64          `json:"wait"`
 }
 
-// RouterNews is what changed, up to a revision; all that is there if Whole.
-type RouterNews struct {
+// RouterUpdates is what changed, up to a revision; all that is there if Whole.
+type RouterUpdates struct {
 	Revision model.Revision `json:"revision"`
-	Whole    bool           `json:"whole,omitempty"`
+	Full     bool           `json:"whole,omitempty"`
 	// AgeMS is how long ago the store was last heard from, HeldMS how long the
 	// question was held, and GraceMS for how long removed entries may be believed in.
-	AgeMS   int64 `json:"age"`
-	HeldMS  int64 `json:"held"`
-	GraceMS int64 `json:"grace,omitempty"`
+	AgeMS     int64 `json:"age"`
+	ElapsedMS int64 `json:"held"`
+	GraceMS   int64 `json:"grace,omitempty"`
 	// Items is a list of RouterNewsItem, encoded once for all who ask alike.
 	Items json.RawMessage `json:"items"`
 }
 
-// RouterNewsItem is a key of the store with its value.
-type RouterNewsItem struct {
+// RouterUpdate is a key of the store with its value.
+type RouterUpdate struct {
 	Key   string `json:"k"`
 	Value []byte `json:"v,omitempty"`
 	// Packed says that the value is compressed, by DEFLATE.
--- a/internal/protocol/wire/wire.go
+++ b/internal/protocol/wire/wire.go
@@ -118,8 +118,8 @@
 	return k.RequestKey.String() + "#" + k.Run
 }
 
-// Hop is one stage of a chain.
-type Hop struct {
+// Stage is one stage of a chain.
+type Stage struct {
 	Address     string           `json:"addr"`
 	Data        string           `json:"data,omitempty"` // where its data streams end
 	Incarnation string           `json:"inc"`
@@ -129,19 +129,19 @@
 // Open asks a gate for a place in a chain, or moves an open stage to a higher
 // epoch.
 type Open struct {
-	Key   RunKey `json:"key"`
-	Epoch int64  `json:"epoch"`
-	Chain []Hop  `json:"chain"`
-	Index int    `json:"i"`
-	Owner string `json:"owner"` // link address of the entry
+	Key   RunKey  `json:"key"`
+	Epoch int64   `json:"epoch"`
+	Chain []Stage `json:"chain"`
+	Index int     `json:"i"`
+	Owner string  `json:"owner"` // link address of the entry
 	// OwnerData is where the entry's data streams end.
 	OwnerData string    `json:"odata"`
 	Prompt    int64     `json:"prompt"`
 	Tokens    int64     `json:"tokens"` // to generate
 	Deadline  time.Time `json:"deadline"`
-	// Remember is until when the gate must know what became of the request.
-	Remember time.Time `json:"keep"`
-	Priority int       `json:"prio"`
+	// RetainUntil is until when the gate must know what became of the request.
+	RetainUntil time.Time `json:"keep"`
+	Priority    int       `json:"prio"`
 }
 
 // OpenReply tells which position the stage takes next, and how many it ran.
@@ -212,8 +212,8 @@
 	Body        []byte    `json:"body"`
 	Deadline    time.Time `json:"deadline"`
 	Priority    int       `json:"prio"`
-	// Remember is until when the gate must know what became of the request.
-	Remember time.Time `json:"keep"`
+	// RetainUntil is until when the gate must know what became of the request.
+	RetainUntil time.Time `json:"keep"`
 	// NotRepeatable allows one hand-over to the backend server, ever.
 	NotRepeatable bool `json:"nr,omitempty"`
 	// Revision is that of the configuration by which the call was admitted. The
@@ -235,24 +235,24 @@
 type Cancel struct {
 	Key         RunKey    `json:"key"`
 	Incarnation string    `json:"inc"`
-	Remember    time.Time `json:"keep"`
+	RetainUntil time.Time `json:"keep"`
 }
 
-// Verdict is what a gate knows of a request. It is the gate's word for its own
+// ExecutionState is what a gate knows of a request. It is the gate's word for its own
 // incarnation only.
-type Verdict string
+type ExecutionState string
 
 // The verdicts. NeverStarted is proof: the gate holds a tombstone.
 const (
-	NeverStarted Verdict = "never_started"
-	WasStarted   Verdict = "started"
-	WasFinished  Verdict = "finished"
+	NeverStarted ExecutionState = "never_started"
+	WasStarted   ExecutionState = "started"
+	WasFinished  ExecutionState = "finished"
 )
 
 // CancelReply is the gate's word and, if it still has it, the answer.
 type CancelReply struct {
-	Verdict Verdict `json:"verdict"`
-	Body    []byte  `json:"body,omitempty"`
+	State ExecutionState `json:"verdict"`
+	Body  []byte         `json:"body,omitempty"`
 }
 
 // Intent asks the owner of a ledger shard to grant the one hand-over of a
@@ -262,9 +262,9 @@
 	Content uint64           `json:"hash"`
 	Expires time.Time        `json:"exp"`
 	// Grant is the asker's own write id: who finds it stored owns the hand-over.
-	Grant string `json:"grant"`
-	Owner string `json:"owner"` // link address of the asking entry
-	Gates []Hop  `json:"gates"` // the only gates that may hand it over
+	Grant string  `json:"grant"`
+	Owner string  `json:"owner"` // link address of the asking entry
+	Gates []Stage `json:"gates"` // the only gates that may hand it over
 }
 
 // IntentReply gives the stored intent: the asker's own, or an earlier one.
--- a/internal/standin/world/entry.go
+++ b/internal/standin/world/entry.go
@@ -47,23 +47,23 @@
 	led := ledger.New(w.KV, time.Now, rate.NewLimiter(50, 5))
 	e.Store = requests.NewStore(time.Now, time.Minute)
 	e.Owner = owner.New(owner.Deps{
-		Instance: addr,
-		Address:  addr,
-		Peers:    p,
-		Feeder:   p,
-		Table:    table,
-		Router:   w.router(table),
-		Config:   cfg,
-		Rates:    limits.NewRateLimiter(func() int { return 1 }),
-		Retries:  limits.NewRetryBudget(),
-		Room:     admission.NewLimiter(time.Now),
-		Grant:    led.Record,
-		Requests: e.Store,
-		Events:   log,
-		Now:      time.Now,
-		Refresh:  func(context.Context, string) error { return nil },
-		Observe:  func(string, model.Outcome, time.Duration) {},
-		Timing:   owner.DefaultTiming(),
+		Instance:         addr,
+		Address:          addr,
+		Peers:            p,
+		Feeder:           p,
+		Table:            table,
+		Router:           w.router(table),
+		Config:           cfg,
+		RateLimiter:      limits.NewRateLimiter(func() int { return 1 }),
+		RetryBudget:      limits.NewRetryBudget(),
+		AdmissionLimiter: admission.NewLimiter(time.Now),
+		RecordIntent:     led.Record,
+		Requests:         e.Store,
+		Events:           log,
+		Now:              time.Now,
+		Refresh:          func(context.Context, string) error { return nil },
+		Observe:          func(string, model.Outcome, time.Duration) {},
+		Timing:           owner.DefaultTiming(),
 	})
 	w.Net.join(addr, domain, e.handlers())
 	w.every(ctx, Heartbeat, func() { w.heartbeats(ctx, e, p, table) })
@@ -89,7 +89,7 @@
 			return e.Owner.KnownOutcome(q.Key), nil
 		}),
 		wire.MethodOutcomeCopy: link.Handle(func(_ context.Context, _ string, c wire.OutcomeCopy) (struct{}, error) {
-			e.Store.KeepCopy(c.Key, c.Outcome)
+			e.Store.SetOutcomeCopy(c.Key, c.Outcome)
 			return struct{}{}, nil
 		}),
 		wire.MethodHello: link.Handle(func(context.Context, string, wire.Hello) (wire.HelloReply, error) {
@@ -111,10 +111,10 @@
 			began := time.Now()
 			var rep wire.HelloReply
 			if err := p.Call(call, addr, wire.MethodHello, wire.Hello{}, &rep); err != nil {
-				table.Missed(addr)
+				table.RecordFailure(addr)
 				return
 			}
-			table.Seen(*rep.Instance, rep.Incarnation, rep.Backend(), time.Since(began))
+			table.Observe(*rep.Instance, rep.Incarnation, rep.Backend(), time.Since(began))
 		})
 	}
 	wg.Wait()
--- a/internal/standin/world/sidecar.go
+++ b/internal/standin/world/sidecar.go
@@ -79,8 +79,8 @@
 	m := mortal{Engine: u.Engine, Plain: u.Plain, ctx: ctx}
 	if u.Engine != nil {
 		b.Engine = m
-		b.Pace = limits.NewConcurrencyLimiter(u.spec.Batch, u.places, u.batchTime(), time.Now)
-		u.gate.SetPace(b.Pace)
+		b.Limiter = limits.NewConcurrencyLimiter(u.spec.Batch, u.places, u.batchTime(), time.Now)
+		u.gate.SetConcurrencyLimiter(b.Limiter)
 		if _, err := u.Engine.EndAll(ctx, b.Fence); err != nil {
 			panic(err) // the stand-in honours the number just taken
 		}
@@ -101,7 +101,7 @@
 		wire.MethodCall:    link.Handle(s.Call),
 		wire.MethodCancel:  link.Handle(s.Cancel),
 		wire.MethodHello: link.Handle(func(_ context.Context, from string, _ wire.Hello) (wire.HelloReply, error) {
-			s.Heard(from)
+			s.RecordContact(from)
 			return u.hello(w.cfg.Layers, inc, g), nil
 		}),
 	})
--- a/internal/state/events/events.go
+++ b/internal/state/events/events.go
@@ -15,24 +15,24 @@
 
 // What can happen to a request, and to the process around it.
 const (
-	Accepted      Kind = "accepted"
-	Rejected      Kind = "rejected"
-	Joined        Kind = "joined"
-	IntentStored  Kind = "intent_stored"
-	GateOpened    Kind = "gate_opened"
-	GateRefused   Kind = "gate_refused"
-	Tombstoned    Kind = "tombstoned"
-	Started       Kind = "started"
-	Finished      Kind = "finished"
-	EpochRaised   Kind = "epoch_raised"
-	StageLost     Kind = "stage_lost"
-	Replayed      Kind = "replayed"
-	FirstToken    Kind = "first_token"
-	OutcomeFixed  Kind = "outcome"
-	SessionEnded  Kind = "session_ended"
-	ConfigApplied Kind = "config_applied"
-	ProcessStart  Kind = "process_start"
-	DrainStarted  Kind = "drain_started"
+	Accepted        Kind = "accepted"
+	Rejected        Kind = "rejected"
+	Joined          Kind = "joined"
+	IntentStored    Kind = "intent_stored"
+	GateOpened      Kind = "gate_opened"
+	GateRefused     Kind = "gate_refused"
+	Tombstoned      Kind = "tombstoned"
+	Started         Kind = "started"
+	Finished        Kind = "finished"
+	EpochRaised     Kind = "epoch_raised"
+	StageLost       Kind = "stage_lost"
+	Replayed        Kind = "replayed"
+	FirstToken      Kind = "first_token"
+	OutcomeRecorded Kind = "outcome"
+	SessionEnded    Kind = "session_ended"
+	ConfigApplied   Kind = "config_applied"
+	ProcessStart    Kind = "process_start"
+	DrainStarted    Kind = "drain_started"
 )
 
 // Event is one thing that happened in one process.
@@ -90,8 +90,8 @@
 	l.next = (l.next + 1) % len(l.ring)
 }
 
-// Of gives the events of one request in order.
-func (l *Log) Of(req model.RequestKey) []Event {
+// ForRequest gives the events of one request in order.
+func (l *Log) ForRequest(req model.RequestKey) []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Event
--- a/internal/state/replica/replica.go
+++ b/internal/state/replica/replica.go
@@ -25,8 +25,8 @@
 	Omitted bool
 }
 
-// Full makes items of those whose values are all there.
-func Full(items []platform.Item) []Item {
+// ItemsWithValues makes items of those whose values are all there.
+func ItemsWithValues(items []platform.Item) []Item {
 	out := make([]Item, len(items))
 	for i, it := range items {
 		out[i] = Item{Item: it}
@@ -34,12 +34,12 @@
 	return out
 }
 
-// Answer is what changed since a revision: everything that is there if Whole.
-type Answer struct {
+// Changes is what changed since a revision: everything that is there if Whole.
+type Changes struct {
 	Items []Item
 	// Revision is that of the store up to which the answer is complete.
 	Revision model.Revision
-	Whole    bool
+	Full     bool
 }
 
 // Replica holds the newest item of each key. The zero value is empty and complete up
@@ -68,8 +68,8 @@
 	r.advance(revision)
 }
 
-// Change takes in changes that are complete up to a revision.
-func (r *Replica) Change(items []Item, revision model.Revision) {
+// Apply takes in changes that are complete up to a revision.
+func (r *Replica) Apply(items []Item, revision model.Revision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.items == nil {
@@ -133,7 +133,7 @@
 }
 
 // Since gives what changed after a revision, in the order of the changes.
-func (r *Replica) Since(after model.Revision) Answer {
+func (r *Replica) Since(after model.Revision) Changes {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	whole := after < r.since
@@ -144,7 +144,7 @@
 		}
 	}
 	slices.SortFunc(items, func(a, b Item) int { return cmp.Compare(a.Revision, b.Revision) })
-	return Answer{Items: items, Revision: r.revision, Whole: whole}
+	return Changes{Items: items, Revision: r.revision, Full: whole}
 }
 
 // Wait waits until something is known beyond a revision, at most for a time.
--- a/internal/state/requests/requests.go
+++ b/internal/state/requests/requests.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// Begin finds the request under a key or makes a new one.
-func (s *Store) Begin(key model.RequestKey, content uint64, deadline time.Time) (r *Request, joined bool) {
+// GetOrCreate finds the request under a key or makes a new one.
+func (s *Store) GetOrCreate(key model.RequestKey, content uint64, deadline time.Time) (r *Request, joined bool) {
 	return s.all.GetOrPut(key.String(), func() *Request {
 		return &Request{
 			Key:      key,
@@ -148,13 +148,13 @@
 	return s.all.Get(key.String())
 }
 
-// KeepCopy stores another entry's outcome.
-func (s *Store) KeepCopy(key model.RequestKey, o model.Outcome) {
+// SetOutcomeCopy stores another entry's outcome.
+func (s *Store) SetOutcomeCopy(key model.RequestKey, o model.Outcome) {
 	s.copies.Put(key.String(), copied{o, s.now()})
 }
 
-// Copy finds another entry's outcome.
-func (s *Store) Copy(key model.RequestKey) (model.Outcome, bool) {
+// OutcomeCopy finds another entry's outcome.
+func (s *Store) OutcomeCopy(key model.RequestKey) (model.Outcome, bool) {
 	c, ok := s.copies.Get(key.String())
 	return c.outcome, ok
 }
--- a/internal/transport/api/requests.go
+++ b/internal/transport/api/requests.go
@@ -52,7 +52,7 @@
 		return connectError(err)
 	}
 	m := r.Msg
-	req, err := s.Owner.Submit(owner.Ask{
+	req, err := s.Owner.Submit(owner.Submission{
 		Customer:      m.Customer,
 		ID:            m.RequestId,
 		Service:       m.Service,
@@ -128,7 +128,7 @@
 // GetTimeline implements the RequestService.
 func (s *Requests) GetTimeline(ctx context.Context, r *connect.Request[v1.GetTimelineRequest]) (*connect.Response[v1.GetTimelineResponse], error) {
 	key := model.RequestKey{Customer: r.Msg.Customer, ID: r.Msg.RequestId}
-	all := s.Node.Events.Of(key)
+	all := s.Node.Events.ForRequest(key)
 	out := &v1.GetTimelineResponse{}
 	for _, m := range s.Node.Table.All() {
 		var rep wire.EventsReply
--- a/internal/transport/link/notice.go
+++ b/internal/transport/link/notice.go
@@ -21,7 +21,7 @@
 
 // Notice packs a message for Send.
 func (p *Pool) Notice(m wire.Method, body []byte) Notice {
-	head := wire.NoticeHead{
+	head := wire.NotificationHeader{
 		Clock:    p.stamp.Clock.Now(),
 		Revision: p.stamp.Revision(),
 		From:     p.stamp.Self,
@@ -49,7 +49,7 @@
 
 // noticed takes in a notice that came from a host.
 func (s *Server) noticed(raw []byte, fromHost string) {
-	head, body, err := wire.UnpackNotice(raw)
+	head, body, err := wire.UnpackNotification(raw)
 	if err == nil {
 		err = s.admit(head.From, fromHost, head.Method)
 	}
--- a/internal/transport/mesh/mesh.go
+++ b/internal/transport/mesh/mesh.go
@@ -169,7 +169,7 @@
 }
 
 func (n *Node) eventsOf(_ context.Context, _ string, q wire.EventsQuery) (wire.EventsReply, error) {
-	return wire.EventsReply{Events: n.Events.Of(q.Key)}, nil
+	return wire.EventsReply{Events: n.Events.ForRequest(q.Key)}, nil
 }
 
 func (n *Node) readList(ctx context.Context) {
@@ -208,7 +208,7 @@
 	now := n.now()
 	for _, m := range all {
 		since := now.Sub(n.asked[m.Instance.Address])
-		urgent := m.SeenAt.IsZero() || m.Misses > 0
+		urgent := m.LastContact.IsZero() || m.Failures > 0
 		if since >= interval || (urgent && since >= heartbeatEvery) {
 			out = append(out, m.Instance.Address)
 			n.asked[m.Instance.Address] = now
@@ -233,22 +233,22 @@
 	ctx, cancel := context.WithTimeout(ctx, heartbeatWait)
 	defer cancel()
 	var hello wire.Hello
-	if m, ok := n.Table.Get(addr); ok && !m.SeenAt.IsZero() {
+	if m, ok := n.Table.Get(addr); ok && !m.LastContact.IsZero() {
 		hello.Known = m.Incarnation
 	}
 	var rep wire.HelloReply
 	if err := n.Pool.Call(ctx, addr, wire.MethodHello, hello, &rep); err != nil {
 		n.Pool.Reset(addr)
-		if n.Table.Missed(addr) {
+		if n.Table.RecordFailure(addr) {
 			klog.V(1).InfoS("Member does not answer", "address", addr, "err", err)
 		}
 		return false
 	}
 	if rep.Instance == nil {
-		n.Table.SeenLoad(addr, membership.Load(rep.Load))
+		n.Table.ObserveLoad(addr, membership.Load(rep.Load))
 		return true
 	}
-	n.Table.Seen(*rep.Instance, rep.Incarnation, rep.Backend(), n.now().Sub(began))
+	n.Table.Observe(*rep.Instance, rep.Incarnation, rep.Backend(), n.now().Sub(began))
 	return true
 }
 
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -10,13 +10,13 @@
 )
 
 func (x *Exchange) compose() wire.RouterHeartbeat {
-	var uses []wire.RouterUse
+	var uses []wire.EngineUsage
 	for inc, u := range x.Memory.OwnUsage() {
-		uses = append(uses, wire.RouterUse{Server: inc, TokenLayers: int64(u.TokenLayers), Streams: int64(u.Streams), Firsts: int64(u.FirstStageStreams), Reading: u.PrefillLoad})
+		uses = append(uses, wire.EngineUsage{Server: inc, TokenLayers: int64(u.TokenLayers), Streams: int64(u.Streams), FirstStageStreams: int64(u.FirstStageStreams), PrefillLoad: u.PrefillLoad})
 	}
-	var pipes []wire.RouterPipe
+	var pipes []wire.InterconnectRate
 	for pair, rate := range x.Pipes.OwnRates() {
-		pipes = append(pipes, wire.RouterPipe{A: pair.A, B: pair.B, Rate: rate})
+		pipes = append(pipes, wire.InterconnectRate{A: pair.A, B: pair.B, Rate: rate})
 	}
 	spares := x.Loans.Budget.SpareTokens() // it counts the routers, so before the lock
 	now := x.Now()
@@ -25,16 +25,16 @@
 	suspects := remaining(x.suspects, now)
 	refusing := remaining(x.refusing, now)
 	return wire.RouterHeartbeat{
-		Config:      x.Config.Version(),
-		ConfigAgeMS: x.Config.Age(x.Clock()).Milliseconds(),
-		Revision:    x.Revision(),
-		Uses:        uses,
-		Pipes:       pipes,
-		Slow:        x.Memory.OwnSlowdowns(),
-		Suspects:    suspects,
-		Refusing:    refusing,
-		Spares:      spares,
-		Traffic:     x.Traffic(),
+		Config:        x.Config.Version(),
+		ConfigAgeMS:   x.Config.Age(x.Clock()).Milliseconds(),
+		Revision:      x.Revision(),
+		Usage:         uses,
+		Interconnects: pipes,
+		Slow:          x.Memory.OwnSlowdowns(),
+		Suspects:      suspects,
+		Refusing:      refusing,
+		SpareTokens:   spares,
+		HasTraffic:    x.Traffic(),
 	}
 }
 
@@ -61,16 +61,16 @@
 	}
 	x.mu.Lock()
 	x.seen[from] = x.Now()
-	x.traffic = x.traffic || b.Traffic
+	x.traffic = x.traffic || b.HasTraffic
 	x.mu.Unlock()
-	uses := make(map[model.Incarnation]chains.Usage, len(b.Uses))
-	for _, u := range b.Uses {
-		uses[u.Server] = chains.Usage{TokenLayers: float64(u.TokenLayers), Streams: float64(u.Streams), FirstStageStreams: float64(u.Firsts), PrefillLoad: u.Reading}
+	uses := make(map[model.Incarnation]chains.Usage, len(b.Usage))
+	for _, u := range b.Usage {
+		uses[u.Server] = chains.Usage{TokenLayers: float64(u.TokenLayers), Streams: float64(u.Streams), FirstStageStreams: float64(u.FirstStageStreams), PrefillLoad: u.PrefillLoad}
 	}
-	good := trustedHeartbeats*time.Duration(b.EveryMS)*time.Millisecond + trustSlack
+	good := trustedHeartbeats*time.Duration(b.IntervalMS)*time.Millisecond + trustSlack
 	x.Memory.SetPeerUsage(from, uses, good)
-	pipes := make(map[chains.DomainPair]float64, len(b.Pipes))
-	for _, p := range b.Pipes {
+	pipes := make(map[chains.DomainPair]float64, len(b.Interconnects))
+	for _, p := range b.Interconnects {
 		pipes[chains.DomainPair{A: p.A, B: p.B}] = p.Rate
 	}
 	x.Pipes.SetPeerRates(from, pipes, good)
@@ -83,7 +83,7 @@
 	for inc, left := range b.Refusing {
 		x.Refuses(inc, x.Now().Add(limits.Jitter(time.Duration(left)*time.Millisecond)))
 	}
-	x.Loans.SetPeerTokens(from, b.Spares, good)
+	x.Loans.SetPeerTokens(from, b.SpareTokens, good)
 	x.PeerAt(b.Revision)
 	mine := x.Config.Version()
 	switch {
--- a/internal/transport/peers/news.go
+++ b/internal/transport/peers/news.go
@@ -52,55 +52,55 @@
 }
 
 // Register adds the method that peers call.
-func (n *News) Register(s *link.Server) { s.Register(wire.MethodRouterNews, link.Handle(n.answer)) }
+func (n *News) Register(s *link.Server) { s.Register(wire.MethodRouterUpdates, link.Handle(n.answer)) }
 
 // Ask asks a router for news.
 func (n *News) Ask(ctx context.Context, addr string, after model.Revision, wait time.Duration) (follow.Updates, error) {
-	var rep wire.RouterNews
-	ask := wire.RouterNewsAsk{After: after, WaitMS: wait.Milliseconds()}
-	if err := n.Pool.Call(ctx, addr, wire.MethodRouterNews, ask, &rep); err != nil {
+	var rep wire.RouterUpdates
+	ask := wire.RouterUpdatesRequest{After: after, WaitMS: wait.Milliseconds()}
+	if err := n.Pool.Call(ctx, addr, wire.MethodRouterUpdates, ask, &rep); err != nil {
 		n.Pool.Reset(addr)
 		return follow.Updates{}, err
 	}
-	items, err := decodeItems(rep.Items, after, rep.Whole)
+	items, err := decodeItems(rep.Items, after, rep.Full)
 	if err != nil {
 		return follow.Updates{}, err
 	}
 	return follow.Updates{
-		Answer:  replica.Answer{Items: items, Revision: rep.Revision, Whole: rep.Whole},
+		Changes: replica.Changes{Items: items, Revision: rep.Revision, Full: rep.Full},
 		Age:     milliseconds(rep.AgeMS),
-		Elapsed: milliseconds(rep.HeldMS),
+		Elapsed: milliseconds(rep.ElapsedMS),
 		Grace:   milliseconds(rep.GraceMS),
 	}, nil
 }
 
 // answer answers a peer's Ask.
-func (n *News) answer(ctx context.Context, from string, ask wire.RouterNewsAsk) (wire.RouterNews, error) {
+func (n *News) answer(ctx context.Context, from string, ask wire.RouterUpdatesRequest) (wire.RouterUpdates, error) {
 	news, err := n.Tell(ctx, ask.After, milliseconds(ask.WaitMS))
 	if err != nil {
-		return wire.RouterNews{}, errors.WithStack(fault.New(fault.NotReady, "%v", err))
+		return wire.RouterUpdates{}, errors.WithStack(fault.New(fault.NotReady, "%v", err))
 	}
-	if news.Whole {
+	if news.Full {
 		klog.InfoS("the whole picture of the store is given to a peer", "peer", from, "after", ask.After, "revision", news.Revision, "items", len(news.Items))
 	}
-	items, err := n.encode(ask.After, news.Answer)
-	return wire.RouterNews{
-		Revision: news.Revision,
-		Whole:    news.Whole,
-		AgeMS:    roundUp(news.Age),
-		HeldMS:   news.Elapsed.Milliseconds(),
-		GraceMS:  news.Grace.Milliseconds(),
-		Items:    items,
+	items, err := n.encode(ask.After, news.Changes)
+	return wire.RouterUpdates{
+		Revision:  news.Revision,
+		Full:      news.Full,
+		AgeMS:     roundUp(news.Age),
+		ElapsedMS: news.Elapsed.Milliseconds(),
+		GraceMS:   news.Grace.Milliseconds(),
+		Items:     items,
 	}, err
 }
 
-func (n *News) encode(after model.Revision, a replica.Answer) (json.RawMessage, error) {
+func (n *News) encode(after model.Revision, a replica.Changes) (json.RawMessage, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.last.items != nil && n.last.after == after && n.last.revision == a.Revision && n.last.whole == a.Whole {
+	if n.last.items != nil && n.last.after == after && n.last.revision == a.Revision && n.last.whole == a.Full {
 		return n.last.items, nil
 	}
-	items := make([]wire.RouterNewsItem, 0, len(a.Items))
+	items := make([]wire.RouterUpdate, 0, len(a.Items))
 	for _, it := range a.Items {
 		w, err := encodeItem(it)
 		if err != nil {
@@ -112,14 +112,14 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode news")
 	}
-	n.last = encoded{after: after, revision: a.Revision, whole: a.Whole, items: raw}
+	n.last = encoded{after: after, revision: a.Revision, whole: a.Full, items: raw}
 	return raw, nil
 }
 
 // decodeItems reads a list of items. One that is no news, or names no key, was not told
 // by a router of ours that works.
 func decodeItems(raw json.RawMessage, after model.Revision, whole bool) ([]replica.Item, error) {
-	var items []wire.RouterNewsItem
+	var items []wire.RouterUpdate
 	if err := json.Unmarshal(raw, &items); err != nil {
 		return nil, errors.Wrap(err, "news cannot be read")
 	}
@@ -142,8 +142,8 @@
 
 // encodeItem makes the wire's form of an item. A configuration of some hundred routes
 // compresses to a tenth of its size; what is large all the same goes without its value.
-func encodeItem(it replica.Item) (wire.RouterNewsItem, error) {
-	w := wire.RouterNewsItem{Key: it.Key, Value: it.Value, Revision: it.Revision, Lease: int64(it.Lease), Removed: it.Removed, Omitted: it.Omitted}
+func encodeItem(it replica.Item) (wire.RouterUpdate, error) {
+	w := wire.RouterUpdate{Key: it.Key, Value: it.Value, Revision: it.Revision, Lease: int64(it.Lease), Removed: it.Removed, Omitted: it.Omitted}
 	if len(it.Value) < packFrom {
 		return w, nil
 	}
@@ -165,7 +165,7 @@
 	return w, nil
 }
 
-func unpack(it wire.RouterNewsItem) ([]byte, error) {
+func unpack(it wire.RouterUpdate) ([]byte, error) {
 	if !it.Packed {
 		return it.Value, nil
 	}
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -105,8 +105,8 @@
 	x.refusing = map[model.Incarnation]time.Time{}
 	s.RegisterNotice(wire.MethodRouterHeartbeat, x.heartbeat)
 	s.Register(wire.MethodRouterConfig, link.Handle(x.config))
-	s.Register(wire.MethodRouterLend, link.Handle(x.lend))
-	s.Register(wire.MethodRouterGone, link.Handle(x.gone))
+	s.Register(wire.MethodRouterBorrow, link.Handle(x.lend))
+	s.Register(wire.MethodRouterEngineExit, link.Handle(x.gone))
 }
 
 // SetMembers takes in the routers that are registered in the store, by its keys.
@@ -143,7 +143,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 			defer cancel()
-			if err := x.Pool.Notify(ctx, addr, wire.MethodRouterGone, wire.RouterGone{Server: engine}); err != nil {
+			if err := x.Pool.Notify(ctx, addr, wire.MethodRouterEngineExit, wire.RouterEngineExit{Server: engine}); err != nil {
 				klog.V(1).InfoS("peer not told of an engine's end", "peer", addr, "server", engine, "err", err)
 			}
 		}()
@@ -151,7 +151,7 @@
 }
 
 // gone takes in a peer's TellGone.
-func (x *Exchange) gone(_ context.Context, from string, g wire.RouterGone) (struct{}, error) {
+func (x *Exchange) gone(_ context.Context, from string, g wire.RouterEngineExit) (struct{}, error) {
 	klog.InfoS("engine's process ended", "server", g.Server, "evidence", "a peer saw it", "peer", from)
 	x.Gone(g.Server)
 	return struct{}{}, nil
@@ -159,16 +159,16 @@
 
 // Borrow asks a peer to lend repeated sends.
 func (x *Exchange) Borrow(ctx context.Context, peer, service string, want int) (int, error) {
-	var rep wire.RouterLent
-	err := x.Pool.Call(ctx, peer, wire.MethodRouterLend, wire.RouterLend{Service: service, Want: want}, &rep)
-	return rep.Lent, err
+	var rep wire.RouterBorrowReply
+	err := x.Pool.Call(ctx, peer, wire.MethodRouterBorrow, wire.RouterBorrowRequest{Service: service, Want: want}, &rep)
+	return rep.Granted, err
 }
 
 // lend answers a peer's Borrow.
-func (x *Exchange) lend(_ context.Context, from string, l wire.RouterLend) (wire.RouterLent, error) {
+func (x *Exchange) lend(_ context.Context, from string, l wire.RouterBorrowRequest) (wire.RouterBorrowReply, error) {
 	n := x.Loans.Budget.Lend(l.Service, l.Want)
 	klog.InfoS("repeated sends lent", "service", l.Service, "peer", from, "wanted", l.Want, "lent", n)
-	return wire.RouterLent{Lent: n}, nil
+	return wire.RouterBorrowReply{Granted: n}, nil
 }
 
 // Routers counts the routers that share budgets, this one included: whoever is
