--- a/internal/coordination/detector/detector.go
+++ b/internal/coordination/detector/detector.go
@@ -1,6 +1,5 @@
-// Package detector infers from the progress of running streams which engines of their
-// chains may have failed. It is passive: it sends nothing, and its answers are
-// candidates that the caller confirms.
+// Package detector infers from the progress of running streams which engines may have
+// failed. It is passive: it sends nothing and returns candidates for the caller to confirm.
 package detector
 
 import (
@@ -15,94 +14,97 @@
 	// deviation, as TCP does for round-trip times (RFC 6298).
 	meanWeight      = 0.125
 	deviationWeight = 0.25
-	// deviations is how many mean deviations beyond its mean interval an event may be
-	// late before its stream is overdue.
-	deviations = 4
-	// leastFactor is the least multiple of the mean interval that makes a stream overdue.
-	leastFactor = 2
-	// leastOverdue is the shortest interval after which a stream is overdue.
-	leastOverdue = 40 * time.Millisecond
-	// aloneShare is the share of the pause that a route allows after which a stream is
-	// checked though no other stream is overdue with it.
-	aloneShare = 0.4
-	// defaultPause is the pause that a route allows which names none.
-	defaultPause = 200 * time.Millisecond
-	// scheduleSlack is how late a check may run; beyond it this process was paused.
-	scheduleSlack = 10 * time.Millisecond
-	// settleTime is how long after a pause of this process no stream is judged: events
-	// may be waiting to be read.
-	settleTime = 30 * time.Millisecond
-	// quorum is how many streams that are overdue together are checked early.
-	quorum = 2
-	// checkTurn is after how long a stream is assessed again while another one's path is
-	// checked.
-	checkTurn = 10 * time.Millisecond
-	// cautionStep and mostCaution are by how much, and how far at most, each check of a
-	// path that held raises the thresholds; cautionTime is how long that takes to fade.
-	cautionStep = 1.5
-	mostCaution = 3
-	cautionTime = 5 * time.Second
+	// maxDeviations is the number of mean deviations beyond the mean interval after which a
+	// stream is overdue.
+	maxDeviations = 4
+	// minIntervalFactor is the minimum multiple of the mean interval after which a stream
+	// is overdue.
+	minIntervalFactor = 2
+	// minOverdueDelay is the minimum pause after which a stream is overdue.
+	minOverdueDelay = 40 * time.Millisecond
+	// loneCheckShare is the share of the maximum pause after which a stream is checked even
+	// if no other stream is overdue.
+	loneCheckShare = 0.4
+	// defaultMaxPause is the maximum pause of routes that set none.
+	defaultMaxPause = 200 * time.Millisecond
+	// maxScheduleDelay is the maximum delay of an assessment. A longer delay means that
+	// this process was paused.
+	maxScheduleDelay = 10 * time.Millisecond
+	// settleDelay is how long streams are not assessed after a pause of this process,
+	// because events may be waiting to be read.
+	settleDelay = 30 * time.Millisecond
+	// minOverdueStreams is the number of overdue streams from which a check starts early.
+	minOverdueStreams = 2
+	// recheckDelay is the delay before the next assessment of a stream while another
+	// stream's path is checked.
+	recheckDelay = 10 * time.Millisecond
+	// Each check of a healthy path multiplies the thresholds by backoffFactor, up to
+	// maxBackoff. The increase decays within backoffDecayTime.
+	backoffFactor    = 1.5
+	maxBackoff       = 3
+	backoffDecayTime = 5 * time.Second
 )
 
-// Detector relates the progress of this process's streams to the engines they run through.
+// Detector tracks the progress of this process's streams and the engines that they use.
 type Detector struct {
 	now func() time.Time
 
-	mu      sync.Mutex
-	streams map[*Stream]struct{}
-	engines map[model.Incarnation]*engine
-	resumed time.Time // when this process was last seen to go on after a pause
-	// checking is the stream whose path is checked; one at a time, as its result speaks
-	// for the others.
+	mu        sync.Mutex
+	streams   map[*Stream]struct{}
+	engines   map[model.Incarnation]*engine
+	resumedAt time.Time // end of the last detected pause of this process
+	// checking is the stream whose path is being checked. Only one path is checked at a
+	// time, because the result also applies to other streams.
 	checking *Stream
-	// caution multiplies the thresholds, as of cautioned.
-	caution   float64
-	cautioned time.Time
+	// backoff is the factor on the thresholds at the time backoffSetAt.
+	backoff      float64
+	backoffSetAt time.Time
 }
 
-// engine is what streams say of one engine.
 type engine struct {
-	progress time.Time // newest event of a stream through it
-	streams  int
+	lastEvent time.Time // latest event of any stream on the engine
+	streams   int
 }
 
-// New makes a detector that knows no streams.
+// New returns a detector without streams.
 func New(now func() time.Time) *Detector {
-	return &Detector{now: now, streams: map[*Stream]struct{}{}, engines: map[model.Incarnation]*engine{}, caution: 1}
+	return &Detector{now: now, streams: map[*Stream]struct{}{}, engines: map[model.Incarnation]*engine{}, backoff: 1}
 }
 
 // Stream is the progress of one stream.
 type Stream struct {
-	d       *Detector
-	allowed time.Duration
+	d        *Detector
+	maxPause time.Duration
 
 	path []model.Incarnation
-	// asked is when the check of its path began.
-	asked time.Time
-	// running says that an event came through the present path.
-	running bool
-	last    time.Time
-	due     time.Time // when the next check is scheduled
-	// mean and deviation describe the interval between events, in seconds.
+	// checkStarted is when the check of the path began.
+	checkStarted time.Time
+	// hasEvent is set once an event arrived over the current path.
+	hasEvent       bool
+	lastEvent      time.Time
+	nextAssessment time.Time
+	// mean and deviation describe the interval between events in seconds.
 	mean, deviation float64
 }
 
-// Track adds a stream through some engines. expected is the interval between its events
-// as planned, allowed the longest pause that is still on time; 0 for the default.
-func (d *Detector) Track(path []model.Incarnation, expected, allowed time.Duration) *Stream {
-	if allowed <= 0 {
-		allowed = defaultPause
+// Track adds a stream on the engines of a path. expected is the planned interval between
+// its events. maxPause is the maximum pause between events; 0 selects the default. The
+// caller must call Close.
+func (d *Detector) Track(path []model.Incarnation, expected, maxPause time.Duration) *Stream {
+	if maxPause <= 0 {
+		maxPause = defaultMaxPause
 	}
-	s := &Stream{d: d, allowed: allowed, mean: expected.Seconds(), deviation: expected.Seconds() / 2}
+	s := &Stream{d: d, maxPause: maxPause, mean: expected.Seconds(), deviation: expected.Seconds() / 2}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.streams[s] = struct{}{}
-	s.enter(path)
+	s.addToEngines(path)
 	return s
 }
 
-// enter and leave count the stream at its engines. The caller holds the lock.
-func (s *Stream) enter(path []model.Incarnation) {
+// addToEngines and removeFromEngines update the stream counts of the engines. The caller
+// holds the lock.
+func (s *Stream) addToEngines(path []model.Incarnation) {
 	s.path = path
 	for _, inc := range path {
 		e, ok := s.d.engines[inc]
@@ -114,7 +116,7 @@
 	}
 }
 
-func (s *Stream) leave() {
+func (s *Stream) removeFromEngines() {
 	for _, inc := range s.path {
 		e := s.d.engines[inc]
 		if e.streams--; e.streams == 0 {
@@ -124,185 +126,187 @@
 	s.path = nil
 }
 
-// RecordEvent takes in an event and gives the time until the stream's next check.
+// RecordEvent records an event and returns the time until the next assessment.
 func (s *Stream) RecordEvent() time.Duration {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	now := s.d.now()
-	if s.running {
-		s.observe(now.Sub(s.last).Seconds())
+	if s.hasEvent {
+		s.updateInterval(now.Sub(s.lastEvent).Seconds())
 	}
-	s.running = true
-	s.last = now
+	s.hasEvent = true
+	s.lastEvent = now
 	for _, inc := range s.path {
-		s.d.engines[inc].progress = now
+		s.d.engines[inc].lastEvent = now
 	}
-	return s.schedule(now, s.overdueAfter())
+	return s.schedule(now, s.overdueDelay())
 }
 
-func (s *Stream) observe(interval float64) {
-	off := interval - s.mean
-	s.mean += meanWeight * off
-	s.deviation += deviationWeight * (max(off, -off) - s.deviation)
+func (s *Stream) updateInterval(interval float64) {
+	diff := interval - s.mean
+	s.mean += meanWeight * diff
+	s.deviation += deviationWeight * (max(diff, -diff) - s.deviation)
 }
 
-func (s *Stream) schedule(now time.Time, after time.Duration) time.Duration {
-	s.due = now.Add(after)
-	return after
+func (s *Stream) schedule(now time.Time, delay time.Duration) time.Duration {
+	s.nextAssessment = now.Add(delay)
+	return delay
 }
 
-// overdueAfter is the pause after which the stream is overdue. The caller holds the lock.
-func (s *Stream) overdueAfter() time.Duration {
-	late := max(s.mean+deviations*s.deviation, leastFactor*s.mean)
-	return time.Duration(s.d.care() * float64(max(time.Duration(late*float64(time.Second)), leastOverdue)))
+// overdueDelay returns the pause after which the stream is overdue. The caller holds the
+// lock.
+func (s *Stream) overdueDelay() time.Duration {
+	delay := max(s.mean+maxDeviations*s.deviation, minIntervalFactor*s.mean)
+	return time.Duration(s.d.currentBackoff() * float64(max(time.Duration(delay*float64(time.Second)), minOverdueDelay)))
 }
 
-// care is the factor that checks of paths which held leave on the thresholds for a while.
-// The caller holds the lock.
-func (d *Detector) care() float64 {
-	left := 1 - d.now().Sub(d.cautioned).Seconds()/cautionTime.Seconds()
-	return 1 + (d.caution-1)*max(left, 0)
+// currentBackoff returns the current factor on the thresholds. The caller holds the lock.
+func (d *Detector) currentBackoff() float64 {
+	remaining := 1 - d.now().Sub(d.backoffSetAt).Seconds()/backoffDecayTime.Seconds()
+	return 1 + (d.backoff-1)*max(remaining, 0)
 }
 
-// aloneAfter is the pause after which the stream is checked without others. The caller
-// holds the lock.
-func (s *Stream) aloneAfter() time.Duration {
-	return max(time.Duration(s.d.care()*aloneShare*float64(s.allowed)), s.overdueAfter())
+// loneCheckDelay returns the pause after which the stream is checked even if no other
+// stream is overdue. The caller holds the lock.
+func (s *Stream) loneCheckDelay() time.Duration {
+	return max(time.Duration(s.d.currentBackoff()*loneCheckShare*float64(s.maxPause)), s.overdueDelay())
 }
 
-// Reroute takes in that the stream runs through other engines now. It is not judged
-// before its next event: its new engines read all tokens so far.
+// Reroute sets a new path of the stream. The stream is not assessed before its next event,
+// because the new engines run the prefill of all tokens first.
 func (s *Stream) Reroute(path []model.Incarnation) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	if _, ok := s.d.streams[s]; !ok {
 		return
 	}
-	s.leave()
-	s.enter(path)
-	s.running = false
+	s.removeFromEngines()
+	s.addToEngines(path)
+	s.hasEvent = false
 }
 
-// Close removes the stream; further calls do nothing.
+// Close removes the stream. Further calls have no effect.
 func (s *Stream) Close() {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	if _, ok := s.d.streams[s]; ok {
 		delete(s.d.streams, s)
-		s.leave()
+		s.removeFromEngines()
 	}
 	if s.d.checking == s {
 		s.d.checking = nil
 	}
 }
 
-// Assessment is what progress says of a stream that was due.
+// Assessment is the result of Assess.
 type Assessment struct {
 	// Pause is the time since the stream's last event.
 	Pause time.Duration
-	// Candidates are its engines of which no newer progress was seen.
+	// Candidates are the engines of the stream without progress since the stream's last
+	// event.
 	Candidates []model.Incarnation
-	// OverdueStreams counts the streams that are overdue, this one included, and run through a
-	// candidate that no stream has had an event from for as long.
+	// OverdueStreams is the number of overdue streams, including this one, that use a
+	// candidate without any event within this stream's overdue delay.
 	OverdueStreams int
-	// ReassessAfter is when to assess the stream once more if its path need not be checked now;
-	// 0 where it is to be checked, or where progress clears all of its engines.
+	// ReassessAfter is the delay before the next assessment. It is 0 if the path must be
+	// checked now, if progress of other streams clears all engines, or if no event arrived
+	// over the current path yet.
 	ReassessAfter time.Duration
 }
 
-// NeedsCheck tells whether the stream's path is to be checked now.
+// NeedsCheck reports whether the stream's path must be checked now.
 func (a Assessment) NeedsCheck() bool { return len(a.Candidates) > 0 && a.ReassessAfter == 0 }
 
-// Assess judges a stream when it is due. Where its path is to be checked the caller
-// does so and calls Checked.
+// Assess assesses a stream whose next assessment is due. If the result needs a check, the
+// caller must check the path and call CheckFinished.
 func (s *Stream) Assess() Assessment {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	now := s.d.now()
-	if !s.running {
+	if !s.hasEvent {
 		return Assessment{}
 	}
-	a := Assessment{Pause: now.Sub(s.last)}
-	if now.Sub(s.due) > scheduleSlack {
-		s.d.resumed = now
+	a := Assessment{Pause: now.Sub(s.lastEvent)}
+	if now.Sub(s.nextAssessment) > maxScheduleDelay {
+		s.d.resumedAt = now
 	}
-	if rest := settleTime - now.Sub(s.d.resumed); rest > 0 {
-		a.ReassessAfter = s.schedule(now, rest)
+	if remaining := settleDelay - now.Sub(s.d.resumedAt); remaining > 0 {
+		a.ReassessAfter = s.schedule(now, remaining)
 		return a
 	}
-	s.weigh(now, &a)
-	switch rest := s.aloneAfter() - a.Pause; {
+	s.findCandidates(now, &a)
+	switch remaining := s.loneCheckDelay() - a.Pause; {
 	case len(a.Candidates) == 0:
-	case rest > 0 && a.OverdueStreams < quorum:
-		a.ReassessAfter = s.schedule(now, rest)
+	case remaining > 0 && a.OverdueStreams < minOverdueStreams:
+		a.ReassessAfter = s.schedule(now, remaining)
 	case s.d.checking != nil:
-		a.ReassessAfter = s.schedule(now, checkTurn)
+		a.ReassessAfter = s.schedule(now, recheckDelay)
 	default:
 		s.d.checking = s
-		s.asked = now
+		s.checkStarted = now
 	}
 	return a
 }
 
-// weigh finds the candidates and the streams that are overdue with this one. The caller
-// holds the lock.
-func (s *Stream) weigh(now time.Time, a *Assessment) {
-	quiet := map[model.Incarnation]bool{}
+// findCandidates sets the candidates and the number of overdue streams. The caller holds
+// the lock.
+func (s *Stream) findCandidates(now time.Time, a *Assessment) {
+	stalled := map[model.Incarnation]bool{}
 	for _, inc := range s.path {
 		e := s.d.engines[inc]
 		if s.cleared(e) {
 			continue
 		}
 		a.Candidates = append(a.Candidates, inc)
-		if now.Sub(e.progress) >= s.overdueAfter() {
-			quiet[inc] = true
+		if now.Sub(e.lastEvent) >= s.overdueDelay() {
+			stalled[inc] = true
 		}
 	}
-	if len(quiet) > 0 {
-		a.OverdueStreams = s.d.overdue(now, quiet)
+	if len(stalled) > 0 {
+		a.OverdueStreams = s.d.countOverdue(now, stalled)
 	}
 }
 
-// CheckFinished ends the check of the stream's path. If the path held, its engines worked when
-// it was asked about.
-func (s *Stream) CheckFinished(held bool) {
+// CheckFinished ends the check of the stream's path. A healthy path proves that its engines
+// were working when the check began.
+func (s *Stream) CheckFinished(healthy bool) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	if s.d.checking == s {
 		s.d.checking = nil
 	}
-	if !held {
-		s.d.caution = 1
+	if !healthy {
+		s.d.backoff = 1
 		return
 	}
-	s.d.caution = min(s.d.care()*cautionStep, mostCaution)
-	s.d.cautioned = s.d.now()
+	s.d.backoff = min(s.d.currentBackoff()*backoffFactor, maxBackoff)
+	s.d.backoffSetAt = s.d.now()
 	for _, inc := range s.path {
-		if e := s.d.engines[inc]; e.progress.Before(s.asked) {
-			e.progress = s.asked
+		if e := s.d.engines[inc]; e.lastEvent.Before(s.checkStarted) {
+			e.lastEvent = s.checkStarted
 		}
 	}
 }
 
-// cleared tells whether an engine made progress for another stream after it was due for
-// this one. The caller holds the lock.
+// cleared reports whether an engine made progress for another stream after this stream's
+// event was due. The caller holds the lock.
 func (s *Stream) cleared(e *engine) bool {
-	return e.progress.Sub(s.last) >= s.overdueAfter()/leastFactor
+	return e.lastEvent.Sub(s.lastEvent) >= s.overdueDelay()/minIntervalFactor
 }
 
-// overdue counts the streams that are overdue and run through one of some engines. The
+// countOverdue returns the number of overdue streams that use one of the engines. The
 // caller holds the lock.
-func (d *Detector) overdue(now time.Time, engines map[model.Incarnation]bool) int {
+func (d *Detector) countOverdue(now time.Time, engines map[model.Incarnation]bool) int {
 	n := 0
 	for t := range d.streams {
-		if t.running && now.Sub(t.last) >= t.overdueAfter() && t.through(engines) {
+		if t.hasEvent && now.Sub(t.lastEvent) >= t.overdueDelay() && t.usesAny(engines) {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *Stream) through(engines map[model.Incarnation]bool) bool {
+func (s *Stream) usesAny(engines map[model.Incarnation]bool) bool {
 	for _, inc := range s.path {
 		if engines[inc] {
 			return true
--- a/internal/coordination/routing/routing_test.go
+++ b/internal/coordination/routing/routing_test.go
@@ -13,7 +13,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-func near(_, _ model.Instance) time.Duration { return time.Millisecond }
+func constantLinkTime(_, _ model.Instance) time.Duration { return time.Millisecond }
 
 func addEngine(tb *membership.Table, name string, r model.LayerRange, active, capacity int, leaving bool) {
 	tb.Seen(model.Instance{ID: name, Role: model.RoleSidecar, Address: name}, "inc", membership.Backend{
@@ -28,9 +28,8 @@
 	}, time.Millisecond)
 }
 
-// Engines hold any ranges, overlapping or not; some are full, leave or are to
-// be avoided. A chain, if there is one, runs each layer exactly once, in order,
-// each at an engine that holds it and takes work.
+// A chain must run each layer once and in order, on engines that hold it, have capacity,
+// are not leaving and are not to be avoided. It must be found whenever one exists.
 func TestChainCoversEachLayerOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		tb := membership.New("self", time.Now)
@@ -51,7 +50,7 @@
 			}
 		}
 		need := model.LayerRange{To: 12}
-		chain, err := New(tb, Links{Time: near}, time.Now, nil).Chain(ChainRequest{Service: "s", Layers: need, Avoid: avoid})
+		chain, err := New(tb, Links{Time: constantLinkTime}, time.Now, nil).Chain(ChainRequest{Service: "s", Layers: need, Avoid: avoid})
 		possible := true
 		for _, c := range covered {
 			possible = possible && c
@@ -68,9 +67,9 @@
 	})
 }
 
-// More than half of a service seems down at once, which is likelier a fault of
-// the network here. The members are still tried, after those that answer.
-func TestEjectingIsBounded(t *testing.T) {
+// If more than half of a service seems down, the fault is more likely in the local network.
+// The members must still be used, after those that respond.
+func TestSuspectsAreUsedWhenMostSeemDown(t *testing.T) {
 	tb := membership.New("self", time.Now)
 	for i := 0; i < 4; i++ {
 		name := fmt.Sprint("e", i)
@@ -80,7 +79,7 @@
 			tb.Missed(name)
 		}
 	}
-	r := New(tb, Links{Time: near}, time.Now, func(int) int { return 0 })
+	r := New(tb, Links{Time: constantLinkTime}, time.Now, func(int) int { return 0 })
 	chain, err := r.Chain(ChainRequest{Service: "s", Layers: model.LayerRange{To: 12}})
 	assert.NilError(t, err)
 	assert.Equal(t, chain[0].Member.Instance.Address, "e0")
@@ -88,8 +87,8 @@
 	assert.NilError(t, err)
 }
 
-func TestNothingUpIsNoCapacity(t *testing.T) {
-	r := New(membership.New("self", time.Now), Links{Time: near}, time.Now, nil)
+func TestNoMembersYieldNoCapacity(t *testing.T) {
+	r := New(membership.New("self", time.Now), Links{Time: constantLinkTime}, time.Now, nil)
 	_, err := r.Chain(ChainRequest{Service: "s", Layers: model.LayerRange{To: 12}})
 	assert.Assert(t, fault.Is(err, fault.NoCapacity))
 	_, err = r.PlainServer("s", nil)
