--- a/internal/coordination/placement/backoff_test.go
+++ b/internal/coordination/placement/backoff_test.go
@@ -10,40 +10,38 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// An engine's process ends while it loads what it was ordered to, comes back under its id
-// and is ordered the same again, and so on. After three ends the address is left alone for
-// a while, then tried once; an engine that carries its order out is as good as any. Without
-// that each of the twelve processes was given the order.
-func TestOrderThatEndsItsEngine(t *testing.T) {
+// An engine exits under each order and restarts under its ID. Further orders are delayed,
+// and a completed load resets the delay.
+func TestOrderThatCrashesItsEngineIsDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, all := loadedShop(t)
+		s, all := newLoadedCluster(t)
 		e := all[3]
 		want := s.held(e.Address)
-		given := 0
+		ordered := 0
 		for range 12 {
-			s.again(e)
+			s.restart(e)
 			s.run(800 * time.Millisecond)
-			given += int(s.orders[e.Address])
+			ordered += int(s.orders[e.Address])
 		}
-		assert.Equal(t, given, freeEnds)
-		s.run(firstBackoff)
-		assert.Equal(t, s.held(e.Address), want, "tried again")
-		s.again(e)
+		assert.Equal(t, ordered, backoffThreshold)
+		s.run(initialBackoff)
+		assert.Equal(t, s.held(e.Address), want, "ordered again after the delay")
+		s.restart(e)
 		s.run(2 * time.Second)
-		assert.Equal(t, s.held(e.Address), want, "nothing is held against it any more")
+		assert.Equal(t, s.held(e.Address), want, "a completed load resets the delay")
 	})
 }
 
-// What ended under one order may carry out another.
-func TestOtherOrderIsNotWithheld(t *testing.T) {
+// Exits under one order do not delay other layers or other addresses.
+func TestOtherOrdersAreNotDelayed(t *testing.T) {
 	c := &Controller{Now: time.Now}
 	c.init()
-	bad := order{address: "a:1", want: model.LayerRange{To: 4}, given: true}
-	for range freeEnds + 20 {
-		c.endedLoading(bad)
+	bad := order{address: "a:1", want: model.LayerRange{To: 4}, sent: true}
+	for range backoffThreshold + 20 {
+		c.recordLoadExit(bad)
 	}
 	assert.Assert(t, !c.mayLoad(bad.address, bad.want))
 	assert.Assert(t, c.mayLoad(bad.address, model.LayerRange{From: 4, To: 8}))
 	assert.Assert(t, c.mayLoad("b:1", bad.want))
-	assert.Assert(t, time.Until(c.loadEnds["a:1"].until) <= longestBackoff)
+	assert.Assert(t, time.Until(c.loadExits["a:1"].retryAt) <= maxBackoff)
 }
--- a/internal/coordination/placement/controller.go
+++ b/internal/coordination/placement/controller.go
@@ -16,94 +16,99 @@
 )
 
 const (
-	// settleTime is how long no engine must have appeared before the first
-	// plan: engines register over the first seconds, and a plan made too early
-	// lacks whole chains.
-	settleTime = 1500 * time.Millisecond
-	// settleMost bounds the wait for engines that keep appearing.
-	settleMost = 6 * time.Second
-	// newcomerTime is how long an engine that appears later is left empty: a
+	// settleDelay is how long no new engine must have appeared before the first plan is
+	// built. Engines register over the first seconds, and a plan built too early lacks
+	// complete chains.
+	settleDelay = 1500 * time.Millisecond
+	// maxSettleDelay bounds the wait while engines keep appearing.
+	maxSettleDelay = 6 * time.Second
+	// newEngineDelay is how long an engine that appears later stays empty, since a
 	// replacement registers shortly before its predecessor leaves.
-	newcomerTime = 1200 * time.Millisecond
-	// gapTime is how long layers may be held by nobody before other engines are
-	// moved there: an engine that restarts is back within some three seconds
-	// and takes its own range again, at the price of one load instead of two.
-	gapTime = 2 * time.Second
-	// orderTimeout bounds an order's answer, which only says that it began.
+	newEngineDelay = 1200 * time.Millisecond
+	// gapDelay is how long layers may be held by no engine before others are moved there.
+	// An engine that restarts takes its own range again, which costs one load instead of
+	// two.
+	gapDelay = 2 * time.Second
+	// orderTimeout bounds the wait for the answer to an order, which only acknowledges
+	// that it began.
 	orderTimeout = time.Second
 )
 
-// Controller carries the plan out while this process leads.
+// Controller applies the placement plan while this process is the leader.
 type Controller struct {
 	Config  *routes.ActiveConfig
 	Catalog *catalog.Catalog
 	Store   platform.Store
 	Engines EngineClient
-	// FencingToken is the fencing token; 0 while another process leads.
+	// FencingToken returns the token of the current leadership, or 0 while another process
+	// leads.
 	FencingToken func() model.Revision
-	// OnFenced is told that an engine refused a token.
+	// OnFenced is called when an engine rejects a token because it has seen a higher one.
 	OnFenced func(token model.Revision)
-	// HasTraffic tells whether callers' requests were seen by any router.
+	// HasTraffic reports whether any router has received requests.
 	HasTraffic func() bool
-	// Suspected tells whether there is evidence against an engine; nil for never.
+	// Suspected reports whether there is evidence against an engine. Nil means never.
 	Suspected func(engine model.Incarnation) bool
-	// Unreachable tells whether an engine has answered nobody here for a while, whatever its
-	// entry says; nil for never.
+	// Unreachable reports whether an engine has not answered this router for a while, even
+	// if it is still listed. Nil means never.
 	Unreachable func(engine model.Incarnation) bool
-	// StreamCount counts the streams that run through an engine, as far as known; nil
-	// where that is not counted.
+	// StreamCount returns the known number of streams that run through an engine. If nil,
+	// all engines count as busy.
 	StreamCount func(engine model.Incarnation) float64
 	Now         func() time.Time
 
-	mu       sync.Mutex
-	plans    map[string]stored // by service
-	pending  map[model.Incarnation]order
-	appeared map[model.Incarnation]time.Time
-	began    time.Time
-	newest   time.Time            // when the last engine appeared
-	loadEnds map[string]*loadEnds // by address
-	// gapSince is since when some layer of a service is held by nobody.
+	mu             sync.Mutex
+	plans          map[string]storedPlan // by service
+	pending        map[model.Incarnation]order
+	appearedAt     map[model.Incarnation]time.Time
+	startedAt      time.Time
+	lastAppearance time.Time             // of any engine
+	loadExits      map[string]*loadExits // by address
+	// gapSince is the time, by service, since when no engine holds some layer.
 	gapSince map[string]time.Time
-	// holeSince is since when some failure domain lacks layers that its own engines
-	// could hold.
-	holeSince map[string]time.Time
-	// holeLook is when they were last looked for.
-	holeLook map[string]time.Time
+	// domainGapSince is the time, by service, since when some failure domain lacks layers
+	// that its own engines could hold.
+	domainGapSince map[string]time.Time
+	// domainGapCheckedAt is the time, by service, of the last check of failure domains.
+	domainGapCheckedAt map[string]time.Time
 }
 
-// stored is a plan and the store's revision of it.
-type stored struct {
+// storedPlan is a plan with its revision in the store.
+type storedPlan struct {
 	plan     Plan
 	revision model.Revision
-	// unsaved says that the store does not hold it, as it came back from an older copy.
-	unsaved bool
+	// needsWrite is set after the store was restored from an older copy, which may lack
+	// the plan.
+	needsWrite bool
 }
 
-// ObservePlan takes in a plan from the store.
+// ObservePlan records a plan that was read from the store. A plan that cannot be decoded
+// is logged and ignored.
 func (c *Controller) ObservePlan(service string, value []byte, revision model.Revision) {
 	plan, err := DecodePlan(value)
 	if err != nil {
-		klog.InfoS("stored plan cannot be read", "service", service, "revision", revision, "err", err)
+		klog.InfoS("cannot decode stored plan", "service", service, "revision", revision, "err", err)
 		return
 	}
-	c.takeIn(service, stored{plan: plan, revision: revision})
+	c.acceptPlan(service, storedPlan{plan: plan, revision: revision})
 }
 
 func (c *Controller) init() {
 	if c.plans == nil {
-		c.plans = map[string]stored{}
+		c.plans = map[string]storedPlan{}
 		c.pending = map[model.Incarnation]order{}
-		c.loadEnds = map[string]*loadEnds{}
-		c.appeared = map[model.Incarnation]time.Time{}
+		c.loadExits = map[string]*loadExits{}
+		c.appearedAt = map[model.Incarnation]time.Time{}
 		c.gapSince = map[string]time.Time{}
-		c.holeSince = map[string]time.Time{}
-		c.holeLook = map[string]time.Time{}
-		c.began = c.Now()
-		c.newest = c.began
+		c.domainGapSince = map[string]time.Time{}
+		c.domainGapCheckedAt = map[string]time.Time{}
+		c.startedAt = c.Now()
+		c.lastAppearance = c.startedAt
 	}
 }
 
-// Tick does what is due. It is called a few times a second.
+// Tick updates and stores the plans and sends the orders that are due. It must be called a
+// few times per second.
 func (c *Controller) Tick(ctx context.Context) {
 	table := c.Config.Load()
 	if table == nil {
@@ -118,24 +123,25 @@
 }
 
 func (c *Controller) tickService(ctx context.Context, svc *model.Service) {
-	servers := c.engines(svc)
+	servers := c.placeableEngines(svc)
 	token := c.FencingToken()
 	if token == 0 {
-		c.forgetHole(svc.Name)
+		c.resetDomainGap(svc.Name)
 		return
 	}
-	plan := c.plan(svc, servers)
+	plan := c.currentPlan(svc, servers)
 	if plan == nil {
 		return
 	}
 	if !c.persist(ctx, svc.Name, plan, token) {
 		return
 	}
-	c.giveOrders(ctx, svc, servers, plan, token)
+	c.sendOrders(ctx, svc, servers, plan, token)
 }
 
-// engines lists the engines that can be placed and notes when each appeared.
-func (c *Controller) engines(svc *model.Service) []*model.BackendServer {
+// placeableEngines returns the engines with a configured card, and records when each
+// engine appeared.
+func (c *Controller) placeableEngines(svc *model.Service) []*model.BackendServer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.init()
@@ -145,71 +151,71 @@
 	for _, b := range c.Catalog.Load().Service(svc.Name) {
 		present[b.Incarnation()] = true
 		if _, ok := svc.Engine.Card(b.Card); !ok {
-			c.noteOnce(b, now, "card is not listed")
+			c.recordAppearance(b, now, "card is not configured")
 			continue
 		}
 		if b.Holds.To > svc.Engine.Layers {
-			c.noteOnce(b, now, "holds layers outside of the model")
+			c.recordAppearance(b, now, "held layers exceed the model")
 		}
-		c.noteOnce(b, now, "")
+		c.recordAppearance(b, now, "")
 		out = append(out, b)
 	}
-	for inc := range c.appeared {
+	for inc := range c.appearedAt {
 		if !present[inc] {
-			delete(c.appeared, inc)
-			c.endedLoading(c.pending[inc])
+			delete(c.appearedAt, inc)
+			c.recordLoadExit(c.pending[inc])
 			delete(c.pending, inc)
 		}
 	}
 	return out
 }
 
-func (c *Controller) noteOnce(b *model.BackendServer, now time.Time, why string) {
-	if _, ok := c.appeared[b.Incarnation()]; ok {
+func (c *Controller) recordAppearance(b *model.BackendServer, now time.Time, reason string) {
+	if _, ok := c.appearedAt[b.Incarnation()]; ok {
 		return
 	}
-	c.appeared[b.Incarnation()] = now
-	c.newest = now
-	if why != "" {
-		klog.InfoS("engine entry is malformed", "server", b.Incarnation(), "why", why, "card", b.Card, "holds", b.Holds.String())
+	c.appearedAt[b.Incarnation()] = now
+	c.lastAppearance = now
+	if reason != "" {
+		klog.InfoS("engine entry is malformed", "server", b.Incarnation(), "why", reason, "card", b.Card, "holds", b.Holds.String())
 	}
 }
 
-// plan gives the plan to carry out; nil while it is too early for one.
-func (c *Controller) plan(svc *model.Service, servers []*model.BackendServer) Plan {
+// currentPlan returns the plan to apply, or nil while too few engines have registered.
+func (c *Controller) currentPlan(svc *model.Service, servers []*model.BackendServer) Plan {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Now()
 	old := c.plans[svc.Name]
-	fresh := !c.HasTraffic()
-	if old.plan == nil || fresh && unplanned(old.plan, c.engineList(svc, servers, now, 0)) {
-		quiet := now.Sub(c.newest)
-		if len(servers) == 0 || quiet < settleTime && now.Sub(c.began) < settleMost {
+	noTraffic := !c.HasTraffic()
+	if old.plan == nil || noTraffic && hasUnplanned(old.plan, c.plannerEngines(svc, servers, now, 0)) {
+		sinceLast := now.Sub(c.lastAppearance)
+		if len(servers) == 0 || sinceLast < settleDelay && now.Sub(c.startedAt) < maxSettleDelay {
 			return old.plan
 		}
-		if old.plan == nil && !fresh {
-			return PlanFromHeldLayers(svc.Engine, c.engineList(svc, servers, now, 0), servers)
+		if old.plan == nil && !noTraffic {
+			return PlanFromHeldLayers(svc.Engine, c.plannerEngines(svc, servers, now, 0), servers)
 		}
-		return BuildPlan(svc.Engine, c.engineList(svc, servers, now, 0))
+		return BuildPlan(svc.Engine, c.plannerEngines(svc, servers, now, 0))
 	}
-	settled := c.engineList(svc, c.withoutLost(servers), now, newcomerTime)
+	settled := c.plannerEngines(svc, c.withoutUnreachable(servers), now, newEngineDelay)
 	next := old.plan
-	if unplanned(next, settled) {
+	if hasUnplanned(next, settled) {
 		next, _ = Extend(svc.Engine, next, settled)
 	}
-	if !c.gapLasts(svc, next, settled, now) {
-		return c.mend(svc, next, settled, now)
+	if !c.gapPersists(svc, next, settled, now) {
+		return c.repairDomains(svc, next, settled, now)
 	}
 	repaired, changed := Repair(svc.Engine, next, settled)
 	if changed {
-		klog.InfoS("plan repaired: layers were held by nobody", "service", svc.Name, "layers", UncoveredLayers(svc.Engine, next, settled))
+		klog.InfoS("plan repaired: some layers were held by no engine", "service", svc.Name, "layers", UncoveredLayers(svc.Engine, next, settled))
 		delete(c.gapSince, svc.Name)
 	}
 	return repaired
 }
 
-// unplanned tells whether some engine has no range.
-func unplanned(plan Plan, engines []Engine) bool {
+// hasUnplanned reports whether the plan has no range for some engine.
+func hasUnplanned(plan Plan, engines []Engine) bool {
 	for _, e := range engines {
 		if _, ok := plan[e.Address]; !ok {
 			return true
@@ -218,11 +224,12 @@
 	return false
 }
 
-// engineList gives the planner's view of engines that have been there a while.
-func (c *Controller) engineList(svc *model.Service, servers []*model.BackendServer, now time.Time, age time.Duration) []Engine {
+// plannerEngines returns the planner's view of the engines that appeared at least minAge
+// ago.
+func (c *Controller) plannerEngines(svc *model.Service, servers []*model.BackendServer, now time.Time, minAge time.Duration) []Engine {
 	var out []Engine
 	for _, b := range servers {
-		if now.Sub(c.appeared[b.Incarnation()]) < age {
+		if now.Sub(c.appearedAt[b.Incarnation()]) < minAge {
 			continue
 		}
 		card, _ := svc.Engine.Card(b.Card)
@@ -231,18 +238,18 @@
 	return out
 }
 
-// persist stores a changed plan under the condition that this process still
-// leads: the leadership key has the revision that is the token.
+// persist stores a changed plan and reports whether the plan is in effect. The write is
+// conditional on the leadership key, whose revision is the fencing token.
 func (c *Controller) persist(ctx context.Context, service string, plan Plan, token model.Revision) bool {
 	c.mu.Lock()
 	old := c.plans[service]
 	c.mu.Unlock()
-	if old.plan != nil && same(old.plan, plan) && !old.unsaved {
+	if old.plan != nil && equalPlans(old.plan, plan) && !old.needsWrite {
 		return true
 	}
 	value, err := json.Marshal(plan)
 	if err != nil {
-		klog.ErrorS(err, "plan not encoded", "service", service)
+		klog.ErrorS(err, "cannot encode plan", "service", service)
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -252,26 +259,25 @@
 		Put: []platform.Item{{Key: leader.PlanPrefix + service, Value: value}},
 	})
 	if err != nil {
-		klog.InfoS("plan not stored", "service", service, "token", token, "err", err)
+		klog.InfoS("cannot store plan", "service", service, "token", token, "err", err)
 		return false
 	}
 	klog.InfoS("plan stored", "service", service, "token", token, "revision", revision, "engines", len(plan), "before", len(old.plan))
-	return c.takeIn(service, stored{plan: plan, revision: revision})
+	return c.acceptPlan(service, storedPlan{plan: plan, revision: revision})
 }
 
-// takeIn keeps a plan unless a newer one is known, and tells whether it is the one
-// that is known now. The store's answer may come after the watch has shown what the
-// next leader stored; taken for newer by the order of arrival, the older plan would
-// be extended and stored again when this process leads once more.
-func (c *Controller) takeIn(service string, p stored) bool {
+// acceptPlan records a plan unless a newer one is known, and reports whether it is now the
+// known one. Plans are compared by revision: the result of a write may arrive after the
+// watch has shown a plan that the next leader stored.
+func (c *Controller) acceptPlan(service string, p storedPlan) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.init()
 	old := c.plans[service]
 	switch {
-	case old.unsaved && old.revision.Era() < p.revision.Era() && !same(old.plan, p.plan):
-		// The first plan that is read in a new era is a copy's: an older one. Carried out,
-		// it would move engines back.
+	case old.needsWrite && old.revision.Era() < p.revision.Era() && !equalPlans(old.plan, p.plan):
+		// The first plan that is read after a restore comes from the older copy. Applying it
+		// would move engines back.
 		old.revision = p.revision
 		c.plans[service] = old
 	case old.revision < p.revision:
@@ -280,18 +286,18 @@
 	return c.plans[service].revision == p.revision
 }
 
-// HandleStoreRestore takes in that the store came back from an older copy: the plans in force stay, and
-// whoever leads writes them again.
+// HandleStoreRestore marks all plans as not stored after the store was restored from an
+// older copy. The plans stay in effect, and the leader writes them again.
 func (c *Controller) HandleStoreRestore() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for service, p := range c.plans {
-		p.unsaved = true
+		p.needsWrite = true
 		c.plans[service] = p
 	}
 }
 
-func same(a, b Plan) bool {
+func equalPlans(a, b Plan) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -303,8 +309,8 @@
 	return true
 }
 
-// PlanFromHeldLayers makes a plan of what engines hold already, where the stored plan is
-// not known; empty engines are then added as newcomers.
+// PlanFromHeldLayers builds a plan from the layers that engines already hold, for use when
+// the stored plan is unknown. Empty engines are added as by Extend.
 func PlanFromHeldLayers(spec *model.EngineSpec, engines []Engine, servers []*model.BackendServer) Plan {
 	plan := Plan{}
 	for _, b := range servers {
--- a/internal/coordination/placement/orders.go
+++ b/internal/coordination/placement/orders.go
@@ -11,125 +11,127 @@
 )
 
 const (
-	// loadSlack is added to the time a load should take before the order is
-	// taken for lost and given again.
-	loadSlack = 3 * time.Second
-	// ordersAtOnce bounds the engines that are asked and ordered at one moment: each is
-	// a connection with its buffers, some 20 KB, and where thousands of engines start
-	// the leader would have one to each. In 10 ms an order they are all given within a
-	// second.
-	ordersAtOnce = 64
-	// refusedPause is how long an engine that refused an order is left alone.
-	refusedPause = time.Second
+	// loadMargin is added to the expected load time before an order counts as lost and is
+	// sent again.
+	loadMargin = 3 * time.Second
+	// maxConcurrentOrders bounds the engines that are contacted at once. Each takes a
+	// connection with its buffers, which matters when thousands of engines start together.
+	maxConcurrentOrders = 64
+	// orderRetryDelay is the delay before the next order to an engine that refused one,
+	// did not answer, or was busy.
+	orderRetryDelay = time.Second
 )
 
-// OrderResult is what became of an order.
+// OrderResult is the outcome of an order.
 type OrderResult int
 
-// Results of an order. Unknown may be carried out, also later.
+// Results of an order. An order with result OrderUnknown may still be carried out later.
 const (
 	OrderUnknown OrderResult = iota
 	OrderAccepted
 	OrderRefused
-	OrderFenced // a higher fencing token was seen
+	OrderFenced // the engine has seen a higher fencing token
 )
 
-// EngineClient gives orders to engines and reads their reports.
+// EngineClient sends orders to engines and reads their reports.
 type EngineClient interface {
 	Report(ctx context.Context, b *model.BackendServer) (model.EngineReport, error)
-	// Place orders an engine to hold a range, if expected orders were begun.
+	// Place orders an engine to hold a range. The engine accepts it only if it has begun
+	// expected orders since its start and has seen no higher fencing token than fence.
 	Place(ctx context.Context, b *model.BackendServer, held model.LayerRange, fence, expected int64) (OrderResult, error)
 }
 
+// order is the last order to an engine, or a delay before the next one if it was not sent.
 type order struct {
-	address string
-	want    model.LayerRange
-	until   time.Time // given up then
-	given   bool      // the engine may carry it out
+	address  string
+	want     model.LayerRange
+	deadline time.Time // no further order is sent earlier
+	sent     bool      // the engine may carry out the order
 }
 
-// giveOrders orders what differs from the plan: whole chains of fast cards
-// first, so that requests are served before all loads are done, and no more at
-// once than load without slowing each other down, once there is traffic.
-func (c *Controller) giveOrders(ctx context.Context, svc *model.Service, servers []*model.BackendServer, plan Plan, token model.Revision) {
+// sendOrders orders engines to load the layers in which they differ from the plan.
+// Complete chains of fast cards come first, so that requests are served before all loads
+// are done. Once there is traffic, no more loads run at once than do not slow each other
+// down.
+func (c *Controller) sendOrders(ctx context.Context, svc *model.Service, servers []*model.BackendServer, plan Plan, token model.Revision) {
 	due := make(chan *model.BackendServer, len(servers))
-	for _, b := range c.due(svc, servers, plan) {
+	for _, b := range c.dueOrders(svc, servers, plan) {
 		due <- b
 	}
 	close(due)
-	for range min(len(due), ordersAtOnce) {
+	for range min(len(due), maxConcurrentOrders) {
 		go func() {
 			for b := range due {
-				c.place(ctx, svc, b, plan[b.Address], token)
+				c.sendOrder(ctx, svc, b, plan[b.Address], token)
 			}
 		}()
 	}
 }
 
-func (c *Controller) due(svc *model.Service, servers []*model.BackendServer, plan Plan) []*model.BackendServer {
+// dueOrders returns the engines to order now, and records the orders as pending.
+func (c *Controller) dueOrders(svc *model.Service, servers []*model.BackendServer, plan Plan) []*model.BackendServer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Now()
-	most := len(servers)
+	maxLoads := len(servers)
 	if c.HasTraffic() {
-		most = svc.Engine.LoadsAtOnce
+		maxLoads = svc.Engine.LoadsAtOnce
 	}
 	loading := 0
 	var due []*model.BackendServer
 	for _, b := range servers {
 		want, ok := plan[b.Address]
 		if !ok || want == b.Holds {
-			c.carriedOut(b)
+			c.clearLoadExits(b)
 			delete(c.pending, b.Incarnation())
 			continue
 		}
 		if !c.mayLoad(b.Address, want) {
 			continue
 		}
-		if p, ok := c.pending[b.Incarnation()]; ok && now.Before(p.until) {
+		if p, ok := c.pending[b.Incarnation()]; ok && now.Before(p.deadline) {
 			loading++
 			continue
 		}
 		card, _ := svc.Engine.Card(b.Card)
 		if want.Len() > MaxLayers(svc.Engine, card) {
-			klog.InfoS("order withheld: more layers than memory", "server", b.Incarnation(), "card", b.Card, "layers", want.String())
+			klog.InfoS("order withheld: planned layers exceed the memory of the card", "server", b.Incarnation(), "card", b.Card, "layers", want.String())
 			continue
 		}
 		due = append(due, b)
 	}
-	first := firstWave(svc.Engine, plan, c.engineList(svc, servers, now, 0))
-	sort.SliceStable(due, func(i, j int) bool { return before(svc.Engine, plan, first, due[i], due[j]) })
-	due = due[:max(min(len(due), most-loading), 0)]
+	first := firstChains(svc.Engine, plan, c.plannerEngines(svc, servers, now, 0))
+	sort.SliceStable(due, func(i, j int) bool { return loadsBefore(svc.Engine, plan, first, due[i], due[j]) })
+	due = due[:max(min(len(due), maxLoads-loading), 0)]
 	for _, b := range due {
 		want := plan[b.Address]
 		share := float64(want.Len()) / float64(max(svc.Engine.Layers, 1))
-		crowd := max(float64(len(due)+loading)/float64(svc.Engine.LoadsAtOnce), 1)
-		takes := time.Duration(float64(svc.Engine.LoadTime) * share * crowd)
-		c.pending[b.Incarnation()] = order{address: b.Address, want: want, until: now.Add(takes + loadSlack)}
+		contention := max(float64(len(due)+loading)/float64(svc.Engine.LoadsAtOnce), 1)
+		loadTime := time.Duration(float64(svc.Engine.LoadTime) * share * contention)
+		c.pending[b.Incarnation()] = order{address: b.Address, want: want, deadline: now.Add(loadTime + loadMargin)}
 	}
 	return due
 }
 
-// firstWave names the engines, by address, that make up the first whole chain of
-// each failure domain: the fastest cards until every layer is held.
-func firstWave(spec *model.EngineSpec, plan Plan, engines []Engine) map[string]bool {
-	wave := map[string]bool{}
-	for _, group := range byDomain(engines) {
+// firstChains returns the engines, by address, that form the first chain of each failure
+// domain: those with the fastest cards until every layer is held.
+func firstChains(spec *model.EngineSpec, plan Plan, engines []Engine) map[string]bool {
+	members := map[string]bool{}
+	for _, group := range groupByDomain(engines) {
 		for i, e := range group {
-			wave[e.Address] = true
+			members[e.Address] = true
 			classEnds := i+1 == len(group) || group[i+1].Card.Pace != e.Card.Pace
 			if classEnds && len(UncoveredLayers(spec, plan, group[:i+1])) == 0 {
 				break
 			}
 		}
 	}
-	return wave
+	return members
 }
 
-// before orders engines for loading: first the first chains, one failure domain
-// after the other, so that requests are served before all loads are done; then
-// the rest by card, failure domain and layer.
-func before(spec *model.EngineSpec, plan Plan, first map[string]bool, a, b *model.BackendServer) bool {
+// loadsBefore reports whether a loads before b. The first chains come first, one failure
+// domain after another, then the remaining engines by card, failure domain and layer.
+func loadsBefore(spec *model.EngineSpec, plan Plan, first map[string]bool, a, b *model.BackendServer) bool {
 	if first[a.Address] != first[b.Address] {
 		return first[a.Address]
 	}
@@ -147,16 +149,16 @@
 	return plan[a.Address].From < plan[b.Address].From
 }
 
-// place gives one order. The report before it tells the number of orders that
-// the engine has begun: an order that arrives late, after a newer one, then no
-// longer fits.
-func (c *Controller) place(ctx context.Context, svc *model.Service, b *model.BackendServer, want model.LayerRange, token model.Revision) {
+// sendOrder sends one order. It first reads the number of orders that the engine has begun
+// from the engine's report, so that the engine rejects an order that arrives after a newer
+// one.
+func (c *Controller) sendOrder(ctx context.Context, svc *model.Service, b *model.BackendServer, want model.LayerRange, token model.Revision) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	report, err := c.Engines.Report(ctx, b)
 	if err != nil {
-		klog.InfoS("no report before an order", "server", b.Incarnation(), "err", err)
-		c.pause(b.Incarnation(), want, refusedPause)
+		klog.InfoS("cannot read engine report before an order", "server", b.Incarnation(), "err", err)
+		c.delayOrder(b.Incarnation(), want, orderRetryDelay)
 		return
 	}
 	if report.Holds == want {
@@ -164,32 +166,31 @@
 		return
 	}
 	if report.Busy {
-		c.pause(b.Incarnation(), want, refusedPause)
+		c.delayOrder(b.Incarnation(), want, orderRetryDelay)
 		return
 	}
-	if !c.stillWanted(svc.Name, b, want, token) {
-		klog.InfoS("order not given: plan or leader changed meanwhile", "server", b.Incarnation(), "to", want.String(), "token", token)
-		c.pause(b.Incarnation(), want, 0)
+	if !c.stillValid(svc.Name, b, want, token) {
+		klog.InfoS("order dropped: plan or leader changed before it was sent", "server", b.Incarnation(), "to", want.String(), "token", token)
+		c.delayOrder(b.Incarnation(), want, 0)
 		return
 	}
 	result, err := c.Engines.Place(ctx, b, want, int64(token), report.Orders)
-	klog.InfoS("order given", "server", b.Incarnation(), "address", b.Address, "card", b.Card, "from", b.Holds.String(), "to", want.String(),
+	klog.InfoS("order sent", "server", b.Incarnation(), "address", b.Address, "card", b.Card, "from", b.Holds.String(), "to", want.String(),
 		"token", token, "expected", report.Orders, "result", int(result), "err", err)
 	switch result {
 	case OrderAccepted, OrderUnknown:
-		c.noteGiven(b.Incarnation())
+		c.markSent(b.Incarnation())
 	case OrderFenced:
 		c.OnFenced(token)
 	case OrderRefused:
-		c.pause(b.Incarnation(), want, refusedPause)
+		c.delayOrder(b.Incarnation(), want, orderRetryDelay)
 	}
 }
 
-// stillWanted tells whether this process still leads under a token, and the plan still
-// has an engine hold these layers. Both may have changed while the engine's report was
-// under way: the engine would load layers that it must give up again, and it refuses
-// an older token only once it has seen a newer one.
-func (c *Controller) stillWanted(service string, b *model.BackendServer, want model.LayerRange, token model.Revision) bool {
+// stillValid reports whether this process still leads under the token and the plan still
+// assigns these layers to the engine. Either may change while the engine's report is read.
+// An engine rejects an older token only after it has seen a newer one.
+func (c *Controller) stillValid(service string, b *model.BackendServer, want model.LayerRange, token model.Revision) bool {
 	if c.FencingToken() != token {
 		return false
 	}
@@ -199,18 +200,18 @@
 	return ok && planned == want
 }
 
-// noteGiven notes that an engine may carry out the order that it was given.
-func (c *Controller) noteGiven(inc model.Incarnation) {
+// markSent records that the engine may carry out its pending order.
+func (c *Controller) markSent(inc model.Incarnation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if o, ok := c.pending[inc]; ok {
-		o.given = true
+		o.sent = true
 		c.pending[inc] = o
 	}
 }
 
-func (c *Controller) pause(inc model.Incarnation, want model.LayerRange, d time.Duration) {
+func (c *Controller) delayOrder(inc model.Incarnation, want model.LayerRange, d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pending[inc] = order{want: want, until: c.Now().Add(d)} // not given
+	c.pending[inc] = order{want: want, deadline: c.Now().Add(d)} // not sent
 }
--- a/internal/coordination/placement/plan.go
+++ b/internal/coordination/placement/plan.go
@@ -1,5 +1,5 @@
-// Package placement decides which layers each engine holds. The plan is a pure
-// function of the engines; the controller carries it out.
+// Package placement plans which layers each engine holds, and orders engines to load
+// them. The plan is a pure function of the engines. Controller applies it.
 package placement
 
 import (
@@ -13,20 +13,19 @@
 )
 
 const (
-	// wholeFactor is how much memory a group must have, in models, to be worth
-	// a chain of its own: a fifth more than the weights leaves an engine some
-	// thirty thousand tokens.
-	wholeFactor = 1.2
-	// chainFactor is how much memory each of several chains of one group must
-	// have, in models. Below it one longer chain serves more streams, as the
-	// weights are held once.
-	chainFactor = 1.6
-	// likePace is how much slower a card may be and still count as of like speed: a
-	// chain of both is no slower than one of the slower card.
-	likePace = 1.25
-	// spareWeights is the share of its memory that an engine outside of whole
-	// chains fills with weights; the rest holds requests.
-	spareWeights = 0.75
+	// minChainMemoryFactor is the memory that a group of engines needs to form a chain, as
+	// a multiple of the model weights. The excess holds the tokens of requests.
+	minChainMemoryFactor = 1.2
+	// splitMemoryFactor is the memory that each of several chains of one group needs, as a
+	// multiple of the model weights. With less memory a single chain serves more streams,
+	// since the weights are held only once.
+	splitMemoryFactor = 1.6
+	// similarPaceFactor is how much slower a card may be and still join the class of a
+	// faster one.
+	similarPaceFactor = 1.25
+	// spareWeightShare is the share of its memory that an engine outside of chains fills
+	// with weights. The rest holds the tokens of requests.
+	spareWeightShare = 0.75
 )
 
 // Engine is an engine as the planner sees it.
@@ -36,62 +35,62 @@
 	Card    model.Card
 }
 
-// Plan says which layers each engine holds, by address: an engine that restarts
-// is a new incarnation at the same address and takes up its range again.
+// Plan maps the addresses of engines to the layers that they hold. An engine that restarts
+// is a new incarnation at the same address and loads the same range again.
 type Plan map[string]model.LayerRange
 
-// DecodePlan reads a plan from the store. A plan with a range that is none is
-// nobody's: taken in part it would leave layers uncovered.
+// DecodePlan decodes a plan from the store. It rejects a plan with any invalid range,
+// since a partial plan would leave layers uncovered.
 func DecodePlan(value []byte) (Plan, error) {
 	var plan Plan
 	if err := json.Unmarshal(value, &plan); err != nil {
 		return nil, errors.Wrap(err, "plan")
 	}
 	if plan == nil {
-		return nil, errors.New("plan: none")
+		return nil, errors.New("plan: value is null")
 	}
 	for addr, held := range plan {
 		if held.From < 0 || held.To < held.From {
-			return nil, errors.Errorf("plan: %.40q holds %s", addr, held)
+			return nil, errors.Errorf("plan: %.40q has invalid layer range %s", addr, held)
 		}
 	}
 	return plan, nil
 }
 
-// BuildPlan plans for engines that hold nothing yet. In each failure domain cards of like
-// speed make up whole chains, the fastest first, since the slowest part sets the
-// pace of each token. The fastest get as many chains as can bear the domain's
-// streams together, and hold layers once more, to stand in for lost engines. What is
-// left over covers the layers once more over all domains.
+// BuildPlan plans for engines that hold no layers yet. In each failure domain, cards of
+// similar speed form chains, the fastest first, since the slowest stage limits the speed
+// of a chain. The fastest class gets as many chains as have memory for the streams of the
+// failure domain, and standby copies of layers. Engines that are left over cover the
+// layers again across all failure domains.
 func BuildPlan(spec *model.EngineSpec, engines []Engine) Plan {
 	plan := Plan{}
-	var rest []Engine
-	for _, group := range byDomain(engines) {
-		need := needed(spec, group)
+	var spares []Engine
+	for _, group := range groupByDomain(engines) {
+		tokens := requiredTokens(spec, group)
 		for first := true; len(group) > 0; first = false {
 			var class []Engine
 			class, group = takeFastest(spec, group)
 			switch {
 			case class == nil:
-				rest = append(rest, group...)
+				spares = append(spares, group...)
 				group = nil
 			case first:
-				serve(spec, plan, class, need)
+				placeChains(spec, plan, class, tokens)
 			default:
-				for _, c := range split(spec, class) {
+				for _, c := range splitChains(spec, class) {
 					PlanChain(spec, c, plan)
 				}
 			}
 		}
 	}
-	known := byAddress(engines)
-	for _, e := range rest {
-		placeSpare(spec, e, leastHeld(spec, plan, known, e), plan)
+	known := indexByAddress(engines)
+	for _, e := range spares {
+		placeSpare(spec, e, leastHeldLayer(spec, plan, known, e), plan)
 	}
 	return plan
 }
 
-func byAddress(engines []Engine) map[string]Engine {
+func indexByAddress(engines []Engine) map[string]Engine {
 	known := make(map[string]Engine, len(engines))
 	for _, e := range engines {
 		known[e.Address] = e
@@ -99,9 +98,9 @@
 	return known
 }
 
-// byDomain groups engines by failure domain; inside, fast and large cards come
-// first.
-func byDomain(engines []Engine) [][]Engine {
+// groupByDomain groups engines by failure domain, those with fast cards first, then those
+// with much memory.
+func groupByDomain(engines []Engine) [][]Engine {
 	sorted := append([]Engine(nil), engines...)
 	sort.Slice(sorted, func(i, j int) bool {
 		a, b := sorted[i], sorted[j]
@@ -126,60 +125,61 @@
 	return groups
 }
 
-// takeFastest takes whole classes of cards of like speed, the fastest first, until they hold
-// a model with room for requests; nil if all of them do not.
+// takeFastest removes whole classes of cards of similar speed from a group, the fastest
+// first, until they have memory for a chain. It returns no chain if the whole group does
+// not.
 func takeFastest(spec *model.EngineSpec, group []Engine) (chain, left []Engine) {
-	need := wholeFactor * float64(spec.Layers) * spec.LayerMB
+	minMB := minChainMemoryFactor * float64(spec.Layers) * spec.LayerMB
 	sum := 0.0
 	for i, e := range group {
 		sum += e.Card.MB
-		classEnds := i+1 == len(group) || group[i+1].Card.Pace > likePace*e.Card.Pace
-		if classEnds && sum >= need {
+		classEnds := i+1 == len(group) || group[i+1].Card.Pace > similarPaceFactor*e.Card.Pace
+		if classEnds && sum >= minMB {
 			return group[:i+1], group[i+1:]
 		}
 	}
 	return nil, group
 }
 
-// split divides a group into as many chains as have memory enough each.
-func split(spec *model.EngineSpec, group []Engine) [][]Engine {
+// splitChains divides a group into as many chains as each have enough memory.
+func splitChains(spec *model.EngineSpec, group []Engine) [][]Engine {
 	modelMB := float64(spec.Layers) * spec.LayerMB
 	total := 0.0
 	for _, e := range group {
 		total += e.Card.MB
 	}
-	n := max(int(total/(modelMB*chainFactor)), 1)
+	n := max(int(total/(modelMB*splitMemoryFactor)), 1)
 	chains := make([][]Engine, n)
 	sums := make([]float64, n)
 	for _, e := range group {
-		least := 0
+		smallest := 0
 		for i := range sums {
-			if sums[i] < sums[least] {
-				least = i
+			if sums[i] < sums[smallest] {
+				smallest = i
 			}
 		}
-		chains[least] = append(chains[least], e)
-		sums[least] += e.Card.MB
+		chains[smallest] = append(chains[smallest], e)
+		sums[smallest] += e.Card.MB
 	}
 	for _, s := range sums {
-		if s < wholeFactor*modelMB {
+		if s < minChainMemoryFactor*modelMB {
 			return [][]Engine{group}
 		}
 	}
 	return chains
 }
 
-// PlanChain divides all layers over engines, in their order, and notes that in the
-// plan: so that the engine with the least token memory has as much as possible, as
-// it bounds the whole chain. Where they do not hold the model together, some get
-// more than their memory.
+// PlanChain divides all layers over the engines of a chain, in their order, and adds their
+// ranges to the plan. It maximizes the token capacity of the engine with the least, since
+// that limits the chain. If the engines cannot hold the model together, some ranges exceed
+// the memory of their engine.
 func PlanChain(spec *model.EngineSpec, chain []Engine, plan Plan) {
 	counts := make([]int, len(chain))
 	for range spec.Layers {
 		best := -1
 		most := 0.0
 		for i, e := range chain {
-			if t := tokens(spec, e.Card, counts[i]+1); best < 0 || t > most {
+			if t := tokenCapacity(spec, e.Card, counts[i]+1); best < 0 || t > most {
 				best = i
 				most = t
 			}
@@ -193,20 +193,21 @@
 	}
 }
 
-// tokens is how many tokens an engine has room for with n layers.
-func tokens(spec *model.EngineSpec, card model.Card, n int) float64 {
+// tokenCapacity returns how many tokens an engine with n layers has memory for.
+func tokenCapacity(spec *model.EngineSpec, card model.Card, n int) float64 {
 	return (card.MB - float64(n)*spec.LayerMB) / (float64(n) * spec.LayerTokenMB())
 }
 
-// MaxLayers is how many layers a card holds at most; more crash the engine.
+// MaxLayers returns the greatest number of layers that a card has memory for. An engine
+// that is ordered to load more crashes.
 func MaxLayers(spec *model.EngineSpec, card model.Card) int {
 	return min(int(math.Floor(card.MB/spec.LayerMB)), spec.Layers)
 }
 
-// placeSpare gives an engine the layers from next on and tells where the one
-// after it begins.
+// placeSpare assigns an engine a range that begins at layer next, and returns the layer
+// after the range.
 func placeSpare(spec *model.EngineSpec, e Engine, next int, plan Plan) int {
-	n := min(max(int(spareWeights*e.Card.MB/spec.LayerMB), 1), MaxLayers(spec, e.Card))
+	n := min(max(int(spareWeightShare*e.Card.MB/spec.LayerMB), 1), MaxLayers(spec, e.Card))
 	if n <= 0 {
 		return next
 	}
