--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -136,7 +136,7 @@
 // followStore keeps what this router knows of the store up to date, by the store's own
 // word or that of the routers that ask it.
 func (r *Router) followStore() {
-	news := &peers.News{Pool: r.exchange.Pool}
+	news := &peers.Updates{Pool: r.exchange.Pool}
 	r.follower = &follow.Follower{
 		Store:            r.store,
 		Prefix:           "",
--- a/internal/transport/peers/news.go
+++ b/internal/transport/peers/news.go
@@ -33,8 +33,8 @@
 	mostUnpacked = 8 << 20
 )
 
-// News carries what watchers of the store tell the routers that ask them.
-type News struct {
+// Updates carries what watchers of the store tell the routers that ask them.
+type Updates struct {
 	Pool *link.Pool
 	// Tell answers a question from this router's picture.
 	Tell func(ctx context.Context, after model.Revision, most time.Duration) (follow.Updates, error)
@@ -52,10 +52,10 @@
 }
 
 // Register adds the method that peers call.
-func (n *News) Register(s *link.Server) { s.Register(wire.MethodRouterNews, link.Handle(n.answer)) }
+func (n *Updates) Register(s *link.Server) { s.Register(wire.MethodRouterNews, link.Handle(n.answer)) }
 
 // Ask asks a router for news.
-func (n *News) Ask(ctx context.Context, addr string, after model.Revision, wait time.Duration) (follow.Updates, error) {
+func (n *Updates) Ask(ctx context.Context, addr string, after model.Revision, wait time.Duration) (follow.Updates, error) {
 	var rep wire.RouterNews
 	ask := wire.RouterNewsAsk{After: after, WaitMS: wait.Milliseconds()}
 	if err := n.Pool.Call(ctx, addr, wire.MethodRouterNews, ask, &rep); err != nil {
@@ -75,7 +75,7 @@
 }
 
 // answer answers a peer's Ask.
-func (n *News) answer(ctx context.Context, from string, ask wire.RouterNewsAsk) (wire.RouterNews, error) {
+func (n *Updates) answer(ctx context.Context, from string, ask wire.RouterNewsAsk) (wire.RouterNews, error) {
 	news, err := n.Tell(ctx, ask.After, milliseconds(ask.WaitMS))
 	if err != nil {
 		return wire.RouterNews{}, errors.WithStack(fault.New(fault.NotReady, "%v", err))
@@ -94,7 +94,7 @@
 	}, err
 }
 
-func (n *News) encode(after model.Revision, a replica.Answer) (json.RawMessage, error) {
+func (n *Updates) encode(after model.Revision, a replica.Answer) (json.RawMessage, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.last.items != nil && n.last.after == after && n.last.revision == a.Revision && n.last.whole == a.Whole {
--- a/internal/transport/peers/news_test.go
+++ b/internal/transport/peers/news_test.go
@@ -19,16 +19,16 @@
 )
 
 // telling is a router that answers each question with the same news.
-func telling(t *testing.T, news follow.Updates, err error) (asker *News, addr string) {
+func telling(t *testing.T, news follow.Updates, err error) (asker *Updates, addr string) {
 	l, lerr := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, lerr)
 	serving, stop := context.WithCancel(context.Background())
 	srv := link.NewServer(stampOf(l.Addr().String()))
-	n := &News{Tell: func(context.Context, model.Revision, time.Duration) (follow.Updates, error) { return news, err }}
+	n := &Updates{Tell: func(context.Context, model.Revision, time.Duration) (follow.Updates, error) { return news, err }}
 	n.Register(srv)
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(serving, l) }()
-	asker = &News{Pool: link.NewPool(stampOf("self:1"))}
+	asker = &Updates{Pool: link.NewPool(stampOf("self:1"))}
 	t.Cleanup(func() {
 		stop()
 		asker.Pool.Close()
@@ -89,7 +89,7 @@
 
 // A dozen routers ask for the same changes at one moment; the list is encoded once.
 func TestNewsAreEncodedOnce(t *testing.T) {
-	n := &News{}
+	n := &Updates{}
 	answer := func(revision model.Revision) replica.Answer {
 		return replica.Answer{Revision: revision, Items: []replica.Item{{Item: platform.Item{Key: fmt.Sprint("k", revision), Revision: revision}}}}
 	}
