--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -152,7 +152,7 @@
 	if store, ok := r.store.Store.(interface{ TellEra(func(era int64)) }); ok {
 		store.TellEra(r.follower.ObserveEra)
 	}
-	news.Tell = r.follower.WaitForUpdates
+	news.WaitForUpdates = r.follower.WaitForUpdates
 	news.Register(r.links)
 }
 
--- a/internal/transport/peers/news.go
+++ b/internal/transport/peers/news.go
@@ -36,8 +36,8 @@
 // Updates carries what watchers of the store tell the routers that ask them.
 type Updates struct {
 	Pool *link.Pool
-	// Tell answers a question from this router's picture.
-	Tell func(ctx context.Context, after model.Revision, most time.Duration) (follow.Updates, error)
+	// WaitForUpdates answers a question from this router's picture.
+	WaitForUpdates func(ctx context.Context, after model.Revision, most time.Duration) (follow.Updates, error)
 
 	mu   sync.Mutex
 	last encoded
@@ -76,7 +76,7 @@
 
 // answer answers a peer's Ask.
 func (n *Updates) answer(ctx context.Context, from string, ask wire.RouterNewsAsk) (wire.RouterNews, error) {
-	news, err := n.Tell(ctx, ask.After, milliseconds(ask.WaitMS))
+	news, err := n.WaitForUpdates(ctx, ask.After, milliseconds(ask.WaitMS))
 	if err != nil {
 		return wire.RouterNews{}, errors.WithStack(fault.New(fault.NotReady, "%v", err))
 	}
--- a/internal/transport/peers/news_test.go
+++ b/internal/transport/peers/news_test.go
@@ -24,7 +24,7 @@
 	assert.NilError(t, lerr)
 	serving, stop := context.WithCancel(context.Background())
 	srv := link.NewServer(stampOf(l.Addr().String()))
-	n := &Updates{Tell: func(context.Context, model.Revision, time.Duration) (follow.Updates, error) { return news, err }}
+	n := &Updates{WaitForUpdates: func(context.Context, model.Revision, time.Duration) (follow.Updates, error) { return news, err }}
 	n.Register(srv)
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(serving, l) }()
