--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -143,7 +143,7 @@
 		Sink:             (*routerSink)(r),
 		Clock:            boottime.Now,
 		Picker:           &follow.Picker{Self: r.settings.Router.Peers, Domain: r.settings.FailureDomain, Routers: r.routersHeard, Clock: boottime.Now},
-		PollPeer:         news.Ask,
+		PollPeer:         news.Poll,
 		Replica:          &replica.Replica{},
 		PeersLastContact: r.config.LastConfirmed,
 		Idle:             func() bool { return !r.callersCame() && r.elector.FencingToken() == 0 },
--- a/internal/transport/peers/news.go
+++ b/internal/transport/peers/news.go
@@ -54,8 +54,8 @@
 // Register adds the method that peers call.
 func (n *Updates) Register(s *link.Server) { s.Register(wire.MethodRouterNews, link.Handle(n.answer)) }
 
-// Ask asks a router for news.
-func (n *Updates) Ask(ctx context.Context, addr string, after model.Revision, wait time.Duration) (follow.Updates, error) {
+// Poll asks a router for news.
+func (n *Updates) Poll(ctx context.Context, addr string, after model.Revision, wait time.Duration) (follow.Updates, error) {
 	var rep wire.RouterNews
 	ask := wire.RouterNewsAsk{After: after, WaitMS: wait.Milliseconds()}
 	if err := n.Pool.Call(ctx, addr, wire.MethodRouterNews, ask, &rep); err != nil {
--- a/internal/transport/peers/news_test.go
+++ b/internal/transport/peers/news_test.go
@@ -55,7 +55,7 @@
 		Age: 1500*time.Millisecond + time.Microsecond, Elapsed: 30 * time.Millisecond, Grace: time.Second,
 	}
 	n, addr := telling(t, told, nil)
-	got, err := n.Ask(t.Context(), addr, 4, time.Second)
+	got, err := n.Poll(t.Context(), addr, 4, time.Second)
 	assert.NilError(t, err)
 	assert.Assert(t, got.Items[3].Omitted && got.Items[3].Value == nil)
 	assert.Equal(t, got.Age, 1501*time.Millisecond, "never younger than it is")
@@ -67,7 +67,7 @@
 // A router that hears from the store through others says so, and is not believed.
 func TestOnlyWatchersAnswer(t *testing.T) {
 	n, addr := telling(t, follow.Updates{}, follow.ErrNotWatching)
-	_, err := n.Ask(t.Context(), addr, 4, time.Second)
+	_, err := n.Poll(t.Context(), addr, 4, time.Second)
 	assert.ErrorContains(t, err, follow.ErrNotWatching.Error())
 }
 
