--- a/internal/transport/peers/confirm_test.go
+++ b/internal/transport/peers/confirm_test.go
@@ -47,14 +47,14 @@
 			v, err := strconv.ParseInt(string(raw), 10, 64)
 			return &model.RouteConfig{Version: v}, err
 		},
-		Catalog: catalog.New(time.Now),
-		Memory:  chains.NewUsageTracker(time.Now),
-		Pipes:   chains.NewInterconnect(time.Now),
-		PeerAt:  func(model.Revision) {},
-		Clock:   func() time.Duration { return time.Duration(clock.Load()) },
-		Now:     time.Now,
-		Loans:   &limits.RetryBorrower{Now: time.Now},
-		Traffic: func() bool { return true },
+		Catalog:             catalog.New(time.Now),
+		Memory:              chains.NewUsageTracker(time.Now),
+		Pipes:               chains.NewInterconnect(time.Now),
+		ObservePeerRevision: func(model.Revision) {},
+		Clock:               func() time.Duration { return time.Duration(clock.Load()) },
+		Now:                 time.Now,
+		Loans:               &limits.RetryBorrower{Now: time.Now},
+		Traffic:             func() bool { return true },
 	}
 	x.Register(link.NewServer(stampOf("self:1")))
 	x.Config.Apply(&model.RouteConfig{Version: 1}, nil)
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -84,7 +84,7 @@
 		x.Refuses(inc, x.Now().Add(limits.Jitter(time.Duration(left)*time.Millisecond)))
 	}
 	x.Loans.SetPeerTokens(from, b.Spares, good)
-	x.PeerAt(b.Revision)
+	x.ObservePeerRevision(b.Revision)
 	mine := x.Config.Version()
 	switch {
 	case b.Config == mine && mine > 0:
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -67,8 +67,8 @@
 	Pipes   *chains.Interconnect
 	// Revision is that of the store up to which this router's picture is
 	// complete; PeerAt is told a peer's.
-	Revision func() model.Revision
-	PeerAt   func(revision model.Revision)
+	Revision            func() model.Revision
+	ObservePeerRevision func(revision model.Revision)
 	// Hint is told of engines that a peer suspects.
 	Hint  func(engine model.Incarnation)
 	Clock func() time.Duration
