--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -191,7 +191,7 @@
 		Config:              r.config,
 		Decode:              r.decodeConfig,
 		Catalog:             r.catalog,
-		Memory:              r.memory,
+		Usage:               r.memory,
 		Pipes:               r.pipes,
 		Revision:            func() model.Revision { return r.follower.AdvertisedRevision() },
 		ObservePeerRevision: func(revision model.Revision) { r.follower.ObservePeerRevision(revision) },
--- a/internal/transport/peers/confirm_test.go
+++ b/internal/transport/peers/confirm_test.go
@@ -48,7 +48,7 @@
 			return &model.RouteConfig{Version: v}, err
 		},
 		Catalog:             catalog.New(time.Now),
-		Memory:              chains.NewUsageTracker(time.Now),
+		Usage:               chains.NewUsageTracker(time.Now),
 		Pipes:               chains.NewInterconnect(time.Now),
 		ObservePeerRevision: func(model.Revision) {},
 		Clock:               func() time.Duration { return time.Duration(clock.Load()) },
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -11,7 +11,7 @@
 
 func (x *Exchange) compose() wire.RouterHeartbeat {
 	var uses []wire.RouterUse
-	for inc, u := range x.Memory.OwnUsage() {
+	for inc, u := range x.Usage.OwnUsage() {
 		uses = append(uses, wire.RouterUse{Server: inc, TokenLayers: int64(u.TokenLayers), Streams: int64(u.Streams), Firsts: int64(u.FirstStageStreams), Reading: u.PrefillLoad})
 	}
 	var pipes []wire.RouterPipe
@@ -30,7 +30,7 @@
 		Revision:    x.Revision(),
 		Uses:        uses,
 		Pipes:       pipes,
-		Slow:        x.Memory.OwnSlowdowns(),
+		Slow:        x.Usage.OwnSlowdowns(),
 		Suspects:    suspects,
 		Refusing:    refusing,
 		Spares:      spares,
@@ -68,14 +68,14 @@
 		uses[u.Server] = chains.Usage{TokenLayers: float64(u.TokenLayers), Streams: float64(u.Streams), FirstStageStreams: float64(u.Firsts), PrefillLoad: u.Reading}
 	}
 	good := trustedHeartbeats*time.Duration(b.EveryMS)*time.Millisecond + trustSlack
-	x.Memory.SetPeerUsage(from, uses, good)
+	x.Usage.SetPeerUsage(from, uses, good)
 	pipes := make(map[chains.DomainPair]float64, len(b.Pipes))
 	for _, p := range b.Pipes {
 		pipes[chains.DomainPair{A: p.A, B: p.B}] = p.Rate
 	}
 	x.Pipes.SetPeerRates(from, pipes, good)
 	for inc, factor := range b.Slow {
-		x.Memory.SetPeerSlowdown(inc, factor)
+		x.Usage.SetPeerSlowdown(inc, factor)
 	}
 	for inc := range b.Suspects {
 		x.Hint(inc)
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -63,7 +63,7 @@
 	Config  *routes.ActiveConfig
 	Decode  func([]byte) (*model.RouteConfig, error)
 	Catalog *catalog.Catalog
-	Memory  *chains.UsageTracker
+	Usage   *chains.UsageTracker
 	Pipes   *chains.Interconnect
 	// Revision is that of the store up to which this router's picture is
 	// complete; PeerAt is told a peer's.
