--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -192,7 +192,7 @@
 		Decode:              r.decodeConfig,
 		Catalog:             r.catalog,
 		Usage:               r.memory,
-		Pipes:               r.pipes,
+		Interconnect:        r.pipes,
 		Revision:            func() model.Revision { return r.follower.AdvertisedRevision() },
 		ObservePeerRevision: func(revision model.Revision) { r.follower.ObservePeerRevision(revision) },
 		Hint:                func(engine model.Incarnation) { r.prober.HandlePeerSuspicion(engine) },
--- a/internal/transport/peers/confirm_test.go
+++ b/internal/transport/peers/confirm_test.go
@@ -49,7 +49,7 @@
 		},
 		Catalog:             catalog.New(time.Now),
 		Usage:               chains.NewUsageTracker(time.Now),
-		Pipes:               chains.NewInterconnect(time.Now),
+		Interconnect:        chains.NewInterconnect(time.Now),
 		ObservePeerRevision: func(model.Revision) {},
 		Clock:               func() time.Duration { return time.Duration(clock.Load()) },
 		Now:                 time.Now,
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -15,7 +15,7 @@
 		uses = append(uses, wire.RouterUse{Server: inc, TokenLayers: int64(u.TokenLayers), Streams: int64(u.Streams), Firsts: int64(u.FirstStageStreams), Reading: u.PrefillLoad})
 	}
 	var pipes []wire.RouterPipe
-	for pair, rate := range x.Pipes.OwnRates() {
+	for pair, rate := range x.Interconnect.OwnRates() {
 		pipes = append(pipes, wire.RouterPipe{A: pair.A, B: pair.B, Rate: rate})
 	}
 	spares := x.Loans.Budget.SpareTokens() // it counts the routers, so before the lock
@@ -73,7 +73,7 @@
 	for _, p := range b.Pipes {
 		pipes[chains.DomainPair{A: p.A, B: p.B}] = p.Rate
 	}
-	x.Pipes.SetPeerRates(from, pipes, good)
+	x.Interconnect.SetPeerRates(from, pipes, good)
 	for inc, factor := range b.Slow {
 		x.Usage.SetPeerSlowdown(inc, factor)
 	}
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -56,15 +56,15 @@
 
 // Exchange keeps routers informed of each other.
 type Exchange struct {
-	Self    string // link address
-	Domain  string // own failure domain
-	Seeds   []string
-	Pool    *link.Pool
-	Config  *routes.ActiveConfig
-	Decode  func([]byte) (*model.RouteConfig, error)
-	Catalog *catalog.Catalog
-	Usage   *chains.UsageTracker
-	Pipes   *chains.Interconnect
+	Self         string // link address
+	Domain       string // own failure domain
+	Seeds        []string
+	Pool         *link.Pool
+	Config       *routes.ActiveConfig
+	Decode       func([]byte) (*model.RouteConfig, error)
+	Catalog      *catalog.Catalog
+	Usage        *chains.UsageTracker
+	Interconnect *chains.Interconnect
 	// Revision is that of the store up to which this router's picture is
 	// complete; PeerAt is told a peer's.
 	Revision            func() model.Revision
