--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -195,7 +195,7 @@
 		Interconnect:        r.pipes,
 		Revision:            func() model.Revision { return r.follower.AdvertisedRevision() },
 		ObservePeerRevision: func(revision model.Revision) { r.follower.ObservePeerRevision(revision) },
-		Hint:                func(engine model.Incarnation) { r.prober.HandlePeerSuspicion(engine) },
+		HandlePeerSuspicion: func(engine model.Incarnation) { r.prober.HandlePeerSuspicion(engine) },
 		Refuses:             r.health.SuspectFromPeer,
 		Gone:                func(engine model.Incarnation) { r.front.Relay.HandleEngineExit(engine) },
 		Clock:               boottime.Now,
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -78,7 +78,7 @@
 		x.Usage.SetPeerSlowdown(inc, factor)
 	}
 	for inc := range b.Suspects {
-		x.Hint(inc)
+		x.HandlePeerSuspicion(inc)
 	}
 	for inc, left := range b.Refusing {
 		x.Refuses(inc, x.Now().Add(limits.Jitter(time.Duration(left)*time.Millisecond)))
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -69,10 +69,10 @@
 	// complete; PeerAt is told a peer's.
 	Revision            func() model.Revision
 	ObservePeerRevision func(revision model.Revision)
-	// Hint is told of engines that a peer suspects.
-	Hint  func(engine model.Incarnation)
-	Clock func() time.Duration
-	Now   func() time.Time
+	// HandlePeerSuspicion is told of engines that a peer suspects.
+	HandlePeerSuspicion func(engine model.Incarnation)
+	Clock               func() time.Duration
+	Now                 func() time.Time
 	// Loans holds this router's part of the budget for repeated sends, and what
 	// it borrows.
 	Loans *limits.RetryBorrower
