--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -204,7 +204,7 @@
 	}
 	rt := r.settings.Router
 	budget := limits.NewSharedRetryBudget(rt.RetryRatio, rt.RetrySlack, time.Duration(rt.RetryWindow), r.exchange.Routers, time.Now)
-	r.exchange.Loans = &limits.RetryBorrower{Budget: budget, Borrow: r.exchange.Borrow, Now: time.Now}
+	r.exchange.RetryBorrower = &limits.RetryBorrower{Budget: budget, Borrow: r.exchange.Borrow, Now: time.Now}
 	r.links = link.NewServer(stamp)
 	r.links.OwnHostOnly = true
 	r.exchange.Register(r.links)
@@ -229,7 +229,7 @@
 		Health:         r.health,
 		Chooser:        &chains.Chooser{Catalog: r.catalog, Health: r.health, Usage: r.memory, Interconnect: r.pipes, RouterCount: r.exchange.Routers, Self: r.settings.Router.Peers},
 		Memory:         r.memory,
-		RetryBorrower:  r.exchange.Loans,
+		RetryBorrower:  r.exchange.RetryBorrower,
 		WaitQueue:      admission.NewWaitQueue(),
 		BackendClient:  r.backends,
 		Observer:       r.metrics,
--- a/internal/transport/peers/confirm_test.go
+++ b/internal/transport/peers/confirm_test.go
@@ -53,7 +53,7 @@
 		ObservePeerRevision: func(model.Revision) {},
 		Clock:               func() time.Duration { return time.Duration(clock.Load()) },
 		Now:                 time.Now,
-		Loans:               &limits.RetryBorrower{Now: time.Now},
+		RetryBorrower:       &limits.RetryBorrower{Now: time.Now},
 		Traffic:             func() bool { return true },
 	}
 	x.Register(link.NewServer(stampOf("self:1")))
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -18,7 +18,7 @@
 	for pair, rate := range x.Interconnect.OwnRates() {
 		pipes = append(pipes, wire.RouterPipe{A: pair.A, B: pair.B, Rate: rate})
 	}
-	spares := x.Loans.Budget.SpareTokens() // it counts the routers, so before the lock
+	spares := x.RetryBorrower.Budget.SpareTokens() // it counts the routers, so before the lock
 	now := x.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -83,7 +83,7 @@
 	for inc, left := range b.Refusing {
 		x.Refuses(inc, x.Now().Add(limits.Jitter(time.Duration(left)*time.Millisecond)))
 	}
-	x.Loans.SetPeerTokens(from, b.Spares, good)
+	x.RetryBorrower.SetPeerTokens(from, b.Spares, good)
 	x.ObservePeerRevision(b.Revision)
 	mine := x.Config.Version()
 	switch {
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -73,9 +73,9 @@
 	HandlePeerSuspicion func(engine model.Incarnation)
 	Clock               func() time.Duration
 	Now                 func() time.Time
-	// Loans holds this router's part of the budget for repeated sends, and what
+	// RetryBorrower holds this router's part of the budget for repeated sends, and what
 	// it borrows.
-	Loans *limits.RetryBorrower
+	RetryBorrower *limits.RetryBorrower
 	// Refuses is told of engines that refused work of a peer, until when they
 	// should get none.
 	Refuses func(engine model.Incarnation, until time.Time)
@@ -166,7 +166,7 @@
 
 // lend answers a peer's Borrow.
 func (x *Exchange) lend(_ context.Context, from string, l wire.RouterLend) (wire.RouterLent, error) {
-	n := x.Loans.Budget.Lend(l.Service, l.Want)
+	n := x.RetryBorrower.Budget.Lend(l.Service, l.Want)
 	klog.InfoS("repeated sends lent", "service", l.Service, "peer", from, "wanted", l.Want, "lent", n)
 	return wire.RouterLent{Lent: n}, nil
 }
