--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -196,7 +196,7 @@
 		Revision:            func() model.Revision { return r.follower.AdvertisedRevision() },
 		ObservePeerRevision: func(revision model.Revision) { r.follower.ObservePeerRevision(revision) },
 		HandlePeerSuspicion: func(engine model.Incarnation) { r.prober.HandlePeerSuspicion(engine) },
-		Refuses:             r.health.SuspectFromPeer,
+		HandlePeerRefusal:   r.health.SuspectFromPeer,
 		Gone:                func(engine model.Incarnation) { r.front.Relay.HandleEngineExit(engine) },
 		Clock:               boottime.Now,
 		Now:                 time.Now,
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -81,7 +81,7 @@
 		x.HandlePeerSuspicion(inc)
 	}
 	for inc, left := range b.Refusing {
-		x.Refuses(inc, x.Now().Add(limits.Jitter(time.Duration(left)*time.Millisecond)))
+		x.HandlePeerRefusal(inc, x.Now().Add(limits.Jitter(time.Duration(left)*time.Millisecond)))
 	}
 	x.RetryBorrower.SetPeerTokens(from, b.Spares, good)
 	x.ObservePeerRevision(b.Revision)
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -76,9 +76,9 @@
 	// RetryBorrower holds this router's part of the budget for repeated sends, and what
 	// it borrows.
 	RetryBorrower *limits.RetryBorrower
-	// Refuses is told of engines that refused work of a peer, until when they
+	// HandlePeerRefusal is told of engines that refused work of a peer, until when they
 	// should get none.
-	Refuses func(engine model.Incarnation, until time.Time)
+	HandlePeerRefusal func(engine model.Incarnation, until time.Time)
 	// Gone is told of engines whose process a peer saw end.
 	Gone func(engine model.Incarnation)
 	// Traffic tells whether this router saw callers' requests.
