--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -197,7 +197,7 @@
 		ObservePeerRevision: func(revision model.Revision) { r.follower.ObservePeerRevision(revision) },
 		HandlePeerSuspicion: func(engine model.Incarnation) { r.prober.HandlePeerSuspicion(engine) },
 		HandlePeerRefusal:   r.health.SuspectFromPeer,
-		Gone:                func(engine model.Incarnation) { r.front.Relay.HandleEngineExit(engine) },
+		HandleEngineExit:    func(engine model.Incarnation) { r.front.Relay.HandleEngineExit(engine) },
 		Clock:               boottime.Now,
 		Now:                 time.Now,
 		Traffic:             r.traffic.Load,
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -79,8 +79,8 @@
 	// HandlePeerRefusal is told of engines that refused work of a peer, until when they
 	// should get none.
 	HandlePeerRefusal func(engine model.Incarnation, until time.Time)
-	// Gone is told of engines whose process a peer saw end.
-	Gone func(engine model.Incarnation)
+	// HandleEngineExit is told of engines whose process a peer saw end.
+	HandleEngineExit func(engine model.Incarnation)
 	// Traffic tells whether this router saw callers' requests.
 	Traffic func() bool
 
@@ -153,7 +153,7 @@
 // gone takes in a peer's TellGone.
 func (x *Exchange) gone(_ context.Context, from string, g wire.RouterGone) (struct{}, error) {
 	klog.InfoS("engine's process ended", "server", g.Server, "evidence", "a peer saw it", "peer", from)
-	x.Gone(g.Server)
+	x.HandleEngineExit(g.Server)
 	return struct{}{}, nil
 }
 
