--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -200,7 +200,7 @@
 		HandleEngineExit:    func(engine model.Incarnation) { r.front.Relay.HandleEngineExit(engine) },
 		Clock:               boottime.Now,
 		Now:                 time.Now,
-		Traffic:             r.traffic.Load,
+		HasTraffic:          r.traffic.Load,
 	}
 	rt := r.settings.Router
 	budget := limits.NewSharedRetryBudget(rt.RetryRatio, rt.RetrySlack, time.Duration(rt.RetryWindow), r.exchange.Routers, time.Now)
--- a/internal/transport/peers/confirm_test.go
+++ b/internal/transport/peers/confirm_test.go
@@ -54,7 +54,7 @@
 		Clock:               func() time.Duration { return time.Duration(clock.Load()) },
 		Now:                 time.Now,
 		RetryBorrower:       &limits.RetryBorrower{Now: time.Now},
-		Traffic:             func() bool { return true },
+		HasTraffic:          func() bool { return true },
 	}
 	x.Register(link.NewServer(stampOf("self:1")))
 	x.Config.Apply(&model.RouteConfig{Version: 1}, nil)
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -34,7 +34,7 @@
 		Suspects:    suspects,
 		Refusing:    refusing,
 		Spares:      spares,
-		Traffic:     x.Traffic(),
+		Traffic:     x.HasTraffic(),
 	}
 }
 
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -81,8 +81,8 @@
 	HandlePeerRefusal func(engine model.Incarnation, until time.Time)
 	// HandleEngineExit is told of engines whose process a peer saw end.
 	HandleEngineExit func(engine model.Incarnation)
-	// Traffic tells whether this router saw callers' requests.
-	Traffic func() bool
+	// HasTraffic tells whether this router saw callers' requests.
+	HasTraffic func() bool
 
 	mu       sync.Mutex
 	members  map[string]leader.Member // by the store's key
--- a/internal/transport/peers/peers_test.go
+++ b/internal/transport/peers/peers_test.go
@@ -71,7 +71,7 @@
 // else read each twice, and fall behind with its callers' streams.
 func TestStoreGoesBeforePeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		x := &Exchange{Config: &routes.ActiveConfig{}, Traffic: func() bool { return true }} // without a pool: a fetch would panic
+		x := &Exchange{Config: &routes.ActiveConfig{}, HasTraffic: func() bool { return true }} // without a pool: a fetch would panic
 		x.Config.Apply(&model.RouteConfig{Version: 2}, nil)
 		time.AfterFunc(300*time.Millisecond, func() { x.Config.Apply(&model.RouteConfig{Version: 4}, nil) })
 		assert.NilError(t, x.fetchIfBehind("peer", wire.RouterHeartbeat{Config: 4}))
