--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -173,7 +173,7 @@
 // callersCame tells whether requests came here or at a peer since the system was
 // first started; they did where this is not its first start.
 func (r *Router) callersCame() bool {
-	return !r.settings.Router.FirstStart || r.traffic.Load() || r.exchange.PeerTraffic()
+	return !r.settings.Router.FirstStart || r.traffic.Load() || r.exchange.PeerHasTraffic()
 }
 
 func (r *Router) linkPeers() {
--- a/internal/transport/peers/fetch.go
+++ b/internal/transport/peers/fetch.go
@@ -40,7 +40,7 @@
 
 // fetchIfBehind fetches a peer's configuration unless the store told of it first.
 func (x *Exchange) fetchIfBehind(from string, b wire.RouterHeartbeat) error {
-	if x.HasTraffic() || x.PeerTraffic() {
+	if x.HasTraffic() || x.PeerHasTraffic() {
 		time.Sleep(limits.Jitter(fetchAfter))
 	} else {
 		time.Sleep(restingFetchAfter)
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -202,8 +202,8 @@
 	return heard
 }
 
-// PeerTraffic tells whether a peer saw callers' requests.
-func (x *Exchange) PeerTraffic() bool {
+// PeerHasTraffic tells whether a peer saw callers' requests.
+func (x *Exchange) PeerHasTraffic() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.traffic
