--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -255,7 +255,7 @@
 	r.prober.Catalog = r.catalog
 	r.prober.Report = rel.Report
 	r.prober.Healthy = rel.Healthy
-	r.prober.AnnounceSuspect = r.exchange.Suspect
+	r.prober.AnnounceSuspect = r.exchange.AnnounceSuspect
 	r.prober.AnnounceRefusal = r.exchange.Refused
 	r.prober.Now = time.Now
 	r.liveness = &liveness.Watcher{
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// Suspect passes a suspicion on to the peers.
-func (x *Exchange) Suspect(engine model.Incarnation, until time.Time) {
+// AnnounceSuspect passes a suspicion on to the peers.
+func (x *Exchange) AnnounceSuspect(engine model.Incarnation, until time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.suspects[engine] = until
