--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -256,7 +256,7 @@
 	r.prober.Report = rel.Report
 	r.prober.Healthy = rel.Healthy
 	r.prober.AnnounceSuspect = r.exchange.AnnounceSuspect
-	r.prober.AnnounceRefusal = r.exchange.Refused
+	r.prober.AnnounceRefusal = r.exchange.AnnounceRefusal
 	r.prober.Now = time.Now
 	r.liveness = &liveness.Watcher{
 		Self:    r.settings.Router.Peers,
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -129,8 +129,8 @@
 	x.suspects[engine] = until
 }
 
-// Refused tells the peers that an engine refuses work.
-func (x *Exchange) Refused(engine model.Incarnation, until time.Time) {
+// AnnounceRefusal tells the peers that an engine refuses work.
+func (x *Exchange) AnnounceRefusal(engine model.Incarnation, until time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.refusing[engine] = until
