--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -264,7 +264,7 @@
 		Engines: r.engines,
 		Dial:    backend.Dial,
 		OnExit: func(b *model.BackendServer) {
-			r.exchange.TellGone(b.Incarnation())
+			r.exchange.AnnounceEngineExit(b.Incarnation())
 			rel.HandleEngineExit(b.Incarnation())
 		},
 	}
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -136,9 +136,9 @@
 	x.refusing[engine] = until
 }
 
-// TellGone tells the peers at once that an engine's process ended: their streams
+// AnnounceEngineExit tells the peers at once that an engine's process ended: their streams
 // wait for it, and the next exchange would come too late for them.
-func (x *Exchange) TellGone(engine model.Incarnation) {
+func (x *Exchange) AnnounceEngineExit(engine model.Incarnation) {
 	for _, addr := range x.peers() {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
