--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -203,7 +203,7 @@
 		HasTraffic:          r.traffic.Load,
 	}
 	rt := r.settings.Router
-	budget := limits.NewSharedRetryBudget(rt.RetryRatio, rt.RetrySlack, time.Duration(rt.RetryWindow), r.exchange.Routers, time.Now)
+	budget := limits.NewSharedRetryBudget(rt.RetryRatio, rt.RetrySlack, time.Duration(rt.RetryWindow), r.exchange.RouterCount, time.Now)
 	r.exchange.RetryBorrower = &limits.RetryBorrower{Budget: budget, Borrow: r.exchange.Borrow, Now: time.Now}
 	r.links = link.NewServer(stamp)
 	r.links.OwnHostOnly = true
@@ -227,7 +227,7 @@
 		Config:         r.config,
 		Catalog:        r.catalog,
 		Health:         r.health,
-		Chooser:        &chains.Chooser{Catalog: r.catalog, Health: r.health, Usage: r.memory, Interconnect: r.pipes, RouterCount: r.exchange.Routers, Self: r.settings.Router.Peers},
+		Chooser:        &chains.Chooser{Catalog: r.catalog, Health: r.health, Usage: r.memory, Interconnect: r.pipes, RouterCount: r.exchange.RouterCount, Self: r.settings.Router.Peers},
 		Memory:         r.memory,
 		RetryBorrower:  r.exchange.RetryBorrower,
 		WaitQueue:      admission.NewWaitQueue(),
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -171,9 +171,9 @@
 	return wire.RouterLent{Lent: n}, nil
 }
 
-// Routers counts the routers that share budgets, this one included: whoever is
+// RouterCount counts the routers that share budgets, this one included: whoever is
 // registered, was heard lately, or is named as a seed.
-func (x *Exchange) Routers() int {
+func (x *Exchange) RouterCount() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	all := map[string]bool{x.Self: true}
--- a/internal/transport/peers/peers_test.go
+++ b/internal/transport/peers/peers_test.go
@@ -31,7 +31,7 @@
 		}
 		x.SetMembers(members)
 		routers := tc.domains * tc.each
-		assert.Equal(t, x.Routers(), routers)
+		assert.Equal(t, x.RouterCount(), routers)
 		p := x.pace()
 		near, far := float64(tc.each-1), float64(routers-tc.each)
 		perSecond := near/p.near.Seconds() + far/p.far().Seconds()
