--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -158,7 +158,7 @@
 
 // routersHeard lists the other routers that are registered and were heard of lately.
 func (r *Router) routersHeard() []follow.Router {
-	heard := r.exchange.HeardLately()
+	heard := r.exchange.ReachablePeers()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []follow.Router
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -188,8 +188,8 @@
 	return max(len(all), len(x.Seeds))
 }
 
-// HeardLately lists the routers whose word still counts, by their link addresses.
-func (x *Exchange) HeardLately() map[string]bool {
+// ReachablePeers lists the routers whose word still counts, by their link addresses.
+func (x *Exchange) ReachablePeers() map[string]bool {
 	p := x.pace()
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/transport/peers/quarantine.go
+++ b/internal/transport/peers/quarantine.go
@@ -120,7 +120,7 @@
 // keepers lists the routers to ask, the first of all that are alive by rendezvous hashing.
 func (q *Quarantine) keepers() []string {
 	alive := []string{q.Exchange.Self}
-	for addr := range q.Exchange.HeardLately() {
+	for addr := range q.Exchange.ReachablePeers() {
 		alive = append(alive, addr)
 	}
 	const what = "trials"
@@ -132,7 +132,7 @@
 func (q *Quarantine) Rank() int {
 	const what = "verdicts"
 	rank := 0
-	for addr := range q.Exchange.HeardLately() {
+	for addr := range q.Exchange.ReachablePeers() {
 		if spread.Hash(what, addr) < spread.Hash(what, q.Exchange.Self) {
 			rank++
 		}
