--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -260,7 +260,7 @@
 	r.prober.Now = time.Now
 	r.liveness = &liveness.Watcher{
 		Self:    r.settings.Router.Peers,
-		Routers: r.exchange.Alive,
+		Routers: r.exchange.LiveRouters,
 		Engines: r.engines,
 		Dial:    backend.Dial,
 		OnExit: func(b *model.BackendServer) {
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -209,8 +209,8 @@
 	return x.traffic
 }
 
-// Alive lists the routers by their link addresses, this one included.
-func (x *Exchange) Alive() []string { return append(x.peers(), x.Self) }
+// LiveRouters lists the routers by their link addresses, this one included.
+func (x *Exchange) LiveRouters() []string { return append(x.peers(), x.Self) }
 
 // peers lists the other routers: without the store, the seeds.
 func (x *Exchange) peers() []string {
