--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -342,7 +342,7 @@
 			klog.ErrorS(err, "links to peers ended")
 		}
 	}()
-	r.exchange.AskVersions()
+	r.exchange.QueryPeerVersions()
 	go r.follower.Run(background)
 	electing, resign := context.WithCancel(background)
 	defer resign()
--- a/internal/transport/peers/start.go
+++ b/internal/transport/peers/start.go
@@ -24,9 +24,9 @@
 	from    string
 }
 
-// AskVersions asks the seeds which version they have in force. The store may be back from
+// QueryPeerVersions asks the seeds which version they have in force. The store may be back from
 // an older copy, with a configuration that still holds keys which were taken away.
-func (x *Exchange) AskVersions() {
+func (x *Exchange) QueryPeerVersions() {
 	x.running.known = make(chan struct{})
 	ctx, cancel := context.WithTimeout(context.Background(), startAskTimeout)
 	var asked sync.WaitGroup
