--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -238,7 +238,7 @@
 		Detector:       detector.New(time.Now),
 		Suspects:       r.prober,
 		Quarantine:     r.suspects.Tracker,
-		RequestTrial:   r.suspects.Ask,
+		RequestTrial:   r.suspects.RequestTrial,
 		CheckListening: r.backends.Listens,
 		FailureDomain:  r.settings.FailureDomain,
 		MaxConfigAge:   time.Duration(rt.ConfigApply),
--- a/internal/transport/peers/quarantine.go
+++ b/internal/transport/peers/quarantine.go
@@ -98,9 +98,9 @@
 	return g, nil
 }
 
-// Ask asks for a run of a suspect at servers, of the router that keeps trials. Where none
+// RequestTrial asks for a run of a suspect at servers, of the router that keeps trials. Where none
 // answers there is no trial.
-func (q *Quarantine) Ask(ctx context.Context, work model.Fingerprint, servers []model.Incarnation) quarantine.Grant {
+func (q *Quarantine) RequestTrial(ctx context.Context, work model.Fingerprint, servers []model.Incarnation) quarantine.Grant {
 	for _, addr := range q.keepers() {
 		if addr == q.Exchange.Self {
 			return q.Trials.Request(work, servers)
