--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -215,7 +215,7 @@
 		Tracker: tracker,
 		Store:   r.store,
 		Key:     leader.QuarantineKey,
-		Rank:    r.suspects.Rank,
+		Rank:    r.suspects.PersisterRank,
 		Clock:   boottime.Now,
 		Now:     time.Now,
 	}
--- a/internal/transport/peers/quarantine.go
+++ b/internal/transport/peers/quarantine.go
@@ -128,8 +128,8 @@
 	return alive[:min(len(alive), trialKeepers)]
 }
 
-// Rank is this router's place in the order of those who store verdicts.
-func (q *Quarantine) Rank() int {
+// PersisterRank is this router's place in the order of those who store verdicts.
+func (q *Quarantine) PersisterRank() int {
 	const what = "verdicts"
 	rank := 0
 	for addr := range q.Exchange.ReachablePeers() {
