--- a/bench/transport_test.go
+++ b/bench/transport_test.go
@@ -17,8 +17,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/link"
 )
 
-func newStamp(self string) *link.Stamp {
-	return &link.Stamp{
+func newStamp(self string) *link.Metadata {
+	return &link.Metadata{
 		Clock:    hlc.New(time.Now),
 		Revision: func() int64 { return 1 },
 		Seen:     func(string, int64) {},
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -177,7 +177,7 @@
 }
 
 func (r *Router) linkPeers() {
-	stamp := &link.Stamp{
+	stamp := &link.Metadata{
 		Clock:    hlc.New(time.Now),
 		Revision: r.config.Version,
 		Seen:     func(string, int64) {},
--- a/internal/transport/data/data.go
+++ b/internal/transport/data/data.go
@@ -27,7 +27,7 @@
 
 // Pool keeps one stream for each peer, opened when first needed.
 type Pool struct {
-	stamp   *link.Stamp
+	stamp   *link.Metadata
 	client  *http.Client
 	streams *shard.Map[string, *stream]
 }
@@ -39,7 +39,7 @@
 }
 
 // NewPool makes an empty pool.
-func NewPool(stamp *link.Stamp) *Pool {
+func NewPool(stamp *link.Metadata) *Pool {
 	d := net.Dialer{Timeout: dialTimeout, Control: tcp.UserTimeout(link.UserTimeout)}
 	return &Pool{
 		stamp:   stamp,
@@ -113,7 +113,7 @@
 // Server takes parcels in. Its functions are called in the order in which a peer
 // sent, and must not block; nil refuses what it would take.
 type Server struct {
-	Stamp   *link.Stamp
+	Stamp   *link.Metadata
 	Forward func(ctx context.Context, from string, f wire.Forward)
 	Tokens  func(t wire.Tokens)
 }
--- a/internal/transport/data/data_test.go
+++ b/internal/transport/data/data_test.go
@@ -19,8 +19,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/link"
 )
 
-func newStamp(self string, seen func(string, int64)) *link.Stamp {
-	return &link.Stamp{Clock: hlc.New(time.Now), Revision: func() int64 { return 7 }, Seen: seen, Self: self}
+func newStamp(self string, seen func(string, int64)) *link.Metadata {
+	return &link.Metadata{Clock: hlc.New(time.Now), Revision: func() int64 { return 7 }, Seen: seen, Self: self}
 }
 
 var key = wire.RunKey{RequestKey: model.RequestKey{Customer: "c", ID: "r"}, Run: "run"}
--- a/internal/transport/link/link.go
+++ b/internal/transport/link/link.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Stamp supplies and takes in what rides on every message.
-type Stamp struct {
+// Metadata supplies and takes in what rides on every message.
+type Metadata struct {
 	Clock *hlc.Clock
 	// Revision reads the process's configuration revision.
 	Revision func() int64
@@ -52,7 +52,7 @@
 }
 
 // Bytes is how much went over the process's links so far, both ways.
-func (s *Stamp) Bytes() int64 { return s.bytes.Load() }
+func (s *Metadata) Bytes() int64 { return s.bytes.Load() }
 
 // countedConn counts what passes.
 type countedConn struct {
@@ -60,7 +60,7 @@
 	total *atomic.Int64
 }
 
-func (s *Stamp) counted(c net.Conn) net.Conn { return countedConn{c, &s.bytes} }
+func (s *Metadata) counted(c net.Conn) net.Conn { return countedConn{c, &s.bytes} }
 
 func (c countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
@@ -74,7 +74,7 @@
 	return n, err
 }
 
-func (s *Stamp) wrap(v any) (*wire.Envelope, error) {
+func (s *Metadata) wrap(v any) (*wire.Envelope, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode message")
@@ -87,7 +87,7 @@
 	}, nil
 }
 
-func (s *Stamp) take(raw *json.RawMessage) (wire.Envelope, error) {
+func (s *Metadata) take(raw *json.RawMessage) (wire.Envelope, error) {
 	var env wire.Envelope
 	if raw == nil {
 		return env, fault.New(fault.InvalidRequest, "message has no body")
@@ -109,13 +109,13 @@
 	// and a configuration or an engine's end would be believed from it.
 	OwnHostOnly bool
 
-	stamp    *Stamp
+	stamp    *Metadata
 	handlers map[wire.Method]Handler
 	notices  map[wire.Method]NoticeHandler
 }
 
 // NewServer makes a server without methods.
-func NewServer(stamp *Stamp) *Server {
+func NewServer(stamp *Metadata) *Server {
 	return &Server{stamp: stamp, handlers: map[wire.Method]Handler{}, notices: map[wire.Method]NoticeHandler{}}
 }
 
--- a/internal/transport/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -21,8 +21,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/wire"
 )
 
-func newStamp(self string) *Stamp {
-	return &Stamp{
+func newStamp(self string) *Metadata {
+	return &Metadata{
 		Clock:    hlc.New(time.Now),
 		Revision: func() int64 { return 7 },
 		Seen:     func(string, int64) {},
--- a/internal/transport/link/pool.go
+++ b/internal/transport/link/pool.go
@@ -25,7 +25,7 @@
 
 // Pool keeps one connection per peer address, dialled when first needed.
 type Pool struct {
-	stamp *Stamp
+	stamp *Metadata
 	peers *shard.Map[string, *peer]
 }
 
@@ -44,7 +44,7 @@
 }
 
 // NewPool makes an empty pool.
-func NewPool(stamp *Stamp) *Pool {
+func NewPool(stamp *Metadata) *Pool {
 	return &Pool{stamp: stamp, peers: shard.New[string, *peer]()}
 }
 
--- a/internal/transport/mesh/mesh.go
+++ b/internal/transport/mesh/mesh.go
@@ -62,7 +62,7 @@
 	backend   wire.HelloReply
 	load      func() wire.Load
 	heard     func(from string)
-	stamp     *link.Stamp
+	stamp     *link.Metadata
 
 	revision  atomic.Int64
 	confirmed atomic.Int64         // unix nanoseconds of the last contact
@@ -95,7 +95,7 @@
 func (n *Node) Bytes() int64 { return n.stamp.Bytes() }
 
 // Stamp is what rides on every message of this node.
-func (n *Node) Stamp() *link.Stamp { return n.stamp }
+func (n *Node) Stamp() *link.Metadata { return n.stamp }
 
 // New makes a node; Run starts it.
 func New(o Options) *Node {
@@ -113,7 +113,7 @@
 	}
 	n.Events = events.New(o.Self.ID, o.Self.Role, o.Incarnation, n.Clock, o.EventLimit)
 	n.Config = config.NewStore(o.KV, o.Now, o.NewID, n.applied)
-	n.stamp = &link.Stamp{Clock: n.Clock, Revision: n.revision.Load, Seen: n.seen, Self: o.Self.Address}
+	n.stamp = &link.Metadata{Clock: n.Clock, Revision: n.revision.Load, Seen: n.seen, Self: o.Self.Address}
 	n.Server = link.NewServer(n.stamp)
 	n.Pool = link.NewPool(n.stamp)
 	n.register()
--- a/internal/transport/peers/confirm_test.go
+++ b/internal/transport/peers/confirm_test.go
@@ -20,8 +20,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/link"
 )
 
-func stampOf(self string) *link.Stamp {
-	return &link.Stamp{Clock: hlc.New(time.Now), Revision: func() int64 { return 0 }, Seen: func(string, int64) {}, Self: self}
+func stampOf(self string) *link.Metadata {
+	return &link.Metadata{Clock: hlc.New(time.Now), Revision: func() int64 { return 0 }, Seen: func(string, int64) {}, Self: self}
 }
 
 // fetching is a router with version 1 in force and a peer that answers with a
--- a/internal/transport/peers/peers_test.go
+++ b/internal/transport/peers/peers_test.go
@@ -21,7 +21,7 @@
 func TestExchangeIsBounded(t *testing.T) {
 	for _, tc := range []struct{ domains, each int }{{1, 1}, {1, 4}, {3, 1}, {3, 7}, {5, 20}, {1, 100}, {18, 21}, {2, 190}} {
 		x := &Exchange{Self: "r0.0:1", Domain: "0", Now: time.Now}
-		x.Register(link.NewServer(&link.Stamp{}))
+		x.Register(link.NewServer(&link.Metadata{}))
 		members := map[string]leader.Member{}
 		for d := range tc.domains {
 			for i := range tc.each {
