--- a/bench/transport_test.go
+++ b/bench/transport_test.go
@@ -19,10 +19,10 @@
 
 func newStamp(self string) *link.Metadata {
 	return &link.Metadata{
-		Clock:    hlc.New(time.Now),
-		Revision: func() int64 { return 1 },
-		Seen:     func(string, int64) {},
-		Self:     self,
+		Clock:               hlc.New(time.Now),
+		Revision:            func() int64 { return 1 },
+		ObservePeerRevision: func(string, int64) {},
+		Self:                self,
 	}
 }
 
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -178,10 +178,10 @@
 
 func (r *Router) linkPeers() {
 	stamp := &link.Metadata{
-		Clock:    hlc.New(time.Now),
-		Revision: r.config.Version,
-		Seen:     func(string, int64) {},
-		Self:     r.settings.Router.Peers,
+		Clock:               hlc.New(time.Now),
+		Revision:            r.config.Version,
+		ObservePeerRevision: func(string, int64) {},
+		Self:                r.settings.Router.Peers,
 	}
 	r.exchange = &peers.Exchange{
 		Self:                r.settings.Router.Peers,
--- a/internal/transport/data/data.go
+++ b/internal/transport/data/data.go
@@ -133,7 +133,7 @@
 
 func (s *Server) take(ctx context.Context, m *meshv1.Parcel) {
 	s.Stamp.Clock.Observe(hlc.Timestamp{Wall: m.Wall, Logical: m.Logical})
-	s.Stamp.Seen(m.From, m.Revision)
+	s.Stamp.ObservePeerRevision(m.From, m.Revision)
 	key := wire.RunKey{RequestKey: model.RequestKey{Customer: m.Customer, ID: m.RequestId}, Run: m.Run}
 	switch {
 	case m.Tokens && s.Tokens != nil:
--- a/internal/transport/data/data_test.go
+++ b/internal/transport/data/data_test.go
@@ -20,7 +20,7 @@
 )
 
 func newStamp(self string, seen func(string, int64)) *link.Metadata {
-	return &link.Metadata{Clock: hlc.New(time.Now), Revision: func() int64 { return 7 }, Seen: seen, Self: self}
+	return &link.Metadata{Clock: hlc.New(time.Now), Revision: func() int64 { return 7 }, ObservePeerRevision: seen, Self: self}
 }
 
 var key = wire.RunKey{RequestKey: model.RequestKey{Customer: "c", ID: "r"}, Run: "run"}
--- a/internal/transport/link/link.go
+++ b/internal/transport/link/link.go
@@ -43,8 +43,8 @@
 	Clock *hlc.Clock
 	// Revision reads the process's configuration revision.
 	Revision func() int64
-	// Seen is told a peer's revision; it must not block.
-	Seen func(from string, revision int64)
+	// ObservePeerRevision is told a peer's revision; it must not block.
+	ObservePeerRevision func(from string, revision int64)
 	// Self is this process's link address.
 	Self string
 
@@ -96,7 +96,7 @@
 		return env, fault.New(fault.InvalidRequest, "envelope cannot be read: %v", err)
 	}
 	s.Clock.Observe(env.Clock)
-	s.Seen(env.From, env.Revision)
+	s.ObservePeerRevision(env.From, env.Revision)
 	return env, nil
 }
 
--- a/internal/transport/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -23,10 +23,10 @@
 
 func newStamp(self string) *Metadata {
 	return &Metadata{
-		Clock:    hlc.New(time.Now),
-		Revision: func() int64 { return 7 },
-		Seen:     func(string, int64) {},
-		Self:     self,
+		Clock:               hlc.New(time.Now),
+		Revision:            func() int64 { return 7 },
+		ObservePeerRevision: func(string, int64) {},
+		Self:                self,
 	}
 }
 
--- a/internal/transport/link/notice.go
+++ b/internal/transport/link/notice.go
@@ -58,7 +58,7 @@
 		return
 	}
 	s.stamp.Clock.Observe(head.Clock)
-	s.stamp.Seen(head.From, head.Revision)
+	s.stamp.ObservePeerRevision(head.From, head.Revision)
 	h, ok := s.notices[head.Method]
 	if !ok {
 		klog.InfoS("notice not taken in", "peer", head.From, "err", fault.New(fault.NotFound, "no method %q", head.Method))
--- a/internal/transport/link/pool.go
+++ b/internal/transport/link/pool.go
@@ -70,7 +70,7 @@
 		return decodeFault(err)
 	}
 	p.stamp.Clock.Observe(back.Clock)
-	p.stamp.Seen(addr, back.Revision)
+	p.stamp.ObservePeerRevision(addr, back.Revision)
 	if rep == nil {
 		return nil
 	}
--- a/internal/transport/mesh/mesh.go
+++ b/internal/transport/mesh/mesh.go
@@ -113,7 +113,7 @@
 	}
 	n.Events = events.New(o.Self.ID, o.Self.Role, o.Incarnation, n.Clock, o.EventLimit)
 	n.Config = config.NewStore(o.KV, o.Now, o.NewID, n.applied)
-	n.stamp = &link.Metadata{Clock: n.Clock, Revision: n.revision.Load, Seen: n.seen, Self: o.Self.Address}
+	n.stamp = &link.Metadata{Clock: n.Clock, Revision: n.revision.Load, ObservePeerRevision: n.seen, Self: o.Self.Address}
 	n.Server = link.NewServer(n.stamp)
 	n.Pool = link.NewPool(n.stamp)
 	n.register()
--- a/internal/transport/peers/confirm_test.go
+++ b/internal/transport/peers/confirm_test.go
@@ -21,7 +21,7 @@
 )
 
 func stampOf(self string) *link.Metadata {
-	return &link.Metadata{Clock: hlc.New(time.Now), Revision: func() int64 { return 0 }, Seen: func(string, int64) {}, Self: self}
+	return &link.Metadata{Clock: hlc.New(time.Now), Revision: func() int64 { return 0 }, ObservePeerRevision: func(string, int64) {}, Self: self}
 }
 
 // fetching is a router with version 1 in force and a peer that answers with a
