--- a/internal/transport/link/notice.go
+++ b/internal/transport/link/notice.go
@@ -9,30 +9,30 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/wire"
 )
 
-// A Notice is a notification in a packed form. It is made once and sent to any
+// A Notification is a notification in a packed form. It is made once and sent to any
 // number of peers: encoding a message for each of two dozen peers four times a
 // second, and reading theirs as JSON, took more of a small router's processor
 // than its callers' streams.
-type Notice struct{ framed []byte }
+type Notification struct{ framed []byte }
 
 // NoticeHandler takes in a notice's body. It runs in the order of arrival on the
 // connection's reader, must not block and must not keep the body.
 type NoticeHandler func(from string, body []byte) error
 
 // Notice packs a message for Send.
-func (p *Pool) Notice(m wire.Method, body []byte) Notice {
+func (p *Pool) Notice(m wire.Method, body []byte) Notification {
 	head := wire.NoticeHead{
 		Clock:    p.stamp.Clock.Now(),
 		Revision: p.stamp.Revision(),
 		From:     p.stamp.Self,
 		Method:   m,
 	}
-	return Notice{framed: frameNotice(head.Pack(body))}
+	return Notification{framed: frameNotice(head.Pack(body))}
 }
 
 // Send sends a notice to a peer. Success means only that it was handed to the
 // kernel.
-func (p *Pool) Send(ctx context.Context, addr string, n Notice) error {
+func (p *Pool) Send(ctx context.Context, addr string, n Notification) error {
 	c, err := p.get(ctx, addr)
 	if err != nil {
 		return err
