--- a/internal/transport/link/link.go
+++ b/internal/transport/link/link.go
@@ -111,12 +111,12 @@
 
 	stamp    *Metadata
 	handlers map[wire.Method]Handler
-	notices  map[wire.Method]NoticeHandler
+	notices  map[wire.Method]NotificationHandler
 }
 
 // NewServer makes a server without methods.
 func NewServer(stamp *Metadata) *Server {
-	return &Server{stamp: stamp, handlers: map[wire.Method]Handler{}, notices: map[wire.Method]NoticeHandler{}}
+	return &Server{stamp: stamp, handlers: map[wire.Method]Handler{}, notices: map[wire.Method]NotificationHandler{}}
 }
 
 // Register sets the handler of a method.
--- a/internal/transport/link/notice.go
+++ b/internal/transport/link/notice.go
@@ -15,9 +15,9 @@
 // than its callers' streams.
 type Notification struct{ framed []byte }
 
-// NoticeHandler takes in a notice's body. It runs in the order of arrival on the
+// NotificationHandler takes in a notice's body. It runs in the order of arrival on the
 // connection's reader, must not block and must not keep the body.
-type NoticeHandler func(from string, body []byte) error
+type NotificationHandler func(from string, body []byte) error
 
 // Notice packs a message for Send.
 func (p *Pool) Notice(m wire.Method, body []byte) Notification {
@@ -45,7 +45,7 @@
 }
 
 // RegisterNotice sets the handler of a method whose messages are notices.
-func (s *Server) RegisterNotice(m wire.Method, h NoticeHandler) { s.notices[m] = h }
+func (s *Server) RegisterNotice(m wire.Method, h NotificationHandler) { s.notices[m] = h }
 
 // noticed takes in a notice that came from a host.
 func (s *Server) noticed(raw []byte, fromHost string) {
