--- a/internal/transport/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -165,7 +165,7 @@
 	p := NewPool(newStamp("me"))
 	defer p.Close()
 	ctx := context.Background()
-	assert.Assert(t, fault.Is(p.Send(ctx, addr, p.Notice("note", nil)), fault.NotConnected))
+	assert.Assert(t, fault.Is(p.Send(ctx, addr, p.NewNotification("note", nil)), fault.NotConnected))
 	l := listen()
 	serving, stop := context.WithCancel(ctx)
 	defer stop()
@@ -309,7 +309,7 @@
 	for i := range 5 {
 		text := strconv.Itoa(i)
 		want = append(want, "me "+text)
-		assert.NilError(t, p.Send(ctx, addr, p.Notice("note", []byte(text))))
+		assert.NilError(t, p.Send(ctx, addr, p.NewNotification("note", []byte(text))))
 		var back echo
 		assert.NilError(t, p.Call(ctx, addr, "echo", echo{long}, &back))
 		assert.Equal(t, back.Text, long)
@@ -332,11 +332,11 @@
 	ctx := context.Background()
 	foreign := NewPool(newStamp("127.0.0.2:7000"))
 	defer foreign.Close()
-	assert.NilError(t, foreign.Send(ctx, addr, foreign.Notice("note", []byte("foreign"))))
+	assert.NilError(t, foreign.Send(ctx, addr, foreign.NewNotification("note", []byte("foreign"))))
 	own := NewPool(newStamp("127.0.0.1:7000"))
 	defer own.Close()
-	assert.NilError(t, own.Send(ctx, addr, own.Notice("unknown", nil)))
-	assert.NilError(t, own.Send(ctx, addr, own.Notice("note", []byte("own"))))
+	assert.NilError(t, own.Send(ctx, addr, own.NewNotification("unknown", nil)))
+	assert.NilError(t, own.Send(ctx, addr, own.NewNotification("note", []byte("own"))))
 	var back echo
 	assert.NilError(t, own.Call(ctx, addr, "echo", echo{"after"}, &back))
 	assert.Assert(t, foreign.Call(ctx, addr, "echo", echo{"x"}, &back) != nil)
@@ -379,7 +379,7 @@
 	p := NewPool(newStamp("me"))
 	defer p.Close()
 	ctx := context.Background()
-	assert.NilError(t, p.Send(ctx, addr, p.Notice("note", nil)))
+	assert.NilError(t, p.Send(ctx, addr, p.NewNotification("note", nil)))
 	assert.NilError(t, p.Notify(ctx, addr, "call", echo{}))
 	var back echo
 	assert.Assert(t, fault.Is(p.Call(ctx, addr, "call", echo{}, &back), fault.Internal))
--- a/internal/transport/link/notice.go
+++ b/internal/transport/link/notice.go
@@ -19,8 +19,8 @@
 // connection's reader, must not block and must not keep the body.
 type NotificationHandler func(from string, body []byte) error
 
-// Notice packs a message for Send.
-func (p *Pool) Notice(m wire.Method, body []byte) Notification {
+// NewNotification packs a message for Send.
+func (p *Pool) NewNotification(m wire.Method, body []byte) Notification {
 	head := wire.NoticeHead{
 		Clock:    p.stamp.Clock.Now(),
 		Revision: p.stamp.Revision(),
--- a/internal/transport/peers/pace.go
+++ b/internal/transport/peers/pace.go
@@ -92,7 +92,7 @@
 // send sends a message to peers that are told every so often.
 func (x *Exchange) send(ctx context.Context, b wire.RouterHeartbeat, every time.Duration, peers []string) {
 	b.EveryMS = every.Milliseconds()
-	notice := x.Pool.Notice(wire.MethodRouterHeartbeat, b.Pack())
+	notice := x.Pool.NewNotification(wire.MethodRouterHeartbeat, b.Pack())
 	for _, addr := range x.idle(peers) {
 		go func() {
 			defer x.free(addr)
