--- a/internal/transport/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -295,7 +295,7 @@
 func TestNoticesArriveBetweenCalls(t *testing.T) {
 	var got []string
 	addr := serve(t, func(s *Server) {
-		s.RegisterNotice("note", func(from string, body []byte) error {
+		s.RegisterNotification("note", func(from string, body []byte) error {
 			got = append(got, from+" "+string(body))
 			return nil
 		})
@@ -323,7 +323,7 @@
 	var got []string
 	addr := serve(t, func(s *Server) {
 		s.OwnHostOnly = true
-		s.RegisterNotice("note", func(from string, body []byte) error {
+		s.RegisterNotification("note", func(from string, body []byte) error {
 			got = append(got, string(body))
 			return nil
 		})
@@ -372,7 +372,7 @@
 // answer where one is due, and the connection goes on.
 func TestMessageThatEndsItsReader(t *testing.T) {
 	addr := serve(t, func(s *Server) {
-		s.RegisterNotice("note", func(string, []byte) error { panic("a fault of the code") })
+		s.RegisterNotification("note", func(string, []byte) error { panic("a fault of the code") })
 		s.Register("call", Handle(func(context.Context, string, echo) (echo, error) { panic("a fault of the code") }))
 		s.Register("echo", Handle(func(_ context.Context, _ string, e echo) (echo, error) { return e, nil }))
 	})
--- a/internal/transport/link/notice.go
+++ b/internal/transport/link/notice.go
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// RegisterNotice sets the handler of a method whose messages are notices.
-func (s *Server) RegisterNotice(m wire.Method, h NotificationHandler) { s.notices[m] = h }
+// RegisterNotification sets the handler of a method whose messages are notices.
+func (s *Server) RegisterNotification(m wire.Method, h NotificationHandler) { s.notices[m] = h }
 
 // noticed takes in a notice that came from a host.
 func (s *Server) noticed(raw []byte, fromHost string) {
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -103,7 +103,7 @@
 	x.busy = map[string]bool{}
 	x.suspects = map[model.Incarnation]time.Time{}
 	x.refusing = map[model.Incarnation]time.Time{}
-	s.RegisterNotice(wire.MethodRouterHeartbeat, x.heartbeat)
+	s.RegisterNotification(wire.MethodRouterHeartbeat, x.heartbeat)
 	s.Register(wire.MethodRouterConfig, link.Handle(x.config))
 	s.Register(wire.MethodRouterLend, link.Handle(x.lend))
 	s.Register(wire.MethodRouterGone, link.Handle(x.gone))
