--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -206,7 +206,7 @@
 	budget := limits.NewSharedRetryBudget(rt.RetryRatio, rt.RetrySlack, time.Duration(rt.RetryWindow), r.exchange.RouterCount, time.Now)
 	r.exchange.RetryBorrower = &limits.RetryBorrower{Budget: budget, Borrow: r.exchange.Borrow, Now: time.Now}
 	r.links = link.NewServer(stamp)
-	r.links.OwnHostOnly = true
+	r.links.VerifySenderHost = true
 	r.exchange.Register(r.links)
 	tracker := quarantine.New(boottime.Now)
 	r.suspects = &peers.Quarantine{Exchange: r.exchange, Tracker: tracker, Trials: quarantine.NewTrials(tracker)}
--- a/internal/transport/link/link.go
+++ b/internal/transport/link/link.go
@@ -104,10 +104,10 @@
 // Serve. Calls run each on its own goroutine; notifications run in the order
 // of arrival on the connection's reader and must not block.
 type Server struct {
-	// OwnHostOnly refuses messages whose sender names another host than the one
+	// VerifySenderHost refuses messages whose sender names another host than the one
 	// that it connects from. Without it any instance could speak for a router,
 	// and a configuration or an engine's end would be believed from it.
-	OwnHostOnly bool
+	VerifySenderHost bool
 
 	stamp    *Metadata
 	handlers map[wire.Method]Handler
@@ -199,7 +199,7 @@
 // admit refuses a message whose sender names another host than the one that it
 // connects from, where that is checked.
 func (s *Server) admit(sender, from string, m wire.Method) error {
-	if !s.OwnHostOnly || host(sender) == from {
+	if !s.VerifySenderHost || host(sender) == from {
 		return nil
 	}
 	klog.InfoS("message refused: its sender names another host", "sender", sender, "host", from, "method", m)
--- a/internal/transport/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -275,7 +275,7 @@
 func TestSenderOfAnotherHostIsRefused(t *testing.T) {
 	var taken atomic.Int64
 	addr := serve(t, func(s *Server) {
-		s.OwnHostOnly = true
+		s.VerifySenderHost = true
 		s.Register("echo", Handle(func(_ context.Context, from string, e echo) (echo, error) {
 			taken.Add(1)
 			return e, nil
@@ -322,7 +322,7 @@
 func TestNoticeOfAnotherHostIsRefused(t *testing.T) {
 	var got []string
 	addr := serve(t, func(s *Server) {
-		s.OwnHostOnly = true
+		s.VerifySenderHost = true
 		s.RegisterNotification("note", func(from string, body []byte) error {
 			got = append(got, string(body))
 			return nil
