--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -89,7 +89,7 @@
 }
 
 // ConnectionEnded implements front.Observer.
-func (m *metrics) ConnectionEnded(why front.End, under bool) {
+func (m *metrics) ConnectionEnded(why front.EndReason, under bool) {
 	m.scope.Tagged(map[string]string{"why": string(why), "under_request": strconv.FormatBool(under)}).Counter("caller_connections_ended").Inc(1)
 }
 
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -54,7 +54,7 @@
 
 	mu      sync.Mutex
 	life    keepalive.ConnState
-	why     End // the first reason to end it; empty while there is none
+	why     EndReason // the first reason to end it; empty while there is none
 	cause   error
 	request *model.Call // in progress; nil while there is none
 }
@@ -193,7 +193,7 @@
 
 // endsBy notes why the connection ends. What shows later follows from the first
 // reason: a read fails because the connection was closed.
-func (c *timedConn) endsBy(why End, cause error) {
+func (c *timedConn) endsBy(why EndReason, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.why == "" {
@@ -203,7 +203,7 @@
 }
 
 // end gives why the connection ends, and the request that it ends under.
-func (c *timedConn) end() (why End, request *model.Call, cause error) {
+func (c *timedConn) end() (why EndReason, request *model.Call, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.why, c.request, c.cause
--- a/internal/transport/front/end.go
+++ b/internal/transport/front/end.go
@@ -9,25 +9,25 @@
 	"github.com/skylarkwood/skylarkwood/internal/fault"
 )
 
-// End is why a caller's connection ended.
-type End string
+// EndReason is why a caller's connection ended.
+type EndReason string
 
 // The reasons. An answer that cannot be completed is EndBrokenOff; EndServed is
 // the end after an answer that said so.
 const (
-	EndCallerLeft  End = "caller left"
-	EndNotWritable End = "not writable"
-	EndRested      End = "rested too long"
-	EndHeadTooSlow End = "head too slow"
-	EndBrokenOff   End = "broken off"
-	EndPanic       End = "panic"
-	EndServed      End = "served"
+	EndCallerLeft  EndReason = "caller left"
+	EndNotWritable EndReason = "not writable"
+	EndRested      EndReason = "rested too long"
+	EndHeadTooSlow EndReason = "head too slow"
+	EndBrokenOff   EndReason = "broken off"
+	EndPanic       EndReason = "panic"
+	EndServed      EndReason = "served"
 )
 
 // Observer counts the ends of callers' connections. under tells whether a
 // request was in progress on it.
 type Observer interface {
-	ConnectionEnded(why End, under bool)
+	ConnectionEnded(why EndReason, under bool)
 }
 
 // ended logs and counts that a connection ended. Where a request was in progress
--- a/internal/transport/front/front_test.go
+++ b/internal/transport/front/front_test.go
@@ -89,11 +89,11 @@
 type ends chan ended
 
 type ended struct {
-	why   End
+	why   EndReason
 	under bool
 }
 
-func (e ends) ConnectionEnded(why End, under bool) {
+func (e ends) ConnectionEnded(why EndReason, under bool) {
 	select {
 	case e <- ended{why, under}:
 	default: // a test that asks for fewer
