--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -77,7 +77,7 @@
 			return n, err
 		}
 		if !isTimeout(err) {
-			c.endsBy(EndCallerLeft, err)
+			c.endsBy(EndCallerClosed, err)
 			return n, err
 		}
 		if c.over() {
--- a/internal/transport/front/end_test.go
+++ b/internal/transport/front/end_test.go
@@ -36,7 +36,7 @@
 				return nil, ctx.Err()
 			},
 			play: func(c net.Conn) { <-began; c.Close() },
-			want: ended{EndCallerLeft, true},
+			want: ended{EndCallerClosed, true},
 		},
 		"handler panics": {u: echo, panics: true, want: ended{EndPanic, false}},
 		"rests too long": {u: echo, want: ended{EndRested, false}},
@@ -47,7 +47,7 @@
 				assert.Check(t, err)
 				c.Close()
 			},
-			want: ended{EndCallerLeft, false},
+			want: ended{EndCallerClosed, false},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
