--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -171,7 +171,7 @@
 func (c *timedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	if err != nil {
-		c.endsBy(EndNotWritable, err)
+		c.endsBy(EndWriteFailed, err)
 	}
 	return n, err
 }
--- a/internal/transport/front/end.go
+++ b/internal/transport/front/end.go
@@ -16,7 +16,7 @@
 // the end after an answer that said so.
 const (
 	EndCallerClosed EndReason = "caller left"
-	EndNotWritable  EndReason = "not writable"
+	EndWriteFailed  EndReason = "not writable"
 	EndRested       EndReason = "rested too long"
 	EndHeadTooSlow  EndReason = "head too slow"
 	EndBrokenOff    EndReason = "broken off"
