--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -122,7 +122,7 @@
 	case ends && phase == keepalive.ReadingHeader:
 		c.headTooSlow()
 	case ends:
-		c.endsBy(EndRested, nil)
+		c.endsBy(EndIdleTimeout, nil)
 	}
 	return ends
 }
--- a/internal/transport/front/end.go
+++ b/internal/transport/front/end.go
@@ -17,7 +17,7 @@
 const (
 	EndCallerClosed EndReason = "caller left"
 	EndWriteFailed  EndReason = "not writable"
-	EndRested       EndReason = "rested too long"
+	EndIdleTimeout  EndReason = "rested too long"
 	EndHeadTooSlow  EndReason = "head too slow"
 	EndBrokenOff    EndReason = "broken off"
 	EndPanic        EndReason = "panic"
--- a/internal/transport/front/end_test.go
+++ b/internal/transport/front/end_test.go
@@ -39,7 +39,7 @@
 			want: ended{EndCallerClosed, true},
 		},
 		"handler panics": {u: echo, panics: true, want: ended{EndPanic, false}},
-		"rests too long": {u: echo, want: ended{EndRested, false}},
+		"rests too long": {u: echo, want: ended{EndIdleTimeout, false}},
 		"caller leaves at rest": {
 			u: echo,
 			play: func(c net.Conn) {
