--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -129,7 +129,7 @@
 
 // headTooSlow answers a head that does not end; nothing of it was handled.
 func (c *timedConn) headTooSlow() {
-	c.endsBy(EndHeadTooSlow, nil)
+	c.endsBy(EndHeaderTimeout, nil)
 	_ = c.SetWriteDeadline(time.Now().Add(time.Second))
 	_, err := io.WriteString(c.Conn, "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 	klog.InfoS("head of a request took too long", "caller", c.RemoteAddr(), "err", err)
--- a/internal/transport/front/end.go
+++ b/internal/transport/front/end.go
@@ -15,13 +15,13 @@
 // The reasons. An answer that cannot be completed is EndBrokenOff; EndServed is
 // the end after an answer that said so.
 const (
-	EndCallerClosed EndReason = "caller left"
-	EndWriteFailed  EndReason = "not writable"
-	EndIdleTimeout  EndReason = "rested too long"
-	EndHeadTooSlow  EndReason = "head too slow"
-	EndBrokenOff    EndReason = "broken off"
-	EndPanic        EndReason = "panic"
-	EndServed       EndReason = "served"
+	EndCallerClosed  EndReason = "caller left"
+	EndWriteFailed   EndReason = "not writable"
+	EndIdleTimeout   EndReason = "rested too long"
+	EndHeaderTimeout EndReason = "head too slow"
+	EndBrokenOff     EndReason = "broken off"
+	EndPanic         EndReason = "panic"
+	EndServed        EndReason = "served"
 )
 
 // Observer counts the ends of callers' connections. under tells whether a
--- a/internal/transport/front/end_test.go
+++ b/internal/transport/front/end_test.go
@@ -73,7 +73,7 @@
 	s, addr := serve(t, echo)
 	got := talk(t, addr, "GET / HTTP/1.1\r\nHost: h\r\nX: ")
 	assert.Assert(t, strings.HasPrefix(got, "HTTP/1.1 408"), got)
-	assert.Equal(t, <-s.Observer.(ends), ended{EndHeadTooSlow, false})
+	assert.Equal(t, <-s.Observer.(ends), ended{EndHeaderTimeout, false})
 }
 
 // The handler of a request panics, and its caller's connection is closed without an
