--- a/internal/transport/front/end.go
+++ b/internal/transport/front/end.go
@@ -12,14 +12,14 @@
 // EndReason is why a caller's connection ended.
 type EndReason string
 
-// The reasons. An answer that cannot be completed is EndBrokenOff; EndServed is
+// The reasons. An answer that cannot be completed is EndAborted; EndServed is
 // the end after an answer that said so.
 const (
 	EndCallerClosed  EndReason = "caller left"
 	EndWriteFailed   EndReason = "not writable"
 	EndIdleTimeout   EndReason = "rested too long"
 	EndHeaderTimeout EndReason = "head too slow"
-	EndBrokenOff     EndReason = "broken off"
+	EndAborted       EndReason = "broken off"
 	EndPanic         EndReason = "panic"
 	EndServed        EndReason = "served"
 )
@@ -57,7 +57,7 @@
 		return
 	}
 	if p == http.ErrAbortHandler {
-		c.endsBy(EndBrokenOff, nil)
+		c.endsBy(EndAborted, nil)
 		panic(p)
 	}
 	c.endsBy(EndPanic, nil)
