--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -379,13 +379,13 @@
 	began := time.Now()
 	r.draining.Store(true)
 	r.front.Drain()
-	klog.InfoS("stopping", "active", r.front.Active(), "grace", grace)
+	klog.InfoS("stopping", "active", r.front.ActiveRequests(), "grace", grace)
 	time.Sleep(min(balancerDelay, grace/2))
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-graceMargin))
 	defer cancel()
 	err := r.front.Shutdown(ctx)
 	r.store.log()
-	klog.InfoS("stopped", "active", r.front.Active(), "took", time.Since(began), "err", err)
+	klog.InfoS("stopped", "active", r.front.ActiveRequests(), "took", time.Since(began), "err", err)
 }
 
 func (r *Router) every(ctx context.Context, d time.Duration, f func()) {
@@ -414,7 +414,7 @@
 	for _, b := range r.engines() {
 		r.memory.Observe(b.Incarnation(), b.Holds)
 	}
-	r.metrics.router(r.front.Active(), r.front.Relay.WaitQueue.Len(), r.backends.Dialed(), r.config.Version())
+	r.metrics.router(r.front.ActiveRequests(), r.front.Relay.WaitQueue.Len(), r.backends.Dialed(), r.config.Version())
 	r.metrics.newsSource(r.follower.Watching(), r.follower.SinceLastContact())
 }
 
--- a/internal/daemon/router_test.go
+++ b/internal/daemon/router_test.go
@@ -95,7 +95,7 @@
 	c := dial(t, r.settings.Router.Callers)
 	_, err := c.Write([]byte("GET /x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a1\r\n\r\n"))
 	assert.NilError(t, err)
-	for r.front.Active() == 0 {
+	for r.front.ActiveRequests() == 0 {
 		runtime.Gosched()
 	}
 	close(callers.broken)
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -110,8 +110,8 @@
 	return l
 }
 
-// Active counts the requests in progress.
-func (s *Server) Active() int64 { return s.active.Load() }
+// ActiveRequests counts the requests in progress.
+func (s *Server) ActiveRequests() int64 { return s.active.Load() }
 
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
 	s.active.Add(1)
--- a/internal/transport/front/stop.go
+++ b/internal/transport/front/stop.go
@@ -33,7 +33,7 @@
 	if s.conns.wait(running) == nil {
 		return nil
 	}
-	klog.InfoS("last call: requests without an answer are ended", "active", s.Active())
+	klog.InfoS("last call: requests without an answer are ended", "active", s.ActiveRequests())
 	s.endNow()
 	answering, stop := context.WithTimeout(context.WithoutCancel(ctx), lastCall)
 	defer stop()
