--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -414,7 +414,7 @@
 	for _, b := range r.engines() {
 		r.memory.Observe(b.Incarnation(), b.Holds)
 	}
-	r.metrics.router(r.front.ActiveRequests(), r.front.Relay.WaitQueue.Len(), r.backends.Dialed(), r.config.Version())
+	r.metrics.router(r.front.ActiveRequests(), r.front.Relay.WaitQueue.Len(), r.backends.DialCount(), r.config.Version())
 	r.metrics.newsSource(r.follower.Watching(), r.follower.SinceLastContact())
 }
 
--- a/internal/transport/backend/pool.go
+++ b/internal/transport/backend/pool.go
@@ -58,8 +58,8 @@
 // NewPool makes an empty pool.
 func NewPool() *Pool { return &Pool{hosts: shard.New[string, *host]()} }
 
-// Dialed counts the connections opened so far.
-func (p *Pool) Dialed() int64 { return p.dialed.Load() }
+// DialCount counts the connections opened so far.
+func (p *Pool) DialCount() int64 { return p.dialed.Load() }
 
 func (p *Pool) host(addr string) *host {
 	h, _ := p.hosts.GetOrPut(addr, func() *host { return &host{} })
