--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -239,7 +239,7 @@
 		Suspects:       r.prober,
 		Quarantine:     r.suspects.Tracker,
 		RequestTrial:   r.suspects.RequestTrial,
-		CheckListening: r.backends.Listens,
+		CheckListening: r.backends.CheckListening,
 		FailureDomain:  r.settings.FailureDomain,
 		MaxConfigAge:   time.Duration(rt.ConfigApply),
 		Clock:          boottime.Now,
--- a/internal/transport/backend/pool.go
+++ b/internal/transport/backend/pool.go
@@ -89,10 +89,10 @@
 	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), drops: drops}, nil
 }
 
-// Listens asks whether a process takes connections at an address. relay.ErrRefused says
+// CheckListening asks whether a process takes connections at an address. relay.ErrRefused says
 // that none does; any other error leaves it open. The connection is kept for the next
 // request, which would open one itself.
-func (p *Pool) Listens(ctx context.Context, addr string) error {
+func (p *Pool) CheckListening(ctx context.Context, addr string) error {
 	h := p.host(addr)
 	c, err := p.dial(ctx, addr, h.dropped())
 	if errors.Is(err, syscall.ECONNREFUSED) {
