--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -402,7 +402,7 @@
 }
 
 func (r *Router) trim() {
-	r.backends.Trim()
+	r.backends.CloseExpired()
 	r.suspects.Tracker.Expire()
 	r.metrics.quarantine(r.suspects.Tracker.Counts())
 	r.memory.ExpirePeers()
--- a/internal/transport/backend/ended_test.go
+++ b/internal/transport/backend/ended_test.go
@@ -159,7 +159,7 @@
 			case <-done:
 				return
 			default:
-				p.Trim()
+				p.CloseExpired()
 				p.CloseIdle(addr)
 			}
 		}
--- a/internal/transport/backend/kept.go
+++ b/internal/transport/backend/kept.go
@@ -55,8 +55,8 @@
 	h.idle = append(h.idle, c)
 }
 
-// Trim closes idle connections whose time is over.
-func (p *Pool) Trim() {
+// CloseExpired closes idle connections whose time is over.
+func (p *Pool) CloseExpired() {
 	now := time.Now()
 	for _, h := range p.hosts.Values() {
 		h.mu.Lock()
