--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -262,7 +262,7 @@
 		Self:    r.settings.Router.Peers,
 		Routers: r.exchange.LiveRouters,
 		Engines: r.engines,
-		Dial:    backend.Dial,
+		Dial:    backend.DialIdle,
 		OnExit: func(b *model.BackendServer) {
 			r.exchange.AnnounceEngineExit(b.Incarnation())
 			rel.HandleEngineExit(b.Incarnation())
--- a/internal/transport/backend/pool.go
+++ b/internal/transport/backend/pool.go
@@ -113,8 +113,8 @@
 	probeCount = 2
 )
 
-// Dial opens a connection that is to rest and show its peer's end.
-func Dial(ctx context.Context, addr string) (net.Conn, error) {
+// DialIdle opens a connection that is to rest and show its peer's end.
+func DialIdle(ctx context.Context, addr string) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout:         dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeEvery, Interval: probeEvery, Count: probeCount},
