--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -175,7 +175,7 @@
 }
 
 func (s sender) Tokens(_ context.Context, owner wire.Hop, t wire.Tokens) error {
-	return s.data.Tokens(owner.Data, t)
+	return s.data.SendTokens(owner.Data, t)
 }
 
 func (s sender) NoStage(ctx context.Context, addr string, n wire.NoStage) error {
--- a/internal/transport/data/data.go
+++ b/internal/transport/data/data.go
@@ -53,8 +53,8 @@
 	return p.send(addr, p.parcel(f.Key, f.Epoch, f.Position, f.Data, false))
 }
 
-// Tokens sends generated tokens to the entry at a data address.
-func (p *Pool) Tokens(addr string, t wire.Tokens) error {
+// SendTokens sends generated tokens to the entry at a data address.
+func (p *Pool) SendTokens(addr string, t wire.Tokens) error {
 	return p.send(addr, p.parcel(t.Key, t.Epoch, t.Position, t.Data, true))
 }
 
--- a/internal/transport/data/data_test.go
+++ b/internal/transport/data/data_test.go
@@ -45,7 +45,7 @@
 	addr := strings.TrimPrefix(srv.URL, "http://")
 	for i := int64(0); i < sent; i++ {
 		assert.NilError(t, p.Forward(addr, wire.Forward{Key: key, Epoch: 2, Position: i, Data: [][]byte{{byte(i)}}}))
-		assert.NilError(t, p.Tokens(addr, wire.Tokens{Key: key, Epoch: 2, Position: i, Data: [][]byte{{byte(i)}}}))
+		assert.NilError(t, p.SendTokens(addr, wire.Tokens{Key: key, Epoch: 2, Position: i, Data: [][]byte{{byte(i)}}}))
 	}
 	for i := int64(0); i < sent; i++ {
 		assert.DeepEqual(t, <-forwards, wire.Forward{Key: key, Epoch: 2, Position: i, Data: [][]byte{{byte(i)}}})
