--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -224,7 +224,7 @@
 
 func (d *Sidecar) handler() http.Handler {
 	mux := http.NewServeMux()
-	in := &data.Server{Stamp: d.node.Stamp(), Forward: d.sidecar.Forward}
+	in := &data.Server{Metadata: d.node.Stamp(), Forward: d.sidecar.Forward}
 	mux.Handle(in.Handler())
 	mux.Handle("GET /metrics", d.metrics.handler())
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
--- a/internal/transport/data/data.go
+++ b/internal/transport/data/data.go
@@ -113,9 +113,9 @@
 // Server takes parcels in. Its functions are called in the order in which a peer
 // sent, and must not block; nil refuses what it would take.
 type Server struct {
-	Stamp   *link.Metadata
-	Forward func(ctx context.Context, from string, f wire.Forward)
-	Tokens  func(t wire.Tokens)
+	Metadata *link.Metadata
+	Forward  func(ctx context.Context, from string, f wire.Forward)
+	Tokens   func(t wire.Tokens)
 }
 
 // Handler gives the path and handler of the service.
@@ -132,8 +132,8 @@
 }
 
 func (s *Server) take(ctx context.Context, m *meshv1.Parcel) {
-	s.Stamp.Clock.Observe(hlc.Timestamp{Wall: m.Wall, Logical: m.Logical})
-	s.Stamp.ObservePeerRevision(m.From, m.Revision)
+	s.Metadata.Clock.Observe(hlc.Timestamp{Wall: m.Wall, Logical: m.Logical})
+	s.Metadata.ObservePeerRevision(m.From, m.Revision)
 	key := wire.RunKey{RequestKey: model.RequestKey{Customer: m.Customer, ID: m.RequestId}, Run: m.Run}
 	switch {
 	case m.Tokens && s.Tokens != nil:
--- a/internal/transport/data/data_test.go
+++ b/internal/transport/data/data_test.go
@@ -33,9 +33,9 @@
 	tokens := make(chan wire.Tokens, sent)
 	revisions := make(chan int64, 2*sent)
 	in := &Server{
-		Stamp:   newStamp("server", func(_ string, r int64) { revisions <- r }),
-		Forward: func(_ context.Context, from string, f wire.Forward) { assert.Check(t, from == "client"); forwards <- f },
-		Tokens:  func(tk wire.Tokens) { tokens <- tk },
+		Metadata: newStamp("server", func(_ string, r int64) { revisions <- r }),
+		Forward:  func(_ context.Context, from string, f wire.Forward) { assert.Check(t, from == "client"); forwards <- f },
+		Tokens:   func(tk wire.Tokens) { tokens <- tk },
 	}
 	mux := http.NewServeMux()
 	mux.Handle(in.Handler())
