--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -107,7 +107,7 @@
 		NewID:       NewID,
 		EventLimit:  s.Events.Keep,
 	})
-	e.data = data.NewPool(e.node.Stamp())
+	e.data = data.NewPool(e.node.Metadata())
 	e.owner = owner.New(owner.Deps{
 		Instance:    s.Instance,
 		Incarnation: e.node.Incarnation,
@@ -260,7 +260,7 @@
 	small := connect.WithCompressMinBytes(compressFrom)
 	mux.Handle(skylarkwoodv1connect.NewRequestServiceHandler(&api.Requests{Node: e.node, Owner: e.owner}, small))
 	mux.Handle(skylarkwoodv1connect.NewOperatorServiceHandler(&api.Operators{Node: e.node}, small))
-	in := &data.Server{Metadata: e.node.Stamp(), Tokens: e.owner.Tokens}
+	in := &data.Server{Metadata: e.node.Metadata(), Tokens: e.owner.Tokens}
 	mux.Handle(in.Handler())
 	mux.Handle("GET /metrics", e.metrics.handler())
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -56,7 +56,7 @@
 		NewID:       NewID,
 		EventLimit:  s.Events.Keep,
 	})
-	d.data = data.NewPool(d.node.Stamp())
+	d.data = data.NewPool(d.node.Metadata())
 	return d
 }
 
@@ -224,7 +224,7 @@
 
 func (d *Sidecar) handler() http.Handler {
 	mux := http.NewServeMux()
-	in := &data.Server{Metadata: d.node.Stamp(), Forward: d.sidecar.Forward}
+	in := &data.Server{Metadata: d.node.Metadata(), Forward: d.sidecar.Forward}
 	mux.Handle(in.Handler())
 	mux.Handle("GET /metrics", d.metrics.handler())
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
--- a/internal/transport/mesh/mesh.go
+++ b/internal/transport/mesh/mesh.go
@@ -94,8 +94,8 @@
 // Bytes is how much went over the node's links so far, both ways.
 func (n *Node) Bytes() int64 { return n.stamp.Bytes() }
 
-// Stamp is what rides on every message of this node.
-func (n *Node) Stamp() *link.Metadata { return n.stamp }
+// Metadata is what rides on every message of this node.
+func (n *Node) Metadata() *link.Metadata { return n.stamp }
 
 // New makes a node; Run starts it.
 func New(o Options) *Node {
