--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -94,7 +94,7 @@
 		d.gate.SetPace(b.Pace)
 	}
 	d.sidecar = sidecar.New(d.settings.Listen.Link, d.gate, b, sender{d.node.Pool, d.data}, d.node.Events, time.Now)
-	d.node.Serve(d.describe(), d.gate.Load, d.sidecar.Heard)
+	d.node.SetBackend(d.describe(), d.gate.Load, d.sidecar.Heard)
 	d.register()
 	return nil
 }
--- a/internal/transport/mesh/mesh.go
+++ b/internal/transport/mesh/mesh.go
@@ -83,9 +83,9 @@
 	EventLimit  int
 }
 
-// Serve tells the node what it offers to the others: a sidecar's backend server,
+// SetBackend tells the node what it offers to the others: a sidecar's backend server,
 // its load, and who is to be told of a heartbeat. It is called before Run.
-func (n *Node) Serve(backend wire.HelloReply, load func() wire.Load, heard func(from string)) {
+func (n *Node) SetBackend(backend wire.HelloReply, load func() wire.Load, heard func(from string)) {
 	n.backend = backend
 	n.load = load
 	n.heard = heard
