--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -277,7 +277,7 @@
 	case <-e.draining:
 		return fault.New(fault.Leaving, "entry is leaving")
 	default:
-		return e.node.Serving()
+		return e.node.CheckReady()
 	}
 }
 
--- a/internal/transport/api/requests.go
+++ b/internal/transport/api/requests.go
@@ -48,7 +48,7 @@
 
 // Submit implements the RequestService.
 func (s *Requests) Submit(ctx context.Context, r *connect.Request[v1.SubmitRequest], stream *connect.ServerStream[v1.SubmitResponse]) error {
-	if err := s.Node.Serving(); err != nil {
+	if err := s.Node.CheckReady(); err != nil {
 		return connectError(err)
 	}
 	m := r.Msg
--- a/internal/transport/mesh/config.go
+++ b/internal/transport/mesh/config.go
@@ -225,11 +225,11 @@
 	return false
 }
 
-// Serving tells whether the configuration held here may be acted on: it was
+// CheckReady tells whether the configuration held here may be acted on: it was
 // read, no peer is known to hold a newer one, and a peer or the key-value
 // service was heard of lately. A process thawed after a long freeze would
 // otherwise go by templates that were replaced meanwhile.
-func (n *Node) Serving() error {
+func (n *Node) CheckReady() error {
 	if !n.loaded.Load() {
 		return fault.New(fault.NotReady, "no configuration was read yet")
 	}
