--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -155,7 +155,7 @@
 		if a, ok := any(req).(interface{ AdmittedBy() int64 }); ok {
 			admitted = a.AdmittedBy()
 		}
-		if err := d.node.Refuse(from, admitted); err != nil {
+		if err := d.node.CheckSenderRevision(from, admitted); err != nil {
 			var none Rep
 			return none, err
 		}
--- a/internal/transport/mesh/config.go
+++ b/internal/transport/mesh/config.go
@@ -242,10 +242,10 @@
 	return nil
 }
 
-// Refuse tells a gate whether an entry that sent a message acts on an older
+// CheckSenderRevision tells a gate whether an entry that sent a message acts on an older
 // configuration than is in force here. admitted is the revision by which the
 // entry let the work in; 0 where the message does not tell.
-func (n *Node) Refuse(from string, admitted int64) error {
+func (n *Node) CheckSenderRevision(from string, admitted int64) error {
 	here := n.Config.Revision()
 	if m, ok := n.Table.Get(from); ok && m.Revision < here {
 		return fault.New(fault.StaleConfig, "entry %s acts on configuration %d, %d is in force", from, m.Revision, here)
