--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
-	return tcp.Steady(l), nil
+	return tcp.RetryAccept(l), nil
 }
 
 func (r *Router) serveReady(l net.Listener) {
--- a/internal/tcp/steady.go
+++ b/internal/tcp/steady.go
@@ -13,12 +13,12 @@
 // that waits in the kernel's queue, and 50 tries a second cost next to nothing.
 const acceptPause = 20 * time.Millisecond
 
-// Steady gives a listener that outlasts accepts which fail for want of descriptors
+// RetryAccept gives a listener that outlasts accepts which fail for want of descriptors
 // or memory, or by the fault of one connection. Servers take an error of Accept for
 // the listener's end; a router's callers then lose their requests in progress, or
 // its peers their links for good. Only an error that says that the socket itself is
 // gone is passed on, which no later try would mend.
-func Steady(l net.Listener) net.Listener { return steady{l} }
+func RetryAccept(l net.Listener) net.Listener { return steady{l} }
 
 type steady struct{ net.Listener }
 
--- a/internal/tcp/steady_test.go
+++ b/internal/tcp/steady_test.go
@@ -33,7 +33,7 @@
 	for _, last := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK} {
 		synctest.Test(t, func(t *testing.T) {
 			inner := &failing{errs: []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EHOSTUNREACH, nil, last}}
-			l := Steady(inner)
+			l := RetryAccept(inner)
 			c, err := l.Accept()
 			assert.NilError(t, err)
 			assert.Assert(t, c != nil)
--- a/internal/transport/link/link.go
+++ b/internal/transport/link/link.go
@@ -126,7 +126,7 @@
 
 // Serve answers connections until the listener closes or ctx ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	l = tcp.Steady(l)
+	l = tcp.RetryAccept(l)
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
 	for {
