--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -25,10 +25,10 @@
 	}
 }
 
-// Quiet tells whether an idle connection is still open and has nothing to
+// IsIdle tells whether an idle connection is still open and has nothing to
 // read. A peer that closed it, or sent a second answer, makes it unfit for the
 // next request. It looks without waiting and without reading.
-func Quiet(c net.Conn) bool {
+func IsIdle(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, unix.EAGAIN)
 }
--- a/internal/transport/backend/kept.go
+++ b/internal/transport/backend/kept.go
@@ -26,7 +26,7 @@
 	for len(h.idle) > 0 {
 		c := h.idle[len(h.idle)-1]
 		h.idle = h.idle[:len(h.idle)-1]
-		if now.Before(c.until) && tcp.Quiet(c.Conn) {
+		if now.Before(c.until) && tcp.IsIdle(c.Conn) {
 			c.kept = true
 			return c, h.drops
 		}
