--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -33,9 +33,9 @@
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// Arrived tells whether bytes of the peer wait to be read. Unlike a read it looks
+// HasUnread tells whether bytes of the peer wait to be read. Unlike a read it looks
 // also where the read deadline has passed. A connection without a socket keeps none.
-func Arrived(c net.Conn) bool {
+func HasUnread(c net.Conn) bool {
 	n, err := peek(c)
 	return err == nil && n > 0
 }
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -108,7 +108,7 @@
 		return true
 	}
 	limits := c.limits()
-	arrived := tcp.Arrived(c.Conn)
+	arrived := tcp.HasUnread(c.Conn)
 	ends := c.life.Expired(time.Now(), limits, arrived)
 	if !ends {
 		next := c.life.Deadline(limits)
