--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -136,14 +136,14 @@
 // followStore keeps what this router knows of the store up to date, by the store's own
 // word or that of the routers that ask it.
 func (r *Router) followStore() {
-	news := &peers.News{Pool: r.exchange.Pool}
+	news := &peers.Updates{Pool: r.exchange.Pool}
 	r.follower = &follow.Follower{
 		Store:            r.store,
 		Prefix:           "",
 		Sink:             (*routerSink)(r),
 		Clock:            boottime.Now,
 		Picker:           &follow.Picker{Self: r.settings.Router.Peers, Domain: r.settings.FailureDomain, Routers: r.routersHeard, Clock: boottime.Now},
-		PollPeer:         news.Ask,
+		PollPeer:         news.Poll,
 		Replica:          &replica.Replica{},
 		PeersLastContact: r.config.LastConfirmed,
 		Idle:             func() bool { return !r.callersCame() && r.elector.FencingToken() == 0 },
@@ -152,13 +152,13 @@
 	if store, ok := r.store.Store.(interface{ TellEra(func(era int64)) }); ok {
 		store.TellEra(r.follower.ObserveEra)
 	}
-	news.Tell = r.follower.WaitForUpdates
+	news.WaitForUpdates = r.follower.WaitForUpdates
 	news.Register(r.links)
 }
 
 // routersHeard lists the other routers that are registered and were heard of lately.
 func (r *Router) routersHeard() []follow.Router {
-	heard := r.exchange.HeardLately()
+	heard := r.exchange.ReachablePeers()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []follow.Router
@@ -173,40 +173,40 @@
 // callersCame tells whether requests came here or at a peer since the system was
 // first started; they did where this is not its first start.
 func (r *Router) callersCame() bool {
-	return !r.settings.Router.FirstStart || r.traffic.Load() || r.exchange.PeerTraffic()
+	return !r.settings.Router.FirstStart || r.traffic.Load() || r.exchange.PeerHasTraffic()
 }
 
 func (r *Router) linkPeers() {
-	stamp := &link.Stamp{
-		Clock:    hlc.New(time.Now),
-		Revision: r.config.Version,
-		Seen:     func(string, int64) {},
-		Self:     r.settings.Router.Peers,
+	stamp := &link.Metadata{
+		Clock:               hlc.New(time.Now),
+		Revision:            r.config.Version,
+		ObservePeerRevision: func(string, int64) {},
+		Self:                r.settings.Router.Peers,
 	}
 	r.exchange = &peers.Exchange{
-		Self:     r.settings.Router.Peers,
-		Domain:   r.settings.FailureDomain,
-		Seeds:    r.settings.Router.Seeds,
-		Pool:     link.NewPool(stamp),
-		Config:   r.config,
-		Decode:   r.decodeConfig,
-		Catalog:  r.catalog,
-		Memory:   r.memory,
-		Pipes:    r.pipes,
-		Revision: func() model.Revision { return r.follower.AdvertisedRevision() },
-		PeerAt:   func(revision model.Revision) { r.follower.ObservePeerRevision(revision) },
-		Hint:     func(engine model.Incarnation) { r.prober.HandlePeerSuspicion(engine) },
-		Refuses:  r.health.SuspectFromPeer,
-		Gone:     func(engine model.Incarnation) { r.front.Relay.HandleEngineExit(engine) },
-		Clock:    boottime.Now,
-		Now:      time.Now,
-		Traffic:  r.traffic.Load,
+		Self:                r.settings.Router.Peers,
+		Domain:              r.settings.FailureDomain,
+		Seeds:               r.settings.Router.Seeds,
+		Pool:                link.NewPool(stamp),
+		Config:              r.config,
+		Decode:              r.decodeConfig,
+		Catalog:             r.catalog,
+		Usage:               r.memory,
+		Interconnect:        r.pipes,
+		Revision:            func() model.Revision { return r.follower.AdvertisedRevision() },
+		ObservePeerRevision: func(revision model.Revision) { r.follower.ObservePeerRevision(revision) },
+		HandlePeerSuspicion: func(engine model.Incarnation) { r.prober.HandlePeerSuspicion(engine) },
+		HandlePeerRefusal:   r.health.SuspectFromPeer,
+		HandleEngineExit:    func(engine model.Incarnation) { r.front.Relay.HandleEngineExit(engine) },
+		Clock:               boottime.Now,
+		Now:                 time.Now,
+		HasTraffic:          r.traffic.Load,
 	}
 	rt := r.settings.Router
-	budget := limits.NewSharedRetryBudget(rt.RetryRatio, rt.RetrySlack, time.Duration(rt.RetryWindow), r.exchange.Routers, time.Now)
-	r.exchange.Loans = &limits.RetryBorrower{Budget: budget, Borrow: r.exchange.Borrow, Now: time.Now}
+	budget := limits.NewSharedRetryBudget(rt.RetryRatio, rt.RetrySlack, time.Duration(rt.RetryWindow), r.exchange.RouterCount, time.Now)
+	r.exchange.RetryBorrower = &limits.RetryBorrower{Budget: budget, Borrow: r.exchange.Borrow, Now: time.Now}
 	r.links = link.NewServer(stamp)
-	r.links.OwnHostOnly = true
+	r.links.VerifySenderHost = true
 	r.exchange.Register(r.links)
 	tracker := quarantine.New(boottime.Now)
 	r.suspects = &peers.Quarantine{Exchange: r.exchange, Tracker: tracker, Trials: quarantine.NewTrials(tracker)}
@@ -215,7 +215,7 @@
 		Tracker: tracker,
 		Store:   r.store,
 		Key:     leader.QuarantineKey,
-		Rank:    r.suspects.Rank,
+		Rank:    r.suspects.PersisterRank,
 		Clock:   boottime.Now,
 		Now:     time.Now,
 	}
@@ -227,9 +227,9 @@
 		Config:         r.config,
 		Catalog:        r.catalog,
 		Health:         r.health,
-		Chooser:        &chains.Chooser{Catalog: r.catalog, Health: r.health, Usage: r.memory, Interconnect: r.pipes, RouterCount: r.exchange.Routers, Self: r.settings.Router.Peers},
+		Chooser:        &chains.Chooser{Catalog: r.catalog, Health: r.health, Usage: r.memory, Interconnect: r.pipes, RouterCount: r.exchange.RouterCount, Self: r.settings.Router.Peers},
 		Memory:         r.memory,
-		RetryBorrower:  r.exchange.Loans,
+		RetryBorrower:  r.exchange.RetryBorrower,
 		WaitQueue:      admission.NewWaitQueue(),
 		BackendClient:  r.backends,
 		Observer:       r.metrics,
@@ -238,8 +238,8 @@
 		Detector:       detector.New(time.Now),
 		Suspects:       r.prober,
 		Quarantine:     r.suspects.Tracker,
-		RequestTrial:   r.suspects.Ask,
-		CheckListening: r.backends.Listens,
+		RequestTrial:   r.suspects.RequestTrial,
+		CheckListening: r.backends.CheckListening,
 		FailureDomain:  r.settings.FailureDomain,
 		MaxConfigAge:   time.Duration(rt.ConfigApply),
 		Clock:          boottime.Now,
@@ -255,16 +255,16 @@
 	r.prober.Catalog = r.catalog
 	r.prober.Report = rel.Report
 	r.prober.Healthy = rel.Healthy
-	r.prober.AnnounceSuspect = r.exchange.Suspect
-	r.prober.AnnounceRefusal = r.exchange.Refused
+	r.prober.AnnounceSuspect = r.exchange.AnnounceSuspect
+	r.prober.AnnounceRefusal = r.exchange.AnnounceRefusal
 	r.prober.Now = time.Now
 	r.liveness = &liveness.Watcher{
 		Self:    r.settings.Router.Peers,
-		Routers: r.exchange.Alive,
+		Routers: r.exchange.LiveRouters,
 		Engines: r.engines,
-		Dial:    backend.Dial,
+		Dial:    backend.DialIdle,
 		OnExit: func(b *model.BackendServer) {
-			r.exchange.TellGone(b.Incarnation())
+			r.exchange.AnnounceEngineExit(b.Incarnation())
 			rel.HandleEngineExit(b.Incarnation())
 		},
 	}
@@ -342,7 +342,7 @@
 			klog.ErrorS(err, "links to peers ended")
 		}
 	}()
-	r.exchange.AskVersions()
+	r.exchange.QueryPeerVersions()
 	go r.follower.Run(background)
 	electing, resign := context.WithCancel(background)
 	defer resign()
@@ -379,13 +379,13 @@
 	began := time.Now()
 	r.draining.Store(true)
 	r.front.Drain()
-	klog.InfoS("stopping", "active", r.front.Active(), "grace", grace)
+	klog.InfoS("stopping", "active", r.front.ActiveRequests(), "grace", grace)
 	time.Sleep(min(balancerDelay, grace/2))
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-graceMargin))
 	defer cancel()
 	err := r.front.Shutdown(ctx)
 	r.store.log()
-	klog.InfoS("stopped", "active", r.front.Active(), "took", time.Since(began), "err", err)
+	klog.InfoS("stopped", "active", r.front.ActiveRequests(), "took", time.Since(began), "err", err)
 }
 
 func (r *Router) every(ctx context.Context, d time.Duration, f func()) {
@@ -402,7 +402,7 @@
 }
 
 func (r *Router) trim() {
-	r.backends.Trim()
+	r.backends.CloseExpired()
 	r.suspects.Tracker.Expire()
 	r.metrics.quarantine(r.suspects.Tracker.Counts())
 	r.memory.ExpirePeers()
@@ -414,7 +414,7 @@
 	for _, b := range r.engines() {
 		r.memory.Observe(b.Incarnation(), b.Holds)
 	}
-	r.metrics.router(r.front.Active(), r.front.Relay.WaitQueue.Len(), r.backends.Dialed(), r.config.Version())
+	r.metrics.router(r.front.ActiveRequests(), r.front.Relay.WaitQueue.Len(), r.backends.DialCount(), r.config.Version())
 	r.metrics.newsSource(r.follower.Watching(), r.follower.SinceLastContact())
 }
 
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -56,7 +56,7 @@
 		NewID:       NewID,
 		EventLimit:  s.Events.Keep,
 	})
-	d.data = data.NewPool(d.node.Stamp())
+	d.data = data.NewPool(d.node.Metadata())
 	return d
 }
 
@@ -94,7 +94,7 @@
 		d.gate.SetConcurrencyLimiter(b.Limiter)
 	}
 	d.sidecar = sidecar.New(d.settings.Listen.Link, d.gate, b, sender{d.node.Pool, d.data}, d.node.Events, time.Now)
-	d.node.Serve(d.describe(), d.gate.Load, d.sidecar.RecordContact)
+	d.node.SetBackend(d.describe(), d.gate.Load, d.sidecar.RecordContact)
 	d.register()
 	return nil
 }
@@ -155,7 +155,7 @@
 		if a, ok := any(req).(interface{ AdmittedBy() int64 }); ok {
 			admitted = a.AdmittedBy()
 		}
-		if err := d.node.Refuse(from, admitted); err != nil {
+		if err := d.node.CheckSenderRevision(from, admitted); err != nil {
 			var none Rep
 			return none, err
 		}
@@ -175,7 +175,7 @@
 }
 
 func (s sender) Tokens(_ context.Context, owner wire.Stage, t wire.Tokens) error {
-	return s.data.Tokens(owner.Data, t)
+	return s.data.SendTokens(owner.Data, t)
 }
 
 func (s sender) NoStage(ctx context.Context, addr string, n wire.NoStage) error {
@@ -224,7 +224,7 @@
 
 func (d *Sidecar) handler() http.Handler {
 	mux := http.NewServeMux()
-	in := &data.Server{Stamp: d.node.Stamp(), Forward: d.sidecar.Forward}
+	in := &data.Server{Metadata: d.node.Metadata(), Forward: d.sidecar.Forward}
 	mux.Handle(in.Handler())
 	mux.Handle("GET /metrics", d.metrics.handler())
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -25,17 +25,17 @@
 	}
 }
 
-// Quiet tells whether an idle connection is still open and has nothing to
+// IsIdle tells whether an idle connection is still open and has nothing to
 // read. A peer that closed it, or sent a second answer, makes it unfit for the
 // next request. It looks without waiting and without reading.
-func Quiet(c net.Conn) bool {
+func IsIdle(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// Arrived tells whether bytes of the peer wait to be read. Unlike a read it looks
+// HasUnread tells whether bytes of the peer wait to be read. Unlike a read it looks
 // also where the read deadline has passed. A connection without a socket keeps none.
-func Arrived(c net.Conn) bool {
+func HasUnread(c net.Conn) bool {
 	n, err := peek(c)
 	return err == nil && n > 0
 }
--- a/internal/transport/backend/kept.go
+++ b/internal/transport/backend/kept.go
@@ -26,7 +26,7 @@
 	for len(h.idle) > 0 {
 		c := h.idle[len(h.idle)-1]
 		h.idle = h.idle[:len(h.idle)-1]
-		if now.Before(c.until) && tcp.Quiet(c.Conn) {
+		if now.Before(c.until) && tcp.IsIdle(c.Conn) {
 			c.kept = true
 			return c, h.drops
 		}
@@ -55,8 +55,8 @@
 	h.idle = append(h.idle, c)
 }
 
-// Trim closes idle connections whose time is over.
-func (p *Pool) Trim() {
+// CloseExpired closes idle connections whose time is over.
+func (p *Pool) CloseExpired() {
 	now := time.Now()
 	for _, h := range p.hosts.Values() {
 		h.mu.Lock()
--- a/internal/transport/backend/pool.go
+++ b/internal/transport/backend/pool.go
@@ -58,8 +58,8 @@
 // NewPool makes an empty pool.
 func NewPool() *Pool { return &Pool{hosts: shard.New[string, *host]()} }
 
-// Dialed counts the connections opened so far.
-func (p *Pool) Dialed() int64 { return p.dialed.Load() }
+// DialCount counts the connections opened so far.
+func (p *Pool) DialCount() int64 { return p.dialed.Load() }
 
 func (p *Pool) host(addr string) *host {
 	h, _ := p.hosts.GetOrPut(addr, func() *host { return &host{} })
@@ -89,10 +89,10 @@
 	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), drops: drops}, nil
 }
 
-// Listens asks whether a process takes connections at an address. relay.ErrRefused says
+// CheckListening asks whether a process takes connections at an address. relay.ErrRefused says
 // that none does; any other error leaves it open. The connection is kept for the next
 // request, which would open one itself.
-func (p *Pool) Listens(ctx context.Context, addr string) error {
+func (p *Pool) CheckListening(ctx context.Context, addr string) error {
 	h := p.host(addr)
 	c, err := p.dial(ctx, addr, h.dropped())
 	if errors.Is(err, syscall.ECONNREFUSED) {
@@ -113,8 +113,8 @@
 	probeCount = 2
 )
 
-// Dial opens a connection that is to rest and show its peer's end.
-func Dial(ctx context.Context, addr string) (net.Conn, error) {
+// DialIdle opens a connection that is to rest and show its peer's end.
+func DialIdle(ctx context.Context, addr string) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout:         dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeEvery, Interval: probeEvery, Count: probeCount},
--- a/internal/transport/data/data.go
+++ b/internal/transport/data/data.go
@@ -27,7 +27,7 @@
 
 // Pool keeps one stream for each peer, opened when first needed.
 type Pool struct {
-	stamp   *link.Stamp
+	stamp   *link.Metadata
 	client  *http.Client
 	streams *shard.Map[string, *stream]
 }
@@ -39,7 +39,7 @@
 }
 
 // NewPool makes an empty pool.
-func NewPool(stamp *link.Stamp) *Pool {
+func NewPool(stamp *link.Metadata) *Pool {
 	d := net.Dialer{Timeout: dialTimeout, Control: tcp.UserTimeout(link.UserTimeout)}
 	return &Pool{
 		stamp:   stamp,
@@ -53,8 +53,8 @@
 	return p.send(addr, p.parcel(f.Key, f.Epoch, f.Position, f.Data, false))
 }
 
-// Tokens sends generated tokens to the entry at a data address.
-func (p *Pool) Tokens(addr string, t wire.Tokens) error {
+// SendTokens sends generated tokens to the entry at a data address.
+func (p *Pool) SendTokens(addr string, t wire.Tokens) error {
 	return p.send(addr, p.parcel(t.Key, t.Epoch, t.Position, t.Data, true))
 }
 
@@ -113,9 +113,9 @@
 // Server takes parcels in. Its functions are called in the order in which a peer
 // sent, and must not block; nil refuses what it would take.
 type Server struct {
-	Stamp   *link.Stamp
-	Forward func(ctx context.Context, from string, f wire.Forward)
-	Tokens  func(t wire.Tokens)
+	Metadata *link.Metadata
+	Forward  func(ctx context.Context, from string, f wire.Forward)
+	Tokens   func(t wire.Tokens)
 }
 
 // Handler gives the path and handler of the service.
@@ -132,8 +132,8 @@
 }
 
 func (s *Server) take(ctx context.Context, m *meshv1.Parcel) {
-	s.Stamp.Clock.Observe(hlc.Timestamp{Wall: m.Wall, Logical: m.Logical})
-	s.Stamp.Seen(m.From, m.Revision)
+	s.Metadata.Clock.Observe(hlc.Timestamp{Wall: m.Wall, Logical: m.Logical})
+	s.Metadata.ObservePeerRevision(m.From, m.Revision)
 	key := wire.RunKey{RequestKey: model.RequestKey{Customer: m.Customer, ID: m.RequestId}, Run: m.Run}
 	switch {
 	case m.Tokens && s.Tokens != nil:
--- a/internal/transport/data/data_test.go
+++ b/internal/transport/data/data_test.go
@@ -19,8 +19,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/link"
 )
 
-func newStamp(self string, seen func(string, int64)) *link.Stamp {
-	return &link.Stamp{Clock: hlc.New(time.Now), Revision: func() int64 { return 7 }, Seen: seen, Self: self}
+func newStamp(self string, seen func(string, int64)) *link.Metadata {
+	return &link.Metadata{Clock: hlc.New(time.Now), Revision: func() int64 { return 7 }, ObservePeerRevision: seen, Self: self}
 }
 
 var key = wire.RunKey{RequestKey: model.RequestKey{Customer: "c", ID: "r"}, Run: "run"}
@@ -33,9 +33,9 @@
 	tokens := make(chan wire.Tokens, sent)
 	revisions := make(chan int64, 2*sent)
 	in := &Server{
-		Stamp:   newStamp("server", func(_ string, r int64) { revisions <- r }),
-		Forward: func(_ context.Context, from string, f wire.Forward) { assert.Check(t, from == "client"); forwards <- f },
-		Tokens:  func(tk wire.Tokens) { tokens <- tk },
+		Metadata: newStamp("server", func(_ string, r int64) { revisions <- r }),
+		Forward:  func(_ context.Context, from string, f wire.Forward) { assert.Check(t, from == "client"); forwards <- f },
+		Tokens:   func(tk wire.Tokens) { tokens <- tk },
 	}
 	mux := http.NewServeMux()
 	mux.Handle(in.Handler())
@@ -45,7 +45,7 @@
 	addr := strings.TrimPrefix(srv.URL, "http://")
 	for i := int64(0); i < sent; i++ {
 		assert.NilError(t, p.Forward(addr, wire.Forward{Key: key, Epoch: 2, Position: i, Data: [][]byte{{byte(i)}}}))
-		assert.NilError(t, p.Tokens(addr, wire.Tokens{Key: key, Epoch: 2, Position: i, Data: [][]byte{{byte(i)}}}))
+		assert.NilError(t, p.SendTokens(addr, wire.Tokens{Key: key, Epoch: 2, Position: i, Data: [][]byte{{byte(i)}}}))
 	}
 	for i := int64(0); i < sent; i++ {
 		assert.DeepEqual(t, <-forwards, wire.Forward{Key: key, Epoch: 2, Position: i, Data: [][]byte{{byte(i)}}})
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -54,7 +54,7 @@
 
 	mu      sync.Mutex
 	life    keepalive.ConnState
-	why     End // the first reason to end it; empty while there is none
+	why     EndReason // the first reason to end it; empty while there is none
 	cause   error
 	request *model.Call // in progress; nil while there is none
 }
@@ -77,7 +77,7 @@
 			return n, err
 		}
 		if !isTimeout(err) {
-			c.endsBy(EndCallerLeft, err)
+			c.endsBy(EndCallerClosed, err)
 			return n, err
 		}
 		if c.over() {
@@ -108,7 +108,7 @@
 		return true
 	}
 	limits := c.limits()
-	arrived := tcp.Arrived(c.Conn)
+	arrived := tcp.HasUnread(c.Conn)
 	ends := c.life.Expired(time.Now(), limits, arrived)
 	if !ends {
 		next := c.life.Deadline(limits)
@@ -122,14 +122,14 @@
 	case ends && phase == keepalive.ReadingHeader:
 		c.headTooSlow()
 	case ends:
-		c.endsBy(EndRested, nil)
+		c.endsBy(EndIdleTimeout, nil)
 	}
 	return ends
 }
 
 // headTooSlow answers a head that does not end; nothing of it was handled.
 func (c *timedConn) headTooSlow() {
-	c.endsBy(EndHeadTooSlow, nil)
+	c.endsBy(EndHeaderTimeout, nil)
 	_ = c.SetWriteDeadline(time.Now().Add(time.Second))
 	_, err := io.WriteString(c.Conn, "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 	klog.InfoS("head of a request took too long", "caller", c.RemoteAddr(), "err", err)
@@ -171,7 +171,7 @@
 func (c *timedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	if err != nil {
-		c.endsBy(EndNotWritable, err)
+		c.endsBy(EndWriteFailed, err)
 	}
 	return n, err
 }
@@ -193,7 +193,7 @@
 
 // endsBy notes why the connection ends. What shows later follows from the first
 // reason: a read fails because the connection was closed.
-func (c *timedConn) endsBy(why End, cause error) {
+func (c *timedConn) endsBy(why EndReason, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.why == "" {
@@ -203,7 +203,7 @@
 }
 
 // end gives why the connection ends, and the request that it ends under.
-func (c *timedConn) end() (why End, request *model.Call, cause error) {
+func (c *timedConn) end() (why EndReason, request *model.Call, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.why, c.request, c.cause
--- a/internal/transport/front/end_test.go
+++ b/internal/transport/front/end_test.go
@@ -36,10 +36,10 @@
 				return nil, ctx.Err()
 			},
 			play: func(c net.Conn) { <-began; c.Close() },
-			want: ended{EndCallerLeft, true},
+			want: ended{EndCallerClosed, true},
 		},
 		"handler panics": {u: echo, panics: true, want: ended{EndPanic, false}},
-		"rests too long": {u: echo, want: ended{EndRested, false}},
+		"rests too long": {u: echo, want: ended{EndIdleTimeout, false}},
 		"caller leaves at rest": {
 			u: echo,
 			play: func(c net.Conn) {
@@ -47,7 +47,7 @@
 				assert.Check(t, err)
 				c.Close()
 			},
-			want: ended{EndCallerLeft, false},
+			want: ended{EndCallerClosed, false},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 	s, addr := serve(t, echo)
 	got := talk(t, addr, "GET / HTTP/1.1\r\nHost: h\r\nX: ")
 	assert.Assert(t, strings.HasPrefix(got, "HTTP/1.1 408"), got)
-	assert.Equal(t, <-s.Observer.(ends), ended{EndHeadTooSlow, false})
+	assert.Equal(t, <-s.Observer.(ends), ended{EndHeaderTimeout, false})
 }
 
 // The handler of a request panics, and its caller's connection is closed without an
--- a/internal/transport/link/link.go
+++ b/internal/transport/link/link.go
@@ -38,13 +38,13 @@
 	}
 }
 
-// Stamp supplies and takes in what rides on every message.
-type Stamp struct {
+// Metadata supplies and takes in what rides on every message.
+type Metadata struct {
 	Clock *hlc.Clock
 	// Revision reads the process's configuration revision.
 	Revision func() int64
-	// Seen is told a peer's revision; it must not block.
-	Seen func(from string, revision int64)
+	// ObservePeerRevision is told a peer's revision; it must not block.
+	ObservePeerRevision func(from string, revision int64)
 	// Self is this process's link address.
 	Self string
 
@@ -52,7 +52,7 @@
 }
 
 // Bytes is how much went over the process's links so far, both ways.
-func (s *Stamp) Bytes() int64 { return s.bytes.Load() }
+func (s *Metadata) Bytes() int64 { return s.bytes.Load() }
 
 // countedConn counts what passes.
 type countedConn struct {
@@ -60,7 +60,7 @@
 	total *atomic.Int64
 }
 
-func (s *Stamp) counted(c net.Conn) net.Conn { return countedConn{c, &s.bytes} }
+func (s *Metadata) counted(c net.Conn) net.Conn { return countedConn{c, &s.bytes} }
 
 func (c countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
@@ -74,7 +74,7 @@
 	return n, err
 }
 
-func (s *Stamp) wrap(v any) (*wire.Envelope, error) {
+func (s *Metadata) wrap(v any) (*wire.Envelope, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode message")
@@ -87,7 +87,7 @@
 	}, nil
 }
 
-func (s *Stamp) take(raw *json.RawMessage) (wire.Envelope, error) {
+func (s *Metadata) take(raw *json.RawMessage) (wire.Envelope, error) {
 	var env wire.Envelope
 	if raw == nil {
 		return env, fault.New(fault.InvalidRequest, "message has no body")
@@ -96,7 +96,7 @@
 		return env, fault.New(fault.InvalidRequest, "envelope cannot be read: %v", err)
 	}
 	s.Clock.Observe(env.Clock)
-	s.Seen(env.From, env.Revision)
+	s.ObservePeerRevision(env.From, env.Revision)
 	return env, nil
 }
 
@@ -104,19 +104,19 @@
 // Serve. Calls run each on its own goroutine; notifications run in the order
 // of arrival on the connection's reader and must not block.
 type Server struct {
-	// OwnHostOnly refuses messages whose sender names another host than the one
+	// VerifySenderHost refuses messages whose sender names another host than the one
 	// that it connects from. Without it any instance could speak for a router,
 	// and a configuration or an engine's end would be believed from it.
-	OwnHostOnly bool
+	VerifySenderHost bool
 
-	stamp    *Stamp
+	stamp    *Metadata
 	handlers map[wire.Method]Handler
-	notices  map[wire.Method]NoticeHandler
+	notices  map[wire.Method]NotificationHandler
 }
 
 // NewServer makes a server without methods.
-func NewServer(stamp *Stamp) *Server {
-	return &Server{stamp: stamp, handlers: map[wire.Method]Handler{}, notices: map[wire.Method]NoticeHandler{}}
+func NewServer(stamp *Metadata) *Server {
+	return &Server{stamp: stamp, handlers: map[wire.Method]Handler{}, notices: map[wire.Method]NotificationHandler{}}
 }
 
 // Register sets the handler of a method.
@@ -126,7 +126,7 @@
 
 // Serve answers connections until the listener closes or ctx ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	l = tcp.Steady(l)
+	l = tcp.RetryAccept(l)
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
 	for {
@@ -199,7 +199,7 @@
 // admit refuses a message whose sender names another host than the one that it
 // connects from, where that is checked.
 func (s *Server) admit(sender, from string, m wire.Method) error {
-	if !s.OwnHostOnly || host(sender) == from {
+	if !s.VerifySenderHost || host(sender) == from {
 		return nil
 	}
 	klog.InfoS("message refused: its sender names another host", "sender", sender, "host", from, "method", m)
--- a/internal/transport/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -21,12 +21,12 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/wire"
 )
 
-func newStamp(self string) *Stamp {
-	return &Stamp{
-		Clock:    hlc.New(time.Now),
-		Revision: func() int64 { return 7 },
-		Seen:     func(string, int64) {},
-		Self:     self,
+func newStamp(self string) *Metadata {
+	return &Metadata{
+		Clock:               hlc.New(time.Now),
+		Revision:            func() int64 { return 7 },
+		ObservePeerRevision: func(string, int64) {},
+		Self:                self,
 	}
 }
 
@@ -165,7 +165,7 @@
 	p := NewPool(newStamp("me"))
 	defer p.Close()
 	ctx := context.Background()
-	assert.Assert(t, fault.Is(p.Send(ctx, addr, p.Notice("note", nil)), fault.NotConnected))
+	assert.Assert(t, fault.Is(p.Send(ctx, addr, p.NewNotification("note", nil)), fault.NotConnected))
 	l := listen()
 	serving, stop := context.WithCancel(ctx)
 	defer stop()
@@ -275,7 +275,7 @@
 func TestSenderOfAnotherHostIsRefused(t *testing.T) {
 	var taken atomic.Int64
 	addr := serve(t, func(s *Server) {
-		s.OwnHostOnly = true
+		s.VerifySenderHost = true
 		s.Register("echo", Handle(func(_ context.Context, from string, e echo) (echo, error) {
 			taken.Add(1)
 			return e, nil
@@ -295,7 +295,7 @@
 func TestNoticesArriveBetweenCalls(t *testing.T) {
 	var got []string
 	addr := serve(t, func(s *Server) {
-		s.RegisterNotice("note", func(from string, body []byte) error {
+		s.RegisterNotification("note", func(from string, body []byte) error {
 			got = append(got, from+" "+string(body))
 			return nil
 		})
@@ -309,7 +309,7 @@
 	for i := range 5 {
 		text := strconv.Itoa(i)
 		want = append(want, "me "+text)
-		assert.NilError(t, p.Send(ctx, addr, p.Notice("note", []byte(text))))
+		assert.NilError(t, p.Send(ctx, addr, p.NewNotification("note", []byte(text))))
 		var back echo
 		assert.NilError(t, p.Call(ctx, addr, "echo", echo{long}, &back))
 		assert.Equal(t, back.Text, long)
@@ -322,8 +322,8 @@
 func TestNoticeOfAnotherHostIsRefused(t *testing.T) {
 	var got []string
 	addr := serve(t, func(s *Server) {
-		s.OwnHostOnly = true
-		s.RegisterNotice("note", func(from string, body []byte) error {
+		s.VerifySenderHost = true
+		s.RegisterNotification("note", func(from string, body []byte) error {
 			got = append(got, string(body))
 			return nil
 		})
@@ -332,11 +332,11 @@
 	ctx := context.Background()
 	foreign := NewPool(newStamp("127.0.0.2:7000"))
 	defer foreign.Close()
-	assert.NilError(t, foreign.Send(ctx, addr, foreign.Notice("note", []byte("foreign"))))
+	assert.NilError(t, foreign.Send(ctx, addr, foreign.NewNotification("note", []byte("foreign"))))
 	own := NewPool(newStamp("127.0.0.1:7000"))
 	defer own.Close()
-	assert.NilError(t, own.Send(ctx, addr, own.Notice("unknown", nil)))
-	assert.NilError(t, own.Send(ctx, addr, own.Notice("note", []byte("own"))))
+	assert.NilError(t, own.Send(ctx, addr, own.NewNotification("unknown", nil)))
+	assert.NilError(t, own.Send(ctx, addr, own.NewNotification("note", []byte("own"))))
 	var back echo
 	assert.NilError(t, own.Call(ctx, addr, "echo", echo{"after"}, &back))
 	assert.Assert(t, foreign.Call(ctx, addr, "echo", echo{"x"}, &back) != nil)
@@ -372,14 +372,14 @@
 // answer where one is due, and the connection goes on.
 func TestMessageThatEndsItsReader(t *testing.T) {
 	addr := serve(t, func(s *Server) {
-		s.RegisterNotice("note", func(string, []byte) error { panic("a fault of the code") })
+		s.RegisterNotification("note", func(string, []byte) error { panic("a fault of the code") })
 		s.Register("call", Handle(func(context.Context, string, echo) (echo, error) { panic("a fault of the code") }))
 		s.Register("echo", Handle(func(_ context.Context, _ string, e echo) (echo, error) { return e, nil }))
 	})
 	p := NewPool(newStamp("me"))
 	defer p.Close()
 	ctx := context.Background()
-	assert.NilError(t, p.Send(ctx, addr, p.Notice("note", nil)))
+	assert.NilError(t, p.Send(ctx, addr, p.NewNotification("note", nil)))
 	assert.NilError(t, p.Notify(ctx, addr, "call", echo{}))
 	var back echo
 	assert.Assert(t, fault.Is(p.Call(ctx, addr, "call", echo{}, &back), fault.Internal))
--- a/internal/transport/mesh/config.go
+++ b/internal/transport/mesh/config.go
@@ -225,11 +225,11 @@
 	return false
 }
 
-// Serving tells whether the configuration held here may be acted on: it was
+// CheckReady tells whether the configuration held here may be acted on: it was
 // read, no peer is known to hold a newer one, and a peer or the key-value
 // service was heard of lately. A process thawed after a long freeze would
 // otherwise go by templates that were replaced meanwhile.
-func (n *Node) Serving() error {
+func (n *Node) CheckReady() error {
 	if !n.loaded.Load() {
 		return fault.New(fault.NotReady, "no configuration was read yet")
 	}
@@ -242,10 +242,10 @@
 	return nil
 }
 
-// Refuse tells a gate whether an entry that sent a message acts on an older
+// CheckSenderRevision tells a gate whether an entry that sent a message acts on an older
 // configuration than is in force here. admitted is the revision by which the
 // entry let the work in; 0 where the message does not tell.
-func (n *Node) Refuse(from string, admitted int64) error {
+func (n *Node) CheckSenderRevision(from string, admitted int64) error {
 	here := n.Config.Revision()
 	if m, ok := n.Table.Get(from); ok && m.Revision < here {
 		return fault.New(fault.StaleConfig, "entry %s acts on configuration %d, %d is in force", from, m.Revision, here)
--- a/internal/transport/peers/confirm_test.go
+++ b/internal/transport/peers/confirm_test.go
@@ -20,8 +20,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/link"
 )
 
-func stampOf(self string) *link.Stamp {
-	return &link.Stamp{Clock: hlc.New(time.Now), Revision: func() int64 { return 0 }, Seen: func(string, int64) {}, Self: self}
+func stampOf(self string) *link.Metadata {
+	return &link.Metadata{Clock: hlc.New(time.Now), Revision: func() int64 { return 0 }, ObservePeerRevision: func(string, int64) {}, Self: self}
 }
 
 // fetching is a router with version 1 in force and a peer that answers with a
@@ -47,14 +47,14 @@
 			v, err := strconv.ParseInt(string(raw), 10, 64)
 			return &model.RouteConfig{Version: v}, err
 		},
-		Catalog: catalog.New(time.Now),
-		Memory:  chains.NewUsageTracker(time.Now),
-		Pipes:   chains.NewInterconnect(time.Now),
-		PeerAt:  func(model.Revision) {},
-		Clock:   func() time.Duration { return time.Duration(clock.Load()) },
-		Now:     time.Now,
-		Loans:   &limits.RetryBorrower{Now: time.Now},
-		Traffic: func() bool { return true },
+		Catalog:             catalog.New(time.Now),
+		Usage:               chains.NewUsageTracker(time.Now),
+		Interconnect:        chains.NewInterconnect(time.Now),
+		ObservePeerRevision: func(model.Revision) {},
+		Clock:               func() time.Duration { return time.Duration(clock.Load()) },
+		Now:                 time.Now,
+		RetryBorrower:       &limits.RetryBorrower{Now: time.Now},
+		HasTraffic:          func() bool { return true },
 	}
 	x.Register(link.NewServer(stampOf("self:1")))
 	x.Config.Apply(&model.RouteConfig{Version: 1}, nil)
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -11,14 +11,14 @@
 
 func (x *Exchange) compose() wire.RouterHeartbeat {
 	var uses []wire.EngineUsage
-	for inc, u := range x.Memory.OwnUsage() {
+	for inc, u := range x.Usage.OwnUsage() {
 		uses = append(uses, wire.EngineUsage{Server: inc, TokenLayers: int64(u.TokenLayers), Streams: int64(u.Streams), FirstStageStreams: int64(u.FirstStageStreams), PrefillLoad: u.PrefillLoad})
 	}
 	var pipes []wire.InterconnectRate
-	for pair, rate := range x.Pipes.OwnRates() {
+	for pair, rate := range x.Interconnect.OwnRates() {
 		pipes = append(pipes, wire.InterconnectRate{A: pair.A, B: pair.B, Rate: rate})
 	}
-	spares := x.Loans.Budget.SpareTokens() // it counts the routers, so before the lock
+	spares := x.RetryBorrower.Budget.SpareTokens() // it counts the routers, so before the lock
 	now := x.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -30,11 +30,11 @@
 		Revision:      x.Revision(),
 		Usage:         uses,
 		Interconnects: pipes,
-		Slow:          x.Memory.OwnSlowdowns(),
+		Slow:          x.Usage.OwnSlowdowns(),
 		Suspects:      suspects,
 		Refusing:      refusing,
 		SpareTokens:   spares,
-		HasTraffic:    x.Traffic(),
+		HasTraffic:    x.HasTraffic(),
 	}
 }
 
@@ -68,23 +68,23 @@
 		uses[u.Server] = chains.Usage{TokenLayers: float64(u.TokenLayers), Streams: float64(u.Streams), FirstStageStreams: float64(u.FirstStageStreams), PrefillLoad: u.PrefillLoad}
 	}
 	good := trustedHeartbeats*time.Duration(b.IntervalMS)*time.Millisecond + trustSlack
-	x.Memory.SetPeerUsage(from, uses, good)
+	x.Usage.SetPeerUsage(from, uses, good)
 	pipes := make(map[chains.DomainPair]float64, len(b.Interconnects))
 	for _, p := range b.Interconnects {
 		pipes[chains.DomainPair{A: p.A, B: p.B}] = p.Rate
 	}
-	x.Pipes.SetPeerRates(from, pipes, good)
+	x.Interconnect.SetPeerRates(from, pipes, good)
 	for inc, factor := range b.Slow {
-		x.Memory.SetPeerSlowdown(inc, factor)
+		x.Usage.SetPeerSlowdown(inc, factor)
 	}
 	for inc := range b.Suspects {
-		x.Hint(inc)
+		x.HandlePeerSuspicion(inc)
 	}
 	for inc, left := range b.Refusing {
-		x.Refuses(inc, x.Now().Add(limits.Jitter(time.Duration(left)*time.Millisecond)))
+		x.HandlePeerRefusal(inc, x.Now().Add(limits.Jitter(time.Duration(left)*time.Millisecond)))
 	}
-	x.Loans.SetPeerTokens(from, b.SpareTokens, good)
-	x.PeerAt(b.Revision)
+	x.RetryBorrower.SetPeerTokens(from, b.SpareTokens, good)
+	x.ObservePeerRevision(b.Revision)
 	mine := x.Config.Version()
 	switch {
 	case b.Config == mine && mine > 0:
--- a/internal/transport/peers/news.go
+++ b/internal/transport/peers/news.go
@@ -33,11 +33,11 @@
 	mostUnpacked = 8 << 20
 )
 
-// News carries what watchers of the store tell the routers that ask them.
-type News struct {
+// Updates carries what watchers of the store tell the routers that ask them.
+type Updates struct {
 	Pool *link.Pool
-	// Tell answers a question from this router's picture.
-	Tell func(ctx context.Context, after model.Revision, most time.Duration) (follow.Updates, error)
+	// WaitForUpdates answers a question from this router's picture.
+	WaitForUpdates func(ctx context.Context, after model.Revision, most time.Duration) (follow.Updates, error)
 
 	mu   sync.Mutex
 	last encoded
@@ -52,10 +52,10 @@
 }
 
 // Register adds the method that peers call.
-func (n *News) Register(s *link.Server) { s.Register(wire.MethodRouterUpdates, link.Handle(n.answer)) }
+func (n *Updates) Register(s *link.Server) { s.Register(wire.MethodRouterUpdates, link.Handle(n.answer)) }
 
-// Ask asks a router for news.
-func (n *News) Ask(ctx context.Context, addr string, after model.Revision, wait time.Duration) (follow.Updates, error) {
+// Poll asks a router for news.
+func (n *Updates) Poll(ctx context.Context, addr string, after model.Revision, wait time.Duration) (follow.Updates, error) {
 	var rep wire.RouterUpdates
 	ask := wire.RouterUpdatesRequest{After: after, WaitMS: wait.Milliseconds()}
 	if err := n.Pool.Call(ctx, addr, wire.MethodRouterUpdates, ask, &rep); err != nil {
@@ -75,8 +75,8 @@
 }
 
 // answer answers a peer's Ask.
-func (n *News) answer(ctx context.Context, from string, ask wire.RouterUpdatesRequest) (wire.RouterUpdates, error) {
-	news, err := n.Tell(ctx, ask.After, milliseconds(ask.WaitMS))
+func (n *Updates) answer(ctx context.Context, from string, ask wire.RouterUpdatesRequest) (wire.RouterUpdates, error) {
+	news, err := n.WaitForUpdates(ctx, ask.After, milliseconds(ask.WaitMS))
 	if err != nil {
 		return wire.RouterUpdates{}, errors.WithStack(fault.New(fault.NotReady, "%v", err))
 	}
@@ -94,7 +94,7 @@
 	}, err
 }
 
-func (n *News) encode(after model.Revision, a replica.Changes) (json.RawMessage, error) {
+func (n *Updates) encode(after model.Revision, a replica.Changes) (json.RawMessage, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.last.items != nil && n.last.after == after && n.last.revision == a.Revision && n.last.whole == a.Full {
--- a/internal/transport/peers/news_test.go
+++ b/internal/transport/peers/news_test.go
@@ -19,16 +19,16 @@
 )
 
 // telling is a router that answers each question with the same news.
-func telling(t *testing.T, news follow.Updates, err error) (asker *News, addr string) {
+func telling(t *testing.T, news follow.Updates, err error) (asker *Updates, addr string) {
 	l, lerr := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, lerr)
 	serving, stop := context.WithCancel(context.Background())
 	srv := link.NewServer(stampOf(l.Addr().String()))
-	n := &News{Tell: func(context.Context, model.Revision, time.Duration) (follow.Updates, error) { return news, err }}
+	n := &Updates{WaitForUpdates: func(context.Context, model.Revision, time.Duration) (follow.Updates, error) { return news, err }}
 	n.Register(srv)
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(serving, l) }()
-	asker = &News{Pool: link.NewPool(stampOf("self:1"))}
+	asker = &Updates{Pool: link.NewPool(stampOf("self:1"))}
 	t.Cleanup(func() {
 		stop()
 		asker.Pool.Close()
@@ -55,7 +55,7 @@
 		Age: 1500*time.Millisecond + time.Microsecond, Elapsed: 30 * time.Millisecond, Grace: time.Second,
 	}
 	n, addr := telling(t, told, nil)
-	got, err := n.Ask(t.Context(), addr, 4, time.Second)
+	got, err := n.Poll(t.Context(), addr, 4, time.Second)
 	assert.NilError(t, err)
 	assert.Assert(t, got.Items[3].Omitted && got.Items[3].Value == nil)
 	assert.Equal(t, got.Age, 1501*time.Millisecond, "never younger than it is")
@@ -67,7 +67,7 @@
 // A router that hears from the store through others says so, and is not believed.
 func TestOnlyWatchersAnswer(t *testing.T) {
 	n, addr := telling(t, follow.Updates{}, follow.ErrNotWatching)
-	_, err := n.Ask(t.Context(), addr, 4, time.Second)
+	_, err := n.Poll(t.Context(), addr, 4, time.Second)
 	assert.ErrorContains(t, err, follow.ErrNotWatching.Error())
 }
 
@@ -89,7 +89,7 @@
 
 // A dozen routers ask for the same changes at one moment; the list is encoded once.
 func TestNewsAreEncodedOnce(t *testing.T) {
-	n := &News{}
+	n := &Updates{}
 	answer := func(revision model.Revision) replica.Changes {
 		return replica.Changes{Revision: revision, Items: []replica.Item{{Item: platform.Item{Key: fmt.Sprint("k", revision), Revision: revision}}}}
 	}
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -56,33 +56,33 @@
 
 // Exchange keeps routers informed of each other.
 type Exchange struct {
-	Self    string // link address
-	Domain  string // own failure domain
-	Seeds   []string
-	Pool    *link.Pool
-	Config  *routes.ActiveConfig
-	Decode  func([]byte) (*model.RouteConfig, error)
-	Catalog *catalog.Catalog
-	Memory  *chains.UsageTracker
-	Pipes   *chains.Interconnect
+	Self         string // link address
+	Domain       string // own failure domain
+	Seeds        []string
+	Pool         *link.Pool
+	Config       *routes.ActiveConfig
+	Decode       func([]byte) (*model.RouteConfig, error)
+	Catalog      *catalog.Catalog
+	Usage        *chains.UsageTracker
+	Interconnect *chains.Interconnect
 	// Revision is that of the store up to which this router's picture is
 	// complete; PeerAt is told a peer's.
-	Revision func() model.Revision
-	PeerAt   func(revision model.Revision)
-	// Hint is told of engines that a peer suspects.
-	Hint  func(engine model.Incarnation)
-	Clock func() time.Duration
-	Now   func() time.Time
-	// Loans holds this router's part of the budget for repeated sends, and what
+	Revision            func() model.Revision
+	ObservePeerRevision func(revision model.Revision)
+	// HandlePeerSuspicion is told of engines that a peer suspects.
+	HandlePeerSuspicion func(engine model.Incarnation)
+	Clock               func() time.Duration
+	Now                 func() time.Time
+	// RetryBorrower holds this router's part of the budget for repeated sends, and what
 	// it borrows.
-	Loans *limits.RetryBorrower
-	// Refuses is told of engines that refused work of a peer, until when they
+	RetryBorrower *limits.RetryBorrower
+	// HandlePeerRefusal is told of engines that refused work of a peer, until when they
 	// should get none.
-	Refuses func(engine model.Incarnation, until time.Time)
-	// Gone is told of engines whose process a peer saw end.
-	Gone func(engine model.Incarnation)
-	// Traffic tells whether this router saw callers' requests.
-	Traffic func() bool
+	HandlePeerRefusal func(engine model.Incarnation, until time.Time)
+	// HandleEngineExit is told of engines whose process a peer saw end.
+	HandleEngineExit func(engine model.Incarnation)
+	// HasTraffic tells whether this router saw callers' requests.
+	HasTraffic func() bool
 
 	mu       sync.Mutex
 	members  map[string]leader.Member // by the store's key
@@ -103,7 +103,7 @@
 	x.busy = map[string]bool{}
 	x.suspects = map[model.Incarnation]time.Time{}
 	x.refusing = map[model.Incarnation]time.Time{}
-	s.RegisterNotice(wire.MethodRouterHeartbeat, x.heartbeat)
+	s.RegisterNotification(wire.MethodRouterHeartbeat, x.heartbeat)
 	s.Register(wire.MethodRouterConfig, link.Handle(x.config))
 	s.Register(wire.MethodRouterBorrow, link.Handle(x.lend))
 	s.Register(wire.MethodRouterEngineExit, link.Handle(x.gone))
@@ -122,23 +122,23 @@
 	}
 }
 
-// Suspect passes a suspicion on to the peers.
-func (x *Exchange) Suspect(engine model.Incarnation, until time.Time) {
+// AnnounceSuspect passes a suspicion on to the peers.
+func (x *Exchange) AnnounceSuspect(engine model.Incarnation, until time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.suspects[engine] = until
 }
 
-// Refused tells the peers that an engine refuses work.
-func (x *Exchange) Refused(engine model.Incarnation, until time.Time) {
+// AnnounceRefusal tells the peers that an engine refuses work.
+func (x *Exchange) AnnounceRefusal(engine model.Incarnation, until time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.refusing[engine] = until
 }
 
-// TellGone tells the peers at once that an engine's process ended: their streams
+// AnnounceEngineExit tells the peers at once that an engine's process ended: their streams
 // wait for it, and the next exchange would come too late for them.
-func (x *Exchange) TellGone(engine model.Incarnation) {
+func (x *Exchange) AnnounceEngineExit(engine model.Incarnation) {
 	for _, addr := range x.peers() {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
@@ -153,7 +153,7 @@
 // gone takes in a peer's TellGone.
 func (x *Exchange) gone(_ context.Context, from string, g wire.RouterEngineExit) (struct{}, error) {
 	klog.InfoS("engine's process ended", "server", g.Server, "evidence", "a peer saw it", "peer", from)
-	x.Gone(g.Server)
+	x.HandleEngineExit(g.Server)
 	return struct{}{}, nil
 }
 
@@ -166,14 +166,14 @@
 
 // lend answers a peer's Borrow.
 func (x *Exchange) lend(_ context.Context, from string, l wire.RouterBorrowRequest) (wire.RouterBorrowReply, error) {
-	n := x.Loans.Budget.Lend(l.Service, l.Want)
+	n := x.RetryBorrower.Budget.Lend(l.Service, l.Want)
 	klog.InfoS("repeated sends lent", "service", l.Service, "peer", from, "wanted", l.Want, "lent", n)
 	return wire.RouterBorrowReply{Granted: n}, nil
 }
 
-// Routers counts the routers that share budgets, this one included: whoever is
+// RouterCount counts the routers that share budgets, this one included: whoever is
 // registered, was heard lately, or is named as a seed.
-func (x *Exchange) Routers() int {
+func (x *Exchange) RouterCount() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	all := map[string]bool{x.Self: true}
@@ -188,8 +188,8 @@
 	return max(len(all), len(x.Seeds))
 }
 
-// HeardLately lists the routers whose word still counts, by their link addresses.
-func (x *Exchange) HeardLately() map[string]bool {
+// ReachablePeers lists the routers whose word still counts, by their link addresses.
+func (x *Exchange) ReachablePeers() map[string]bool {
 	p := x.pace()
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -202,15 +202,15 @@
 	return heard
 }
 
-// PeerTraffic tells whether a peer saw callers' requests.
-func (x *Exchange) PeerTraffic() bool {
+// PeerHasTraffic tells whether a peer saw callers' requests.
+func (x *Exchange) PeerHasTraffic() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.traffic
 }
 
-// Alive lists the routers by their link addresses, this one included.
-func (x *Exchange) Alive() []string { return append(x.peers(), x.Self) }
+// LiveRouters lists the routers by their link addresses, this one included.
+func (x *Exchange) LiveRouters() []string { return append(x.peers(), x.Self) }
 
 // peers lists the other routers: without the store, the seeds.
 func (x *Exchange) peers() []string {
--- a/internal/transport/peers/peers_test.go
+++ b/internal/transport/peers/peers_test.go
@@ -21,7 +21,7 @@
 func TestExchangeIsBounded(t *testing.T) {
 	for _, tc := range []struct{ domains, each int }{{1, 1}, {1, 4}, {3, 1}, {3, 7}, {5, 20}, {1, 100}, {18, 21}, {2, 190}} {
 		x := &Exchange{Self: "r0.0:1", Domain: "0", Now: time.Now}
-		x.Register(link.NewServer(&link.Stamp{}))
+		x.Register(link.NewServer(&link.Metadata{}))
 		members := map[string]leader.Member{}
 		for d := range tc.domains {
 			for i := range tc.each {
@@ -31,7 +31,7 @@
 		}
 		x.SetMembers(members)
 		routers := tc.domains * tc.each
-		assert.Equal(t, x.Routers(), routers)
+		assert.Equal(t, x.RouterCount(), routers)
 		p := x.pace()
 		near, far := float64(tc.each-1), float64(routers-tc.each)
 		perSecond := near/p.near.Seconds() + far/p.far().Seconds()
@@ -71,7 +71,7 @@
 // else read each twice, and fall behind with its callers' streams.
 func TestStoreGoesBeforePeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		x := &Exchange{Config: &routes.ActiveConfig{}, Traffic: func() bool { return true }} // without a pool: a fetch would panic
+		x := &Exchange{Config: &routes.ActiveConfig{}, HasTraffic: func() bool { return true }} // without a pool: a fetch would panic
 		x.Config.Apply(&model.RouteConfig{Version: 2}, nil)
 		time.AfterFunc(300*time.Millisecond, func() { x.Config.Apply(&model.RouteConfig{Version: 4}, nil) })
 		assert.NilError(t, x.fetchIfBehind("peer", wire.RouterHeartbeat{Config: 4}))
--- a/internal/transport/peers/quarantine.go
+++ b/internal/transport/peers/quarantine.go
@@ -98,9 +98,9 @@
 	return g, nil
 }
 
-// Ask asks for a run of a suspect at servers, of the router that keeps trials. Where none
+// RequestTrial asks for a run of a suspect at servers, of the router that keeps trials. Where none
 // answers there is no trial.
-func (q *Quarantine) Ask(ctx context.Context, work model.Fingerprint, servers []model.Incarnation) quarantine.Grant {
+func (q *Quarantine) RequestTrial(ctx context.Context, work model.Fingerprint, servers []model.Incarnation) quarantine.Grant {
 	for _, addr := range q.keepers() {
 		if addr == q.Exchange.Self {
 			return q.Trials.Request(work, servers)
@@ -120,7 +120,7 @@
 // keepers lists the routers to ask, the first of all that are alive by rendezvous hashing.
 func (q *Quarantine) keepers() []string {
 	alive := []string{q.Exchange.Self}
-	for addr := range q.Exchange.HeardLately() {
+	for addr := range q.Exchange.ReachablePeers() {
 		alive = append(alive, addr)
 	}
 	const what = "trials"
@@ -128,11 +128,11 @@
 	return alive[:min(len(alive), trialKeepers)]
 }
 
-// Rank is this router's place in the order of those who store verdicts.
-func (q *Quarantine) Rank() int {
+// PersisterRank is this router's place in the order of those who store verdicts.
+func (q *Quarantine) PersisterRank() int {
 	const what = "verdicts"
 	rank := 0
-	for addr := range q.Exchange.HeardLately() {
+	for addr := range q.Exchange.ReachablePeers() {
 		if spread.Hash(what, addr) < spread.Hash(what, q.Exchange.Self) {
 			rank++
 		}
