--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -18,9 +18,9 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// half is a stream at a router that knows only engines of the first six layers
-// of twelve; holder is the engine of the others.
-func half() (s *stream, holder model.BackendServer) {
+// newIncompleteStream returns a stream at a router that knows only engines of the first
+// half of the layers, and an engine that holds the others.
+func newIncompleteStream() (s *stream, holder model.BackendServer) {
 	c := catalog.New(time.Now)
 	engine := func(id string, held model.LayerRange) model.BackendServer {
 		return model.BackendServer{ID: id, Service: "s", Address: id + ":1", FailureDomain: "a", Card: "fast", Holds: held, Slots: 9}
@@ -35,81 +35,77 @@
 	prober.Catalog = c
 	r := &Relay{Detector: detector.New(time.Now), Catalog: c, Health: health, Chooser: chooser, Memory: memory, WaitQueue: admission.NewWaitQueue(), Suspects: prober, FailureDomain: "a", Now: time.Now,
 		Quarantine: quarantine.New(func() time.Duration { return 0 })}
-	q := &request{Relay: r, call: &model.Call{Attempt: "1"}, since: time.Now(), avoid: map[model.Incarnation]bool{}}
-	q.ticket = routes.Admission{
+	q := &request{Relay: r, call: &model.Call{Attempt: "1"}, startTime: time.Now(), avoid: map[model.Incarnation]bool{}}
+	q.admitted = routes.Admission{
 		Route: &model.Route{TargetLatency: 500 * time.Millisecond, MaxAttempts: 2},
 		Service: &model.Service{Name: "s", Engine: &model.EngineSpec{
 			Layers: 12, LayerMB: 1000, KVTokenBytes: 1e6, StepTime: time.Millisecond, ReadRate: 1e5,
 			Cards: []model.Card{{Name: "fast", MB: 8000, Pace: 2, ReadFactor: 2}},
 		}},
 	}
-	return &stream{request: q, tokens: 100, ranOn: map[model.Incarnation]bool{}}, engine("second", model.LayerRange{From: 6, To: 12})
+	return &stream{request: q, tokens: 100, firstEngines: map[model.Incarnation]bool{}}, engine("second", model.LayerRange{From: 6, To: 12})
 }
 
-// Engines are replaced one after the other, and for a moment nobody holds some
-// layers. A stream that had its last event 0.3 s ago is not broken off: the
-// replacement is loaded in 0.9 s, and its caller waits two seconds for an event.
-func TestInterruptedStreamWaitsForLayers(t *testing.T) {
+// Guards against interrupting a stream because its layers are missing while an engine is
+// replaced, although its caller still waits.
+func TestInterruptedStreamWaitsForMissingLayers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, holder := half()
+		s, holder := newIncompleteStream()
 		s.events = 5
-		s.lastEvent = time.Now().Add(-300 * time.Millisecond)
+		s.lastEventTime = time.Now().Add(-300 * time.Millisecond)
 		began := time.Now()
 		time.AfterFunc(900*time.Millisecond, func() { s.Catalog.Put(holder) })
-		parts, hold, f := s.acquire(t.Context())
+		stages, reservation, f := s.reserveChain(t.Context())
 		assert.Assert(t, f == nil, "%v", f)
-		hold.Release()
-		assert.Equal(t, len(parts), 2)
-		assert.Assert(t, time.Since(began) <= 900*time.Millisecond+chainPoll)
+		reservation.Release()
+		assert.Equal(t, len(stages), 2)
+		assert.Assert(t, time.Since(began) <= 900*time.Millisecond+chainPollInterval)
 	})
 }
 
-// Nobody comes. The stream is given up when its caller has left, not later; a
-// request that has not begun is refused at once.
-func TestMissingLayersEndTheWait(t *testing.T) {
+// Guards against waiting for missing layers longer than the caller does, and against
+// waiting at all for a stream that has not begun.
+func TestWaitForMissingLayersIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := half()
+		s, _ := newIncompleteStream()
 		began := time.Now()
-		_, _, f := s.acquire(t.Context())
+		_, _, f := s.reserveChain(t.Context())
 		assert.Equal(t, f.Kind, fault.NoCapacity)
 		assert.Equal(t, time.Since(began), time.Duration(0))
 		s.events = 5
-		s.lastEvent = time.Now()
-		_, _, f = s.acquire(t.Context())
+		s.lastEventTime = time.Now()
+		_, _, f = s.reserveChain(t.Context())
 		assert.Equal(t, f.Kind, fault.NoCapacity)
-		assert.Assert(t, time.Since(began) >= 2*time.Second && time.Since(began) <= callersPatience+chainPoll)
+		assert.Assert(t, time.Since(began) >= 2*time.Second && time.Since(began) <= callerGapTimeout+chainPollInterval)
 	})
 }
 
-// A stream ran at two engines, as often as its route allows; a later part of its chain
-// was lost each time. Then the first of them leaves: its entry is removed, and it
-// serves on. A third engine would be one too many, so the stream goes on only where
-// it ran before; once the process has ended, another may take its place.
-func TestLeavingEngineIsStillAnAttempt(t *testing.T) {
-	s, _ := half()
+// Guards against running a request on more first engines than the route allows, because an
+// engine whose entry was removed still serves while it drains.
+func TestDrainingEngineStillCountsAsAttempt(t *testing.T) {
+	s, _ := newIncompleteStream()
 	one, two := model.Incarnation{ID: "one"}, model.Incarnation{ID: "two"}
-	s.ranOn[one] = true
-	assert.Assert(t, s.firstAmong() == nil, "one attempt is left")
-	s.ranOn[two] = true
+	s.firstEngines[one] = true
+	assert.Assert(t, s.allowedFirstEngines() == nil, "one attempt remains")
+	s.firstEngines[two] = true
 	s.Catalog.Remove("one", 1, 0)
-	assert.DeepEqual(t, s.firstAmong(), map[model.Incarnation]bool{one: true, two: true})
+	assert.DeepEqual(t, s.allowedFirstEngines(), map[model.Incarnation]bool{one: true, two: true})
 	s.Suspects.Exited(one)
-	assert.Assert(t, s.firstAmong() == nil)
+	assert.Assert(t, s.allowedFirstEngines() == nil)
 }
 
-// The caller has left when its stream's turn comes. No chain is chosen for it and no
-// memory is reserved: others would wait for room that nobody uses.
-func TestNoChainForWhoLeft(t *testing.T) {
+// Guards against reserving memory for a stream whose caller has disconnected.
+func TestNoChainIsReservedAfterCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, holder := half()
+		s, holder := newIncompleteStream()
 		s.Catalog.Put(holder)
-		ctx, leave := context.WithCancel(t.Context())
-		leave()
+		ctx, disconnect := context.WithCancel(t.Context())
+		disconnect()
 		for _, events := range []int{0, 5} {
 			s.events = events
-			s.lastEvent = time.Now()
-			_, hold, f := s.acquire(ctx)
-			assert.Assert(t, hold == nil)
+			s.lastEventTime = time.Now()
+			_, reservation, f := s.reserveChain(ctx)
+			assert.Assert(t, reservation == nil)
 			assert.Assert(t, f != nil)
 			assert.Equal(t, s.Memory.Used(holder.Incarnation()).Streams, 0.0)
 			assert.Equal(t, s.Memory.Recent(holder.Incarnation()).Streams, 0.0)
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -17,82 +17,84 @@
 )
 
 const (
-	// bufferedAnswer is the largest answer that is read whole before it is
-	// passed on, so that a truncated one is never begun.
-	bufferedAnswer = 1 << 20
-	// patience is how many times the usual latency an idempotent request waits
-	// at one server before another is tried; at least the route's target.
-	patience = 5
-	// leastTry is the shortest time that a try at one server gets.
-	leastTry = 150 * time.Millisecond
+	// maxBufferedResponse is the size in bytes up to which a response is buffered
+	// completely before it is forwarded, so that a truncated one is not forwarded.
+	maxBufferedResponse = 1 << 20
+	// slowAttemptFactor times the usual latency of a server is how long an idempotent
+	// request waits there before another server is tried, but at least the route's
+	// target latency.
+	slowAttemptFactor = 5
+	// minAttemptTimeout is the shortest time allowed for an attempt at one server.
+	minAttemptTimeout = 150 * time.Millisecond
 )
 
-// whole is an answer with all of its body.
-type whole struct {
+// bufferedResponse is a response with its complete body.
+type bufferedResponse struct {
 	status  int
 	header  http.Header
 	verdict platform.Verdict
 	body    []byte
 }
 
-// dispatch sends a call to one backend server of a plain service, and to others
-// while that is allowed and helps.
-func (q *request) dispatch(ctx context.Context) bool {
-	var last *whole
+// servePlain sends the request to a backend server of a plain service and retries at
+// others as far as the route and the retry budget allow.
+func (q *request) servePlain(ctx context.Context) bool {
+	var lastFailure *bufferedResponse
 	for ctx.Err() == nil {
-		server, f := q.pickAlone(ctx)
-		if f != nil && last == nil {
-			return q.refuse(f)
+		server, f := q.pickServer(ctx)
+		if f != nil && lastFailure == nil {
+			return q.respondError(f)
 		}
 		if server == nil {
 			break
 		}
-		ans, err := q.try(ctx, server)
+		resp, err := q.attempt(ctx, server)
 		switch {
-		case err == nil && !ans.verdict.NotRun && (ans.status < 500 || !q.ticket.Idempotent()):
-			return q.deliver(ans)
+		case err == nil && !resp.verdict.NotRun && (resp.status < 500 || !q.admitted.Idempotent()):
+			return q.forward(resp)
 		case err == nil:
-			last = ans
+			lastFailure = resp
 		}
 		reason := "failed"
 		if err != nil {
 			reason = "lost"
 		}
-		if !q.mayRepeat(ctx, reason) {
+		if !q.allowRetry(ctx, reason) {
 			break
 		}
-		klog.InfoS("sent again", "request", q.call.Attempt, "reason", reason, "server", server.Incarnation(), "err", err, "sends", q.sends)
+		klog.InfoS("request retried", "request", q.call.Attempt, "reason", reason, "server", server.Incarnation(), "err", err, "sends", q.sends)
 	}
-	return q.giveUp(ctx, last)
+	return q.respondFailure(ctx, lastFailure)
 }
 
-// giveUp answers with the last failure of a backend server where one came, also when
-// the time is over by now: it is ready. A refusal of a backend server becomes the
-// system's own.
-func (q *request) giveUp(ctx context.Context, last *whole) bool {
+// respondFailure ends a request that is not retried. A failure response of a backend
+// server is forwarded even after the deadline, as it is available. A refusal by a
+// backend server is replaced by the router's own error.
+func (q *request) respondFailure(ctx context.Context, lastFailure *bufferedResponse) bool {
 	switch {
-	case last != nil && !last.verdict.NotRun:
-		return q.deliver(last)
+	case lastFailure != nil && !lastFailure.verdict.NotRun:
+		return q.forward(lastFailure)
 	case ctx.Err() != nil:
-		return q.refuse(q.ended(ctx))
+		return q.respondError(q.contextError(ctx))
 	case q.runs > 0:
-		return q.refuse(fault.New(fault.BackendLost, "the backend server's answer was lost"))
-	case last != nil:
-		return q.refuse(fault.New(fault.Overloaded, "every backend server asked was full"))
+		return q.respondError(fault.New(fault.BackendLost, "no complete response was received from the backend server"))
+	case lastFailure != nil:
+		return q.respondError(fault.New(fault.Overloaded, "every backend server tried refused the request"))
 	}
-	return q.refuse(fault.New(fault.NoCapacity, "no backend server of %s takes work", q.ticket.Service.Name))
+	return q.respondError(fault.New(fault.NoCapacity, "no backend server of %s accepts requests", q.admitted.Service.Name))
 }
 
-// pickPlain chooses the backend server with the least expected wait: load seen
-// from here, latency, failures, and a little for another failure domain. Where
-// all are suspected the suspicion is likelier wrong than all of them down.
-func (q *request) pickPlain() *model.BackendServer {
+// leastCostServer returns the backend server with the lowest expected wait, or nil.
+// The cost combines this router's load there, latency, failure rate and a small charge
+// for another failure domain. Suspected servers are considered only if all others are
+// excluded, as a suspicion of every server is probably wrong.
+func (q *request) leastCostServer() *model.BackendServer {
 	var best *model.BackendServer
 	var lowest float64
 	for _, allowSuspects := range []bool{false, true} {
-		for _, b := range q.Catalog.Load().Service(q.ticket.Service.Name) {
+		for _, b := range q.Catalog.Load().Service(q.admitted.Service.Name) {
 			view := q.Health.View(b.Incarnation())
-			if q.avoid[b.Incarnation()] || q.barred.bars(b) || view.Suspected && !allowSuspects {
+			if q.avoid[b.Incarnation()] || q.excluded.excludes(b) || view.Suspected && !allowSuspects {
 				continue
 			}
 			cost := (1 + float64(view.Active)) * (0.01 + view.Latency.Seconds()) * (1 + 8*view.FailureRate)
@@ -111,69 +113,69 @@
 	return nil
 }
 
-// try sends the call to one server and reads its whole answer.
-func (q *request) try(ctx context.Context, b *model.BackendServer) (*whole, error) {
-	run, cancel, stop := q.ActiveRuns.track(ctx, b.Incarnation(), !q.ticket.Idempotent())
+// attempt sends the request to one server and reads the complete response.
+func (q *request) attempt(ctx context.Context, b *model.BackendServer) (*bufferedResponse, error) {
+	run, cancel, stop := q.ActiveRuns.track(ctx, b.Incarnation(), !q.admitted.Idempotent())
 	defer stop()
 	q.avoid[b.Incarnation()] = true
 	q.chain = b.ID
 	q.sends++
-	if q.ticket.Idempotent() && q.runs+1 < q.ticket.Route.MaxAttempts && q.sends < maxSends {
-		defer q.giveUpIfSlow(run, cancel, b)()
+	if q.admitted.Idempotent() && q.runs+1 < q.admitted.Route.MaxAttempts && q.sends < maxSends {
+		defer q.cancelIfSlow(run, cancel, b)()
 	}
-	record := q.Quarantine.Begin(q.work, q.barred.suspect, quarantine.Location{Server: b.Incarnation(), Domain: b.FailureDomain})
+	record := q.Quarantine.Begin(q.fingerprint, q.excluded.suspect, quarantine.Location{Server: b.Incarnation(), Domain: b.FailureDomain})
 	result := quarantine.Inconclusive
-	defer func() { q.confirm(record.End(result)) }()
+	defer func() { q.confirmExits(record.End(result)) }()
 	began := q.Now()
-	ans, err := q.exchange(run, b)
+	resp, err := q.roundTrip(run, b)
 	if err != nil {
-		result = resultOf(endingOf(run, err), err)
-		q.missed(b, endingOf(run, err), err, q.Now().Sub(began))
+		result = runResult(endReasonOf(run, err), err)
+		q.recordFailure(b, endReasonOf(run, err), err, q.Now().Sub(began))
 		return nil, err
 	}
-	if !ans.verdict.NotRun {
+	if !resp.verdict.NotRun {
 		result = quarantine.Completed
 	}
-	q.judge(b, ans, q.Now().Sub(began))
-	return ans, nil
+	q.recordResponse(b, resp, q.Now().Sub(began))
+	return resp, nil
 }
 
-// exchange sends the call and reads its whole answer. The server's load counts it from
-// here on; whoever takes in how it ended takes it off again, and a panic does so here.
-func (q *request) exchange(run context.Context, b *model.BackendServer) (read *whole, err error) {
+// roundTrip sends the request and reads the complete response. It counts the request
+// as active at the server; the caller ends that count when it records the outcome. On a
+// panic roundTrip ends it itself.
+func (q *request) roundTrip(run context.Context, b *model.BackendServer) (read *bufferedResponse, err error) {
 	q.Health.Begin(b.Incarnation())
-	returns := false
+	returned := false
 	defer func() {
-		if !returns {
+		if !returned {
 			q.Health.Cancel(b.Incarnation())
 		}
 	}()
-	ans, err := q.BackendClient.Do(run, b.Address, q.outbound(platform.Send{Instance: b.ID}))
+	resp, err := q.BackendClient.Do(run, b.Address, q.newRequest(platform.Send{Instance: b.ID}))
 	if err == nil {
-		read, err = q.readWhole(ans)
+		read, err = q.readResponse(resp)
 	}
-	returns = true
+	returned = true
 	return read, err
 }
 
-// giveUpIfSlow ends a try that takes much longer than usual, once another server is
-// there and a repeated send is granted. Ended before, a request that may go nowhere
-// else would be lost though its server is still at work on it; asked about only once, it
-// would stay with a server that is silent though another one may answer by then. stop
-// waits for a decision under way.
-func (q *request) giveUpIfSlow(run context.Context, cancel context.CancelCauseFunc, b *model.BackendServer) (stop func()) {
-	usual := q.Health.View(b.Incarnation()).Latency
-	most := max(patience*usual, q.ticket.Route.TargetLatency, leastTry)
+// cancelIfSlow cancels an attempt that takes much longer than usual, once another
+// server is available and a retry token is granted. Until then the attempt goes on and
+// the conditions are checked repeatedly. The returned stop function waits for a decision
+// in progress.
+func (q *request) cancelIfSlow(run context.Context, cancel context.CancelCauseFunc, b *model.BackendServer) (stop func()) {
+	usualLatency := q.Health.View(b.Incarnation()).Latency
+	timeout := max(slowAttemptFactor*usualLatency, q.admitted.Route.TargetLatency, minAttemptTimeout)
 	run, quit := context.WithCancel(run)
 	decided := make(chan struct{})
-	timer := time.AfterFunc(most, func() {
+	timer := time.AfterFunc(timeout, func() {
 		defer close(decided)
-		defer q.containSlow()
-		for kept := false; !q.mayLeave(run); kept = true {
-			if !kept {
-				klog.InfoS("slow try is kept while it may go nowhere else", "request", q.call.Attempt, "server", b.Incarnation(), "ms", most.Milliseconds())
+		defer q.recoverTimerPanic()
+		for captureLog := false; !q.mayRetryElsewhere(run); captureLog = true {
+			if !captureLog {
+				klog.InfoS("slow attempt continues: no other server or no retry token available", "request", q.call.Attempt, "server", b.Incarnation(), "ms", timeout.Milliseconds())
 			}
-			if !wait.For(run, most) {
+			if !wait.For(run, timeout) {
 				return
 			}
 		}
@@ -187,85 +189,86 @@
 	}
 }
 
-// mayLeave tells whether a slow try may be given up: another server is there, and a
-// repeated send is granted.
-func (q *request) mayLeave(run context.Context) bool {
-	if q.pickPlain() == nil || !q.takeRepeat(run) {
+// mayRetryElsewhere returns whether another server is available and a retry token was
+// granted, which it then keeps for the next send.
+func (q *request) mayRetryElsewhere(run context.Context) bool {
+	if q.leastCostServer() == nil || !q.takeRetryToken(run) {
 		return false
 	}
-	q.granted = true
+	q.retryGranted = true
 	return true
 }
 
-// missed takes in that a try gave no answer, and why.
-func (q *request) missed(b *model.BackendServer, why ending, err error, took time.Duration) {
+// recordFailure records that an attempt ended without a response.
+func (q *request) recordFailure(b *model.BackendServer, reason endReason, err error, elapsed time.Duration) {
 	sent := !errors.Is(err, ErrNotSent)
 	if sent {
 		q.runs++
 	} else {
 		q.sends--
-		q.unsent++
+		q.unsentAttempts++
 	}
-	klog.InfoS("answer lost", "request", q.call.Attempt, "work", q.work(), "why", why, "sent", sent, "server", b.Incarnation(), "err", err, "ms", took.Milliseconds())
-	if !why.blames(took) {
+	klog.InfoS("attempt failed", "request", q.call.Attempt, "work", q.fingerprint(), "why", reason, "sent", sent, "server", b.Incarnation(), "err", err, "ms", elapsed.Milliseconds())
+	if !reason.countsAsFailure(elapsed) {
 		q.Health.Cancel(b.Incarnation())
 		return
 	}
 	q.Health.End(b.Incarnation(), false, 0)
 	if !sent {
 		until, _ := q.Health.Suspect(b.Incarnation())
-		klog.InfoS("backend server suspected: no connection", "request", q.call.Attempt, "server", b.Incarnation(), "until", until)
+		klog.InfoS("backend server suspected: connection failed", "request", q.call.Attempt, "server", b.Incarnation(), "until", until)
 	}
 }
 
-// judge takes in what an answer says of its server.
-func (q *request) judge(b *model.BackendServer, ans *whole, took time.Duration) {
+// recordResponse updates the server's health from its response.
+func (q *request) recordResponse(b *model.BackendServer, resp *bufferedResponse, elapsed time.Duration) {
 	switch {
-	case ans.verdict.Misdirected:
+	case resp.verdict.Misdirected:
 		q.Health.End(b.Incarnation(), false, 0)
 		until, _ := q.Health.Suspect(b.Incarnation())
-		klog.InfoS("backend server suspected: another one has its address", "request", q.call.Attempt, "server", b.Incarnation(), "until", until)
-	case ans.verdict.NotRun:
+		klog.InfoS("backend server suspected: another server responded at its address", "request", q.call.Attempt, "server", b.Incarnation(), "until", until)
+	case resp.verdict.NotRun:
 		q.Health.End(b.Incarnation(), false, 0)
 	default:
 		q.runs++
-		q.Health.End(b.Incarnation(), ans.status < 500, took)
+		q.Health.End(b.Incarnation(), resp.status < 500, elapsed)
 	}
 }
 
-// readWhole reads an answer to its end. An answer that is cut short, or that
-// belongs to another request, is an error.
-func (q *request) readWhole(ans *Response) (*whole, error) {
-	defer ans.Body.Close()
-	v := platform.DecodeVerdict(ans.Status, ans.Header)
+// readResponse reads a response completely. It returns an error if the response is
+// truncated, too large, unsigned or belongs to another request.
+func (q *request) readResponse(resp *Response) (*bufferedResponse, error) {
+	defer resp.Body.Close()
+	v := platform.DecodeVerdict(resp.Status, resp.Header)
 	if v.Attempt != "" && v.Attempt != q.call.Attempt {
-		ans.Body.Discard()
-		return nil, errors.Errorf("answer to another request, %s", v.Attempt)
+		resp.Body.Discard()
+		return nil, errors.Errorf("response belongs to another request %s", v.Attempt)
 	}
-	body, err := io.ReadAll(io.LimitReader(ans.Body, bufferedAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedResponse+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "answer cut short")
+		return nil, errors.Wrap(err, "response truncated")
 	}
-	if len(body) > bufferedAnswer {
-		ans.Body.Discard()
-		return nil, errors.Errorf("answer longer than %d bytes", bufferedAnswer)
+	if len(body) > maxBufferedResponse {
+		resp.Body.Discard()
+		return nil, errors.Errorf("response exceeds %d bytes", maxBufferedResponse)
 	}
 	if !v.NotRun && v.Signature == "" {
-		return nil, errors.Errorf("answer with status %d has no signature", ans.Status)
+		return nil, errors.Errorf("response with status %d has no signature", resp.Status)
 	}
-	return &whole{status: ans.Status, header: ans.Header, verdict: v, body: body}, nil
+	return &bufferedResponse{status: resp.Status, header: resp.Header, verdict: v, body: body}, nil
 }
 
-// deliver passes a backend server's answer on unchanged.
-func (q *request) deliver(ans *whole) bool {
+// forward writes a backend server's response to the caller. It returns false if the
+// response could not be written.
+func (q *request) forward(resp *bufferedResponse) bool {
 	h := http.Header{}
-	platform.AnswerHeaders(h, ans.header)
-	q.out.Begin(ans.status, h, int64(len(ans.body)))
-	err := q.out.Write(ans.body)
+	platform.AnswerHeaders(h, resp.header)
+	q.out.WriteHeader(resp.status, h, int64(len(resp.body)))
+	err := q.out.Write(resp.body)
 	outcome := "ran"
 	if err != nil {
 		outcome = "not_delivered"
 	}
-	q.finish(outcome, nil, ans.status)
+	q.finish(outcome, nil, resp.status)
 	return err == nil
 }
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -19,329 +19,327 @@
 	"github.com/skylarkwood/skylarkwood/platform"
 )
 
-// regroupWait is how long an interrupted stream waits before another chain is chosen.
-// Engines that fail together are told of one after the other; chosen at once, the chain
-// would run through the next of them.
-const regroupWait = 10 * time.Millisecond
+// reselectDelay is the delay before another chain is chosen for an interrupted stream.
+// When engines fail together, their failures are reported one after the other.
+const reselectDelay = 10 * time.Millisecond
 
-// errOutOfOrder says that an engine left an event out.
-var errOutOfOrder = errors.New("event out of order")
+// errOutOfOrder reports that an engine skipped an event.
+var errOutOfOrder = errors.New("event id out of sequence")
 
-// stream is a request that generates, through one chain after another.
+// stream is a request to a service of engines. It runs on one chain after another.
 type stream struct {
 	*request
-	tokens  int
-	lastID  int64 // last event that the caller has
-	hasLast bool
-	events  int
-	// ranEvents are those of the present run, repeated ones included.
-	ranEvents int
-	// ranOn are the first engines that ran it.
-	ranOn     map[model.Incarnation]bool
-	lastEvent time.Time // when the caller got the last event
-	delivered error     // why the caller could not be written to
-	ready     *whole    // the last engine's own failure
+	tokens         int
+	lastEventID    int64 // last event that the caller received
+	hasLastEventID bool
+	events         int
+	// runEvents counts the events of the current run, including repeated ones.
+	runEvents int
+	// firstEngines are the engines that ran the first stage so far.
+	firstEngines    map[model.Incarnation]bool
+	lastEventTime   time.Time         // when the last event was written to the caller
+	writeErr        error             // error of writing to the caller
+	failureResponse *bufferedResponse // the last engine's own failure response
 }
 
-// generate runs a request through chains of engines.
-func (q *request) generate(ctx context.Context) bool {
-	s := &stream{request: q, tokens: q.size(), ranOn: map[model.Incarnation]bool{}}
+// serveStream runs a request on chains of engines until one completes it.
+func (q *request) serveStream(ctx context.Context) bool {
+	s := &stream{request: q, tokens: q.expectedTokens(), firstEngines: map[model.Incarnation]bool{}}
 	if id, err := strconv.ParseInt(q.call.ResumeAfter, 10, 64); err == nil {
-		s.lastID = id
-		s.hasLast = true
+		s.lastEventID = id
+		s.hasLastEventID = true
 	}
-	var last *fault.Error
+	var lastErr *fault.Error
 	for {
-		parts, hold, f := s.place(ctx)
+		stages, reservation, f := s.reservePermitted(ctx)
 		if f != nil {
-			return s.giveUp(ctx, keepFirst(last, f))
+			return s.respondFailure(ctx, preferFirst(lastErr, f))
 		}
-		done, whole, err := s.runHolding(ctx, parts, hold)
+		done, complete, err := s.runReserved(ctx, stages, reservation)
 		if done {
-			return whole
+			return complete
 		}
-		if s.delivered != nil {
-			return q.refuse(fault.New(fault.CancelledSent, "the caller takes no more: %v", s.delivered))
+		if s.writeErr != nil {
+			return q.respondError(fault.New(fault.CancelledSent, "writing to the caller failed: %v", s.writeErr))
 		}
-		last = fault.From(err)
-		if ctx.Err() != nil || !s.resumable() || !q.mayResume(ctx, err) {
-			return s.giveUp(ctx, last)
+		lastErr = fault.From(err)
+		if ctx.Err() != nil || !s.resumable() || !q.allowResume(ctx, err) {
+			return s.respondFailure(ctx, lastErr)
 		}
-		klog.InfoS("stream resumed at another chain", "request", q.call.Attempt, "after", s.lastID, "events", s.events,
-			"err", err, "sends", q.sends, "ms", q.Now().Sub(q.since).Milliseconds())
+		klog.InfoS("resuming stream on another chain", "request", q.call.Attempt, "after", s.lastEventID, "events", s.events,
+			"err", err, "sends", q.sends, "ms", q.Now().Sub(q.startTime).Milliseconds())
 		if q.runs > 0 {
-			wait.For(ctx, regroupWait)
+			wait.For(ctx, reselectDelay)
 		}
 	}
 }
 
-// giveUp gives the final answer of a stream that goes on nowhere: an engine's own
-// failure where one came whole and nothing was begun, also when the time is over by
-// now, as it is ready; else the system's.
-func (s *stream) giveUp(ctx context.Context, f *fault.Error) bool {
+// respondFailure ends a stream that is not resumed. An engine's own failure response is
+// forwarded even after the deadline, if no response has begun.
+func (s *stream) respondFailure(ctx context.Context, f *fault.Error) bool {
 	switch {
-	case s.ready != nil && !s.out.head:
-		return s.deliver(s.ready)
+	case s.failureResponse != nil && !s.out.headerWritten:
+		return s.forward(s.failureResponse)
 	case ctx.Err() != nil:
-		f = s.ended(ctx)
+		f = s.contextError(ctx)
 	}
-	return s.refuse(f)
+	return s.respondError(f)
 }
 
-// runHolding runs the request through one chain and gives its memory back, also where
-// the run panics: the HTTP server recovers, and the memory would stay reserved.
-func (s *stream) runHolding(ctx context.Context, parts []chains.Stage, hold *chains.Reservation) (done, whole bool, err error) {
+// runReserved runs the request on one chain and releases its token memory, also if the
+// run panics.
+func (s *stream) runReserved(ctx context.Context, stages []chains.Stage, reservation *chains.Reservation) (done, complete bool, err error) {
 	defer s.WaitQueue.Notify()
-	defer hold.Release()
-	return s.run(ctx, parts, hold)
+	defer reservation.Release()
+	return s.run(ctx, stages, reservation)
 }
 
-// resumable tells whether another engine can go on where the caller is: events
-// without numbers do not tell where that is, and would come twice.
-func (s *stream) resumable() bool { return s.events == 0 || s.hasLast }
+// resumable returns whether another chain can continue the stream. Without event IDs the
+// position of the caller is unknown, and events would be repeated.
+func (s *stream) resumable() bool { return s.events == 0 || s.hasLastEventID }
 
-// keepFirst prefers the failure of an engine to the later lack of a chain.
-func keepFirst(first, then *fault.Error) *fault.Error {
-	if first != nil && then.Kind == fault.NoCapacity && first.Kind != fault.Internal {
+// preferFirst returns an engine's earlier failure rather than a later lack of chains.
+func preferFirst(first, later *fault.Error) *fault.Error {
+	if first != nil && later.Kind == fault.NoCapacity && first.Kind != fault.Internal {
 		return first
 	}
-	return then
+	return later
 }
 
-// run sends the request through one chain and passes its events on. done says
-// that the caller has a final answer; whole that it is complete.
-func (s *stream) run(ctx context.Context, parts []chains.Stage, hold *chains.Reservation) (done, whole bool, err error) {
+// run sends the request to one chain and forwards its events. done is set if the caller
+// has its final response, complete if that response is complete.
+func (s *stream) run(ctx context.Context, stages []chains.Stage, reservation *chains.Reservation) (done, complete bool, err error) {
 	q := s.request
-	first := parts[0].Server
-	path := hops(parts)
-	q.chain = describe(parts)
+	first := stages[0].Server
+	path := hops(stages)
+	q.chain = chainString(stages)
 	send := platform.Send{Instance: first.ID, Path: path}
-	if s.hasLast {
-		send.ResumeAfter = strconv.FormatInt(s.lastID, 10)
+	if s.hasLastEventID {
+		send.ResumeAfter = strconv.FormatInt(s.lastEventID, 10)
 	}
 	run, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	record := q.Quarantine.Begin(q.work, q.barred.suspect, places(parts)...)
+	record := q.Quarantine.Begin(q.fingerprint, q.excluded.suspect, locations(stages)...)
 	result := quarantine.Inconclusive
-	defer func() { q.confirm(record.End(result)) }()
-	w := q.watch(run, cancel, parts, hold, record)
-	defer func() { q.granted = w.stop() || q.granted }()
+	defer func() { q.confirmExits(record.End(result)) }()
+	w := q.watch(run, cancel, stages, reservation, record)
+	defer func() { q.retryGranted = w.stop() || q.retryGranted }()
 	q.sends++
-	ans, err := q.BackendClient.Do(run, first.Address, q.outbound(send))
+	resp, err := q.BackendClient.Do(run, first.Address, q.newRequest(send))
 	if err != nil {
-		result = resultOf(endingOf(run, err), err)
-		return false, false, s.missed(run, w, first, err)
+		result = runResult(endReasonOf(run, err), err)
+		return false, false, s.handleSendError(run, w, first, err)
 	}
-	defer ans.Body.Close()
-	v := platform.DecodeVerdict(ans.Status, ans.Header)
+	defer resp.Body.Close()
+	v := platform.DecodeVerdict(resp.Status, resp.Header)
 	if v.Attempt != "" && v.Attempt != q.call.Attempt {
-		ans.Body.Discard()
+		resp.Body.Discard()
 		q.runs++
-		return false, false, fault.New(fault.BackendFailed, "an engine answered another request")
+		return false, false, fault.New(fault.BackendFailed, "an engine's response belongs to another request")
 	}
 	if v.NotRun {
-		s.refused(parts, v, ans.Status)
-		return false, false, fault.New(fault.Overloaded, "an engine refused with status %d", ans.Status)
+		s.handleRefusal(stages, v, resp.Status)
+		return false, false, fault.New(fault.Overloaded, "an engine refused the request with status %d", resp.Status)
 	}
 	q.runs++
-	s.ranOn[first.Incarnation()] = true
-	if ans.Status != http.StatusOK || v.Signature == "" {
+	s.firstEngines[first.Incarnation()] = true
+	if resp.Status != http.StatusOK || v.Signature == "" {
 		s.Health.RecordOutcome(first.Incarnation(), false)
-		read, err := s.readWhole(ans)
-		result = survivedIf(run, err)
-		return s.failed(ans, read, err)
+		read, err := s.readResponse(resp)
+		result = bufferedResult(run, err)
+		return s.handleFailureResponse(resp, read, err)
 	}
-	if q.ticket.Route.Kind != model.RouteStreaming {
-		read, err := s.readWhole(ans)
-		result = survivedIf(run, err)
-		return s.single(read, err)
+	if q.admitted.Route.Kind != model.RouteStreaming {
+		read, err := s.readResponse(resp)
+		result = bufferedResult(run, err)
+		return s.forwardSingle(read, err)
 	}
-	s.ranEvents = 0
-	end := s.pass(ans, w)
+	s.runEvents = 0
+	end := s.forwardEvents(resp, w)
 	if end == io.EOF {
 		result = quarantine.Completed
-		if !q.out.head {
-			s.begin(ans)
+		if !q.out.headerWritten {
+			s.writeHeader(resp)
 		}
 		q.finish("ran", nil, http.StatusOK)
 		return true, true, nil
 	}
-	if s.delivered == nil {
-		result = resultOf(endingOf(run, end), end)
-		s.lost(w, endingOf(run, end), end)
+	if s.writeErr == nil {
+		result = runResult(endReasonOf(run, end), end)
+		s.recordChainLoss(w, endReasonOf(run, end), end)
 	}
-	return false, false, fault.New(fault.BackendLost, "a chain broke off after %d events", s.events)
+	return false, false, fault.New(fault.BackendLost, "a chain failed after %d events", s.events)
 }
 
-// single passes on an answer that is not a stream of events.
-func (s *stream) single(read *whole, err error) (done, complete bool, _ error) {
+// forwardSingle forwards a response that is not an event stream.
+func (s *stream) forwardSingle(read *bufferedResponse, err error) (done, complete bool, _ error) {
 	if err != nil {
 		return false, false, fault.New(fault.BackendLost, "%v", err)
 	}
-	return true, s.deliver(read), nil
+	return true, s.forward(read), nil
 }
 
-// failed handles an engine's own failure: a stream that has not begun may be
-// tried elsewhere, else the failure is the answer. It is kept, to be the answer also
-// where trying elsewhere comes to nothing.
-func (s *stream) failed(ans *Response, read *whole, err error) (done, complete bool, _ error) {
+// handleFailureResponse handles an engine's own failure response. A stream that has not
+// begun may be retried; the response is kept and forwarded if the retries fail. Otherwise
+// it is forwarded now.
+func (s *stream) handleFailureResponse(resp *Response, read *bufferedResponse, err error) (done, complete bool, _ error) {
 	if err != nil {
 		return false, false, fault.New(fault.BackendFailed, "%v", err)
 	}
-	if !s.out.head && (read.status < 500 || !s.repeatable()) {
-		return true, s.deliver(read), nil
+	if !s.out.headerWritten && (read.status < 500 || !s.retryable()) {
+		return true, s.forward(read), nil
 	}
-	s.ready = read
-	return false, false, fault.New(fault.BackendFailed, "an engine failed with status %d", ans.Status)
+	s.failureResponse = read
+	return false, false, fault.New(fault.BackendFailed, "an engine failed with status %d", resp.Status)
 }
 
-// pass passes events on until the stream ends; io.EOF is its clean end.
-func (s *stream) pass(ans *Response, w *chainWatch) error {
+// forwardEvents forwards events until the stream ends. It returns io.EOF if the stream
+// ended normally.
+func (s *stream) forwardEvents(resp *Response, w *chainWatch) error {
 	q := s.request
-	reader := eventReader{src: ans.Body}
+	reader := eventReader{src: resp.Body}
 	for {
 		ev, err := reader.next()
 		if err != nil {
 			return err
 		}
-		w.heard()
+		w.eventReceived()
 		if ev.hasID {
-			if s.hasLast && ev.id <= s.lastID {
+			if s.hasLastEventID && ev.id <= s.lastEventID {
 				continue
 			}
-			if s.hasLast && ev.id != s.lastID+1 {
-				klog.InfoS("event out of order", "request", q.call.Attempt, "id", ev.id, "last", s.lastID)
+			if s.hasLastEventID && ev.id != s.lastEventID+1 {
+				klog.InfoS("event id out of sequence", "request", q.call.Attempt, "id", ev.id, "last", s.lastEventID)
 				return errOutOfOrder
 			}
 		}
-		if s.ranEvents == 0 {
-			parts, _ := w.state()
-			s.succeed(parts, w.since)
+		if s.runEvents == 0 {
+			stages, _ := w.state()
+			s.recordSuccess(stages, w.sentAt)
 			w.record.AnswerStarted()
 		}
-		s.ranEvents++
-		if !q.out.head {
-			s.begin(ans)
-			q.firstEvent = q.Now().Sub(q.since)
-			q.Observer.FirstEvent(q.ticket.Service.Name, q.firstEvent)
+		s.runEvents++
+		if !q.out.headerWritten {
+			s.writeHeader(resp)
+			q.timeToFirstEvent = q.Now().Sub(q.startTime)
+			q.Observer.FirstEvent(q.admitted.Service.Name, q.timeToFirstEvent)
 		}
-		s.timeEvent()
+		s.recordEventTime()
 		if err := q.out.Write(ev.raw); err != nil {
-			s.delivered = err
+			s.writeErr = err
 			return err
 		}
 		s.events++
 		if ev.hasID {
-			s.lastID = ev.id
-			s.hasLast = true
+			s.lastEventID = ev.id
+			s.hasLastEventID = true
 		}
 	}
 }
 
-// timeEvent notes the pause before an event.
-func (s *stream) timeEvent() {
+// recordEventTime updates the longest gap between events.
+func (s *stream) recordEventTime() {
 	now := s.Now()
-	if !s.lastEvent.IsZero() {
-		s.longestGap = max(s.longestGap, now.Sub(s.lastEvent))
+	if !s.lastEventTime.IsZero() {
+		s.longestGap = max(s.longestGap, now.Sub(s.lastEventTime))
 	}
-	s.lastEvent = now
+	s.lastEventTime = now
 }
 
-// begin sends the head of the first engine's answer. Streams that are resumed
-// keep it, its signature included.
-func (s *stream) begin(ans *Response) {
+// writeHeader sends the header of the first engine's response. A resumed stream keeps it,
+// including its signature.
+func (s *stream) writeHeader(resp *Response) {
 	h := http.Header{}
-	platform.AnswerHeaders(h, ans.Header)
-	s.out.Begin(ans.Status, h, -1)
+	platform.AnswerHeaders(h, resp.Header)
+	s.out.WriteHeader(resp.Status, h, -1)
 }
 
-// succeed takes in that the engines of a chain did their work, as of when it was
-// sent: an engine that drains finishes what it has and takes nothing new.
-func (s *stream) succeed(parts []chains.Stage, sent time.Time) {
-	for _, p := range parts {
-		s.Health.ClearSuspicion(p.Server.Incarnation(), sent)
+// recordSuccess clears the suspicion of the chain's engines. It counts as of the time of
+// sending, because an engine that drains completes what it has and refuses new requests.
+func (s *stream) recordSuccess(stages []chains.Stage, sent time.Time) {
+	for _, stage := range stages {
+		s.Health.ClearSuspicion(stage.Server.Incarnation(), sent)
 	}
-	s.Health.RecordOutcome(parts[0].Server.Incarnation(), true)
+	s.Health.RecordOutcome(stages[0].Server.Incarnation(), true)
 }
 
-// refused takes in which engine would not run its part.
-func (s *stream) refused(parts []chains.Stage, v platform.Verdict, status int) {
-	culprit := parts[0].Server
-	for _, p := range parts {
-		if p.Server.Address == v.Culprit {
-			culprit = p.Server
+// handleRefusal records which engine refused to run its stage.
+func (s *stream) handleRefusal(stages []chains.Stage, v platform.Verdict, status int) {
+	refusing := stages[0].Server
+	for _, stage := range stages {
+		if stage.Server.Address == v.Culprit {
+			refusing = stage.Server
 		}
 	}
-	s.avoid[culprit.Incarnation()] = true
+	s.avoid[refusing.Incarnation()] = true
 	if v.Misdirected {
-		// It is another incarnation, which its report tells, or holds other
-		// layers: reports lag, so only its entry will tell. Each further refusal
-		// doubles the time.
-		until, news := s.Health.Suspect(culprit.Incarnation())
-		if news && culprit.Born != 0 {
-			go s.VerifyIncarnation(*culprit)
+		// The engine is another incarnation, which its report shows, or holds other
+		// layers, which only its registry entry shows because reports lag.
+		until, isNew := s.Health.Suspect(refusing.Incarnation())
+		if isNew && refusing.Born != 0 {
+			go s.VerifyIncarnation(*refusing)
 		}
-		klog.InfoS("engine suspected: it does not hold its part", "request", s.call.Attempt, "server", culprit.Incarnation(), "until", until)
+		klog.InfoS("engine suspected: it does not hold the layers of its stage", "request", s.call.Attempt, "server", refusing.Incarnation(), "until", until)
 	} else {
-		s.Suspects.Refused(culprit, s.call.Attempt, status)
+		s.Suspects.Refused(refusing, s.call.Attempt, status)
 	}
 }
 
-// missed takes in that an engine gave no answer, and whether the request was sent.
-func (s *stream) missed(run context.Context, w *chainWatch, first *model.BackendServer, err error) *fault.Error {
-	why := endingOf(run, err)
+// handleSendError records that an engine sent no response, and returns the error. It
+// distinguishes whether the request was sent.
+func (s *stream) handleSendError(run context.Context, w *chainWatch, first *model.BackendServer, err error) *fault.Error {
+	reason := endReasonOf(run, err)
 	if errors.Is(err, ErrNotSent) {
 		s.sends--
-		s.unsent++
-		if why != noConnection && !(why == timeOver && why.blames(s.Now().Sub(w.since))) {
-			s.lost(w, why, err)
-			return fault.New(fault.NotConnected, "the run was ended before it was sent: %s", why)
+		s.unsentAttempts++
+		if reason != noConnection && !(reason == deadlineExceeded && reason.countsAsFailure(s.Now().Sub(w.sentAt))) {
+			s.recordChainLoss(w, reason, err)
+			return fault.New(fault.NotConnected, "the run was cancelled before it was sent: %s", reason)
 		}
 		s.avoid[first.Incarnation()] = true
 		s.Suspects.Unreachable(first, s.call.Attempt, err)
-		return fault.New(fault.NotConnected, "no connection to an engine")
+		return fault.New(fault.NotConnected, "connecting to an engine failed")
 	}
 	s.runs++
-	s.ranOn[first.Incarnation()] = true
-	s.lost(w, why, err)
-	return fault.New(fault.BackendLost, "an engine was lost before it answered")
+	s.firstEngines[first.Incarnation()] = true
+	s.recordChainLoss(w, reason, err)
+	return fault.New(fault.BackendLost, "an engine was lost before it responded")
 }
 
-// lost takes in that a chain broke off, fell silent or was given up by its caller.
-// The caller's end speaks against no engine. Where an engine was found at fault it
-// alone is avoided; else any of the chain may be, and the stream goes on without all
-// of them.
-func (s *stream) lost(w *chainWatch, why ending, err error) {
-	parts, culprit := w.state()
-	klog.InfoS("chain lost", "request", s.call.Attempt, "work", s.work(), "why", why, "sent", !errors.Is(err, ErrNotSent), "chain", describe(parts), "culprit", culprit, "err", err, "events", s.events)
-	if why == callerLeft || why == timeOver || why == stopping {
+// recordChainLoss records that a run ended without completing, and excludes the engine at
+// fault from the next chain. If that is unknown, all engines of the chain are excluded.
+// No engine is excluded if the caller, the deadline or the router ended the run.
+func (s *stream) recordChainLoss(w *chainWatch, reason endReason, err error) {
+	stages, failedEngine := w.state()
+	klog.InfoS("run on chain failed", "request", s.call.Attempt, "work", s.fingerprint(), "why", reason, "sent", !errors.Is(err, ErrNotSent), "chain", chainString(stages), "culprit", failedEngine, "err", err, "events", s.events)
+	if reason == callerDisconnected || reason == deadlineExceeded || reason == routerStopping {
 		return
 	}
-	if culprit != (model.Incarnation{}) {
-		s.avoid[culprit] = true
+	if failedEngine != (model.Incarnation{}) {
+		s.avoid[failedEngine] = true
 		return
 	}
-	for _, p := range parts {
-		s.avoid[p.Server.Incarnation()] = true
+	for _, stage := range stages {
+		s.avoid[stage.Server.Incarnation()] = true
 	}
 }
 
-func hops(parts []chains.Stage) []platform.Hop {
-	out := make([]platform.Hop, len(parts))
-	for i, p := range parts {
-		out[i] = platform.Hop{Address: p.Server.Address, Layers: p.Layers}
+func hops(stages []chains.Stage) []platform.Hop {
+	out := make([]platform.Hop, len(stages))
+	for i, stage := range stages {
+		out[i] = platform.Hop{Address: stage.Server.Address, Layers: stage.Layers}
 	}
 	return out
 }
 
-func describe(parts []chains.Stage) string {
+func chainString(stages []chains.Stage) string {
 	var b strings.Builder
-	for i, p := range parts {
+	for i, stage := range stages {
 		if i > 0 {
 			b.WriteByte(' ')
 		}
-		b.WriteString(p.Server.ID)
-		b.WriteString(p.Layers.String())
+		b.WriteString(stage.Server.ID)
+		b.WriteString(stage.Layers.String())
 	}
 	return b.String()
 }
--- a/internal/protocol/relay/giveup.go
+++ b/internal/protocol/relay/giveup.go
@@ -6,76 +6,74 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// verdict is why a run is ended, and by whose fault; culprit is empty where that is
-// not known.
-type verdict struct {
-	culprit  model.Incarnation
-	why      ending
-	silences int
-	err      error
+// runFailure is why a run is ended. failedEngine is empty if it is unknown.
+type runFailure struct {
+	failedEngine model.Incarnation
+	reason       endReason
+	stalls       int
+	err          error
 }
 
-// giveUp ends a run for what was found out when its news count stood at news. It asks
-// again under the lock that it ends the run with: an event that came since, or a move,
-// shows that the chain works. A run that no other engine may go on with, or for which
-// no repeated send is granted, is kept: its end would be a sure loss, while a silent
-// engine may go on; its caller decides how long to wait.
-func (w *chainWatch) giveUp(news int, v verdict) {
-	granted := !w.last && w.grant()
+// endIfUnchanged ends a run for a failure that was found at the given generation. A newer
+// event or a rerouting proves that the chain works. The run also continues if no other
+// engine may resume it or no retry token is granted, because ending it would certainly
+// lose the stream while a stalled engine may recover.
+func (w *chainWatch) endIfUnchanged(generation int, f runFailure) {
+	retryGranted := !w.final && w.takeRetryToken()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.changedLocked(news) || w.run.Err() != nil {
+	if w.changedLocked(generation) || w.run.Err() != nil {
 		return
 	}
-	if granted {
-		w.endLocked(v)
+	if retryGranted {
+		w.endLocked(f)
 		return
 	}
-	klog.InfoS("run kept: no other engine may go on", "request", w.q.call.Attempt, "why", v.why, "culprit", v.culprit, "silences", v.silences, "begun", w.begun, "budget", !w.last, "err", v.err)
-	if !w.last {
-		w.timer.Reset(nextSilence)
+	klog.InfoS("stalled run continues: no other engine may resume it or no retry token available", "request", w.q.call.Attempt, "why", f.reason, "culprit", f.failedEngine, "silences", f.stalls, "begun", w.hasEvents, "budget", !w.final, "err", f.err)
+	if !w.final {
+		w.timer.Reset(nextEventTimeout)
 	}
 }
 
-// grant takes a repeated send from the budget for what follows this run. It stays
-// granted where the chain speaks again before it is ended.
-func (w *chainWatch) grant() bool {
+// takeRetryToken takes a retry token for what follows this run. The token is kept if the
+// chain recovers before the run is ended.
+func (w *chainWatch) takeRetryToken() bool {
 	w.mu.Lock()
-	granted := w.granted
+	retryGranted := w.retryGranted
 	w.mu.Unlock()
-	if granted || !w.q.RetryBorrower.Take(w.run, w.q.ticket.Service.Name) {
-		return granted
+	if retryGranted || !w.q.RetryBorrower.Take(w.run, w.q.admitted.Service.Name) {
+		return retryGranted
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.granted = true
+	w.retryGranted = true
 	return true
 }
 
-// end ends a run that is not over yet.
-func (w *chainWatch) end(v verdict) {
+// end ends a run that has not ended yet.
+func (w *chainWatch) end(f runFailure) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.stopped {
-		w.endLocked(v)
+		w.endLocked(f)
 	}
 }
 
-// endIfThrough ends a run for an engine whose process has ended, if it still runs through
-// it. The same end may be told again, by another watcher, and the run moved away since;
-// a move under way decides for itself.
-func (w *chainWatch) endIfThrough(lost model.Incarnation) {
+// endIfUses ends a run because an engine has exited, if the run still uses that engine. The
+// same exit may be reported twice, with a rerouting in between. A rerouting in progress
+// decides on its own.
+func (w *chainWatch) endIfUses(lost model.Incarnation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.stopped && !w.moving && uses(w.parts, lost) {
-		w.endLocked(verdict{culprit: lost, why: engineGone})
+	if !w.stopped && !w.rerouting && uses(w.stages, lost) {
+		w.endLocked(runFailure{failedEngine: lost, reason: engineExited})
 	}
 }
 
-func (w *chainWatch) endLocked(v verdict) {
-	w.culprit = v.culprit
+func (w *chainWatch) endLocked(f runFailure) {
+	w.failedEngine = f.failedEngine
 	w.stopped = true
 	w.timer.Stop()
-	klog.InfoS("run abandoned", "request", w.q.call.Attempt, "why", v.why, "culprit", v.culprit, "silences", v.silences, "begun", w.begun, "err", v.err)
-	w.cancel(v.why)
+	klog.InfoS("run abandoned", "request", w.q.call.Attempt, "why", f.reason, "culprit", f.failedEngine, "silences", f.stalls, "begun", w.hasEvents, "err", f.err)
+	w.cancel(f.reason)
 }
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -14,134 +14,135 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// mostMoves is how many paths a stream is ordered to take in one move: each refusal
-// names one more engine that does not take its part.
-const mostMoves = 4
+// maxRerouteOrders bounds the orders sent for one rerouting. Each refusal names one more
+// engine that does not run its stage.
+const maxRerouteOrders = 4
 
-// leave takes the run away from engines. Several streams may find the same
-// engine at fault; a run that was moved already stays.
+// leaveEngines reroutes or ends the run because engines of its chain are lost. Several
+// streams may report the same engine; a run that no longer uses it is left unchanged.
 //
-// A run that may be sent anew is: its tokens are read by the engines of another chain,
-// each a few layers, and all streams of the lost engine spread over all chains. Moved,
-// they would all wait for the lost engine's twin to read.
-func (w *chainWatch) leave(lost engineSet, why ending) {
-	defer w.contain()
+// A run that may be restarted is ended rather than rerouted: the engines of a new chain
+// share the prefill of its tokens, and the streams of the lost engine spread over all
+// chains. Rerouted, they would all wait for prefill at its replacement.
+func (w *chainWatch) leaveEngines(lost engineSet, reason endReason) {
+	defer w.recoverPanic()
 	w.mu.Lock()
-	culprit, through := usesAny(w.parts, lost)
-	if w.stopped || w.moving || !through {
+	failedEngine, found := firstEngineIn(w.stages, lost)
+	if w.stopped || w.rerouting || !found {
 		w.mu.Unlock()
 		return
 	}
-	w.moving = true
+	w.rerouting = true
 	w.timer.Stop()
-	parts := w.parts
+	stages := w.stages
 	w.mu.Unlock()
-	var moved []chains.Stage
-	if !w.fresh || !w.grant() {
-		moved = w.replace(parts, lost)
+	var newStages []chains.Stage
+	if !w.restartable || !w.takeRetryToken() {
+		newStages = w.routeAround(stages, lost)
 	}
-	switch news, taken := w.take(moved); {
-	case taken:
-	case why == engineGone && w.last:
-		time.AfterFunc(finalAnswerWait, func() { w.endIfThrough(culprit) })
-	case why == engineGone:
-		w.endIfThrough(culprit)
+	switch generation, rerouted := w.finishReroute(newStages); {
+	case rerouted:
+	case reason == engineExited && w.final:
+		time.AfterFunc(finalResponseTimeout, func() { w.endIfUses(failedEngine) })
+	case reason == engineExited:
+		w.endIfUses(failedEngine)
 	default:
-		w.giveUp(news, verdict{culprit: culprit, why: why})
+		w.endIfUnchanged(generation, runFailure{failedEngine: failedEngine, reason: reason})
 	}
 }
 
-// take ends a move: the run goes through other engines now, if there are any.
-// It tells the count of news as of then.
-func (w *chainWatch) take(moved []chains.Stage) (news int, taken bool) {
+// finishReroute ends a rerouting. newStages is the new chain, or nil if the rerouting
+// failed.
+// It returns the generation afterwards, and whether the run continues on the new chain.
+func (w *chainWatch) finishReroute(newStages []chains.Stage) (generation int, rerouted bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.moving = false
+	w.rerouting = false
 	if w.stopped {
-		return w.news, false
+		return w.generation, false
 	}
-	w.early = false
-	w.timer.Reset(movedSilence)
-	if moved == nil {
-		return w.news, false
+	w.pathCheckDue = false
+	w.timer.Reset(reroutedEventTimeout)
+	if newStages == nil {
+		return w.generation, false
 	}
-	w.parts = moved
-	w.progress.Reroute(engines(moved))
-	w.news++
-	return w.news, true
+	w.stages = newStages
+	w.progress.Reroute(engines(newStages))
+	w.generation++
+	return w.generation, true
 }
 
-// replace orders the first engine to send the stream around engines; nil if
-// that cannot be done.
-func (w *chainWatch) replace(parts []chains.Stage, lost engineSet) []chains.Stage {
+// routeAround orders the first engine to route the stream around lost engines. It returns
+// the new chain, or nil if that is not possible.
+func (w *chainWatch) routeAround(stages []chains.Stage, lost engineSet) []chains.Stage {
 	q := w.q
-	if !q.ticket.Idempotent() || !q.mayMove() || w.isUnsure() {
+	if !q.admitted.Idempotent() || !q.mayReroute() || w.hasUnconfirmedOrder() {
 		return nil
 	}
-	avoid := q.ActiveRuns.silentAmong(engines(parts))
+	avoid := q.ActiveRuns.recentlyLost(engines(stages))
 	maps.Copy(avoid, lost)
-	for range mostMoves {
-		next := q.Chooser.Replace(q.ticket.Service, parts, avoid, w.hold.Tokens(), q.ticket.Route.TargetGap)
+	for range maxRerouteOrders {
+		next := q.Chooser.Replace(q.admitted.Service, stages, avoid, w.reservation.Tokens(), q.admitted.Route.TargetGap)
 		if next == nil {
 			return nil
 		}
-		err := w.reroute(next, avoid)
+		err := w.sendReroute(next, avoid)
 		if err == nil {
-			w.hold.Move(next)
-			w.record.Move(places(next))
-			q.Observer.Retry(q.ticket.Service.Name, "repath")
+			w.reservation.Move(next)
+			w.record.Move(locations(next))
+			q.Observer.Retry(q.admitted.Service.Name, "repath")
 			return next
 		}
-		var refused conflict
-		if !errors.As(err, &refused) {
-			w.doubt(err)
+		var conflict pathConflict
+		if !errors.As(err, &conflict) {
+			w.markUnconfirmed(err)
 			return nil
 		}
-		server := serverAt(next, refused.address)
+		server := engineAt(next, conflict.address)
 		if server == nil {
 			return nil
 		}
 		avoid[server.Incarnation()] = true
-		w.refusedAt(server, parts, err)
+		w.handleRerouteRefusal(server, stages, err)
 	}
 	return nil
 }
 
-// reroute orders the first engine to send the stream over another path.
-func (w *chainWatch) reroute(next []chains.Stage, avoid engineSet) error {
-	ctx, cancel := context.WithTimeout(context.Background(), repathWait)
+// sendReroute orders the first engine to route the stream over another path.
+func (w *chainWatch) sendReroute(next []chains.Stage, avoid engineSet) error {
+	ctx, cancel := context.WithTimeout(context.Background(), rerouteTimeout)
 	defer cancel()
 	began := w.q.Now()
 	err := w.q.Reroute(ctx, next[0].Server, w.q.call.Attempt, hops(next))
-	klog.InfoS("stream rerouted", "request", w.q.call.Attempt, "lost", slices.Collect(maps.Keys(avoid)), "chain", describe(next), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
+	klog.InfoS("stream reroute finished", "request", w.q.call.Attempt, "lost", slices.Collect(maps.Keys(avoid)), "chain", chainString(next), "ms", w.q.Now().Sub(began).Milliseconds(), "err", err)
 	return err
 }
 
-// refusedAt takes in which engine a path was refused for. One that the stream ran
-// through before is lost to all streams; another one may only be full.
-func (w *chainWatch) refusedAt(server *model.BackendServer, before []chains.Stage, err error) {
+// handleRerouteRefusal records which engine a path was refused for. An engine that the
+// stream used before is lost to all streams; another one may only be full.
+func (w *chainWatch) handleRerouteRefusal(server *model.BackendServer, before []chains.Stage, err error) {
 	if uses(before, server.Incarnation()) {
-		w.fail(server, err)
+		w.failEngine(server, err)
 		return
 	}
 	w.q.Suspects.Refused(server, w.q.call.Attempt, http.StatusConflict)
 }
 
-func (w *chainWatch) isUnsure() bool {
+func (w *chainWatch) hasUnconfirmedOrder() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.unsure
+	return w.unconfirmed
 }
 
-func uses(parts []chains.Stage, engine model.Incarnation) bool {
-	_, ok := usesAny(parts, engineSet{engine: true})
+func uses(stages []chains.Stage, engine model.Incarnation) bool {
+	_, ok := firstEngineIn(stages, engineSet{engine: true})
 	return ok
 }
 
-// usesAny gives the first engine of a chain that is in a set.
-func usesAny(parts []chains.Stage, set engineSet) (engine model.Incarnation, ok bool) {
-	for _, p := range parts {
-		if inc := p.Server.Incarnation(); set[inc] {
+// firstEngineIn returns the first engine of a chain that is in a set.
+func firstEngineIn(stages []chains.Stage, set engineSet) (engine model.Incarnation, ok bool) {
+	for _, stage := range stages {
+		if inc := stage.Server.Incarnation(); set[inc] {
 			return inc, true
 		}
 	}
--- a/internal/protocol/relay/move_test.go
+++ b/internal/protocol/relay/move_test.go
@@ -15,30 +15,28 @@
 	"github.com/skylarkwood/skylarkwood/platform"
 )
 
-// The last run of a stream hears that an engine of it has ended; the order that
-// replaces the engine fails, and the run's end is set for a moment later. The news
-// comes again, from another watcher, and now the engine is replaced. The chain works,
-// and must not be ended for an engine that it has left.
-func TestMovedRunIsNotEndedForTheEngineItLeft(t *testing.T) {
+// Guards against ending a run because of the exit of an engine that it no longer uses. The
+// exit is reported twice: the first rerouting fails, the second succeeds.
+func TestReroutedRunIgnoresExitOfFormerEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		route := model.Route{Kind: streaming, ResumeStreams: true, MaxAttempts: 2}
 		var orders atomic.Int64
-		s := chained(route, func(_ context.Context, _ string, r *Request) (*Response, error) {
+		s := newTwoStageFixture(route, func(_ context.Context, _ string, r *Request) (*Response, error) {
 			if r.Target == platform.OrderPath && orders.Add(1) == 1 {
 				return signed(http.StatusConflict, strings.NewReader("")), nil
 			}
-			return report(emptyReport), nil
+			return reportResponse(emptyReport), nil
 		})
-		w, run := s.watched(t, route)
-		w.last = true // as on the last send that a request has
+		w, run := s.startTwoStageStream(t, route)
+		w.final = true // as on the request's last send
 		s.HandleEngineExit(inc("far"))
 		time.Sleep(10 * time.Millisecond)
 		s.HandleEngineExit(inc("far"))
 		synctest.Wait()
-		parts, _ := w.state()
-		assert.Equal(t, parts[1].Server.ID, "spare")
-		w.heard()
-		time.Sleep(finalAnswerWait)
+		stages, _ := w.state()
+		assert.Equal(t, stages[1].Server.ID, "spare")
+		w.eventReceived()
+		time.Sleep(finalResponseTimeout)
 		synctest.Wait()
 		assert.NilError(t, run.Err())
 	})
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -19,49 +19,49 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// faulty is a connection to backend servers whose code panics.
-type faulty struct{ sent int }
+// panickingClient is a BackendClient that panics.
+type panickingClient struct{ sent int }
 
-func (f *faulty) Do(context.Context, string, *Request) (*Response, error) {
+func (f *panickingClient) Do(context.Context, string, *Request) (*Response, error) {
 	f.sent++
 	panic("fault in the code")
 }
 
-func (f *faulty) CloseIdle(string) {}
+func (f *panickingClient) CloseIdle(string) {}
 
-// counted counts what an observer is told.
-type counted struct{ requests, panics int }
+// panicObserver counts requests and panics.
+type panicObserver struct{ requests, panics int }
 
-func (c *counted) Request(string, string, string, string, time.Duration) { c.requests++ }
-func (c *counted) FirstEvent(string, time.Duration)                      {}
-func (c *counted) Retry(string, string)                                  {}
-func (c *counted) panicked(string)                                       { c.panics++ }
+func (c *panicObserver) Request(string, string, string, string, time.Duration) { c.requests++ }
+func (c *panicObserver) FirstEvent(string, time.Duration)                      {}
+func (c *panicObserver) Retry(string, string)                                  {}
+func (c *panicObserver) recordPanic(string)                                    { c.panics++ }
 
-// answered is a caller that takes the answer down.
-type answered struct {
-	status int
-	header http.Header
-	body   bytes.Buffer
-	cut    error // what writing gives from now on
+// responseRecorder is a ResponseWriter that records the response.
+type responseRecorder struct {
+	status   int
+	header   http.Header
+	body     bytes.Buffer
+	writeErr error // returned by Write
 }
 
-func (a *answered) WriteHeader(status int, header http.Header, _ int64) {
+func (a *responseRecorder) WriteHeader(status int, header http.Header, _ int64) {
 	a.status = status
 	a.header = header
 }
 
-func (a *answered) Write(p []byte) error {
+func (a *responseRecorder) Write(p []byte) error {
 	a.body.Write(p)
-	return a.cut
+	return a.writeErr
 }
 
-// withService is a relay with one plain service and one server of it.
-func withService(backends BackendClient, observer *counted) *Relay {
-	s, _ := half()
+// newPlainRelay returns a relay with one plain service and one server of it.
+func newPlainRelay(backends BackendClient, observer *panicObserver) *Relay {
+	s, _ := newIncompleteStream()
 	r := s.Relay
 	r.BackendClient = backends
 	r.Observer = observer
-	r.OnPanic = observer.panicked
+	r.OnPanic = observer.recordPanic
 	r.ActiveRuns = NewActiveRuns()
 	r.Config = &routes.ActiveConfig{}
 	r.Config.Apply(&model.RouteConfig{
@@ -75,22 +75,20 @@
 	return r
 }
 
-// The code panics while a request is at a backend server. Its caller is told that
-// nobody knows whether it ran (502), and gets no closed connection; the log has the
-// stack at the usual verbosity, and the end is counted. The next request is served
-// as before.
-func TestPanicInARequest(t *testing.T) {
+// Guards against a panic that closes the connection without a response or stops the
+// process. The caller gets 502, and the log contains the stack.
+func TestPanicDuringSendReturnsBadGateway(t *testing.T) {
 	var log bytes.Buffer
 	klog.LogToStderr(false)
 	klog.SetOutput(&log)
 	defer klog.LogToStderr(true)
-	observer := &counted{}
-	backends := &faulty{}
-	r := withService(backends, observer)
+	observer := &panicObserver{}
+	backends := &panickingClient{}
+	r := newPlainRelay(backends, observer)
 	for range 2 {
-		out := &answered{}
-		whole := r.Serve(t.Context(), &model.Call{Attempt: "a1"}, out)
-		assert.Assert(t, whole)
+		out := &responseRecorder{}
+		complete := r.Serve(t.Context(), &model.Call{Attempt: "a1"}, out)
+		assert.Assert(t, complete)
 		assert.Equal(t, out.status, http.StatusBadGateway)
 	}
 	klog.Flush()
@@ -102,73 +100,72 @@
 	}
 }
 
-// breaksOff is a caller whose own code panics once the answer has begun.
-type breaksOff struct{ answered }
+// panickingWriter is a ResponseWriter that panics once the response has begun.
+type panickingWriter struct{ responseRecorder }
 
-func (b *breaksOff) Write([]byte) error { panic("fault in the code") }
+func (b *panickingWriter) Write([]byte) error { panic("fault in the code") }
 
-// plainAnswer is a backend server's whole answer.
-type plainAnswer struct{ strings.Reader }
+// stringBody is a complete response body.
+type stringBody struct{ strings.Reader }
 
-func (p *plainAnswer) Discard() {}
-func (p *plainAnswer) Close()   {}
+func (p *stringBody) Discard() {}
+func (p *stringBody) Close()   {}
 
-type wellServed struct{}
+type okClient struct{}
 
-func (wellServed) Do(context.Context, string, *Request) (*Response, error) {
+func (okClient) Do(context.Context, string, *Request) (*Response, error) {
 	h := http.Header{"Response-Signature": {"s"}}
-	return &Response{Status: http.StatusOK, Header: h, Body: &plainAnswer{*strings.NewReader("body")}}, nil
+	return &Response{Status: http.StatusOK, Header: h, Body: &stringBody{*strings.NewReader("body")}}, nil
 }
 
-func (wellServed) CloseIdle(string) {}
+func (okClient) CloseIdle(string) {}
 
-// The same once the caller has the head of an answer. Another answer behind it would
-// belong to no request, so the connection is broken off and the caller sees that the
-// answer is not whole.
-func TestPanicInsideAnAnswer(t *testing.T) {
-	observer := &counted{}
-	r := withService(wellServed{}, observer)
-	whole := r.Serve(t.Context(), &model.Call{Attempt: "a1"}, &breaksOff{})
-	assert.Assert(t, !whole)
+// Guards against writing a second response after the header was written. The connection is
+// aborted instead.
+func TestPanicAfterHeaderAbortsConnection(t *testing.T) {
+	observer := &panicObserver{}
+	r := newPlainRelay(okClient{}, observer)
+	complete := r.Serve(t.Context(), &model.Call{Attempt: "a1"}, &panickingWriter{})
+	assert.Assert(t, !complete)
 	assert.Equal(t, observer.panics, 1)
 }
 
-// The caller's connection is aborted on purpose: that is no fault, and is passed on.
-func TestAbortIsPassedOn(t *testing.T) {
-	observer := &counted{}
-	r := withService(aborting{}, observer)
+// Guards against handling a deliberate abort of the connection as a fault.
+func TestAbortHandlerPanicIsPropagated(t *testing.T) {
+	observer := &panicObserver{}
+	r := newPlainRelay(abortingClient{}, observer)
 	defer func() {
 		err, _ := recover().(error)
 		assert.Assert(t, errors.Is(err, http.ErrAbortHandler))
 		assert.Equal(t, observer.panics, 0)
 	}()
-	r.Serve(t.Context(), &model.Call{Attempt: "a1"}, &answered{})
+	r.Serve(t.Context(), &model.Call{Attempt: "a1"}, &responseRecorder{})
 }
 
-type aborting struct{ wellServed }
+type abortingClient struct{ okClient }
 
-func (aborting) Do(context.Context, string, *Request) (*Response, error) { panic(http.ErrAbortHandler) }
+func (abortingClient) Do(context.Context, string, *Request) (*Response, error) {
+	panic(http.ErrAbortHandler)
+}
 
-// A chain is silent and the code panics as its engines are asked. Only that run ends,
-// as if the chain had been found at fault; the stream is looked after elsewhere, and
-// the process goes on.
-func TestPanicBesideAStream(t *testing.T) {
+// Guards against a panic in a watch stopping the process. Only the watched run ends.
+func TestPanicInWatchEndsOnlyItsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		observer := &counted{}
-		s, _ := half()
-		s.Relay.BackendClient = &faulty{}
+		observer := &panicObserver{}
+		s, _ := newIncompleteStream()
+		s.Relay.BackendClient = &panickingClient{}
 		s.Relay.Observer = observer
-		s.Relay.OnPanic = observer.panicked
+		s.Relay.OnPanic = observer.recordPanic
 		s.Relay.ActiveRuns = NewActiveRuns()
 		ctx, cancel := context.WithCancelCause(t.Context())
 		defer cancel(nil)
 		engine := s.Catalog.Load().Service("s")[0]
-		parts := []chains.Stage{{Server: engine, Layers: engine.Holds}}
-		w := s.watch(ctx, cancel, parts, s.Memory.Reserve(parts, 1), s.Quarantine.Begin(nil, false))
+		stages := []chains.Stage{{Server: engine, Layers: engine.Holds}}
+		w := s.watch(ctx, cancel, stages, s.Memory.Reserve(stages, 1), s.Quarantine.Begin(nil, false))
 		defer w.stop()
 		<-ctx.Done()
 		synctest.Wait()
-		assert.Equal(t, endingOf(ctx, nil), faulted)
+		assert.Equal(t, endReasonOf(ctx, nil), panicked)
 		assert.Equal(t, observer.panics, 1)
 	})
 }
--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -10,85 +10,85 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// run is work in progress at backend servers.
-type run interface {
-	// leave takes in that incarnations of servers have ended (engineGone), or are
-	// believed to be at fault.
-	leave(lost engineSet, why ending)
+// activeRun is a run in progress at one or more backend servers.
+type activeRun interface {
+	// leaveEngines handles that incarnations of servers have exited (engineExited) or
+	// are considered failed (any other reason).
+	leaveEngines(lost engineSet, reason endReason)
 }
 
-// engineSet is a set of incarnations.
 type engineSet map[model.Incarnation]bool
 
-// rememberGone is for how long work that is added hears of a server's end: its server
-// was chosen before. On a busy machine a tenth of a second may lie between.
-const rememberGone = time.Second
+// lossRetention is how long a lost server is remembered for runs that are added afterwards,
+// for which it was chosen before the loss was known.
+const lossRetention = time.Second
 
-// ActiveRuns holds the work in progress.
+// ActiveRuns holds the runs in progress.
 type ActiveRuns struct {
 	mu   sync.Mutex
-	runs map[run]bool
-	// gone holds the servers that ended of late, and when that was told.
-	gone map[model.Incarnation]time.Time
-	// silent holds the servers that were found silent of late, and when.
-	silent map[model.Incarnation]time.Time
+	runs map[activeRun]bool
+	// exited holds servers that exited recently, and when that was reported.
+	exited map[model.Incarnation]time.Time
+	// unresponsive holds servers that recently stopped responding, and when that was
+	// reported.
+	unresponsive map[model.Incarnation]time.Time
 }
 
-// NewActiveRuns makes an empty set.
+// NewActiveRuns returns an empty set.
 func NewActiveRuns() *ActiveRuns {
-	return &ActiveRuns{runs: map[run]bool{}, gone: map[model.Incarnation]time.Time{}, silent: map[model.Incarnation]time.Time{}}
+	return &ActiveRuns{runs: map[activeRun]bool{}, exited: map[model.Incarnation]time.Time{}, unresponsive: map[model.Incarnation]time.Time{}}
 }
 
-// add adds work that was given to some servers. It tells which of them has ended
-// meanwhile, if one has: whoever told of the end told only the work that was there.
-func (r *ActiveRuns) add(w run, servers ...model.Incarnation) (gone model.Incarnation, ended bool) {
+// add adds a run at some servers. It returns a server of them that exited recently, if
+// any, because the report of that exit may have preceded the run.
+func (r *ActiveRuns) add(w activeRun, servers ...model.Incarnation) (server model.Incarnation, found bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs[w] = true
 	for _, inc := range servers {
-		if at, ok := r.gone[inc]; ok && time.Since(at) < rememberGone {
+		if at, ok := r.exited[inc]; ok && time.Since(at) < lossRetention {
 			return inc, true
 		}
 	}
 	return model.Incarnation{}, false
 }
 
-func (r *ActiveRuns) remove(w run) {
+func (r *ActiveRuns) remove(w activeRun) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.runs, w)
 }
 
-// finalAnswerWait is how long a request that must not be sent again waits for its answer
-// after its server has ended. The news may overtake the answer, which then lies in the
-// socket until a busy machine reads it, a tenth of a second or two later.
-const finalAnswerWait = 250 * time.Millisecond
+// finalResponseTimeout is how long a request that must not be retried waits for its response
+// after its server has exited. On a busy instance the report of the exit may arrive before
+// the response is read from the socket.
+const finalResponseTimeout = 250 * time.Millisecond
 
-// call is one request at one server of a plain service.
-type call struct {
+// plainRun is a request at one server of a plain service.
+type plainRun struct {
 	server model.Incarnation
 	cancel context.CancelCauseFunc
-	last   bool // it must not be sent again
+	final  bool // it must not be retried
 }
 
-func (c *call) leave(lost engineSet, why ending) {
+func (c *plainRun) leaveEngines(lost engineSet, reason endReason) {
 	switch {
-	case !lost[c.server] || why != engineGone:
-	case c.last:
-		time.AfterFunc(finalAnswerWait, func() { c.cancel(engineGone) })
+	case !lost[c.server] || reason != engineExited:
+	case c.final:
+		time.AfterFunc(finalResponseTimeout, func() { c.cancel(engineExited) })
 	default:
-		c.cancel(engineGone)
+		c.cancel(engineExited)
 	}
 }
 
-// track ends a call when the server's process has ended. Where the server fell
-// silent its connection would tell only at the caller's deadline, too late for a
-// request that may be sent again.
-func (r *ActiveRuns) track(ctx context.Context, server model.Incarnation, last bool) (run context.Context, cancel context.CancelCauseFunc, stop func()) {
+// track adds a run at a server of a plain service. The run is cancelled when the server's
+// process exits, because the connection to an unreachable server would fail only at the
+// caller's deadline. The caller must call stop.
+func (r *ActiveRuns) track(ctx context.Context, server model.Incarnation, final bool) (run context.Context, cancel context.CancelCauseFunc, stop func()) {
 	run, cancel = context.WithCancelCause(ctx)
-	c := &call{server: server, cancel: cancel, last: last}
-	if _, ended := r.add(c, server); ended {
-		cancel(engineGone)
+	c := &plainRun{server: server, cancel: cancel, final: final}
+	if _, found := r.add(c, server); found {
+		cancel(engineExited)
 	}
 	return run, cancel, func() {
 		r.remove(c)
@@ -96,56 +96,54 @@
 	}
 }
 
-// HandleEngineExit takes in that an engine's process ended: nothing new goes there, and
-// the streams of this router that run through it are moved at once, before they
-// notice.
+// HandleEngineExit handles the exit of an engine's process: the engine gets no new requests,
+// and the streams of this router that use it are rerouted or ended at once.
 func (r *Relay) HandleEngineExit(inc model.Incarnation) {
 	if b := r.Catalog.Load().Find(inc); b != nil {
-		r.endedUnder(b) // before its streams are moved: they may not all go anywhere
-		r.Suspects.Unreachable(b, "", errEnded)
+		r.recordServerExit(b) // before its streams are rerouted, which the exit may prohibit
+		r.Suspects.Unreachable(b, "", errExited)
 	}
 	r.Suspects.Exited(inc)
-	r.ActiveRuns.leave(engineSet{inc: true}, engineGone)
+	r.ActiveRuns.notifyLoss(engineSet{inc: true}, engineExited)
 }
 
-var errEnded = errors.New("its process ended")
+var errExited = errors.New("its process exited")
 
-// leave tells all work in progress that incarnations of servers have ended, or are
-// believed to be at fault.
-func (r *ActiveRuns) leave(lost engineSet, why ending) {
+// notifyLoss notifies all runs that servers exited (engineExited) or are considered failed
+// (any other reason).
+func (r *ActiveRuns) notifyLoss(lost engineSet, reason endReason) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for inc := range lost {
-		if why == engineGone {
-			noteRecent(r.gone, inc)
+		if reason == engineExited {
+			noteRecent(r.exited, inc)
 		} else {
-			noteRecent(r.silent, inc)
+			noteRecent(r.unresponsive, inc)
 		}
 	}
 	for w := range r.runs {
-		go w.leave(lost, why)
+		go w.leaveEngines(lost, reason)
 	}
 }
 
-// noteRecent remembers that something was told of a server just now, and forgets what
-// was told before rememberGone.
-func noteRecent(told map[model.Incarnation]time.Time, server model.Incarnation) {
-	for inc, at := range told {
-		if time.Since(at) >= rememberGone {
-			delete(told, inc)
+// noteRecent records a server with the current time, and removes expired entries.
+func noteRecent(records map[model.Incarnation]time.Time, server model.Incarnation) {
+	for inc, at := range records {
+		if time.Since(at) >= lossRetention {
+			delete(records, inc)
 		}
 	}
-	told[server] = time.Now()
+	records[server] = time.Now()
 }
 
-// silentAmong lists the servers of a chain that were found silent or ended of late.
-func (r *ActiveRuns) silentAmong(servers []model.Incarnation) engineSet {
+// recentlyLost returns which of the servers exited or stopped responding recently.
+func (r *ActiveRuns) recentlyLost(servers []model.Incarnation) engineSet {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	found := engineSet{}
 	for _, inc := range servers {
-		for _, told := range []map[model.Incarnation]time.Time{r.gone, r.silent} {
-			if at, ok := told[inc]; ok && time.Since(at) < rememberGone {
+		for _, records := range []map[model.Incarnation]time.Time{r.exited, r.unresponsive} {
+			if at, ok := records[inc]; ok && time.Since(at) < lossRetention {
 				found[inc] = true
 			}
 		}
--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -18,20 +18,20 @@
 	"github.com/skylarkwood/skylarkwood/internal/wait"
 )
 
-// lines keeps what is logged.
-type lines struct {
+// logBuffer records log output.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
-// of gives the lines with a message.
-func (l *lines) of(msg string) []string {
+// linesWith returns the logged lines with a message.
+func (l *logBuffer) linesWith(msg string) []string {
 	klog.Flush()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,8 +44,8 @@
 	return out
 }
 
-func logged(t *testing.T) *lines {
-	l := &lines{}
+func captureLog(t *testing.T) *logBuffer {
+	l := &logBuffer{}
 	klog.LogToStderr(false)
 	klog.SetOutput(l)
 	t.Cleanup(func() {
@@ -55,13 +55,13 @@
 	return l
 }
 
-// dripping is a stream that gives one event and then nothing until its context ends.
-type dripping struct {
+// stalledBody is a stream that sends one event and then blocks until its context ends.
+type stalledBody struct {
 	ctx  context.Context
 	read bool
 }
 
-func (d *dripping) Read(p []byte) (int, error) {
+func (d *stalledBody) Read(p []byte) (int, error) {
 	if !d.read {
 		d.read = true
 		return copy(p, "id: 1\ndata: a\n\n"), nil
@@ -70,26 +70,25 @@
 	return 0, io.ErrUnexpectedEOF
 }
 
-// A caller leaves, or its time ends. Whoever reads the log learns how far the request
-// was: only one that was sent cost an engine's work, and only one that was begun had
-// something of its answer.
-func TestEndTellsHowFarTheRequestWas(t *testing.T) {
+// Guards against log lines that do not show whether an ended request was sent and whether
+// its response had begun.
+func TestRequestLogContainsProgress(t *testing.T) {
 	sent := func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 		<-ctx.Done()
 		return nil, io.ErrUnexpectedEOF
 	}
 	unsent := func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 		<-ctx.Done()
-		return nil, errNoConnection
+		return nil, errNotConnected
 	}
 	begun := func(ctx context.Context, _ string, _ *Request) (*Response, error) {
-		return signed(http.StatusOK, &dripping{ctx: ctx}), nil
+		return signed(http.StatusOK, &stalledBody{ctx: ctx}), nil
 	}
 	for _, at := range []struct {
 		progress string
-		do       script
+		do       fakeBackend
 		full     bool
-		why      string
+		reason   string
 		isSent   string
 	}{
 		{"waiting for room", unsent, true, "", ""},
@@ -98,60 +97,60 @@
 		{"begun", begun, false, "caller left", "true"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			log := logged(t)
-			s := newSite(model.Route{Kind: streaming, MaxAttempts: 2, TargetLatency: time.Second}, true, at.do)
+			log := captureLog(t)
+			s := newFixture(model.Route{Kind: streaming, MaxAttempts: 2, TargetLatency: time.Second}, true, at.do)
 			if at.full {
-				s.Memory.Reserve(s.parts("one")[:1], 1e9)
-				s.Memory.Reserve(s.parts("two")[1:], 1e9)
+				s.Memory.Reserve(s.stages("one")[:1], 1e9)
+				s.Memory.Reserve(s.stages("two")[1:], 1e9)
 			}
-			ctx, leave := context.WithCancel(t.Context())
-			time.AfterFunc(100*time.Millisecond, leave)
-			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/", MaxAnswer: 5}, &listener{})
-			end := log.of("request ended")
+			ctx, disconnect := context.WithCancel(t.Context())
+			time.AfterFunc(100*time.Millisecond, disconnect)
+			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/", MaxAnswer: 5}, &recordingWriter{})
+			end := log.linesWith("request ended")
 			assert.Equal(t, len(end), 1)
 			assert.Check(t, strings.Contains(end[0], `progress="`+at.progress+`"`), end[0])
-			lost := log.of("chain lost")
-			if at.why == "" {
+			lost := log.linesWith("run on chain failed")
+			if at.reason == "" {
 				assert.Equal(t, len(lost), 0)
 				return
 			}
 			assert.Equal(t, len(lost), 1)
-			assert.Check(t, strings.Contains(lost[0], `why="`+at.why+`" sent=`+at.isSent), lost[0])
+			assert.Check(t, strings.Contains(lost[0], `why="`+at.reason+`" sent=`+at.isSent), lost[0])
 		})
 	}
 }
 
-// Each way in which a run at a plain server ends has its own word in one line.
-func TestLostAnswerTellsWhy(t *testing.T) {
+// Guards against a failed attempt whose log line does not contain the reason.
+func TestFailedAttemptLogContainsReason(t *testing.T) {
 	hangs := func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 		<-ctx.Done()
 		return nil, io.ErrUnexpectedEOF
 	}
 	for _, at := range []struct {
-		why   string
-		do    script
-		after func(s *site, leave func())
+		reason string
+		do     fakeBackend
+		after  func(s *fixture, disconnect func())
 	}{
-		{"caller left", hangs, func(_ *site, leave func()) { leave() }},
-		{"deadline", hangs, func(*site, func()) {}},
-		{"engine gone", hangs, func(s *site, _ func()) { s.HandleEngineExit(inc("one")) }},
-		{"no connection", func(context.Context, string, *Request) (*Response, error) { return nil, errNoConnection }, func(*site, func()) {}},
+		{"caller left", hangs, func(_ *fixture, disconnect func()) { disconnect() }},
+		{"deadline", hangs, func(*fixture, func()) {}},
+		{"engine gone", hangs, func(s *fixture, _ func()) { s.HandleEngineExit(inc("one")) }},
+		{"no connection", func(context.Context, string, *Request) (*Response, error) { return nil, errNotConnected }, func(*fixture, func()) {}},
 		{"broken off", func(ctx context.Context, _ string, _ *Request) (*Response, error) {
 			wait.For(ctx, 10*time.Millisecond)
 			return nil, io.ErrUnexpectedEOF
-		}, func(*site, func()) {}},
+		}, func(*fixture, func()) {}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			log := logged(t)
-			s := newSite(model.Route{Kind: notRepeatable, MaxAttempts: 1, Timeout: 2 * time.Second}, false, at.do)
+			log := captureLog(t)
+			s := newFixture(model.Route{Kind: notRepeatable, MaxAttempts: 1, Timeout: 2 * time.Second}, false, at.do)
 			s.Catalog.Remove("two", 1, 0)
-			ctx, leave := context.WithCancel(t.Context())
-			defer leave()
-			time.AfterFunc(time.Second, func() { at.after(s, leave) })
-			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, &listener{})
-			lost := log.of("answer lost")
+			ctx, disconnect := context.WithCancel(t.Context())
+			defer disconnect()
+			time.AfterFunc(time.Second, func() { at.after(s, disconnect) })
+			s.Serve(ctx, &model.Call{Attempt: "1", Method: "POST", Host: "h", Path: "/"}, &recordingWriter{})
+			lost := log.linesWith("attempt failed")
 			assert.Equal(t, len(lost), 1)
-			assert.Check(t, strings.Contains(lost[0], `why="`+at.why+`"`), lost[0])
+			assert.Check(t, strings.Contains(lost[0], `why="`+at.reason+`"`), lost[0])
 		})
 	}
 }
