--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -115,7 +115,7 @@
 	s.Sidecar.Layers = DevLayers
 	s.Sidecar.Capacity = devCapacity
 	s.Sidecar.Backend = fmt.Sprintf("embedded:%d", i)
-	d.runs = append(d.runs, NewSidecar(s, Outside{KV: d.kv, Instances: d.instances, Engine: e}).Run)
+	d.runs = append(d.runs, NewSidecar(s, Dependencies{KV: d.kv, Instances: d.instances, Engine: e}).Run)
 	return nil
 }
 
@@ -127,7 +127,7 @@
 	s.Sidecar.Service = DevPlain
 	s.Sidecar.Kind = model.KindPlain
 	plain := standin.NewPlain(time.Millisecond)
-	d.runs = append(d.runs, NewSidecar(s, Outside{KV: d.kv, Instances: d.instances, Plain: plain}).Run)
+	d.runs = append(d.runs, NewSidecar(s, Dependencies{KV: d.kv, Instances: d.instances, Plain: plain}).Run)
 	return nil
 }
 
@@ -137,7 +137,7 @@
 		return err
 	}
 	d.URL = "http://" + s.Listen.HTTP
-	d.runs = append(d.runs, NewEntry(s, Outside{KV: d.kv, Instances: d.instances}).Run)
+	d.runs = append(d.runs, NewEntry(s, Dependencies{KV: d.kv, Instances: d.instances}).Run)
 	return nil
 }
 
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -47,8 +47,8 @@
 	compressFrom = 4096
 )
 
-// Outside is what a process meets beyond the system.
-type Outside struct {
+// Dependencies is what a process meets beyond the system.
+type Dependencies struct {
 	KV        platform.KV
 	Instances platform.Instances
 	Engine    platform.Engine
@@ -56,10 +56,10 @@
 }
 
 // Dial gives the outside that settings name.
-func Dial(s settings.Settings) Outside {
+func Dial(s settings.Settings) Dependencies {
 	const idle = 64
 	hc := platform.NewHTTPClient(idle)
-	out := Outside{
+	out := Dependencies{
 		KV:        platform.DialKV(hc, s.Platform.KeyValue),
 		Instances: platform.DialInstances(hc, s.Platform.Instances),
 	}
@@ -90,7 +90,7 @@
 }
 
 // NewEntry puts an entry together.
-func NewEntry(s settings.Settings, out Outside) *Entry {
+func NewEntry(s settings.Settings, out Dependencies) *Entry {
 	e := &Entry{
 		settings: s,
 		metrics:  newMetrics(s),
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -33,7 +33,7 @@
 // Sidecar is one running sidecar.
 type Sidecar struct {
 	settings settings.Settings
-	out      Outside
+	out      Dependencies
 	node     *mesh.Node
 	data     *data.Pool
 	sidecar  *sidecar.Sidecar
@@ -43,7 +43,7 @@
 }
 
 // NewSidecar puts a sidecar together.
-func NewSidecar(s settings.Settings, out Outside) *Sidecar {
+func NewSidecar(s settings.Settings, out Dependencies) *Sidecar {
 	d := &Sidecar{settings: s, out: out, metrics: newMetrics(s)}
 	incarnation := NewID()
 	d.gate = gate.New(incarnation, s.Sidecar.Capacity, s.Sidecar.Queue, time.Now)
