--- a/internal/daemon/command/command.go
+++ b/internal/daemon/command/command.go
@@ -140,7 +140,7 @@
 		return err
 	}
 	fmt.Printf("entry at %s; customer %s, services %s and %s; stop with Ctrl-C\n",
-		d.URL, daemon.DevCustomer, daemon.DevService, daemon.DevPlain)
+		d.URL, daemon.DevCustomer, daemon.DevService, daemon.DevPlainService)
 	return d.Run(ctx)
 }
 
--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -22,7 +22,7 @@
 const (
 	DevCustomer = "skola-manus"
 	DevService  = "planer-rundi"
-	DevPlain    = "dispecer"
+	DevPlainService    = "dispecer"
 	DevLayers   = 12
 	devStages   = 3
 	devCapacity = 32
@@ -69,7 +69,7 @@
 		Customer: DevCustomer,
 		Rules: []config.Rule{
 			{Service: DevService, Priority: 5, DefaultTimeout: 30 * time.Second},
-			{Service: DevPlain, Priority: 7, NotRepeatable: true, DefaultTimeout: 10 * time.Second},
+			{Service: DevPlainService, Priority: 7, NotRepeatable: true, DefaultTimeout: 10 * time.Second},
 		},
 		Parameters: map[string]string{"language": "hr"},
 	}, 0, "dev")
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	s.Sidecar.Service = DevPlain
+	s.Sidecar.Service = DevPlainService
 	s.Sidecar.Kind = model.KindPlain
 	plain := standin.NewPlain(time.Millisecond)
 	d.runs = append(d.runs, NewSidecar(s, Dependencies{KV: d.kv, Instances: d.instances, Plain: plain}).Run)
