--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -69,8 +69,8 @@
 	return res, nil
 }
 
-// Met counts the instances that the entry has met, itself included.
-func (c *Client) Met(ctx context.Context) int {
+// ReachableInstances counts the instances that the entry has met, itself included.
+func (c *Client) ReachableInstances(ctx context.Context) int {
 	rep, err := c.Operators.GetStatus(ctx, connect.NewRequest(&v1.GetStatusRequest{}))
 	if err != nil {
 		return 0
--- a/internal/daemon/command/command.go
+++ b/internal/daemon/command/command.go
@@ -154,7 +154,7 @@
 	done := make(chan error, 1)
 	go func() { done <- d.Run(ctx) }()
 	c := ctl.NewClient(d.URL)
-	if err := d.WaitReady(ctx, c.Met); err != nil {
+	if err := d.WaitReady(ctx, c.ReachableInstances); err != nil {
 		return err
 	}
 	if err := sendSheet(ctx, c); err != nil {
--- a/internal/daemon/dev_test.go
+++ b/internal/daemon/dev_test.go
@@ -25,7 +25,7 @@
 		assert.Check(tb, <-done)
 	})
 	c := ctl.NewClient(d.URL)
-	assert.NilError(tb, d.WaitReady(ctx, c.Met))
+	assert.NilError(tb, d.WaitReady(ctx, c.ReachableInstances))
 	return c
 }
 
--- a/test/integration/harness_test.go
+++ b/test/integration/harness_test.go
@@ -278,7 +278,7 @@
 	c.t.Helper()
 	for i := range c.entries {
 		c.eventually("entry meets all", func() bool {
-			return c.client(i).Met(context.Background()) == len(c.list)
+			return c.client(i).ReachableInstances(context.Background()) == len(c.list)
 		})
 	}
 }
