--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -32,7 +32,7 @@
 // Result is a request's answer and what became of it.
 type Result struct {
 	ID      string
-	Answer  []byte
+	Response  []byte
 	Outcome *v1.Outcome
 }
 
@@ -51,7 +51,7 @@
 			res.ID = msg.RequestId
 		}
 		if len(msg.Data) > 0 {
-			res.Answer = append(res.Answer, msg.Data...)
+			res.Response = append(res.Response, msg.Data...)
 			if _, err := w.Write(msg.Data); err != nil {
 				return res, errors.Wrap(err, "write answer")
 			}
--- a/internal/ctl/requests.go
+++ b/internal/ctl/requests.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	err = a.show(&v1.SubmitResponse{RequestId: res.ID, Data: res.Answer, Outcome: res.Outcome}, func(w io.Writer) {
+	err = a.show(&v1.SubmitResponse{RequestId: res.ID, Data: res.Response, Outcome: res.Outcome}, func(w io.Writer) {
 		_, _ = io.WriteString(w, "\n")
 		PrintOutcome(w, res.ID, res.Outcome)
 	})
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -77,7 +77,7 @@
 	again, err := c.client(1).Submit(context.Background(), notice(id), io.Discard)
 	assert.NilError(t, err)
 	assert.Equal(t, again.Outcome.State, v1.OutcomeState_OUTCOME_STATE_RAN, again.Outcome.Cause)
-	assert.Equal(t, string(again.Answer), string(res.Answer))
+	assert.Equal(t, string(again.Response), string(res.Response))
 	assert.Equal(t, c.plainCount(id), 1)
 }
 
--- a/test/integration/path_test.go
+++ b/test/integration/path_test.go
@@ -43,7 +43,7 @@
 	res, err := c.client(0).Submit(context.Background(), sheet("sheet-1", 40), io.Discard)
 	assert.NilError(t, err)
 	assert.Equal(t, res.Outcome.State, v1.OutcomeState_OUTCOME_STATE_RAN, res.Outcome.Cause)
-	assert.Equal(t, string(res.Answer), reference(prompt, 40))
+	assert.Equal(t, string(res.Response), reference(prompt, 40))
 
 	events, unreachable := c.timeline(1, "sheet-1")
 	assert.Equal(t, len(unreachable), 0)
@@ -72,7 +72,7 @@
 			res, err := c.client(0).Submit(context.Background(), sheet(name, 200), w)
 			assert.NilError(t, err)
 			assert.Equal(t, res.Outcome.State, v1.OutcomeState_OUTCOME_STATE_RAN, res.Outcome.Cause)
-			assert.Equal(t, string(res.Answer), reference(prompt, 200))
+			assert.Equal(t, string(res.Response), reference(prompt, 200))
 			assert.Assert(t, hit != nil, "no stage was killed")
 			c.boot(hit)
 			c.waitReady()
@@ -119,7 +119,7 @@
 		res, err := c.client(i).Submit(context.Background(), ask, io.Discard)
 		assert.NilError(t, err)
 		assert.Equal(t, res.Outcome.State, v1.OutcomeState_OUTCOME_STATE_RAN, res.Outcome.Cause)
-		answers = append(answers, string(res.Answer))
+		answers = append(answers, string(res.Response))
 	}
 	assert.Equal(t, answers[0], answers[1])
 	assert.Equal(t, c.plainCount(id), 1)
@@ -147,7 +147,7 @@
 	res, err := c.client(1).Submit(context.Background(), sheet("orphan", 300), io.Discard)
 	assert.NilError(t, err)
 	assert.Equal(t, res.Outcome.State, v1.OutcomeState_OUTCOME_STATE_RAN, res.Outcome.Cause)
-	assert.Equal(t, string(res.Answer), reference(prompt, 300))
+	assert.Equal(t, string(res.Response), reference(prompt, 300))
 }
 
 // A sheet that must not be repeated loses a stage in the middle. Another engine
@@ -198,7 +198,7 @@
 	c := newCluster(t, 2, ranges, 0)
 	res, err := c.client(0).Submit(context.Background(), sheet("long-way", 10), io.Discard)
 	assert.NilError(t, err)
-	assert.Equal(t, string(res.Answer), reference(prompt, 10))
+	assert.Equal(t, string(res.Response), reference(prompt, 10))
 	events, _ := c.timeline(1, "long-way")
 	opened, started, processes := map[string]int{}, map[string]int{}, map[string]bool{}
 	for i, e := range events {
--- a/test/integration/stop_test.go
+++ b/test/integration/stop_test.go
@@ -47,12 +47,12 @@
 	res, err := c.client(0).Submit(context.Background(), sheet("frozen", 200), w)
 	assert.NilError(t, err)
 	assert.Equal(t, res.Outcome.State, v1.OutcomeState_OUTCOME_STATE_RAN, res.Outcome.Cause)
-	assert.Equal(t, string(res.Answer), reference(prompt, 200))
+	assert.Equal(t, string(res.Response), reference(prompt, 200))
 	frozen.signal(syscall.SIGCONT)
 	c.waitReady()
 	res, err = c.client(0).Submit(context.Background(), sheet("after", 30), io.Discard)
 	assert.NilError(t, err)
-	assert.Equal(t, string(res.Answer), reference(prompt, 30))
+	assert.Equal(t, string(res.Response), reference(prompt, 30))
 }
 
 // The only chain is lost in the middle of a sheet, and no other engine holds
@@ -93,7 +93,7 @@
 				return
 			}
 			assert.Check(t, res.Outcome.State == v1.OutcomeState_OUTCOME_STATE_RAN, "%d: %s", i, res.Outcome.Cause)
-			assert.Check(t, string(res.Answer) == reference(prompt, 60))
+			assert.Check(t, string(res.Response) == reference(prompt, 60))
 		}()
 	}
 	first := make(chan struct{})
@@ -103,7 +103,7 @@
 		w := &onWrite{after: 1, do: func() { close(first) }}
 		res, err := c.client(0).Submit(context.Background(), sheet("at-leaving-entry", 300), w)
 		if assert.Check(t, err) {
-			assert.Check(t, string(res.Answer) == reference(prompt, 300))
+			assert.Check(t, string(res.Response) == reference(prompt, 300))
 		}
 	}()
 	<-first
@@ -134,7 +134,7 @@
 	res, err := c.client(0).Submit(context.Background(), sheet("long", long), w)
 	assert.NilError(t, err)
 	assert.Equal(t, res.Outcome.State, v1.OutcomeState_OUTCOME_STATE_RAN, res.Outcome.Cause)
-	assert.Equal(t, string(res.Answer), reference(prompt, long))
+	assert.Equal(t, string(res.Response), reference(prompt, long))
 	assert.Assert(t, strings.HasSuffix(res.Outcome.Evidence, "epoch 1"), res.Outcome.Evidence)
 	<-leaving.done
 	assert.Equal(t, leaving.code, 0)
