--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -191,7 +191,7 @@
 	if err := dec.Decode(&s); err != nil {
 		return s, Explain(err)
 	}
-	return s, s.Check()
+	return s, s.Validate()
 }
 
 // Explain makes one line of a TOML decoder's error: the key and the reason.
@@ -217,8 +217,8 @@
 	reason string
 }
 
-// Check tells the first setting that cannot be worked with.
-func (s *Settings) Check() error {
+// Validate tells the first setting that cannot be worked with.
+func (s *Settings) Validate() error {
 	if s.Role == model.RoleRouter {
 		return firstFailed(s.routerChecks())
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -94,7 +94,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		s, err := Parse(raw)
 		if err == nil {
-			assert.NilError(t, s.Check())
+			assert.NilError(t, s.Validate())
 		}
 	})
 }
--- a/test/fleet/harness_test.go
+++ b/test/fleet/harness_test.go
@@ -168,7 +168,7 @@
 	for _, r := range s.routers {
 		set.Router.Seeds = append(set.Router.Seeds, r.settings.Router.Peers)
 	}
-	assert.NilError(s.t, set.Check())
+	assert.NilError(s.t, set.Validate())
 	r := &router{settings: set}
 	s.run(r)
 	s.routers = append(s.routers, r)
