--- a/internal/ctl/load.go
+++ b/internal/ctl/load.go
@@ -70,7 +70,7 @@
 	}
 	var m mixFile
 	if err := toml.NewDecoder(strings.NewReader(string(raw))).DisallowUnknownFields().Decode(&m); err != nil {
-		return errors.Wrap(settings.Explain(err), path)
+		return errors.Wrap(settings.FormatError(err), path)
 	}
 	if len(m.Mix) == 0 {
 		return errors.Errorf("%s: mix: is empty", path)
--- a/internal/ctl/operators.go
+++ b/internal/ctl/operators.go
@@ -126,7 +126,7 @@
 	var f templateFile
 	dec := toml.NewDecoder(strings.NewReader(string(raw))).DisallowUnknownFields()
 	if err := dec.Decode(&f); err != nil {
-		return nil, settings.Explain(err)
+		return nil, settings.FormatError(err)
 	}
 	t := &v1.Template{Customer: f.Customer, Parameters: f.Parameters}
 	for _, s := range f.Services {
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -39,7 +39,7 @@
 func Read(raw []byte) (Site, error) {
 	var f file
 	if err := toml.NewDecoder(strings.NewReader(string(raw))).DisallowUnknownFields().Decode(&f); err != nil {
-		return Site{}, settings.Explain(err)
+		return Site{}, settings.FormatError(err)
 	}
 	for _, n := range []struct {
 		name  string
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -189,13 +189,13 @@
 	dec := toml.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&s); err != nil {
-		return s, Explain(err)
+		return s, FormatError(err)
 	}
 	return s, s.Validate()
 }
 
-// Explain makes one line of a TOML decoder's error: the key and the reason.
-func Explain(err error) error {
+// FormatError makes one line of a TOML decoder's error: the key and the reason.
+func FormatError(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		e := strict.Errors[0]
