--- a/internal/ctl/load.go
+++ b/internal/ctl/load.go
@@ -79,7 +79,7 @@
 		if k.Weight <= 0 {
 			return errors.Errorf("%s: mix[%d].weight: must be above 0", path, i)
 		}
-		cfg.Mix = append(cfg.Mix, load.Kind(k))
+		cfg.Mix = append(cfg.Mix, load.RequestKind(k))
 	}
 	return nil
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -17,8 +17,8 @@
 	"github.com/skylarkwood/skylarkwood/api/skylarkwood/v1/skylarkwoodv1connect"
 )
 
-// Kind is one kind of request of the mix.
-type Kind struct {
+// RequestKind is one kind of request of the mix.
+type RequestKind struct {
 	Customer      string  `json:"customer"`
 	Service       string  `json:"service"`
 	Weight        float64 `json:"weight"`
@@ -38,7 +38,7 @@
 	Period  time.Duration `json:"period"`
 	Timeout time.Duration `json:"timeout"`
 	Seed    uint64        `json:"seed"`
-	Mix     []Kind        `json:"mix"`
+	Mix     []RequestKind        `json:"mix"`
 }
 
 // Report is what came of it. Sent is the sum of the five ends of a request.
@@ -150,7 +150,7 @@
 	return max(r.cfg.Rate*(1-share*r.cfg.Burst)/(1-share), r.cfg.Rate/100)
 }
 
-func (r *run) pick(rnd *rand.Rand) Kind {
+func (r *run) pick(rnd *rand.Rand) RequestKind {
 	total := 0.0
 	for _, k := range r.cfg.Mix {
 		total += k.Weight
@@ -164,7 +164,7 @@
 	return r.cfg.Mix[len(r.cfg.Mix)-1]
 }
 
-func (r *run) one(ctx context.Context, c skylarkwoodv1connect.RequestServiceClient, k Kind) {
+func (r *run) one(ctx context.Context, c skylarkwoodv1connect.RequestServiceClient, k RequestKind) {
 	began := time.Now()
 	stream, err := c.Submit(ctx, connect.NewRequest(&v1.SubmitRequest{
 		Customer:      k.Customer,
--- a/test/integration/capacity_test.go
+++ b/test/integration/capacity_test.go
@@ -162,7 +162,7 @@
 		Rate:     *rateFlag,
 		Duration: *windowFlag,
 		Seed:     1,
-		Mix:      []load.Kind{{Customer: customer, Service: sheets, Weight: 1, Tokens: loadTokens, Body: prompt}},
+		Mix:      []load.RequestKind{{Customer: customer, Service: sheets, Weight: 1, Tokens: loadTokens, Body: prompt}},
 	}
 	for _, e := range c.entries {
 		cfg.Entries = append(cfg.Entries, "http://"+e.http)
