--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -53,7 +53,7 @@
 	Kinds       map[string]int `json:"kinds"`
 	Tokens      int64          `json:"tokens"`
 	Seconds     []Second       `json:"seconds"`
-	First       Latency        `json:"first_token_ms"`
+	FirstToken       Latency        `json:"first_token_ms"`
 	Between     Latency        `json:"between_tokens_ms"`
 	Whole       Latency        `json:"whole_ms"`
 	GoodputRate float64        `json:"goodput_requests_per_second"`
@@ -260,7 +260,7 @@
 func (r *run) finish() Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.report.First = latencyOf(r.first)
+	r.report.FirstToken = latencyOf(r.first)
 	r.report.Between = latencyOf(r.between)
 	r.report.Whole = latencyOf(r.whole)
 	r.report.GoodputRate = float64(r.report.Ran) / r.cfg.Duration.Seconds()
