--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -54,7 +54,7 @@
 	Tokens      int64          `json:"tokens"`
 	Seconds     []Second       `json:"seconds"`
 	FirstToken       Latency        `json:"first_token_ms"`
-	Between     Latency        `json:"between_tokens_ms"`
+	BetweenTokens     Latency        `json:"between_tokens_ms"`
 	Whole       Latency        `json:"whole_ms"`
 	GoodputRate float64        `json:"goodput_requests_per_second"`
 }
@@ -261,7 +261,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.FirstToken = latencyOf(r.first)
-	r.report.Between = latencyOf(r.between)
+	r.report.BetweenTokens = latencyOf(r.between)
 	r.report.Whole = latencyOf(r.whole)
 	r.report.GoodputRate = float64(r.report.Ran) / r.cfg.Duration.Seconds()
 	return r.report
