--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -55,7 +55,7 @@
 	Seconds     []Second       `json:"seconds"`
 	FirstToken       Latency        `json:"first_token_ms"`
 	BetweenTokens     Latency        `json:"between_tokens_ms"`
-	Whole       Latency        `json:"whole_ms"`
+	Total       Latency        `json:"whole_ms"`
 	GoodputRate float64        `json:"goodput_requests_per_second"`
 }
 
@@ -262,7 +262,7 @@
 	defer r.mu.Unlock()
 	r.report.FirstToken = latencyOf(r.first)
 	r.report.BetweenTokens = latencyOf(r.between)
-	r.report.Whole = latencyOf(r.whole)
+	r.report.Total = latencyOf(r.whole)
 	r.report.GoodputRate = float64(r.report.Ran) / r.cfg.Duration.Seconds()
 	return r.report
 }
