--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -21,7 +21,7 @@
 // Planner makes a plan of engines that hold nothing.
 type Planner struct {
 	Name string
-	Make func(*model.EngineSpec, []placement.Engine) placement.Plan
+	BuildPlan func(*model.EngineSpec, []placement.Engine) placement.Plan
 }
 
 // Result is what one planner's plan bears.
@@ -70,7 +70,7 @@
 func Compare(site Site, planners []Planner) []Result {
 	var out []Result
 	for _, p := range planners {
-		out = append(out, measure(site, p.Name, p.Make(site.Spec, site.Engines)))
+		out = append(out, measure(site, p.Name, p.BuildPlan(site.Spec, site.Engines)))
 	}
 	return out
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -27,7 +27,7 @@
 	site := example(t)
 	byName := map[string]Result{}
 	for _, p := range Planners() {
-		plan := p.Make(site.Spec, site.Engines)
+		plan := p.BuildPlan(site.Spec, site.Engines)
 		for _, e := range site.Engines {
 			assert.Assert(t, plan[e.Address].Len() <= placement.MaxLayers(site.Spec, e.Card), "%s: %s holds %s", p.Name, e.Address, plan[e.Address])
 		}
