--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -56,7 +56,7 @@
 	FirstToken       Latency        `json:"first_token_ms"`
 	BetweenTokens     Latency        `json:"between_tokens_ms"`
 	Total       Latency        `json:"whole_ms"`
-	GoodputRate float64        `json:"goodput_requests_per_second"`
+	Goodput float64        `json:"goodput_requests_per_second"`
 }
 
 // Second is one second of the run, by when requests ended.
@@ -263,7 +263,7 @@
 	r.report.FirstToken = latencyOf(r.first)
 	r.report.BetweenTokens = latencyOf(r.between)
 	r.report.Total = latencyOf(r.whole)
-	r.report.GoodputRate = float64(r.report.Ran) / r.cfg.Duration.Seconds()
+	r.report.Goodput = float64(r.report.Ran) / r.cfg.Duration.Seconds()
 	return r.report
 }
 
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -18,7 +18,7 @@
 }).Parse(`<!doctype html><meta charset="utf-8"><title>Load report</title>
 <style>body{font:14px sans-serif;margin:2em;max-width:60em}td,th{padding:.2em 1em;text-align:right}th:first-child,td:first-child{text-align:left}svg{background:#f7f7f7}</style>
 <h1>Load report</h1>
-<p>{{printf "%.1f" .Config.Rate}} requests/s offered for {{.Config.Duration}}{{if gt .Config.Burst 1.0}}, bursts of {{.Config.Burst}} times every {{.Config.Period}}{{end}}; {{printf "%.1f" .GoodputRate}} requests/s ran.</p>
+<p>{{printf "%.1f" .Config.Rate}} requests/s offered for {{.Config.Duration}}{{if gt .Config.Burst 1.0}}, bursts of {{.Config.Burst}} times every {{.Config.Period}}{{end}}; {{printf "%.1f" .Goodput}} requests/s ran.</p>
 <table><tr><th>sent</th><th>ran</th><th>not run</th><th>cut off</th><th>not accepted</th><th>lost</th></tr>
 <tr><td>{{.Sent}}</td><td>{{.Ran}}</td><td>{{.NotRun}}</td><td>{{.CutOff}}</td><td>{{.NotAccepted}}</td><td>{{.Lost}}</td></tr></table>
 {{if .Kinds}}<table><tr><th>why not</th><th>requests</th></tr>{{range $k, $n := .Kinds}}<tr><td>{{$k}}</td><td>{{$n}}</td></tr>{{end}}</table>{{end}}
@@ -69,7 +69,7 @@
 func (r Report) Text(w io.Writer) {
 	fmt.Fprintf(w, "sent %d = ran %d + not run %d + cut off %d + not accepted %d + lost %d\n",
 		r.Sent, r.Ran, r.NotRun, r.CutOff, r.NotAccepted, r.Lost)
-	fmt.Fprintf(w, "goodput %.1f requests/s of %.1f offered\n", r.GoodputRate, r.Config.Rate)
+	fmt.Fprintf(w, "goodput %.1f requests/s of %.1f offered\n", r.Goodput, r.Config.Rate)
 	for _, l := range []struct {
 		name string
 		Latency
