--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -20,7 +20,7 @@
 
 // Planner makes a plan of engines that hold nothing.
 type Planner struct {
-	Name string
+	Name      string
 	BuildPlan func(*model.EngineSpec, []placement.Engine) placement.Plan
 }
 
@@ -35,8 +35,8 @@
 	Prompts, PromptShare float64
 	// Domains is what each failure domain bears with its own engines.
 	Domains []Domain
-	// Bare counts layers that nobody holds.
-	Bare int
+	// UncoveredLayers counts layers that nobody holds.
+	UncoveredLayers int `json:"Bare"`
 }
 
 // Domain is what one failure domain bears without the pipes to others.
@@ -46,11 +46,11 @@
 	// TokenMS is the least time a token takes through the domain's engines, in
 	// ms, unloaded and without the hops between engines; 0 where layers lack.
 	TokenMS float64
-	// Parts is how many engines the domain's shortest chain has; 0 where layers lack.
+	// MinStages is how many engines the domain's shortest chain has; 0 where layers lack.
 	// Each is one whose loss interrupts the streams of that chain.
-	Parts int
-	// Twice is the share of the layers that two engines of the domain hold, or more.
-	Twice float64
+	MinStages int `json:"Parts"`
+	// ReplicatedShare is the share of the layers that two engines of the domain hold, or more.
+	ReplicatedShare float64 `json:"Twice"`
 	// AfterLoss is how many streams at once the domain bears without the one engine
 	// whose loss costs most.
 	AfterLoss float64
@@ -80,12 +80,12 @@
 	memory := placement.MaxFlow(spec, plan, all, placement.MemoryCapacity(spec))
 	reading := placement.MaxFlow(spec, plan, all, placement.PrefillCapacity(spec))
 	r := Result{
-		Planner:     name,
-		Streams:     memory / usual(spec),
-		StreamShare: share(memory, placement.MemoryBound(spec, all)),
-		Prompts:     reading / float64(max(spec.UsualPrompt, 1)),
-		PromptShare: share(reading, placement.PrefillBound(spec, all)),
-		Bare:        len(placement.UncoveredLayers(spec, plan, all)),
+		Planner:         name,
+		Streams:         memory / usual(spec),
+		StreamShare:     share(memory, placement.MemoryBound(spec, all)),
+		Prompts:         reading / float64(max(spec.UsualPrompt, 1)),
+		PromptShare:     share(reading, placement.PrefillBound(spec, all)),
+		UncoveredLayers: len(placement.UncoveredLayers(spec, plan, all)),
 	}
 	for _, group := range domains(all) {
 		r.Domains = append(r.Domains, Domain{
@@ -94,9 +94,9 @@
 			Prompts: placement.MaxFlow(spec, plan, group, placement.PrefillCapacity(spec)) / float64(max(spec.UsualPrompt, 1)),
 			TokenMS: tokenMS(spec, plan, group),
 
-			Parts:     placement.MinStages(spec, plan, group),
-			Twice:     twice(spec, plan, group),
-			AfterLoss: afterLoss(spec, plan, group),
+			MinStages:       placement.MinStages(spec, plan, group),
+			ReplicatedShare: twice(spec, plan, group),
+			AfterLoss:       afterLoss(spec, plan, group),
 		})
 	}
 	return r
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -32,7 +32,7 @@
 			assert.Assert(t, plan[e.Address].Len() <= placement.MaxLayers(site.Spec, e.Card), "%s: %s holds %s", p.Name, e.Address, plan[e.Address])
 		}
 		r := measure(site, p.Name, plan)
-		assert.Equal(t, r.Bare, 0, p.Name)
+		assert.Equal(t, r.UncoveredLayers, 0, p.Name)
 		assert.Assert(t, r.StreamShare > 0 && r.StreamShare <= 1, "%s: %v", p.Name, r.StreamShare)
 		assert.Assert(t, r.PromptShare > 0 && r.PromptShare <= 1.0001, "%s: %v", p.Name, r.PromptShare)
 		byName[p.Name] = r
@@ -41,9 +41,9 @@
 	for i, d := range ours.Domains {
 		assert.Assert(t, d.Streams > bySize.Domains[i].Streams, "%s: %.0f streams, by size %.0f", d.Name, d.Streams, bySize.Domains[i].Streams)
 		assert.Assert(t, d.TokenMS < even.Domains[i].TokenMS, "%s: %.1f ms a token, even %.1f", d.Name, d.TokenMS, even.Domains[i].TokenMS)
-		assert.Assert(t, d.Parts < even.Domains[i].Parts, "%s: %d engines in a chain, even %d", d.Name, d.Parts, even.Domains[i].Parts)
+		assert.Assert(t, d.MinStages < even.Domains[i].MinStages, "%s: %d engines in a chain, even %d", d.Name, d.MinStages, even.Domains[i].MinStages)
 		assert.Equal(t, even.Domains[i].AfterLoss, 0.0, "one even chain bears no loss")
-		assert.Assert(t, d.Twice == 1 && d.AfterLoss > 0, "%s: %.2f held twice, %.0f streams after a loss", d.Name, d.Twice, d.AfterLoss)
+		assert.Assert(t, d.ReplicatedShare == 1 && d.AfterLoss > 0, "%s: %.2f held twice, %.0f streams after a loss", d.Name, d.ReplicatedShare, d.AfterLoss)
 	}
 }
 
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -32,12 +32,12 @@
 <style>body{font:14px sans-serif;margin:2em;max-width:60em}td,th{padding:.2em 1em;text-align:right}th:first-child,td:first-child{text-align:left}svg{background:#f7f7f7}</style>
 <h1>{{.Title}}</h1>
 <table><tr><th>planner</th><th>streams at once</th><th>of the bound</th><th>prompts/s</th><th>of the bound</th><th>bare layers</th></tr>
-{{range .Results}}<tr><td>{{.Planner}}</td><td>{{printf "%.0f" .Streams}}</td><td>{{percent .StreamShare}}</td><td>{{printf "%.0f" .Prompts}}</td><td>{{percent .PromptShare}}</td><td>{{.Bare}}</td></tr>{{end}}</table>
+{{range .Results}}<tr><td>{{.Planner}}</td><td>{{printf "%.0f" .Streams}}</td><td>{{percent .StreamShare}}</td><td>{{printf "%.0f" .Prompts}}</td><td>{{percent .PromptShare}}</td><td>{{.UncoveredLayers}}</td></tr>{{end}}</table>
 <h2>Streams at once, over all domains</h2>{{streams .}}
 <h2>Prompts read a second, over all domains</h2>{{prompts .}}
 <h2>Each failure domain with its own engines</h2>
 <table><tr><th>planner</th><th>domain</th><th>streams at once</th><th>after the worst loss</th><th>prompts/s</th><th>ms a token</th><th>engines in a chain</th><th>layers held twice</th></tr>
-{{range .Results}}{{$p := .Planner}}{{range .Domains}}<tr><td>{{$p}}</td><td>{{.Name}}</td><td>{{printf "%.0f" .Streams}}</td><td>{{printf "%.0f" .AfterLoss}}</td><td>{{printf "%.0f" .Prompts}}</td><td>{{printf "%.1f" .TokenMS}}</td><td>{{.Parts}}</td><td>{{percent .Twice}}</td></tr>{{end}}{{end}}</table>
+{{range .Results}}{{$p := .Planner}}{{range .Domains}}<tr><td>{{$p}}</td><td>{{.Name}}</td><td>{{printf "%.0f" .Streams}}</td><td>{{printf "%.0f" .AfterLoss}}</td><td>{{printf "%.0f" .Prompts}}</td><td>{{printf "%.1f" .TokenMS}}</td><td>{{.MinStages}}</td><td>{{percent .ReplicatedShare}}</td></tr>{{end}}{{end}}</table>
 `))
 
 // HTML writes the report as one page that needs nothing else.
@@ -47,12 +47,12 @@
 func (r Report) Text(w io.Writer) {
 	fmt.Fprintf(w, "%-20s %15s %9s %10s %9s %5s\n", "PLANNER", "STREAMS AT ONCE", "OF BOUND", "PROMPTS/S", "OF BOUND", "BARE")
 	for _, x := range r.Results {
-		fmt.Fprintf(w, "%-20s %15.0f %8.0f%% %10.0f %8.0f%% %5d\n", x.Planner, x.Streams, 100*x.StreamShare, x.Prompts, 100*x.PromptShare, x.Bare)
+		fmt.Fprintf(w, "%-20s %15.0f %8.0f%% %10.0f %8.0f%% %5d\n", x.Planner, x.Streams, 100*x.StreamShare, x.Prompts, 100*x.PromptShare, x.UncoveredLayers)
 	}
 	fmt.Fprintf(w, "\n%-20s %-16s %15s %10s %10s %11s %8s %10s\n", "PLANNER", "FAILURE DOMAIN", "STREAMS AT ONCE", "AFTER LOSS", "PROMPTS/S", "MS A TOKEN", "ENGINES", "HELD TWICE")
 	for _, x := range r.Results {
 		for _, d := range x.Domains {
-			fmt.Fprintf(w, "%-20s %-16s %15.0f %10.0f %10.0f %11.1f %8d %9.0f%%\n", x.Planner, d.Name, d.Streams, d.AfterLoss, d.Prompts, d.TokenMS, d.Parts, 100*d.Twice)
+			fmt.Fprintf(w, "%-20s %-16s %15.0f %10.0f %10.0f %11.1f %8d %9.0f%%\n", x.Planner, d.Name, d.Streams, d.AfterLoss, d.Prompts, d.TokenMS, d.MinStages, 100*d.ReplicatedShare)
 		}
 	}
 }
