--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -32,7 +32,7 @@
 // Result is a request's answer and what became of it.
 type Result struct {
 	ID      string
-	Answer  []byte
+	Response  []byte
 	Outcome *v1.Outcome
 }
 
@@ -51,7 +51,7 @@
 			res.ID = msg.RequestId
 		}
 		if len(msg.Data) > 0 {
-			res.Answer = append(res.Answer, msg.Data...)
+			res.Response = append(res.Response, msg.Data...)
 			if _, err := w.Write(msg.Data); err != nil {
 				return res, errors.Wrap(err, "write answer")
 			}
@@ -69,8 +69,8 @@
 	return res, nil
 }
 
-// Met counts the instances that the entry has met, itself included.
-func (c *Client) Met(ctx context.Context) int {
+// ReachableInstances counts the instances that the entry has met, itself included.
+func (c *Client) ReachableInstances(ctx context.Context) int {
 	rep, err := c.Operators.GetStatus(ctx, connect.NewRequest(&v1.GetStatusRequest{}))
 	if err != nil {
 		return 0
--- a/internal/ctl/load.go
+++ b/internal/ctl/load.go
@@ -70,7 +70,7 @@
 	}
 	var m mixFile
 	if err := toml.NewDecoder(strings.NewReader(string(raw))).DisallowUnknownFields().Decode(&m); err != nil {
-		return errors.Wrap(settings.Explain(err), path)
+		return errors.Wrap(settings.FormatError(err), path)
 	}
 	if len(m.Mix) == 0 {
 		return errors.Errorf("%s: mix: is empty", path)
@@ -79,7 +79,7 @@
 		if k.Weight <= 0 {
 			return errors.Errorf("%s: mix[%d].weight: must be above 0", path, i)
 		}
-		cfg.Mix = append(cfg.Mix, load.Kind(k))
+		cfg.Mix = append(cfg.Mix, load.RequestKind(k))
 	}
 	return nil
 }
--- a/internal/daemon/command/command.go
+++ b/internal/daemon/command/command.go
@@ -140,7 +140,7 @@
 		return err
 	}
 	fmt.Printf("entry at %s; customer %s, services %s and %s; stop with Ctrl-C\n",
-		d.URL, daemon.DevCustomer, daemon.DevService, daemon.DevPlain)
+		d.URL, daemon.DevCustomer, daemon.DevService, daemon.DevPlainService)
 	return d.Run(ctx)
 }
 
@@ -154,7 +154,7 @@
 	done := make(chan error, 1)
 	go func() { done <- d.Run(ctx) }()
 	c := ctl.NewClient(d.URL)
-	if err := d.WaitReady(ctx, c.Met); err != nil {
+	if err := d.WaitReady(ctx, c.ReachableInstances); err != nil {
 		return err
 	}
 	if err := sendSheet(ctx, c); err != nil {
--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -22,7 +22,7 @@
 const (
 	DevCustomer = "skola-manus"
 	DevService  = "planer-rundi"
-	DevPlain    = "dispecer"
+	DevPlainService    = "dispecer"
 	DevLayers   = 12
 	devStages   = 3
 	devCapacity = 32
@@ -69,7 +69,7 @@
 		Customer: DevCustomer,
 		Rules: []config.Rule{
 			{Service: DevService, Priority: 5, DefaultTimeout: 30 * time.Second},
-			{Service: DevPlain, Priority: 7, NotRepeatable: true, DefaultTimeout: 10 * time.Second},
+			{Service: DevPlainService, Priority: 7, NotRepeatable: true, DefaultTimeout: 10 * time.Second},
 		},
 		Parameters: map[string]string{"language": "hr"},
 	}, 0, "dev")
@@ -115,7 +115,7 @@
 	s.Sidecar.Layers = DevLayers
 	s.Sidecar.Capacity = devCapacity
 	s.Sidecar.Backend = fmt.Sprintf("embedded:%d", i)
-	d.runs = append(d.runs, NewSidecar(s, Outside{KV: d.kv, Instances: d.instances, Engine: e}).Run)
+	d.runs = append(d.runs, NewSidecar(s, Dependencies{KV: d.kv, Instances: d.instances, Engine: e}).Run)
 	return nil
 }
 
@@ -124,10 +124,10 @@
 	if err != nil {
 		return err
 	}
-	s.Sidecar.Service = DevPlain
+	s.Sidecar.Service = DevPlainService
 	s.Sidecar.Kind = model.KindPlain
 	plain := standin.NewPlain(time.Millisecond)
-	d.runs = append(d.runs, NewSidecar(s, Outside{KV: d.kv, Instances: d.instances, Plain: plain}).Run)
+	d.runs = append(d.runs, NewSidecar(s, Dependencies{KV: d.kv, Instances: d.instances, Plain: plain}).Run)
 	return nil
 }
 
@@ -137,7 +137,7 @@
 		return err
 	}
 	d.URL = "http://" + s.Listen.HTTP
-	d.runs = append(d.runs, NewEntry(s, Outside{KV: d.kv, Instances: d.instances}).Run)
+	d.runs = append(d.runs, NewEntry(s, Dependencies{KV: d.kv, Instances: d.instances}).Run)
 	return nil
 }
 
