--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -31,9 +31,9 @@
 
 // Result is a request's answer and what became of it.
 type Result struct {
-	ID      string
-	Response  []byte
-	Outcome *v1.Outcome
+	ID       string
+	Response []byte
+	Outcome  *v1.Outcome
 }
 
 // Submit sends a request and reads its whole answer, copying it to w as it
--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -20,14 +20,14 @@
 // The small system of dev mode: one customer, one model in three layer ranges,
 // one plain service.
 const (
-	DevCustomer = "skola-manus"
-	DevService  = "planer-rundi"
-	DevPlainService    = "dispecer"
-	DevLayers   = 12
-	devStages   = 3
-	devCapacity = 32
-	devStep     = 50 * time.Microsecond
-	devReady    = 20 * time.Second
+	DevCustomer     = "skola-manus"
+	DevService      = "planer-rundi"
+	DevPlainService = "dispecer"
+	DevLayers       = 12
+	devStages       = 3
+	devCapacity     = 32
+	devStep         = 50 * time.Microsecond
+	devReady        = 20 * time.Second
 )
 
 // Dev is a whole system in one process, on loopback.
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -80,12 +80,12 @@
 	memory := placement.MaxFlow(spec, plan, all, placement.MemoryCapacity(spec))
 	reading := placement.MaxFlow(spec, plan, all, placement.PrefillCapacity(spec))
 	r := Result{
-		Planner:     name,
-		Streams:     memory / usual(spec),
-		StreamShare: share(memory, placement.MemoryBound(spec, all)),
-		Prompts:     reading / float64(max(spec.MeanPromptTokens, 1)),
-		PromptShare: share(reading, placement.PrefillBound(spec, all)),
-		UncoveredLayers:        len(placement.UncoveredLayers(spec, plan, all)),
+		Planner:         name,
+		Streams:         memory / usual(spec),
+		StreamShare:     share(memory, placement.MemoryBound(spec, all)),
+		Prompts:         reading / float64(max(spec.MeanPromptTokens, 1)),
+		PromptShare:     share(reading, placement.PrefillBound(spec, all)),
+		UncoveredLayers: len(placement.UncoveredLayers(spec, plan, all)),
 	}
 	for _, group := range domains(all) {
 		r.Domains = append(r.Domains, Domain{
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -38,25 +38,25 @@
 	Period  time.Duration `json:"period"`
 	Timeout time.Duration `json:"timeout"`
 	Seed    uint64        `json:"seed"`
-	Mix     []RequestKind        `json:"mix"`
+	Mix     []RequestKind `json:"mix"`
 }
 
 // Report is what came of it. Sent is the sum of the five ends of a request.
 type Report struct {
-	Config      Config         `json:"config"`
-	Sent        int            `json:"sent"`
-	Ran         int            `json:"ran"`
-	NotRun      int            `json:"not_run"`
-	CutOff      int            `json:"cut_off"`
-	NotAccepted int            `json:"not_accepted"`
-	Lost        int            `json:"lost"` // the stream broke before an outcome
-	Kinds       map[string]int `json:"kinds"`
-	Tokens      int64          `json:"tokens"`
-	Seconds     []Second       `json:"seconds"`
-	FirstToken       Latency        `json:"first_token_ms"`
-	BetweenTokens     Latency        `json:"between_tokens_ms"`
-	Total       Latency        `json:"whole_ms"`
-	Goodput float64        `json:"goodput_requests_per_second"`
+	Config        Config         `json:"config"`
+	Sent          int            `json:"sent"`
+	Ran           int            `json:"ran"`
+	NotRun        int            `json:"not_run"`
+	CutOff        int            `json:"cut_off"`
+	NotAccepted   int            `json:"not_accepted"`
+	Lost          int            `json:"lost"` // the stream broke before an outcome
+	Kinds         map[string]int `json:"kinds"`
+	Tokens        int64          `json:"tokens"`
+	Seconds       []Second       `json:"seconds"`
+	FirstToken    Latency        `json:"first_token_ms"`
+	BetweenTokens Latency        `json:"between_tokens_ms"`
+	Total         Latency        `json:"whole_ms"`
+	Goodput       float64        `json:"goodput_requests_per_second"`
 }
 
 // Second is one second of the run, by when requests ended.
--- a/internal/transport/peers/news.go
+++ b/internal/transport/peers/news.go
@@ -52,7 +52,9 @@
 }
 
 // Register adds the method that peers call.
-func (n *Updates) Register(s *link.Server) { s.Register(wire.MethodRouterUpdates, link.Handle(n.answer)) }
+func (n *Updates) Register(s *link.Server) {
+	s.Register(wire.MethodRouterUpdates, link.Handle(n.answer))
+}
 
 // Poll asks a router for news.
 func (n *Updates) Poll(ctx context.Context, addr string, after model.Revision, wait time.Duration) (follow.Updates, error) {
