--- a/internal/coordination/quarantine/archive.go
+++ b/internal/coordination/quarantine/archive.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// standInAfter is how long each router further down the order waits before it stores
+	// takeoverDelay is how long each router further down the order waits before it stores
 	// verdicts in place of those above it, which may have ended or be cut off.
-	standInAfter = 2 * time.Second
-	// firstRetry and longestRetry are between tries to store that failed; each is a priced
+	takeoverDelay = 2 * time.Second
+	// minRetryDelay and longestRetry are between tries to store that failed; each is a priced
 	// call.
-	firstRetry   = 500 * time.Millisecond
-	longestRetry = 8 * time.Second
+	minRetryDelay = 500 * time.Millisecond
+	maxRetryDelay = 8 * time.Second
 	// storeTimeout bounds one call.
 	storeTimeout = 900 * time.Millisecond
 )
@@ -37,27 +37,27 @@
 	Clock func() time.Duration
 	Now   func() time.Time
 
-	mu       sync.Mutex
-	seen     bool // the store was read
-	revision model.Revision
-	stored   map[model.Fingerprint]int64 // until when, in Unix milliseconds
-	missing  time.Duration               // since when one is missing; 0 for none
-	retryAt  time.Duration
-	retry    time.Duration
+	mu           sync.Mutex
+	loaded       bool // the store was read
+	revision     model.Revision
+	stored       map[model.Fingerprint]int64 // until when, in Unix milliseconds
+	missingSince time.Duration               // since when one is missing; 0 for none
+	nextRetryAt  time.Duration
+	retryDelay   time.Duration
 }
 
 // record is what the key holds.
 type record struct {
-	Requests []storedSentence `json:"requests"`
+	Requests []storedVerdict `json:"requests"`
 }
 
-// storedSentence is a verdict with the time of day at which its term ends, in Unix
+// storedVerdict is a verdict with the time of day at which its term ends, in Unix
 // milliseconds, by the clock of who wrote it. Clocks differ by seconds, terms last minutes.
-type storedSentence struct {
-	Work    model.Fingerprint `json:"work"`
-	TermMS  int64             `json:"term_ms"`
-	UntilMS int64             `json:"until_ms"`
-	Ends    int               `json:"ends"`
+type storedVerdict struct {
+	Fingerprint model.Fingerprint `json:"work"`
+	TermMS      int64             `json:"term_ms"`
+	UntilMS     int64             `json:"until_ms"`
+	Exits       int               `json:"ends"`
 }
 
 // Observe takes in the key as the store holds it; an empty value says that it does not exist.
@@ -71,48 +71,48 @@
 	now := a.Now().UnixMilli()
 	stored := map[model.Fingerprint]int64{}
 	var sentences []Verdict
-	for _, s := range rec.Requests[:min(len(rec.Requests), mostVerdicts)] {
-		stored[s.Work] = s.UntilMS
-		sentences = append(sentences, Verdict{Fingerprint: s.Work, TermMS: s.TermMS, AgeMS: s.TermMS - (s.UntilMS - now), Exits: s.Ends})
+	for _, s := range rec.Requests[:min(len(rec.Requests), maxVerdicts)] {
+		stored[s.Fingerprint] = s.UntilMS
+		sentences = append(sentences, Verdict{Fingerprint: s.Fingerprint, TermMS: s.TermMS, AgeMS: s.TermMS - (s.UntilMS - now), Exits: s.Exits})
 	}
 	a.Tracker.ApplyVerdicts(sentences, "store")
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.seen, a.revision, a.stored = true, revision, stored
+	a.loaded, a.revision, a.stored = true, revision, stored
 }
 
 // Tick stores verdicts that are missing in the store, if that is this router's turn.
 func (a *Persister) Tick(ctx context.Context) {
 	sentences := a.Tracker.Verdicts()
-	if expected, due := a.due(sentences, a.Rank()); due {
+	if expected, due := a.writeDue(sentences, a.Rank()); due {
 		a.write(ctx, sentences, expected)
 	}
 }
 
-// due tells whether this router is to store verdicts now, in place of which revision.
-func (a *Persister) due(sentences []Verdict, rank int) (expected model.Revision, due bool) {
+// writeDue tells whether this router is to store verdicts now, in place of which revision.
+func (a *Persister) writeDue(sentences []Verdict, rank int) (expected model.Revision, due bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Clock()
-	if !a.seen || !a.lacks(sentences) {
-		a.missing = 0
-		a.retry = 0
+	if !a.loaded || !a.verdictMissing(sentences) {
+		a.missingSince = 0
+		a.retryDelay = 0
 		return 0, false
 	}
-	if a.missing == 0 {
-		a.missing = now
+	if a.missingSince == 0 {
+		a.missingSince = now
 	}
-	if now < a.retryAt || now-a.missing < time.Duration(rank)*standInAfter {
+	if now < a.nextRetryAt || now-a.missingSince < time.Duration(rank)*takeoverDelay {
 		return 0, false
 	}
-	a.retry = min(max(2*a.retry, firstRetry), longestRetry)
-	a.retryAt = now + a.retry
+	a.retryDelay = min(max(2*a.retryDelay, minRetryDelay), maxRetryDelay)
+	a.nextRetryAt = now + a.retryDelay
 	return a.revision, true
 }
 
-// lacks tells whether a verdict is not in the store, or for a shorter term than a new one.
+// verdictMissing tells whether a verdict is not in the store, or for a shorter term than a new one.
 // The caller holds the lock.
-func (a *Persister) lacks(sentences []Verdict) bool {
+func (a *Persister) verdictMissing(sentences []Verdict) bool {
 	now := a.Now().UnixMilli()
 	for _, s := range sentences {
 		until, ok := a.stored[s.Fingerprint]
@@ -129,7 +129,7 @@
 	now := a.Now().UnixMilli()
 	var rec record
 	for _, s := range sentences {
-		rec.Requests = append(rec.Requests, storedSentence{Work: s.Fingerprint, TermMS: s.TermMS, UntilMS: now + s.TermMS - s.AgeMS, Ends: s.Exits})
+		rec.Requests = append(rec.Requests, storedVerdict{Fingerprint: s.Fingerprint, TermMS: s.TermMS, UntilMS: now + s.TermMS - s.AgeMS, Exits: s.Exits})
 	}
 	value, err := json.Marshal(rec)
 	if err != nil {
--- a/internal/coordination/quarantine/judge.go
+++ b/internal/coordination/quarantine/judge.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// aloneFrom is the number of ends from which on a request runs alone among suspects.
-	aloneFrom = 2
-	// settleTime is how long others are given to tell which requests they had at a
+	// minExitsForTrial is the number of ends from which on a request runs alone among suspects.
+	minExitsForTrial = 2
+	// evidenceDelay is how long others are given to tell which requests they had at a
 	// server that ended, before a request is blamed for it: a router with a third of a core
 	// may be that late.
-	settleTime = 100 * time.Millisecond
-	// doubtTime is how long a run that broke off counts as an end of its server for what
+	evidenceDelay = 100 * time.Millisecond
+	// unconfirmedTimeout is how long a run that broke off counts as an end of its server for what
 	// becomes of the request next, though nobody has confirmed it.
-	doubtTime = 300 * time.Millisecond
+	unconfirmedTimeout = 300 * time.Millisecond
 )
 
 // Restriction is what may be done with a request.
@@ -51,40 +51,40 @@
 func (t *Tracker) HasSuspects() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.watching()
+	return t.hasSuspects()
 }
 
-func (t *Tracker) watching() bool { return len(t.suspects)+len(t.verdicts) > 0 }
+func (t *Tracker) hasSuspects() bool { return len(t.suspects)+len(t.verdicts) > 0 }
 
 // Assess gives a request's standing.
 func (t *Tracker) Assess(work model.Fingerprint) Assessment {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.verdicts[work]
-	if v != nil && t.serving(v) {
-		return Assessment{Restriction: Quarantined, Exits: v.ends}
+	if v != nil && t.inTerm(v) {
+		return Assessment{Restriction: Quarantined, Exits: v.exits}
 	}
 	s := t.suspects[work]
 	if s == nil && v == nil {
 		return Assessment{}
 	}
-	c := t.weigh(work, s)
-	doubtful := t.doubtful(s)
-	out := Assessment{Exits: c.met + doubtful, LaterStage: c.wide}
-	from := guiltyFrom
+	c := t.collectEvidence(work, s)
+	doubtful := t.unconfirmedExits(s)
+	out := Assessment{Exits: c.exits + doubtful, LaterStage: c.laterStage}
+	from := minExits
 	if v != nil {
-		out.Exits += v.ends
-		from = v.ends + 1
+		out.Exits += v.exits
+		from = v.exits + 1
 	}
 	switch {
-	case out.Exits >= from && (doubtful > 0 || t.clock()-c.newest < settleTime):
+	case out.Exits >= from && (doubtful > 0 || t.clock()-c.newestAt < evidenceDelay):
 		out.Restriction = Undecided
-	case t.sentenced(work, v, c):
+	case t.quarantineIfProven(work, v, c):
 		out.Restriction = Quarantined
-	case out.Exits >= aloneFrom:
+	case out.Exits >= minExitsForTrial:
 		out.Restriction = TrialOnly
-		out.AvoidDomains = t.shun(s)
-		t.logAlone(work, s, c)
+		out.AvoidDomains = t.recentExitDomains(s)
+		t.logTrialOnly(work, s, c)
 	case out.Exits > 0:
 		out.Restriction = Separated
 	}
@@ -98,60 +98,60 @@
 	defer t.mu.Unlock()
 	for work, s := range t.suspects {
 		v := t.verdicts[work]
-		if v != nil && t.serving(v) || v == nil && len(s.ends) < guiltyFrom {
+		if v != nil && t.inTerm(v) || v == nil && len(s.exits) < minExits {
 			continue
 		}
-		if c := t.weigh(work, s); t.clock()-c.newest >= settleTime {
-			t.sentenced(work, v, c)
+		if c := t.collectEvidence(work, s); t.clock()-c.newestAt >= evidenceDelay {
+			t.quarantineIfProven(work, v, c)
 		}
 	}
 }
 
-// sentenced puts a request into quarantine if the evidence is enough; v is a verdict whose
+// quarantineIfProven puts a request into quarantine if the evidence is enough; v is a verdict whose
 // term is over, or nil. The caller holds the lock.
-func (t *Tracker) sentenced(work model.Fingerprint, v *verdict, c charge) bool {
+func (t *Tracker) quarantineIfProven(work model.Fingerprint, v *verdictEntry, c evidence) bool {
 	switch {
-	case v != nil && len(c.ends) > 0:
-		t.relapse(work, v)
-	case v == nil && t.guilty(work, c):
-		t.blame(work, c)
+	case v != nil && len(c.attributed) > 0:
+		t.renewVerdict(work, v)
+	case v == nil && t.isCause(work, c):
+		t.addVerdict(work, c)
 	default:
 		return false
 	}
-	if s := t.suspects[work]; s != nil && s.own {
-		t.out.verdict(work)
+	if s := t.suspects[work]; s != nil && s.local {
+		t.outbox.addVerdict(work)
 	}
 	return true
 }
 
-// shun lists the failure domains in which servers ended under a request a moment ago.
-func (t *Tracker) shun(s *suspect) map[string]bool {
+// recentExitDomains lists the failure domains in which servers ended under a request a moment ago.
+func (t *Tracker) recentExitDomains(s *suspect) map[string]bool {
 	out := map[string]bool{}
 	if s == nil {
 		return out
 	}
-	since := t.clock() - commonTime
-	for server := range s.ends {
-		if e := t.ends[server]; e.at >= since {
+	since := t.clock() - commonCauseWindow
+	for server := range s.exits {
+		if e := t.exits[server]; e.at >= since {
 			out[e.domain] = true
 		}
 	}
-	for _, b := range s.broken {
+	for _, b := range s.lostConnections {
 		if b.at >= since {
-			out[b.places[0].Domain] = true
+			out[b.locations[0].Domain] = true
 		}
 	}
 	return out
 }
 
-// doubtful counts the servers at which a request just broke off.
-func (t *Tracker) doubtful(s *suspect) int {
+// unconfirmedExits counts the servers at which a request just broke off.
+func (t *Tracker) unconfirmedExits(s *suspect) int {
 	if s == nil {
 		return 0
 	}
 	n := 0
-	for _, b := range s.broken {
-		if t.clock()-b.at < doubtTime {
+	for _, b := range s.lostConnections {
+		if t.clock()-b.at < unconfirmedTimeout {
 			n++
 		}
 	}
--- a/internal/coordination/quarantine/log.go
+++ b/internal/coordination/quarantine/log.go
@@ -6,34 +6,34 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// mostNamed bounds the requests that a line names.
-const mostNamed = 8
+// maxLoggedRequests bounds the requests that a line names.
+const maxLoggedRequests = 8
 
-// logEnd tells which requests were at a server that ended, those first that were at other
+// logExit tells which requests were at a server that ended, those first that were at other
 // ends too.
-func (t *Tracker) logEnd(server model.Incarnation, domain string, present map[model.Fingerprint]presence, source string) {
+func (t *Tracker) logExit(server model.Incarnation, domain string, present map[model.Fingerprint]participation, source string) {
 	var again []string
 	for work := range present {
-		if s := t.suspects[work]; s != nil && len(s.ends) > 1 && len(again) < mostNamed {
+		if s := t.suspects[work]; s != nil && len(s.exits) > 1 && len(again) < maxLoggedRequests {
 			again = append(again, work.String())
 		}
 	}
 	klog.InfoS("server ended under requests", "server", server, "failureDomain", domain, "requests", len(present), "seenBefore", again, "source", source)
 }
 
-func (t *Tracker) logAlone(work model.Fingerprint, s *suspect, c charge) {
-	if s == nil || s.warned {
+func (t *Tracker) logTrialOnly(work model.Fingerprint, s *suspect, c evidence) {
+	if s == nil || s.trialOnlyLogged {
 		return
 	}
-	s.warned = true
-	klog.InfoS("request runs alone from now on", "work", work, "ends", names(c.ends), "unconfirmed", len(s.broken))
+	s.trialOnlyLogged = true
+	klog.InfoS("request runs alone from now on", "work", work, "ends", incarnationNames(c.attributed), "unconfirmed", len(s.lostConnections))
 }
 
-func logQuarantined(work model.Fingerprint, c charge, source string) {
-	klog.InfoS("request quarantined: servers end under it", "work", work, "ends", names(c.ends), "weight", c.weight, "wide", c.wide, "term", firstTerm, "source", source)
+func logQuarantined(work model.Fingerprint, c evidence, source string) {
+	klog.InfoS("request quarantined: servers end under it", "work", work, "ends", incarnationNames(c.attributed), "weight", c.weight, "wide", c.laterStage, "term", minTerm, "source", source)
 }
 
-func names(servers []model.Incarnation) []string {
+func incarnationNames(servers []model.Incarnation) []string {
 	out := make([]string, len(servers))
 	for i, s := range servers {
 		out[i] = s.String()
@@ -41,11 +41,11 @@
 	return out
 }
 
-func logRelapsed(work model.Fingerprint, ends int) {
+func logRenewed(work model.Fingerprint, ends int) {
 	klog.InfoS("request quarantined again: a server ended under it after its term", "work", work, "ends", ends)
 }
 
-func logLearnt(s Verdict, source string) {
+func logVerdictReceived(s Verdict, source string) {
 	klog.InfoS("request quarantined: servers end under it", "work", s.Fingerprint, "ends", s.Exits, "termMs", s.TermMS, "ageMs", s.AgeMS, "source", source)
 }
 
@@ -53,6 +53,6 @@
 	klog.InfoS("request cleared: a server answered it", "work", work, "ends", ends)
 }
 
-func logClearedBy(work model.Fingerprint, peer string) {
+func logClearedByPeer(work model.Fingerprint, peer string) {
 	klog.V(1).InfoS("request cleared by a peer", "work", work, "peer", peer)
 }
--- a/internal/coordination/quarantine/model_test.go
+++ b/internal/coordination/quarantine/model_test.go
@@ -17,28 +17,28 @@
 // virtual time. Messages between routers take from 1 to 25 ms, some are lost. A router
 // sends a request to the server with the least work and the fewest suspects as far as it
 // knows, and sends it on when the server ends under it, as the relay does.
-type world struct {
+type simulation struct {
 	t       *testing.T
 	rnd     *rand.Rand
 	now     time.Duration
-	due     events
+	pending events
 	seq     int
 	routers []*simRouter
 	servers []*simServer
-	// loss is the share of messages between routers that are lost.
-	loss float64
-	// spare is how long after the third end a send may still be under way.
-	spare time.Duration
+	// lossRate is the share of messages between routers that are lost.
+	lossRate float64
+	// sendGrace is how long after the third end a send may still be under way.
+	sendGrace time.Duration
 	// thirdEnd is when the third server ended under the guilty request, lateSends counts
 	// its sends from spare after that on.
-	ends      int
-	thirdEnd  time.Duration
-	lateSends int
+	exits       int
+	thirdExitAt time.Duration
+	lateSends   int
 }
 
 const (
-	simSends = 4 // of one attempt
-	simBack  = 3 * time.Second
+	maxSends     = 4 // of one attempt
+	restartDelay = 3 * time.Second
 )
 
 type event struct {
@@ -62,39 +62,39 @@
 }
 
 type simRouter struct {
-	w       *world
-	name    string
-	tracker *Tracker
-	trials  *Trials
-	life    int // starts so far
+	w          *simulation
+	name       string
+	tracker    *Tracker
+	trials     *Trials
+	generation int // starts so far
 }
 
 type simServer struct {
-	w      *world
+	w      *simulation
 	inc    model.Incarnation
 	domain string
 	up     bool
-	runs   []*simRun // in the order of their sends, so that a seed plays the same again
+	active []*simRun // in the order of their sends, so that a seed plays the same again
 }
 
 type simRequest struct {
-	work  model.Fingerprint
-	kills bool
-	sends int
-	busy  map[model.Incarnation]bool
-	waits int
+	fingerprint   model.Fingerprint
+	crashesServer bool
+	sends         int
+	busy          map[model.Incarnation]bool
+	trialAttempts int
 }
 
 type simRun struct {
 	*simRequest
-	r    *simRouter
-	life int
-	run  *Run
-	at   *simServer
+	r          *simRouter
+	generation int
+	run        *Run
+	server     *simServer
 }
 
-func newWorld(t *testing.T, seed uint64, routers, servers int) *world {
-	w := &world{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), spare: 50 * time.Millisecond}
+func newSimulation(t *testing.T, seed uint64, routers, servers int) *simulation {
+	w := &simulation{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), sendGrace: 50 * time.Millisecond}
 	for i := range routers {
 		r := &simRouter{w: w, name: fmt.Sprintf("r%d", i)}
 		r.start()
@@ -104,17 +104,17 @@
 		w.servers = append(w.servers, &simServer{w: w, inc: model.Incarnation{ID: fmt.Sprintf("s%d", i)}, domain: fmt.Sprintf("d%d", i%3), up: true})
 	}
 	for at := time.Duration(0); at < 40*time.Second; at += 50 * time.Millisecond {
-		w.after(at, func() {
+		w.schedule(at, func() {
 			for _, r := range w.routers {
 				r.tracker.EvaluateSuspects()
 			}
 		})
 	}
 	for at := time.Duration(0); at < 40*time.Second; at += time.Second {
-		w.after(at, func() {
+		w.schedule(at, func() {
 			for _, r := range w.routers {
-				sentences, peer := r.tracker.Verdicts(), w.any()
-				w.after(w.delay(), func() { peer.tracker.ApplyReport(Report{Verdicts: sentences}, r.name) })
+				sentences, peer := r.tracker.Verdicts(), w.randomRouter()
+				w.schedule(w.messageDelay(), func() { peer.tracker.ApplyReport(Report{Verdicts: sentences}, r.name) })
 			}
 		})
 	}
@@ -122,49 +122,49 @@
 }
 
 func (r *simRouter) start() {
-	r.life++
+	r.generation++
 	clock := func() time.Duration { return r.w.now }
 	r.tracker = New(clock)
 	r.trials = NewTrials(r.tracker)
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	heap.Push(&w.due, event{at: w.now + d, seq: w.seq, do: do})
+func (w *simulation) schedule(d time.Duration, do func()) {
+	heap.Push(&w.pending, event{at: w.now + d, seq: w.seq, do: do})
 	w.seq++
 }
 
-func (w *world) run(until time.Duration) {
-	for len(w.due) > 0 && w.due[0].at <= until {
-		e := heap.Pop(&w.due).(event)
+func (w *simulation) run(until time.Duration) {
+	for len(w.pending) > 0 && w.pending[0].at <= until {
+		e := heap.Pop(&w.pending).(event)
 		w.now = e.at
 		e.do()
 		for _, r := range w.routers {
-			r.flush()
+			r.sendReports()
 		}
 	}
 	w.now = until
 }
 
-func (w *world) delay() time.Duration {
+func (w *simulation) messageDelay() time.Duration {
 	return time.Millisecond + time.Duration(w.rnd.ExpFloat64()*float64(3*time.Millisecond))
 }
 
-// flush sends what the router has to report, a moment later.
-func (r *simRouter) flush() {
+// sendReports sends what the router has to report, a moment later.
+func (r *simRouter) sendReports() {
 	select {
 	case <-r.tracker.ReportDue():
 	default:
 		return
 	}
-	r.w.after(reportGather, func() {
+	r.w.schedule(reportBatchDelay, func() {
 		for {
 			report, ok := r.tracker.TakeReport()
 			if !ok {
 				return
 			}
 			for _, peer := range r.w.routers {
-				if peer != r && r.w.rnd.Float64() >= r.w.loss {
-					r.w.after(min(r.w.delay(), 25*time.Millisecond), func() { peer.tracker.ApplyReport(report, r.name) })
+				if peer != r && r.w.rnd.Float64() >= r.w.lossRate {
+					r.w.schedule(min(r.w.messageDelay(), 25*time.Millisecond), func() { peer.tracker.ApplyReport(report, r.name) })
 				}
 			}
 		}
@@ -174,15 +174,15 @@
 // serve handles one attempt.
 func (r *simRouter) serve(q *simRequest) {
 	w := r.w
-	v := r.tracker.Assess(q.work)
+	v := r.tracker.Assess(q.fingerprint)
 	switch v.Restriction {
 	case Quarantined:
 		return
 	case Undecided:
-		w.after(20*time.Millisecond, func() { r.serve(q) })
+		w.schedule(20*time.Millisecond, func() { r.serve(q) })
 		return
 	case TrialOnly:
-		r.tryAlone(q, v)
+		r.requestTrial(q, v)
 		return
 	}
 	if s := r.choose(q, v); s != nil {
@@ -197,7 +197,7 @@
 		if !s.up || q.busy[s.inc] || v.AvoidDomains[s.domain] {
 			continue
 		}
-		cost := float64(len(s.runs)) + r.w.rnd.Float64()
+		cost := float64(len(s.active)) + r.w.rnd.Float64()
 		if v.Restriction != Unrestricted {
 			cost += 5 * float64(r.tracker.SuspectRuns(s.inc))
 		}
@@ -208,22 +208,22 @@
 	return best
 }
 
-// tryAlone asks the keeper for a trial.
-func (r *simRouter) tryAlone(q *simRequest, v Assessment) {
+// requestTrial asks the keeper for a trial.
+func (r *simRouter) requestTrial(q *simRequest, v Assessment) {
 	w := r.w
 	s := r.choose(q, v)
-	if q.waits++; q.waits > 20 {
+	if q.trialAttempts++; q.trialAttempts > 20 {
 		return
 	}
 	if s == nil {
 		q.busy = nil
-		w.after(100*time.Millisecond, func() { r.serve(q) })
+		w.schedule(100*time.Millisecond, func() { r.serve(q) })
 		return
 	}
 	keeper := w.routers[0]
-	w.after(w.delay(), func() {
-		g := keeper.trials.Request(q.work, []model.Incarnation{s.inc})
-		w.after(w.delay(), func() {
+	w.schedule(w.messageDelay(), func() {
+		g := keeper.trials.Request(q.fingerprint, []model.Incarnation{s.inc})
+		w.schedule(w.messageDelay(), func() {
 			switch {
 			case g.Granted:
 				r.send(q, s, true)
@@ -240,34 +240,34 @@
 
 func (r *simRouter) send(q *simRequest, s *simServer, suspect bool) {
 	w := r.w
-	if q.kills && w.ends >= guiltyFrom && w.now > w.thirdEnd+w.spare {
+	if q.crashesServer && w.exits >= minExits && w.now > w.thirdExitAt+w.sendGrace {
 		w.lateSends++
 	}
 	q.sends++
 	q.busy = nil
-	run := &simRun{simRequest: q, r: r, life: r.life, at: s, run: r.tracker.Begin(func() model.Fingerprint { return q.work }, suspect, Location{Server: s.inc, Domain: s.domain})}
-	s.runs = append(s.runs, run)
+	run := &simRun{simRequest: q, r: r, generation: r.generation, server: s, run: r.tracker.Begin(func() model.Fingerprint { return q.fingerprint }, suspect, Location{Server: s.inc, Domain: s.domain})}
+	s.active = append(s.active, run)
 	inc := s.inc
-	if q.kills {
-		w.after(time.Duration(60+w.rnd.IntN(80))*time.Millisecond, func() {
-			if s.up && s.inc == inc && slices.Contains(s.runs, run) {
-				w.ends++
-				if w.ends == guiltyFrom {
-					w.thirdEnd = w.now
+	if q.crashesServer {
+		w.schedule(time.Duration(60+w.rnd.IntN(80))*time.Millisecond, func() {
+			if s.up && s.inc == inc && slices.Contains(s.active, run) {
+				w.exits++
+				if w.exits == minExits {
+					w.thirdExitAt = w.now
 				}
 				s.exit()
 			}
 		})
 		return
 	}
-	w.after(time.Duration(100+w.rnd.IntN(200))*time.Millisecond, func() {
-		if slices.Contains(s.runs, run) {
+	w.schedule(time.Duration(100+w.rnd.IntN(200))*time.Millisecond, func() {
+		if slices.Contains(s.active, run) {
 			run.run.AnswerStarted()
 		}
 	})
-	w.after(time.Duration(500+w.rnd.IntN(2500))*time.Millisecond, func() {
-		if slices.Contains(s.runs, run) {
-			s.runs = slices.DeleteFunc(s.runs, func(r *simRun) bool { return r == run })
+	w.schedule(time.Duration(500+w.rnd.IntN(2500))*time.Millisecond, func() {
+		if slices.Contains(s.active, run) {
+			s.active = slices.DeleteFunc(s.active, func(r *simRun) bool { return r == run })
 			run.run.End(Completed)
 		}
 	})
@@ -282,27 +282,27 @@
 	}
 	s.up = false
 	inc, domain := s.inc, s.domain
-	runs := s.runs
-	s.runs = nil
+	runs := s.active
+	s.active = nil
 	for _, run := range runs {
-		w.after(w.delay(), func() { run.lost() })
+		w.schedule(w.messageDelay(), func() { run.connectionLost() })
 	}
 	for _, r := range w.routers {
-		w.after(5*time.Millisecond+w.delay(), func() { r.tracker.ServerExited(inc, domain) })
+		w.schedule(5*time.Millisecond+w.messageDelay(), func() { r.tracker.ServerExited(inc, domain) })
 	}
-	w.after(simBack, func() {
+	w.schedule(restartDelay, func() {
 		s.up = true
 		s.inc.Born++
 	})
 }
 
-func (run *simRun) lost() {
+func (run *simRun) connectionLost() {
 	r := run.r
-	if r.life != run.life {
+	if r.generation != run.generation {
 		return
 	}
 	for _, server := range run.run.End(ConnectionLost) {
-		r.w.after(2*time.Millisecond, func() {
+		r.w.schedule(2*time.Millisecond, func() {
 			for _, s := range r.w.servers {
 				if s.inc == server && !s.up {
 					r.tracker.ServerExited(server, s.domain)
@@ -312,26 +312,28 @@
 			}
 		})
 	}
-	if run.sends < simSends {
+	if run.sends < maxSends {
 		r.serve(run.simRequest)
 	}
 }
 
-func work(n int) model.Fingerprint {
+func testFingerprint(n int) model.Fingerprint {
 	return (&model.Call{Method: "POST", Target: fmt.Sprint(n)}).Fingerprint("school")
 }
 
-// innocents sends requests of many kinds all the while, each of them some times.
-func (w *world) innocents(perSecond int, until time.Duration) {
+// addHarmlessTraffic sends requests of many kinds all the while, each of them some times.
+func (w *simulation) addHarmlessTraffic(perSecond int, until time.Duration) {
 	for at := time.Duration(0); at < until; at += time.Second / time.Duration(perSecond) {
-		w.after(at, func() { w.any().serve(&simRequest{work: work(1 + w.rnd.IntN(perSecond*20))}) })
+		w.schedule(at, func() {
+			w.randomRouter().serve(&simRequest{fingerprint: testFingerprint(1 + w.rnd.IntN(perSecond*20))})
+		})
 	}
 }
 
-func (w *world) any() *simRouter { return w.routers[w.rnd.IntN(len(w.routers))] }
+func (w *simulation) randomRouter() *simRouter { return w.routers[w.rnd.IntN(len(w.routers))] }
 
-// blamed lists the requests that any router has in quarantine.
-func (w *world) blamed() map[model.Fingerprint]int {
+// quarantined lists the requests that any router has in quarantine.
+func (w *simulation) quarantined() map[model.Fingerprint]int {
 	out := map[model.Fingerprint]int{}
 	for _, r := range w.routers {
 		for _, s := range r.tracker.Verdicts() {
@@ -341,7 +343,7 @@
 	return out
 }
 
-var guilty = work(0)
+var crashing = testFingerprint(0)
 
 // A request ends each server that runs it, under the streams of others, and comes again at
 // random routers, several copies at once. All routers soon know it, nobody else is taken
@@ -351,10 +353,10 @@
 		for seed := range uint64(max(100/n, 2)) {
 			t.Run(fmt.Sprintf("%d routers, seed %d", n, seed), func(t *testing.T) {
 				t.Parallel()
-				w := newWorld(t, seed, n, 12+n/4)
-				w.guiltyComes()
-				assert.Equal(t, w.lateSends, 0, "sends after the third end, of %d ends", w.ends)
-				w.onlyGuiltyBlamed()
+				w := newSimulation(t, seed, n, 12+n/4)
+				w.playCrashingRequest()
+				assert.Equal(t, w.lateSends, 0, "sends after the third end, of %d ends", w.exits)
+				w.checkOnlyCrashingQuarantined()
 			})
 		}
 	}
@@ -367,31 +369,31 @@
 		for seed := range uint64(max(60/n, 2)) {
 			t.Run(fmt.Sprintf("%d routers, seed %d", n, seed), func(t *testing.T) {
 				t.Parallel()
-				w := newWorld(t, seed, n, 12+n/4)
-				w.loss = 0.05
-				w.spare = time.Second
-				w.guiltyComes()
-				assert.Equal(t, w.lateSends, 0, "sends after the third end, of %d ends", w.ends)
-				w.onlyGuiltyBlamed()
+				w := newSimulation(t, seed, n, 12+n/4)
+				w.lossRate = 0.05
+				w.sendGrace = time.Second
+				w.playCrashingRequest()
+				assert.Equal(t, w.lateSends, 0, "sends after the third end, of %d ends", w.exits)
+				w.checkOnlyCrashingQuarantined()
 			})
 		}
 	}
 }
 
-// guiltyComes plays the guilty request's coming again and again beside innocents.
-func (w *world) guiltyComes() {
-	w.innocents(40, 12*time.Second)
+// playCrashingRequest plays the guilty request's coming again and again beside innocents.
+func (w *simulation) playCrashingRequest() {
+	w.addHarmlessTraffic(40, 12*time.Second)
 	for at := 2 * time.Second; at < 12*time.Second; at += time.Duration(100+w.rnd.IntN(900)) * time.Millisecond {
-		w.after(at, func() { w.any().serve(&simRequest{work: guilty, kills: true}) })
+		w.schedule(at, func() { w.randomRouter().serve(&simRequest{fingerprint: crashing, crashesServer: true}) })
 	}
 	w.run(14 * time.Second)
 }
 
-func (w *world) onlyGuiltyBlamed() {
-	blamed := w.blamed()
-	assert.Equal(w.t, blamed[guilty], len(w.routers), "routers that know it")
+func (w *simulation) checkOnlyCrashingQuarantined() {
+	blamed := w.quarantined()
+	assert.Equal(w.t, blamed[crashing], len(w.routers), "routers that know it")
 	assert.Equal(w.t, len(blamed), 1, "blamed: %v", blamed)
-	assert.Assert(w.t, w.ends <= guiltyFrom+1, "%d servers ended", w.ends)
+	assert.Assert(w.t, w.exits <= minExits+1, "%d servers ended", w.exits)
 }
 
 // A failure domain's servers end one after the other within a third of a second, each time
@@ -402,17 +404,17 @@
 		for seed := range uint64(max(100/n, 2)) {
 			t.Run(fmt.Sprintf("%d routers, seed %d", n, seed), func(t *testing.T) {
 				t.Parallel()
-				w := newWorld(t, seed, n, 12+n/4)
-				w.innocents(60, 12*time.Second)
+				w := newSimulation(t, seed, n, 12+n/4)
+				w.addHarmlessTraffic(60, 12*time.Second)
 				for round := range 3 {
 					for _, s := range w.servers {
 						if s.domain == fmt.Sprintf("d%d", round) {
-							w.after(time.Duration(2+3*round)*time.Second+time.Duration(w.rnd.IntN(300))*time.Millisecond, s.exit)
+							w.schedule(time.Duration(2+3*round)*time.Second+time.Duration(w.rnd.IntN(300))*time.Millisecond, s.exit)
 						}
 					}
 				}
 				w.run(14 * time.Second)
-				assert.Equal(t, len(w.blamed()), 0)
+				assert.Equal(t, len(w.quarantined()), 0)
 			})
 		}
 	}
@@ -425,13 +427,13 @@
 		for seed := range uint64(max(100/n, 2)) {
 			t.Run(fmt.Sprintf("%d routers, seed %d", n, seed), func(t *testing.T) {
 				t.Parallel()
-				w := newWorld(t, seed, n, 12+n/4)
-				w.innocents(60, 12*time.Second)
+				w := newSimulation(t, seed, n, 12+n/4)
+				w.addHarmlessTraffic(60, 12*time.Second)
 				for at := time.Second; at < 11*time.Second; at += time.Duration(w.rnd.IntN(2000)) * time.Millisecond {
-					w.after(at, func() { w.servers[w.rnd.IntN(len(w.servers))].exit() })
+					w.schedule(at, func() { w.servers[w.rnd.IntN(len(w.servers))].exit() })
 				}
 				w.run(14 * time.Second)
-				assert.Equal(t, len(w.blamed()), 0)
+				assert.Equal(t, len(w.quarantined()), 0)
 			})
 		}
 	}
@@ -445,19 +447,19 @@
 		for seed := range uint64(max(60/n, 2)) {
 			t.Run(fmt.Sprintf("%d routers, seed %d", n, seed), func(t *testing.T) {
 				t.Parallel()
-				w := newWorld(t, seed, n, 24+n/4)
-				w.innocents(40, 14*time.Second)
-				second := work(-1)
+				w := newSimulation(t, seed, n, 24+n/4)
+				w.addHarmlessTraffic(40, 14*time.Second)
+				second := testFingerprint(-1)
 				for at := 2 * time.Second; at < 14*time.Second; at += time.Duration(50+w.rnd.IntN(250)) * time.Millisecond {
-					w.after(at, func() { w.any().serve(&simRequest{work: guilty, kills: true}) })
-					w.after(at, func() { w.any().serve(&simRequest{work: second, kills: true}) })
+					w.schedule(at, func() { w.randomRouter().serve(&simRequest{fingerprint: crashing, crashesServer: true}) })
+					w.schedule(at, func() { w.randomRouter().serve(&simRequest{fingerprint: second, crashesServer: true}) })
 				}
 				w.run(16 * time.Second)
-				blamed := w.blamed()
-				assert.Equal(t, blamed[guilty], n)
+				blamed := w.quarantined()
+				assert.Equal(t, blamed[crashing], n)
 				assert.Equal(t, blamed[second], n)
 				assert.Equal(t, len(blamed), 2, "blamed: %v", blamed)
-				assert.Assert(t, w.ends <= 2*(guiltyFrom+2), "%d servers ended", w.ends)
+				assert.Assert(t, w.exits <= 2*(minExits+2), "%d servers ended", w.exits)
 			})
 		}
 	}
--- a/internal/coordination/quarantine/report.go
+++ b/internal/coordination/quarantine/report.go
@@ -6,8 +6,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// mostInReport bounds the requests that one report names, some hundred bytes each.
-const mostInReport = 128
+// maxRequestsPerReport bounds the requests that one report names, some hundred bytes each.
+const maxRequestsPerReport = 128
 
 // Report is what a router tells all others as soon as a server has ended under requests.
 type Report struct {
@@ -25,14 +25,14 @@
 
 // RequestAtExit is one of them.
 type RequestAtExit struct {
-	Fingerprint   model.Fingerprint `json:"work"`
-	AnswerStarted bool              `json:"answered,omitempty"`
-	LaterStage    bool              `json:"later,omitempty"`
+	Fingerprint     model.Fingerprint `json:"work"`
+	ResponseStarted bool              `json:"answered,omitempty"`
+	LaterStage      bool              `json:"later,omitempty"`
 }
 
 // outbox is what the other routers are to be told.
 type outbox struct {
-	ends     map[model.Incarnation]*ExitReport
+	exits    map[model.Incarnation]*ExitReport
 	cleared  map[model.Fingerprint]bool
 	verdicts map[model.Fingerprint]bool
 	// due says, once, that there is something.
@@ -41,44 +41,44 @@
 
 func newOutbox() outbox {
 	return outbox{
-		ends:     map[model.Incarnation]*ExitReport{},
+		exits:    map[model.Incarnation]*ExitReport{},
 		cleared:  map[model.Fingerprint]bool{},
 		verdicts: map[model.Fingerprint]bool{},
 		due:      make(chan struct{}, 1),
 	}
 }
 
-func (o *outbox) wake() {
+func (o *outbox) signal() {
 	select {
 	case o.due <- struct{}{}:
 	default:
 	}
 }
 
-func (o *outbox) end(server model.Incarnation, domain string, present map[model.Fingerprint]presence) {
-	r := o.ends[server]
+func (o *outbox) addExit(server model.Incarnation, domain string, present map[model.Fingerprint]participation) {
+	r := o.exits[server]
 	if r == nil {
 		r = &ExitReport{Server: server, Domain: domain}
-		o.ends[server] = r
+		o.exits[server] = r
 	}
 	for work, p := range present {
-		r.Requests = append(r.Requests, RequestAtExit{Fingerprint: work, AnswerStarted: p.answered, LaterStage: p.later})
+		r.Requests = append(r.Requests, RequestAtExit{Fingerprint: work, ResponseStarted: p.responseStarted, LaterStage: p.laterStage})
 	}
-	o.wake()
+	o.signal()
 }
 
-func (o *outbox) clear(work model.Fingerprint) {
+func (o *outbox) addCleared(work model.Fingerprint) {
 	o.cleared[work] = true
-	o.wake()
+	o.signal()
 }
 
-func (o *outbox) verdict(work model.Fingerprint) {
+func (o *outbox) addVerdict(work model.Fingerprint) {
 	o.verdicts[work] = true
-	o.wake()
+	o.signal()
 }
 
 // ReportDue tells when there is something to report.
-func (t *Tracker) ReportDue() <-chan struct{} { return t.out.due }
+func (t *Tracker) ReportDue() <-chan struct{} { return t.outbox.due }
 
 // TakeReport takes what the other routers are to be told, as much as one message may hold;
 // false if there is nothing.
@@ -86,23 +86,23 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var r Report
-	room := mostInReport
-	for work := range t.out.verdicts {
+	room := maxRequestsPerReport
+	for work := range t.outbox.verdicts {
 		if v := t.verdicts[work]; v != nil {
-			r.Verdicts = append(r.Verdicts, t.sentence(work, v))
+			r.Verdicts = append(r.Verdicts, t.exportVerdict(work, v))
 			room--
 		}
-		delete(t.out.verdicts, work)
+		delete(t.outbox.verdicts, work)
 	}
-	for work := range t.out.cleared {
+	for work := range t.outbox.cleared {
 		if room <= 0 {
 			break
 		}
 		r.Cleared = append(r.Cleared, work)
-		delete(t.out.cleared, work)
+		delete(t.outbox.cleared, work)
 		room--
 	}
-	for server, e := range t.out.ends {
+	for server, e := range t.outbox.exits {
 		if room <= 0 {
 			break
 		}
@@ -110,40 +110,40 @@
 		r.Exits = append(r.Exits, ExitReport{Server: e.Server, Domain: e.Domain, Requests: e.Requests[:n]})
 		room -= n
 		if e.Requests = e.Requests[n:]; len(e.Requests) == 0 {
-			delete(t.out.ends, server)
+			delete(t.outbox.exits, server)
 		}
 	}
-	if len(t.out.ends)+len(t.out.cleared) > 0 {
-		t.out.wake()
+	if len(t.outbox.exits)+len(t.outbox.cleared) > 0 {
+		t.outbox.signal()
 	}
-	return r, room < mostInReport
+	return r, room < maxRequestsPerReport
 }
 
 // ApplyReport takes in a peer's report. The same one may come twice.
 func (t *Tracker) ApplyReport(r Report, peer string) {
 	t.mu.Lock()
 	for _, work := range r.Cleared {
-		if t.clear(work) > 0 {
-			logClearedBy(work, peer)
+		if t.clearSuspect(work) > 0 {
+			logClearedByPeer(work, peer)
 		}
 	}
 	for _, e := range r.Exits {
-		present := map[model.Fingerprint]presence{}
+		present := map[model.Fingerprint]participation{}
 		for _, p := range e.Requests {
-			add(present, p.Fingerprint, presence{answered: p.AnswerStarted, later: p.LaterStage})
+			mergeParticipation(present, p.Fingerprint, participation{responseStarted: p.ResponseStarted, laterStage: p.LaterStage})
 		}
-		t.note(e.Server, e.Domain, present)
+		t.recordExit(e.Server, e.Domain, present)
 	}
 	t.mu.Unlock()
 	t.ApplyVerdicts(r.Verdicts, peer)
 }
 
-// reportPause is between two reports of one router. The first one after a rest is told
-// nearly at once, and what comes with it within reportGather.
+// reportInterval is between two reports of one router. The first one after a rest is told
+// nearly at once, and what comes with it within reportBatchDelay.
 const (
-	reportGather = 5 * time.Millisecond
-	reportPause  = 50 * time.Millisecond
+	reportBatchDelay = 5 * time.Millisecond
+	reportInterval   = 50 * time.Millisecond
 )
 
 // ReportDelays gives how long to wait before a report and after it.
-func ReportDelays() (before, after time.Duration) { return reportGather, reportPause }
+func ReportDelays() (before, after time.Duration) { return reportBatchDelay, reportInterval }
--- a/internal/coordination/quarantine/run.go
+++ b/internal/coordination/quarantine/run.go
@@ -18,23 +18,23 @@
 // Run is one request at the servers that run it: one of a plain service, or the engines of
 // a chain, the first of which it was sent to.
 type Run struct {
-	t    *Tracker
-	once sync.Once
-	work model.Fingerprint
-	of   func() model.Fingerprint
+	tracker            *Tracker
+	once               sync.Once
+	fingerprint        model.Fingerprint
+	computeFingerprint func() model.Fingerprint
 
 	// The tracker's lock guards the rest.
-	places   []Location
-	answered bool
-	// charged is when a server ended under it that counts, since it was moved last; zero
+	locations       []Location
+	responseStarted bool
+	// exitCountedAt is when a server ended under it that counts, since it was moved last; zero
 	// for none.
-	charged time.Duration
-	suspect bool
+	exitCountedAt time.Duration
+	suspect       bool
 }
 
-// togetherTime is within what time engines drop out at one moment: a run that is moved
+// simultaneousExitWindow is within what time engines drop out at one moment: a run that is moved
 // meanwhile may still pass through one whose end was not told yet.
-const togetherTime = 50 * time.Millisecond
+const simultaneousExitWindow = 50 * time.Millisecond
 
 // Result is how a run ended.
 type Result int
@@ -54,135 +54,135 @@
 // for only if a server ends under it. suspect says that it is one, so that others of its
 // kind keep away.
 func (t *Tracker) Begin(work func() model.Fingerprint, suspect bool, places ...Location) *Run {
-	r := &Run{t: t, of: work, suspect: suspect}
+	r := &Run{tracker: t, computeFingerprint: work, suspect: suspect}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r.at(places)
+	r.setLocations(places)
 	return r
 }
 
 // Fingerprint is the fingerprint of what runs.
 func (r *Run) Fingerprint() model.Fingerprint {
-	r.once.Do(func() { r.work = r.of() })
-	return r.work
+	r.once.Do(func() { r.fingerprint = r.computeFingerprint() })
+	return r.fingerprint
 }
 
-// at makes the places those that run it. The caller holds the lock.
-func (r *Run) at(places []Location) {
-	for _, p := range r.places {
-		delete(r.t.runs[p.Server], r)
-		if len(r.t.runs[p.Server]) == 0 {
-			delete(r.t.runs, p.Server)
+// setLocations makes the places those that run it. The caller holds the lock.
+func (r *Run) setLocations(places []Location) {
+	for _, p := range r.locations {
+		delete(r.tracker.runs[p.Server], r)
+		if len(r.tracker.runs[p.Server]) == 0 {
+			delete(r.tracker.runs, p.Server)
 		}
 	}
-	r.places = places
+	r.locations = places
 	for _, p := range places {
-		if r.t.runs[p.Server] == nil {
-			r.t.runs[p.Server] = map[*Run]bool{}
+		if r.tracker.runs[p.Server] == nil {
+			r.tracker.runs[p.Server] = map[*Run]bool{}
 		}
-		r.t.runs[p.Server][r] = true
+		r.tracker.runs[p.Server][r] = true
 	}
 }
 
 // Move notes that other servers run it now.
 func (r *Run) Move(places []Location) {
-	r.t.mu.Lock()
-	defer r.t.mu.Unlock()
-	if r.t.clock()-r.charged >= togetherTime {
-		r.charged = 0
+	r.tracker.mu.Lock()
+	defer r.tracker.mu.Unlock()
+	if r.tracker.clock()-r.exitCountedAt >= simultaneousExitWindow {
+		r.exitCountedAt = 0
 	}
-	r.at(places)
+	r.setLocations(places)
 }
 
 // AnswerStarted notes that an answer has begun.
 func (r *Run) AnswerStarted() {
-	r.t.mu.Lock()
-	defer r.t.mu.Unlock()
-	r.answered = true
+	r.tracker.mu.Lock()
+	defer r.tracker.mu.Unlock()
+	r.responseStarted = true
 }
 
-// charge tells whether the end of a server under it counts. Of a chain that several engines
+// countExit tells whether the end of a server under it counts. Of a chain that several engines
 // drop out of at one moment, one was ended by its request at most: where a failure domain
 // loses half of its engines, all streams through two of them would else have to run alone.
 // The caller holds the lock.
-func (r *Run) charge() bool {
-	if r.charged != 0 {
+func (r *Run) countExit() bool {
+	if r.exitCountedAt != 0 {
 		return false
 	}
-	r.charged = max(r.t.clock(), 1)
+	r.exitCountedAt = max(r.tracker.clock(), 1)
 	return true
 }
 
-// presenceAt is how it is at one of its servers. The caller holds the lock.
-func (r *Run) presenceAt(server model.Incarnation) presence {
-	return presence{answered: r.answered, later: r.places[0].Server != server}
+// participationAt is how it is at one of its servers. The caller holds the lock.
+func (r *Run) participationAt(server model.Incarnation) participation {
+	return participation{responseStarted: r.responseStarted, laterStage: r.locations[0].Server != server}
 }
 
 // End notes how the run ended. doubtful lists servers whose end is not confirmed and should
 // be looked into: those of a request that would stand alone, as its next run waits for
 // that, and one of a plain service, as nobody else watches those.
 func (r *Run) End(result Result) (doubtful []model.Incarnation) {
-	t := r.t
+	t := r.tracker
 	if result == ConnectionLost || result == Completed && t.HasSuspects() {
 		r.Fingerprint() // not under the lock: it reads the whole body
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	places := r.places
-	r.at(nil)
+	places := r.locations
+	r.setLocations(nil)
 	switch {
 	case len(places) == 0:
-	case result == Completed && t.watching():
-		t.survived(r.Fingerprint())
+	case result == Completed && t.hasSuspects():
+		t.recordCompletion(r.Fingerprint())
 	case result == ConnectionLost:
-		return t.broke(r.Fingerprint(), places, r.answered)
+		return t.recordLostConnection(r.Fingerprint(), places, r.responseStarted)
 	}
 	return nil
 }
 
-// survived takes in that a server answered a request. The caller holds the lock.
-func (t *Tracker) survived(work model.Fingerprint) {
+// recordCompletion takes in that a server answered a request. The caller holds the lock.
+func (t *Tracker) recordCompletion(work model.Fingerprint) {
 	v := t.verdicts[work]
-	onProbation := v != nil && !t.serving(v)
-	ends := t.clear(work)
+	onProbation := v != nil && !t.inTerm(v)
+	ends := t.clearSuspect(work)
 	if onProbation {
 		delete(t.verdicts, work)
 	}
 	if ends > 0 || onProbation {
-		t.out.clear(work)
+		t.outbox.addCleared(work)
 		logCleared(work, ends)
 	}
 }
 
-// broke takes in that a server's connection ended under a request. Only that of the first
+// recordLostConnection takes in that a server's connection ended under a request. Only that of the first
 // server shows that; the ends of later ones are told by others. The caller holds the lock.
-func (t *Tracker) broke(work model.Fingerprint, places []Location, answered bool) (doubtful []model.Incarnation) {
-	s := t.suspect(work)
+func (t *Tracker) recordLostConnection(work model.Fingerprint, places []Location, answered bool) (doubtful []model.Incarnation) {
+	s := t.suspectFor(work)
 	at := places[0]
 	for _, p := range places {
 		// One end, of whichever engine, breaks the whole chain off.
-		if s.ends[p.Server] {
+		if s.exits[p.Server] {
 			return nil
 		}
 	}
-	s.broken[at.Server] = breakOff{at: t.clock(), places: places, answered: answered}
+	s.lostConnections[at.Server] = lostConnection{at: t.clock(), locations: places, responseStarted: answered}
 	switch {
-	case len(s.ends)+len(s.broken) >= aloneFrom:
-		return slices.Collect(maps.Keys(s.broken))
-	case len(places) == 1 && t.mayLookInto(at.Server):
+	case len(s.exits)+len(s.lostConnections) >= minExitsForTrial:
+		return slices.Collect(maps.Keys(s.lostConnections))
+	case len(places) == 1 && t.startCheck(at.Server):
 		return []model.Incarnation{at.Server}
 	}
 	return nil
 }
 
-// mayLookInto tells whether a server of a plain service should be looked into, and notes
+// startCheck tells whether a server of a plain service should be looked into, and notes
 // that it is. The caller holds the lock.
-func (t *Tracker) mayLookInto(server model.Incarnation) bool {
+func (t *Tracker) startCheck(server model.Incarnation) bool {
 	now := t.clock()
-	if at, ok := t.lookedInto[server]; ok && now-at < lookAgainAfter {
+	if at, ok := t.checkedAt[server]; ok && now-at < checkInterval {
 		return false
 	}
-	t.lookedInto[server] = now
+	t.checkedAt[server] = now
 	return true
 }
 
--- a/internal/coordination/quarantine/tracker.go
+++ b/internal/coordination/quarantine/tracker.go
@@ -23,24 +23,24 @@
 )
 
 const (
-	// evidenceFor is how long the end of a server is remembered.
-	evidenceFor = 10 * time.Minute
-	// lookAgainAfter is between two looks at one server whose connections break off: one
+	// evidenceRetention is how long the end of a server is remembered.
+	evidenceRetention = 10 * time.Minute
+	// checkInterval is between two looks at one server whose connections break off: one
 	// that spoils answers breaks off many.
-	lookAgainAfter = time.Second
-	// brokenFor is how long a run that broke off waits for word that its server's process
+	checkInterval = time.Second
+	// lostConnectionRetention is how long a run that broke off waits for word that its server's process
 	// ended: a successor's entry is there within some seconds.
-	brokenFor = 5 * time.Second
-	// mostEnds and mostPresences bound what is remembered: some hundred bytes of each end
+	lostConnectionRetention = 5 * time.Second
+	// maxExits and mostPresences bound what is remembered: some hundred bytes of each end
 	// and of each request at one.
-	mostEnds      = 1024
-	mostPresences = 8192
-	// mostOfOne bounds the ends that are remembered of one request, the newest: more decide
+	maxExits          = 1024
+	maxParticipations = 8192
+	// maxExitsPerRequest bounds the ends that are remembered of one request, the newest: more decide
 	// nothing, and looking through hundreds of them takes longer than serving it.
-	mostOfOne = 16
-	// mostAtOneEnd bounds the requests that are remembered of one end. A server that had
+	maxExitsPerRequest = 16
+	// maxRequestsPerExit bounds the requests that are remembered of one end. A server that had
 	// more of them is no evidence, as some of its requests are not known.
-	mostAtOneEnd = 512
+	maxRequestsPerExit = 512
 )
 
 // Tracker is what one router knows of requests that end servers. Its clock goes on while
@@ -51,14 +51,14 @@
 	mu sync.Mutex
 	// runs are those in progress, by server.
 	runs map[model.Incarnation]map[*Run]bool
-	// ends are the servers whose processes ended, with the requests they ran.
-	ends      map[model.Incarnation]*end
-	presences int
-	suspects  map[model.Fingerprint]*suspect
-	verdicts  map[model.Fingerprint]*verdict
-	out       outbox
-	// lookedInto is when a server of a plain service was last looked into.
-	lookedInto map[model.Incarnation]time.Duration
+	// exits are the servers whose processes ended, with the requests they ran.
+	exits          map[model.Incarnation]*serverExit
+	participations int
+	suspects       map[model.Fingerprint]*suspect
+	verdicts       map[model.Fingerprint]*verdictEntry
+	outbox         outbox
+	// checkedAt is when a server of a plain service was last looked into.
+	checkedAt map[model.Incarnation]time.Duration
 }
 
 // New makes a tracker that knows of nothing.
@@ -66,69 +66,69 @@
 	return &Tracker{
 		clock:    clock,
 		runs:     map[model.Incarnation]map[*Run]bool{},
-		ends:     map[model.Incarnation]*end{},
+		exits:    map[model.Incarnation]*serverExit{},
 		suspects: map[model.Fingerprint]*suspect{},
-		verdicts: map[model.Fingerprint]*verdict{},
-		out:      newOutbox(),
+		verdicts: map[model.Fingerprint]*verdictEntry{},
+		outbox:   newOutbox(),
 
-		lookedInto: map[model.Incarnation]time.Duration{},
+		checkedAt: map[model.Incarnation]time.Duration{},
 	}
 }
 
-// end is one server process that ended.
-type end struct {
-	domain  string
-	at      time.Duration
-	present map[model.Fingerprint]presence
-	// crowded says that it ran more requests than are remembered.
-	crowded bool
+// serverExit is one server process that ended.
+type serverExit struct {
+	domain   string
+	at       time.Duration
+	requests map[model.Fingerprint]participation
+	// truncated says that it ran more requests than are remembered.
+	truncated bool
 }
 
-// presence is how a request was at a server that ended.
-type presence struct {
-	// answered says that the server had begun to answer. A request that ends servers as
+// participation is how a request was at a server that ended.
+type participation struct {
+	// responseStarted says that the server had begun to answer. A request that ends servers as
 	// they begin to run it gets that far at none.
-	answered bool
-	// later says that the server ran a later part of the request's chain.
-	later bool
+	responseStarted bool
+	// laterStage says that the server ran a laterStage part of the request's chain.
+	laterStage bool
 }
 
 // suspect is a request that ran at servers which ended.
 type suspect struct {
-	ends map[model.Incarnation]bool
-	// broken are its runs that broke off, by the server that it was sent to; that this one
+	exits map[model.Incarnation]bool
+	// lostConnections are its runs that broke off, by the server that it was sent to; that this one
 	// or another of the chain has ended is not confirmed.
-	broken map[model.Incarnation]breakOff
-	// own says that this router ran it at a server that ended.
-	own bool
-	// warned says that its being alone was logged.
-	warned bool
+	lostConnections map[model.Incarnation]lostConnection
+	// local says that this router ran it at a server that ended.
+	local bool
+	// trialOnlyLogged says that its being alone was logged.
+	trialOnlyLogged bool
 }
 
-// breakOff is a run whose connection ended.
-type breakOff struct {
-	at       time.Duration
-	places   []Location
-	answered bool
+// lostConnection is a run whose connection ended.
+type lostConnection struct {
+	at              time.Duration
+	locations       []Location
+	responseStarted bool
 }
 
-// ranAt tells whether a server took part.
-func (b breakOff) ranAt(server model.Incarnation) bool {
-	return slices.ContainsFunc(b.places, func(p Location) bool { return p.Server == server })
+// involves tells whether a server took part.
+func (b lostConnection) involves(server model.Incarnation) bool {
+	return slices.ContainsFunc(b.locations, func(p Location) bool { return p.Server == server })
 }
 
-func (t *Tracker) suspect(work model.Fingerprint) *suspect {
+func (t *Tracker) suspectFor(work model.Fingerprint) *suspect {
 	s := t.suspects[work]
 	if s == nil {
-		s = &suspect{ends: map[model.Incarnation]bool{}, broken: map[model.Incarnation]breakOff{}}
+		s = &suspect{exits: map[model.Incarnation]bool{}, lostConnections: map[model.Incarnation]lostConnection{}}
 		t.suspects[work] = s
 	}
 	return s
 }
 
-// drop forgets a suspect that nothing speaks against any more.
-func (t *Tracker) drop(work model.Fingerprint) {
-	if s := t.suspects[work]; s != nil && len(s.ends) == 0 && len(s.broken) == 0 {
+// removeIfUnsuspected forgets a suspect that nothing speaks against any more.
+func (t *Tracker) removeIfUnsuspected(work model.Fingerprint) {
+	if s := t.suspects[work]; s != nil && len(s.exits) == 0 && len(s.lostConnections) == 0 {
 		delete(t.suspects, work)
 	}
 }
@@ -138,106 +138,106 @@
 func (t *Tracker) ServerExited(server model.Incarnation, domain string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	present := map[model.Fingerprint]presence{}
+	present := map[model.Fingerprint]participation{}
 	for run := range t.runs[server] {
-		if run.charge() {
-			add(present, run.Fingerprint(), run.presenceAt(server))
+		if run.countExit() {
+			mergeParticipation(present, run.Fingerprint(), run.participationAt(server))
 		}
 	}
 	for work, s := range t.suspects {
-		for first, b := range s.broken {
-			if b.ranAt(server) {
-				add(present, work, presence{answered: b.answered, later: first != server})
-				delete(s.broken, first)
+		for first, b := range s.lostConnections {
+			if b.involves(server) {
+				mergeParticipation(present, work, participation{responseStarted: b.responseStarted, laterStage: first != server})
+				delete(s.lostConnections, first)
 			}
 		}
 	}
-	news := t.note(server, domain, present)
+	news := t.recordExit(server, domain, present)
 	if len(news) == 0 {
 		return
 	}
 	for work := range news {
-		t.suspect(work).own = true
+		t.suspectFor(work).local = true
 	}
-	t.out.end(server, domain, news)
-	t.logEnd(server, domain, news, "this router")
+	t.outbox.addExit(server, domain, news)
+	t.logExit(server, domain, news, "this router")
 }
 
-// add unites what is known of one request at one server: what speaks against it counts.
-func add(present map[model.Fingerprint]presence, work model.Fingerprint, p presence) {
+// mergeParticipation unites what is known of one request at one server: what speaks against it counts.
+func mergeParticipation(present map[model.Fingerprint]participation, work model.Fingerprint, p participation) {
 	if before, ok := present[work]; ok {
-		p.answered = p.answered && before.answered
-		p.later = p.later && before.later
+		p.responseStarted = p.responseStarted && before.responseStarted
+		p.laterStage = p.laterStage && before.laterStage
 	}
 	present[work] = p
 }
 
-// note takes in which requests were at a server that ended and gives those that were not
+// recordExit takes in which requests were at a server that ended and gives those that were not
 // known. The caller holds the lock.
-func (t *Tracker) note(server model.Incarnation, domain string, present map[model.Fingerprint]presence) map[model.Fingerprint]presence {
-	e := t.ends[server]
+func (t *Tracker) recordExit(server model.Incarnation, domain string, present map[model.Fingerprint]participation) map[model.Fingerprint]participation {
+	e := t.exits[server]
 	if e == nil {
-		e = &end{domain: domain, at: t.clock(), present: map[model.Fingerprint]presence{}}
-		t.ends[server] = e
+		e = &serverExit{domain: domain, at: t.clock(), requests: map[model.Fingerprint]participation{}}
+		t.exits[server] = e
 	}
-	news := map[model.Fingerprint]presence{}
+	news := map[model.Fingerprint]participation{}
 	for work, p := range present {
-		if _, known := e.present[work]; known {
-			add(e.present, work, p)
+		if _, known := e.requests[work]; known {
+			mergeParticipation(e.requests, work, p)
 			continue
 		}
-		if len(e.present) >= mostAtOneEnd {
-			e.crowded = true
+		if len(e.requests) >= maxRequestsPerExit {
+			e.truncated = true
 			break
 		}
-		e.present[work] = p
-		t.presences++
-		s := t.suspect(work)
-		s.ends[server] = true
-		delete(s.broken, server)
-		if len(s.ends) > mostOfOne {
-			t.forgetPresence(work, t.oldest(s.ends))
+		e.requests[work] = p
+		t.participations++
+		s := t.suspectFor(work)
+		s.exits[server] = true
+		delete(s.lostConnections, server)
+		if len(s.exits) > maxExitsPerRequest {
+			t.removeParticipation(work, t.oldestExit(s.exits))
 		}
 		news[work] = p
 	}
-	for t.presences > mostPresences || len(t.ends) > mostEnds {
-		t.forgetOldest()
+	for t.participations > maxParticipations || len(t.exits) > maxExits {
+		t.evictOldestExit()
 	}
 	return news
 }
 
-// forgetOldest forgets the oldest end. The caller holds the lock.
-func (t *Tracker) forgetOldest() {
+// evictOldestExit forgets the oldest end. The caller holds the lock.
+func (t *Tracker) evictOldestExit() {
 	var oldest model.Incarnation
-	var found *end
-	for server, e := range t.ends {
+	var found *serverExit
+	for server, e := range t.exits {
 		if found == nil || e.at < found.at {
 			oldest, found = server, e
 		}
 	}
-	t.forget(oldest)
+	t.removeExit(oldest)
 }
 
-// oldest is the oldest of a request's ends.
-func (t *Tracker) oldest(ends map[model.Incarnation]bool) model.Incarnation {
-	return slices.MinFunc(slices.Collect(maps.Keys(ends)), func(a, b model.Incarnation) int { return cmp.Compare(t.ends[a].at, t.ends[b].at) })
+// oldestExit is the oldestExit of a request's ends.
+func (t *Tracker) oldestExit(ends map[model.Incarnation]bool) model.Incarnation {
+	return slices.MinFunc(slices.Collect(maps.Keys(ends)), func(a, b model.Incarnation) int { return cmp.Compare(t.exits[a].at, t.exits[b].at) })
 }
 
-// forgetPresence forgets that a request was at an end.
-func (t *Tracker) forgetPresence(work model.Fingerprint, server model.Incarnation) {
-	delete(t.suspects[work].ends, server)
-	delete(t.ends[server].present, work)
-	t.presences--
+// removeParticipation forgets that a request was at an end.
+func (t *Tracker) removeParticipation(work model.Fingerprint, server model.Incarnation) {
+	delete(t.suspects[work].exits, server)
+	delete(t.exits[server].requests, work)
+	t.participations--
 }
 
-func (t *Tracker) forget(server model.Incarnation) {
-	e := t.ends[server]
-	delete(t.ends, server)
-	t.presences -= len(e.present)
-	for work := range e.present {
+func (t *Tracker) removeExit(server model.Incarnation) {
+	e := t.exits[server]
+	delete(t.exits, server)
+	t.participations -= len(e.requests)
+	for work := range e.requests {
 		if s := t.suspects[work]; s != nil {
-			delete(s.ends, server)
-			t.drop(work)
+			delete(s.exits, server)
+			t.removeIfUnsuspected(work)
 		}
 	}
 }
@@ -248,26 +248,26 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for work, s := range t.suspects {
-		if b, ok := s.broken[server]; ok && len(b.places) == 1 {
-			delete(s.broken, server)
-			t.drop(work)
+		if b, ok := s.lostConnections[server]; ok && len(b.locations) == 1 {
+			delete(s.lostConnections, server)
+			t.removeIfUnsuspected(work)
 		}
 	}
 }
 
-// clear takes back all blame of a request that a server has answered. The caller holds
+// clearSuspect takes back all blame of a request that a server has answered. The caller holds
 // the lock.
-func (t *Tracker) clear(work model.Fingerprint) (was int) {
+func (t *Tracker) clearSuspect(work model.Fingerprint) (was int) {
 	s := t.suspects[work]
 	if s == nil {
 		return 0
 	}
-	for server := range s.ends {
-		delete(t.ends[server].present, work)
-		t.presences--
+	for server := range s.exits {
+		delete(t.exits[server].requests, work)
+		t.participations--
 	}
 	delete(t.suspects, work)
-	return len(s.ends)
+	return len(s.exits)
 }
 
 // Expire forgets what is too old.
@@ -275,20 +275,20 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock()
-	for server, e := range t.ends {
-		if now-e.at > evidenceFor {
-			t.forget(server)
+	for server, e := range t.exits {
+		if now-e.at > evidenceRetention {
+			t.removeExit(server)
 		}
 	}
 	for work, s := range t.suspects {
-		for server, b := range s.broken {
-			if now-b.at > brokenFor {
-				delete(s.broken, server)
+		for server, b := range s.lostConnections {
+			if now-b.at > lostConnectionRetention {
+				delete(s.lostConnections, server)
 			}
 		}
-		t.drop(work)
+		t.removeIfUnsuspected(work)
 	}
-	maps.DeleteFunc(t.lookedInto, func(_ model.Incarnation, at time.Duration) bool { return now-at > lookAgainAfter })
+	maps.DeleteFunc(t.checkedAt, func(_ model.Incarnation, at time.Duration) bool { return now-at > checkInterval })
 	for work, v := range t.verdicts {
 		if now-v.since > v.term+probation(v.term) {
 			delete(t.verdicts, work)
--- a/internal/coordination/quarantine/tracker_test.go
+++ b/internal/coordination/quarantine/tracker_test.go
@@ -11,26 +11,26 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// bench is a tracker with a clock of its own.
-type bench struct {
+// testTracker is a tracker with a clock of its own.
+type testTracker struct {
 	*Tracker
 	now time.Duration
 }
 
-func newBench() *bench {
-	b := &bench{}
+func newTestTracker() *testTracker {
+	b := &testTracker{}
 	b.Tracker = New(func() time.Duration { return b.now })
 	return b
 }
 
 func server(n int) model.Incarnation { return model.Incarnation{ID: fmt.Sprintf("s%d", n)} }
 
-func (b *bench) begin(w model.Fingerprint, n int, domain string) *Run {
+func (b *testTracker) begin(w model.Fingerprint, n int, domain string) *Run {
 	return b.Begin(func() model.Fingerprint { return w }, false, Location{Server: server(n), Domain: domain})
 }
 
-// ends has servers end under a request, each in a domain of its own.
-func (b *bench) ends(w model.Fingerprint, servers ...int) {
+// exitUnder has servers end under a request, each in a domain of its own.
+func (b *testTracker) exitUnder(w model.Fingerprint, servers ...int) {
 	for _, n := range servers {
 		domain := fmt.Sprintf("d%d", n)
 		run := b.begin(w, n, domain)
@@ -38,15 +38,15 @@
 		b.ServerExited(server(n), domain)
 		run.End(ConnectionLost)
 	}
-	b.now += settleTime
+	b.now += evidenceDelay
 }
 
 func TestStandingGrowsWithTheEnds(t *testing.T) {
-	b := newBench()
-	assert.Equal(t, b.Assess(guilty).Restriction, Unrestricted)
+	b := newTestTracker()
+	assert.Equal(t, b.Assess(crashing).Restriction, Unrestricted)
 	for n, want := range []Restriction{Separated, TrialOnly, Quarantined} {
-		b.ends(guilty, n)
-		v := b.Assess(guilty)
+		b.exitUnder(crashing, n)
+		v := b.Assess(crashing)
 		assert.Equal(t, v.Restriction, want)
 		assert.Equal(t, v.Exits, n+1)
 	}
@@ -56,82 +56,82 @@
 // has found the server's port closed. It counts as an end all the same until that is known,
 // or else the request would be at three servers while it is known of one.
 func TestBreakOffCountsBeforeTheEndIsKnown(t *testing.T) {
-	b := newBench()
-	b.ends(guilty, 1)
-	assert.Equal(t, len(b.begin(guilty, 2, "d2").End(ConnectionLost)), 1, "the server should be asked")
-	assert.Equal(t, b.Assess(guilty).Restriction, TrialOnly)
-	b.begin(guilty, 3, "d3").End(ConnectionLost)
-	assert.Equal(t, b.Assess(guilty).Restriction, Undecided)
+	b := newTestTracker()
+	b.exitUnder(crashing, 1)
+	assert.Equal(t, len(b.begin(crashing, 2, "d2").End(ConnectionLost)), 1, "the server should be asked")
+	assert.Equal(t, b.Assess(crashing).Restriction, TrialOnly)
+	b.begin(crashing, 3, "d3").End(ConnectionLost)
+	assert.Equal(t, b.Assess(crashing).Restriction, Undecided)
 	b.ServerAlive(server(2))
 	b.ServerAlive(server(3))
-	assert.Equal(t, b.Assess(guilty).Restriction, Separated, "links failed, no server ended")
+	assert.Equal(t, b.Assess(crashing).Restriction, Separated, "links failed, no server ended")
 }
 
 // A caller that leaves, a refusal and a silent server say nothing of a request.
 func TestOnlyBrokenConnectionsCount(t *testing.T) {
-	b := newBench()
+	b := newTestTracker()
 	for n := range 5 {
-		b.begin(guilty, n, "d").End(Inconclusive)
+		b.begin(crashing, n, "d").End(Inconclusive)
 		b.ServerExited(server(n), "d")
 	}
-	assert.Equal(t, b.Assess(guilty).Restriction, Unrestricted)
+	assert.Equal(t, b.Assess(crashing).Restriction, Unrestricted)
 }
 
 // An answer, be it the server's own failure, clears a request of all that was held against
 // it, and the other routers are told.
 func TestAnswerClears(t *testing.T) {
-	b := newBench()
-	b.ends(guilty, 1, 2)
+	b := newTestTracker()
+	b.exitUnder(crashing, 1, 2)
 	for _, ok := b.TakeReport(); ok; _, ok = b.TakeReport() {
 	}
-	b.begin(guilty, 7, "d").End(Completed)
-	assert.Equal(t, b.Assess(guilty).Restriction, Unrestricted)
+	b.begin(crashing, 7, "d").End(Completed)
+	assert.Equal(t, b.Assess(crashing).Restriction, Unrestricted)
 	r, _ := b.TakeReport()
-	assert.DeepEqual(t, r.Cleared, []model.Fingerprint{guilty})
+	assert.DeepEqual(t, r.Cleared, []model.Fingerprint{crashing})
 }
 
 // Two requests are at the same three servers. Neither is blamed; the next end is under one
 // of them alone and tells them apart.
 func TestTwoAtTheSameEndsAreToldApart(t *testing.T) {
-	b := newBench()
-	other := work(1)
+	b := newTestTracker()
+	other := testFingerprint(1)
 	for n := range 3 {
 		domain := fmt.Sprintf("d%d", n)
-		b.begin(guilty, n, domain)
+		b.begin(crashing, n, domain)
 		b.begin(other, n, domain)
 		b.ServerExited(server(n), domain)
 	}
-	b.now += commonTime
-	assert.Equal(t, b.Assess(guilty).Restriction, TrialOnly)
+	b.now += commonCauseWindow
+	assert.Equal(t, b.Assess(crashing).Restriction, TrialOnly)
 	assert.Equal(t, b.Assess(other).Restriction, TrialOnly)
-	b.ends(guilty, 4)
-	assert.Equal(t, b.Assess(guilty).Restriction, Quarantined)
+	b.exitUnder(crashing, 4)
+	assert.Equal(t, b.Assess(crashing).Restriction, Quarantined)
 	assert.Equal(t, b.Assess(other).Restriction, Unrestricted, "its ends are explained")
 }
 
 // Servers end under streams that had begun to come. That is how streams are lost that are
 // innocent, so it takes twice as many ends.
 func TestEndsUnderAnAnswerWeighLess(t *testing.T) {
-	b := newBench()
-	for n := range 2*guiltyFrom - 1 {
-		run := b.begin(guilty, n, "d")
+	b := newTestTracker()
+	for n := range 2*minExits - 1 {
+		run := b.begin(crashing, n, "d")
 		run.AnswerStarted()
 		b.ServerExited(server(n), "d")
-		b.now += 2 * commonTime
-		assert.Assert(t, b.Assess(guilty).Restriction < Quarantined, "after %d ends", n+1)
+		b.now += 2 * commonCauseWindow
+		assert.Assert(t, b.Assess(crashing).Restriction < Quarantined, "after %d ends", n+1)
 	}
-	b.ends(guilty, 99)
-	assert.Equal(t, b.Assess(guilty).Restriction, Quarantined)
+	b.exitUnder(crashing, 99)
+	assert.Equal(t, b.Assess(crashing).Restriction, Quarantined)
 }
 
 // A later part of the chain ends each time: the request is to run alone at all of them.
 func TestLaterPartsOfChainsCount(t *testing.T) {
-	b := newBench()
+	b := newTestTracker()
 	for n := range 2 {
-		b.Begin(func() model.Fingerprint { return guilty }, false, Location{server(90 + n), "a"}, Location{server(n), "b"})
+		b.Begin(func() model.Fingerprint { return crashing }, false, Location{server(90 + n), "a"}, Location{server(n), "b"})
 		b.ServerExited(server(n), fmt.Sprintf("d%d", n))
 	}
-	v := b.Assess(guilty)
+	v := b.Assess(crashing)
 	assert.Equal(t, v.Restriction, TrialOnly)
 	assert.Assert(t, v.LaterStage)
 }
@@ -142,17 +142,17 @@
 func TestOneEndOfAChainCountsOnce(t *testing.T) {
 	chain := []Location{{server(1), "a"}, {server(2), "b"}}
 	for _, endFirst := range []bool{true, false} {
-		b := newBench()
-		run := b.Begin(func() model.Fingerprint { return guilty }, false, chain...)
+		b := newTestTracker()
+		run := b.Begin(func() model.Fingerprint { return crashing }, false, chain...)
 		if endFirst {
 			b.ServerExited(server(2), "b")
 		}
 		assert.Equal(t, len(run.End(ConnectionLost)), 0)
-		assert.Equal(t, b.Assess(guilty).Exits, 1)
+		assert.Equal(t, b.Assess(crashing).Exits, 1)
 		if !endFirst {
 			b.ServerExited(server(2), "b")
 		}
-		assert.DeepEqual(t, b.Assess(guilty), Assessment{Restriction: Separated, Exits: 1, LaterStage: true})
+		assert.DeepEqual(t, b.Assess(crashing), Assessment{Restriction: Separated, Exits: 1, LaterStage: true})
 	}
 }
 
@@ -160,68 +160,68 @@
 // of them has met one end, also where it was moved off the first before the second was
 // told; one that ends an engine after each move has met as many as moves.
 func TestEnginesThatDropOutTogetherCountOnce(t *testing.T) {
-	b := newBench()
-	run := b.Begin(func() model.Fingerprint { return guilty }, false, Location{server(1), "a"}, Location{server(2), "a"}, Location{server(3), "a"})
+	b := newTestTracker()
+	run := b.Begin(func() model.Fingerprint { return crashing }, false, Location{server(1), "a"}, Location{server(2), "a"}, Location{server(3), "a"})
 	b.ServerExited(server(2), "a")
 	b.now += 10 * time.Millisecond
 	run.Move([]Location{{server(1), "a"}, {server(4), "b"}, {server(3), "a"}})
 	b.ServerExited(server(3), "a")
-	assert.Equal(t, b.Assess(guilty).Exits, 1)
+	assert.Equal(t, b.Assess(crashing).Exits, 1)
 	for n := range 2 {
 		b.now += 100 * time.Millisecond
 		run.Move([]Location{{server(1), "a"}, {server(10 + n), "b"}})
 		b.ServerExited(server(10+n), "b")
 	}
-	assert.Equal(t, b.Assess(guilty).Exits, 3)
+	assert.Equal(t, b.Assess(crashing).Exits, 3)
 }
 
 // After its term a request runs alone. An answer frees it; an end brings it back at once,
 // for twice as long.
 func TestTermsEndAndDouble(t *testing.T) {
-	b := newBench()
-	b.ends(guilty, 1, 2, 3)
+	b := newTestTracker()
+	b.exitUnder(crashing, 1, 2, 3)
 	b.EvaluateSuspects()
-	b.now += firstTerm
+	b.now += minTerm
 	b.Expire()
-	assert.Equal(t, b.Assess(guilty).Restriction, TrialOnly)
-	b.ends(guilty, 4)
-	assert.Equal(t, b.Assess(guilty).Restriction, Quarantined)
-	b.now += firstTerm + time.Second
-	assert.Equal(t, b.Assess(guilty).Restriction, Quarantined, "twice as long")
-	b.now += firstTerm
-	assert.Equal(t, b.Assess(guilty).Restriction, TrialOnly)
-	b.begin(guilty, 5, "d").End(Completed)
-	assert.Equal(t, b.Assess(guilty).Restriction, Unrestricted)
+	assert.Equal(t, b.Assess(crashing).Restriction, TrialOnly)
+	b.exitUnder(crashing, 4)
+	assert.Equal(t, b.Assess(crashing).Restriction, Quarantined)
+	b.now += minTerm + time.Second
+	assert.Equal(t, b.Assess(crashing).Restriction, Quarantined, "twice as long")
+	b.now += minTerm
+	assert.Equal(t, b.Assess(crashing).Restriction, TrialOnly)
+	b.begin(crashing, 5, "d").End(Completed)
+	assert.Equal(t, b.Assess(crashing).Restriction, Unrestricted)
 }
 
 // Forgotten requests leave nothing behind, and much that comes at once is bounded.
 func TestMemoryIsBounded(t *testing.T) {
-	b := newBench()
-	for n := range mostEnds + 50 {
-		b.begin(work(n), n, "d")
+	b := newTestTracker()
+	for n := range maxExits + 50 {
+		b.begin(testFingerprint(n), n, "d")
 		b.ServerExited(server(n), "d")
 	}
-	assert.Assert(t, len(b.Tracker.ends) <= mostEnds)
-	crowd := newBench()
-	for n := range mostAtOneEnd + 50 {
-		crowd.begin(work(n), 1, "d")
+	assert.Assert(t, len(b.Tracker.exits) <= maxExits)
+	crowd := newTestTracker()
+	for n := range maxRequestsPerExit + 50 {
+		crowd.begin(testFingerprint(n), 1, "d")
 	}
 	crowd.ServerExited(server(1), "d")
-	assert.Equal(t, len(crowd.Tracker.ends[server(1)].present), mostAtOneEnd)
-	assert.Equal(t, crowd.Assess(work(1)).Restriction, Unrestricted, "a crowded end is no evidence")
-	for n := range 5 * mostOfOne {
-		run := b.begin(work(-1), 5000+n, "d")
+	assert.Equal(t, len(crowd.Tracker.exits[server(1)].requests), maxRequestsPerExit)
+	assert.Equal(t, crowd.Assess(testFingerprint(1)).Restriction, Unrestricted, "a crowded end is no evidence")
+	for n := range 5 * maxExitsPerRequest {
+		run := b.begin(testFingerprint(-1), 5000+n, "d")
 		run.AnswerStarted()
 		b.ServerExited(server(5000+n), "d")
 	}
-	assert.Equal(t, len(b.suspects[work(-1)].ends), mostOfOne)
-	for n := range mostVerdicts + 50 {
-		b.ApplyVerdicts([]Verdict{{Fingerprint: work(n), TermMS: int64(1000 + n)}}, "peer")
+	assert.Equal(t, len(b.suspects[testFingerprint(-1)].exits), maxExitsPerRequest)
+	for n := range maxVerdicts + 50 {
+		b.ApplyVerdicts([]Verdict{{Fingerprint: testFingerprint(n), TermMS: int64(1000 + n)}}, "peer")
 	}
-	assert.Equal(t, len(b.Verdicts()), mostVerdicts)
-	b.now += evidenceFor + longestTerm
+	assert.Equal(t, len(b.Verdicts()), maxVerdicts)
+	b.now += evidenceRetention + maxTerm
 	b.Expire()
-	assert.Equal(t, len(b.Tracker.ends)+len(b.suspects)+len(b.verdicts)+b.presences, 0)
+	assert.Equal(t, len(b.Tracker.exits)+len(b.suspects)+len(b.verdicts)+b.participations, 0)
 }
 
 // Whatever peers tell, in any order and again, adds up to the same: who has heard all
@@ -232,11 +232,11 @@
 		for range rapid.IntRange(1, 12).Draw(t, "reports") {
 			end := ExitReport{Server: server(rapid.IntRange(0, 5).Draw(t, "server")), Domain: "d"}
 			for range rapid.IntRange(0, 4).Draw(t, "present") {
-				end.Requests = append(end.Requests, RequestAtExit{Fingerprint: work(rapid.IntRange(0, 4).Draw(t, "work")), AnswerStarted: rapid.Bool().Draw(t, "answered")})
+				end.Requests = append(end.Requests, RequestAtExit{Fingerprint: testFingerprint(rapid.IntRange(0, 4).Draw(t, "work")), ResponseStarted: rapid.Bool().Draw(t, "answered")})
 			}
 			reports = append(reports, Report{Exits: []ExitReport{end}})
 		}
-		a, b := newBench(), newBench()
+		a, b := newTestTracker(), newTestTracker()
 		for _, r := range reports {
 			a.ApplyReport(r, "peer")
 		}
@@ -245,22 +245,22 @@
 		}
 		a.now, b.now = time.Minute, time.Minute
 		for n := range 5 {
-			assert.DeepEqual(t, a.Assess(work(n)), b.Assess(work(n)))
+			assert.DeepEqual(t, a.Assess(testFingerprint(n)), b.Assess(testFingerprint(n)))
 		}
-		assert.Equal(t, a.presences, b.presences)
+		assert.Equal(t, a.participations, b.participations)
 	})
 }
 
 func TestTrialsAreOneAtATime(t *testing.T) {
-	b := newBench()
+	b := newTestTracker()
 	trials := NewTrials(b.Tracker)
-	assert.Assert(t, trials.Request(guilty, []model.Incarnation{server(1), server(2)}).Granted)
-	assert.Equal(t, trials.Request(guilty, []model.Incarnation{server(3)}), Grant{WaitMS: 1000}, "it runs already")
-	assert.Equal(t, trials.Request(work(1), []model.Incarnation{server(2)}).BusyServer, server(2))
-	assert.Assert(t, trials.Request(work(1), []model.Incarnation{server(3)}).Granted)
-	b.now += trialTime
-	assert.Assert(t, trials.Request(guilty, []model.Incarnation{server(2)}).Granted)
-	b.ends(guilty, 4, 5, 6)
-	b.now += trialTime
-	assert.Assert(t, !trials.Request(guilty, []model.Incarnation{server(7)}).Granted, "the keeper knows more than who asks")
+	assert.Assert(t, trials.Request(crashing, []model.Incarnation{server(1), server(2)}).Granted)
+	assert.Equal(t, trials.Request(crashing, []model.Incarnation{server(3)}), Grant{WaitMS: 1000}, "it runs already")
+	assert.Equal(t, trials.Request(testFingerprint(1), []model.Incarnation{server(2)}).BusyServer, server(2))
+	assert.Assert(t, trials.Request(testFingerprint(1), []model.Incarnation{server(3)}).Granted)
+	b.now += trialDuration
+	assert.Assert(t, trials.Request(crashing, []model.Incarnation{server(2)}).Granted)
+	b.exitUnder(crashing, 4, 5, 6)
+	b.now += trialDuration
+	assert.Assert(t, !trials.Request(crashing, []model.Incarnation{server(7)}).Granted, "the keeper knows more than who asks")
 }
--- a/internal/coordination/quarantine/trials.go
+++ b/internal/coordination/quarantine/trials.go
@@ -7,10 +7,10 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// trialTime is for how long a server that runs a suspect alone takes no other one. A
+// trialDuration is for how long a server that runs a suspect alone takes no other one. A
 // request that ends servers does so as they begin to run it; one that has run so long may
 // have company.
-const trialTime = time.Second
+const trialDuration = time.Second
 
 // Trials grants runs of requests that must run alone. One router keeps them for all, the
 // first by rendezvous hashing among the living; while routers disagree on who that is, two
@@ -19,19 +19,19 @@
 	tracker *Tracker
 	clock   func() time.Duration
 
-	mu      sync.Mutex
-	works   map[model.Fingerprint]time.Duration // until when
-	servers map[model.Incarnation]claim
+	mu       sync.Mutex
+	requests map[model.Fingerprint]time.Duration // until when
+	servers  map[model.Incarnation]reservation
 }
 
-type claim struct {
-	work  model.Fingerprint
-	until time.Duration
+type reservation struct {
+	fingerprint model.Fingerprint
+	until       time.Duration
 }
 
 // NewTrials makes a keeper that has granted nothing.
 func NewTrials(tracker *Tracker) *Trials {
-	return &Trials{tracker: tracker, clock: tracker.clock, works: map[model.Fingerprint]time.Duration{}, servers: map[model.Incarnation]claim{}}
+	return &Trials{tracker: tracker, clock: tracker.clock, requests: map[model.Fingerprint]time.Duration{}, servers: map[model.Incarnation]reservation{}}
 }
 
 // Grant is the answer to who wants to run a suspect at servers.
@@ -56,8 +56,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock()
-	t.expire(now)
-	if until, ok := t.works[work]; ok {
+	t.removeExpired(now)
+	if until, ok := t.requests[work]; ok {
 		return Grant{WaitMS: (until - now).Milliseconds()}
 	}
 	for _, server := range servers {
@@ -65,17 +65,17 @@
 			return Grant{BusyServer: server, WaitMS: (c.until - now).Milliseconds()}
 		}
 	}
-	t.works[work] = now + trialTime
+	t.requests[work] = now + trialDuration
 	for _, server := range servers {
-		t.servers[server] = claim{work: work, until: now + trialTime}
+		t.servers[server] = reservation{fingerprint: work, until: now + trialDuration}
 	}
 	return Grant{Granted: true}
 }
 
-func (t *Trials) expire(now time.Duration) {
-	for work, until := range t.works {
+func (t *Trials) removeExpired(now time.Duration) {
+	for work, until := range t.requests {
 		if until <= now {
-			delete(t.works, work)
+			delete(t.requests, work)
 		}
 	}
 	for server, c := range t.servers {
--- a/internal/coordination/quarantine/verdict.go
+++ b/internal/coordination/quarantine/verdict.go
@@ -7,46 +7,46 @@
 )
 
 const (
-	// firstTerm is how long a request is kept from servers at first. Each time that it
+	// minTerm is how long a request is kept from servers at first. Each time that it
 	// ends one again after its term, the term doubles, up to longestTerm.
-	firstTerm   = 10 * time.Minute
-	longestTerm = 3 * time.Hour
-	// mostVerdicts bounds the requests that are kept; the one whose term ends first makes
+	minTerm = 10 * time.Minute
+	maxTerm = 3 * time.Hour
+	// maxVerdicts bounds the requests that are kept; the one whose term ends first makes
 	// room.
-	mostVerdicts = 256
+	maxVerdicts = 256
 )
 
-// verdict is a request that is known to end servers.
-type verdict struct {
+// verdictEntry is a request that is known to end servers.
+type verdictEntry struct {
 	since time.Duration
 	term  time.Duration
-	ends  int
+	exits int
 }
 
 // probation is how long after its term a request is remembered: it runs alone then, and
 // one more end brings it back.
 func probation(term time.Duration) time.Duration { return term }
 
-// serving tells whether a request's term goes on.
-func (t *Tracker) serving(v *verdict) bool { return t.clock()-v.since < v.term }
+// inTerm tells whether a request's term goes on.
+func (t *Tracker) inTerm(v *verdictEntry) bool { return t.clock()-v.since < v.term }
 
-// blame puts a request into quarantine.
-func (t *Tracker) blame(work model.Fingerprint, c charge) {
-	t.keep(work, &verdict{since: t.clock(), term: firstTerm, ends: len(c.ends)})
+// addVerdict puts a request into quarantine.
+func (t *Tracker) addVerdict(work model.Fingerprint, c evidence) {
+	t.storeVerdict(work, &verdictEntry{since: t.clock(), term: minTerm, exits: len(c.attributed)})
 	logQuarantined(work, c, "this router")
 }
 
-// relapse puts a request that ended a server after its term back into quarantine.
-func (t *Tracker) relapse(work model.Fingerprint, v *verdict) {
-	t.verdicts[work] = &verdict{since: t.clock(), term: min(2*v.term, longestTerm), ends: v.ends + 1}
-	logRelapsed(work, v.ends+1)
+// renewVerdict puts a request that ended a server after its term back into quarantine.
+func (t *Tracker) renewVerdict(work model.Fingerprint, v *verdictEntry) {
+	t.verdicts[work] = &verdictEntry{since: t.clock(), term: min(2*v.term, maxTerm), exits: v.exits + 1}
+	logRenewed(work, v.exits+1)
 }
 
-// keep remembers a verdict.
-func (t *Tracker) keep(work model.Fingerprint, v *verdict) {
-	if len(t.verdicts) >= mostVerdicts {
+// storeVerdict remembers a verdict.
+func (t *Tracker) storeVerdict(work model.Fingerprint, v *verdictEntry) {
+	if len(t.verdicts) >= maxVerdicts {
 		var first model.Fingerprint
-		var found *verdict
+		var found *verdictEntry
 		for w, o := range t.verdicts {
 			if found == nil || o.since+o.term < found.since+found.term {
 				first, found = w, o
@@ -67,8 +67,8 @@
 	Exits  int   `json:"ends"`
 }
 
-func (t *Tracker) sentence(work model.Fingerprint, v *verdict) Verdict {
-	return Verdict{Fingerprint: work, TermMS: v.term.Milliseconds(), AgeMS: (t.clock() - v.since).Milliseconds(), Exits: v.ends}
+func (t *Tracker) exportVerdict(work model.Fingerprint, v *verdictEntry) Verdict {
+	return Verdict{Fingerprint: work, TermMS: v.term.Milliseconds(), AgeMS: (t.clock() - v.since).Milliseconds(), Exits: v.exits}
 }
 
 // Verdicts lists the requests whose terms go on.
@@ -77,8 +77,8 @@
 	defer t.mu.Unlock()
 	var out []Verdict
 	for work, v := range t.verdicts {
-		if t.serving(v) {
-			out = append(out, t.sentence(work, v))
+		if t.inTerm(v) {
+			out = append(out, t.exportVerdict(work, v))
 		}
 	}
 	return out
@@ -90,16 +90,16 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range sentences {
-		term := min(time.Duration(s.TermMS)*time.Millisecond, longestTerm)
+		term := min(time.Duration(s.TermMS)*time.Millisecond, maxTerm)
 		left := term - max(time.Duration(s.AgeMS)*time.Millisecond, 0)
 		known := t.verdicts[s.Fingerprint]
 		if left <= 0 {
 			continue
 		}
-		v := &verdict{since: t.clock() + left - term, term: term, ends: s.Exits}
+		v := &verdictEntry{since: t.clock() + left - term, term: term, exits: s.Exits}
 		if known == nil {
-			t.keep(s.Fingerprint, v)
-			logLearnt(s, source)
+			t.storeVerdict(s.Fingerprint, v)
+			logVerdictReceived(s, source)
 			continue
 		}
 		if v.since+v.term > known.since+known.term {
