--- a/internal/coordination/quarantine/tracker.go
+++ b/internal/coordination/quarantine/tracker.go
@@ -1,15 +1,16 @@
-// Package quarantine finds requests that end the servers which run them, and keeps them
-// from further ones.
+// Package quarantine identifies requests that make the servers which run them exit, and keeps
+// such requests from being run again.
 //
-// A router counts a failure against the attempt that met it; the next attempt of the same
-// request begins from nothing, at any router, and each server that runs it ends under the
-// requests of others. So routers remember, by a request's fingerprint, the server
-// processes that ended while they ran it, and tell each other.
+// A failed attempt is retried, here or at another router, and each server that runs the request
+// exits together with all other requests on it. Routers therefore record, by request
+// fingerprint, which server processes exited while they ran a request, and report this to each
+// other.
 //
-// Most requests at a server that ends are innocent, and are sent on together with the
-// guilty one. Three things tell them apart: a request under which a server ended is sent
-// elsewhere than others of its kind; after a second end it runs alone among such; and it is
-// blamed only where no other request was at all of its ends. A server's answer clears it.
+// Most requests at a server that exits are harmless and are retried together with the one that
+// caused the exit. Three rules separate them. A request that ran at one such server is kept
+// apart from other suspects. After two exits it runs only as a trial, alone among suspects. It
+// is quarantined only if no other request was present at all of the same exits. A whole response
+// of a server clears a request.
 package quarantine
 
 import (
@@ -23,45 +24,46 @@
 )
 
 const (
-	// evidenceRetention is how long the end of a server is remembered.
+	// evidenceRetention is how long the exit of a server is kept.
 	evidenceRetention = 10 * time.Minute
-	// checkInterval is between two looks at one server whose connections break off: one
-	// that spoils answers breaks off many.
+	// checkInterval is the minimum time between two probes of one server after lost
+	// connections. A server that sends malformed responses loses many.
 	checkInterval = time.Second
-	// lostConnectionRetention is how long a run that broke off waits for word that its server's process
-	// ended: a successor's entry is there within some seconds.
+	// lostConnectionRetention is how long a lost connection is kept while the exit of its
+	// server is not confirmed. The restarted server registers within a few seconds.
 	lostConnectionRetention = 5 * time.Second
-	// maxExits and mostPresences bound what is remembered: some hundred bytes of each end
-	// and of each request at one.
+	// maxExits and maxParticipations bound the memory of the tracker. Each entry takes some
+	// hundred bytes.
 	maxExits          = 1024
 	maxParticipations = 8192
-	// maxExitsPerRequest bounds the ends that are remembered of one request, the newest: more decide
-	// nothing, and looking through hundreds of them takes longer than serving it.
+	// maxExitsPerRequest bounds the exits kept for one request, the newest. More do not
+	// change the result and make each assessment slower.
 	maxExitsPerRequest = 16
-	// maxRequestsPerExit bounds the requests that are remembered of one end. A server that had
-	// more of them is no evidence, as some of its requests are not known.
+	// maxRequestsPerExit bounds the requests kept for one exit. An exit with more requests
+	// is not used as evidence, because the list is incomplete.
 	maxRequestsPerExit = 512
 )
 
-// Tracker is what one router knows of requests that end servers. Its clock goes on while
-// the instance is suspended.
+// Tracker holds what one router knows about requests that make servers exit. It is safe for
+// concurrent use.
 type Tracker struct {
 	clock func() time.Duration
 
 	mu sync.Mutex
-	// runs are those in progress, by server.
+	// runs holds the runs in progress by server.
 	runs map[model.Incarnation]map[*Run]bool
-	// exits are the servers whose processes ended, with the requests they ran.
+	// exits holds the server processes that exited, with the requests that they ran.
 	exits          map[model.Incarnation]*serverExit
 	participations int
 	suspects       map[model.Fingerprint]*suspect
 	verdicts       map[model.Fingerprint]*verdictEntry
 	outbox         outbox
-	// checkedAt is when a server of a plain service was last looked into.
+	// checkedAt is when a server of a plain service was last probed.
 	checkedAt map[model.Incarnation]time.Duration
 }
 
-// New makes a tracker that knows of nothing.
+// New returns an empty tracker. clock returns a monotonic time that includes suspension of the
+// instance.
 func New(clock func() time.Duration) *Tracker {
 	return &Tracker{
 		clock:    clock,
@@ -75,33 +77,34 @@
 	}
 }
 
-// serverExit is one server process that ended.
+// serverExit is the exit of one server process.
 type serverExit struct {
 	domain   string
 	at       time.Duration
 	requests map[model.Fingerprint]participation
-	// truncated says that it ran more requests than are remembered.
+	// truncated reports that the server ran more requests than are kept.
 	truncated bool
 }
 
-// participation is how a request was at a server that ended.
+// participation describes how a request took part at a server that exited.
 type participation struct {
-	// responseStarted says that the server had begun to answer. A request that ends servers as
-	// they begin to run it gets that far at none.
+	// responseStarted reports that the response had started. A request that makes servers
+	// exit as soon as they run it never gets that far.
 	responseStarted bool
-	// laterStage says that the server ran a laterStage part of the request's chain.
+	// laterStage reports that the server ran a stage of the request's chain other than the
+	// first.
 	laterStage bool
 }
 
-// suspect is a request that ran at servers which ended.
+// suspect is a request that ran at servers that exited or lost their connection.
 type suspect struct {
 	exits map[model.Incarnation]bool
-	// lostConnections are its runs that broke off, by the server that it was sent to; that this one
-	// or another of the chain has ended is not confirmed.
+	// lostConnections holds runs whose connection ended, by the first server of the run. It
+	// is not known whether that server or another one of the chain has exited.
 	lostConnections map[model.Incarnation]lostConnection
-	// local says that this router ran it at a server that ended.
+	// local reports that this router ran the request at a server that exited.
 	local bool
-	// trialOnlyLogged says that its being alone was logged.
+	// trialOnlyLogged reports that the restriction to trials has been logged.
 	trialOnlyLogged bool
 }
 
@@ -112,101 +115,103 @@
 	responseStarted bool
 }
 
-// involves tells whether a server took part.
-func (b lostConnection) involves(server model.Incarnation) bool {
-	return slices.ContainsFunc(b.locations, func(p Location) bool { return p.Server == server })
+// involves reports whether a server took part in the run.
+func (c lostConnection) involves(server model.Incarnation) bool {
+	return slices.ContainsFunc(c.locations, func(l Location) bool { return l.Server == server })
 }
 
-func (t *Tracker) suspectFor(work model.Fingerprint) *suspect {
-	s := t.suspects[work]
+// suspectFor returns the suspect with a fingerprint and creates it if there is none.
+func (t *Tracker) suspectFor(fp model.Fingerprint) *suspect {
+	s := t.suspects[fp]
 	if s == nil {
 		s = &suspect{exits: map[model.Incarnation]bool{}, lostConnections: map[model.Incarnation]lostConnection{}}
-		t.suspects[work] = s
+		t.suspects[fp] = s
 	}
 	return s
 }
 
-// removeIfUnsuspected forgets a suspect that nothing speaks against any more.
-func (t *Tracker) removeIfUnsuspected(work model.Fingerprint) {
-	if s := t.suspects[work]; s != nil && len(s.exits) == 0 && len(s.lostConnections) == 0 {
-		delete(t.suspects, work)
+// removeIfUnsuspected removes a suspect without exits and lost connections.
+func (t *Tracker) removeIfUnsuspected(fp model.Fingerprint) {
+	if s := t.suspects[fp]; s != nil && len(s.exits) == 0 && len(s.lostConnections) == 0 {
+		delete(t.suspects, fp)
 	}
 }
 
-// ServerExited takes in that a server's process ended in a failure domain: the requests that it
-// ran, or that broke off there lately, may have ended it.
+// ServerExited records that a server's process in a failure domain exited. The requests that ran
+// there, or whose connection to it was lost recently, become suspects.
 func (t *Tracker) ServerExited(server model.Incarnation, domain string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	present := map[model.Fingerprint]participation{}
+	requests := map[model.Fingerprint]participation{}
 	for run := range t.runs[server] {
 		if run.countExit() {
-			mergeParticipation(present, run.Fingerprint(), run.participationAt(server))
+			mergeParticipation(requests, run.Fingerprint(), run.participationAt(server))
 		}
 	}
-	for work, s := range t.suspects {
-		for first, b := range s.lostConnections {
-			if b.involves(server) {
-				mergeParticipation(present, work, participation{responseStarted: b.responseStarted, laterStage: first != server})
+	for fp, s := range t.suspects {
+		for first, lost := range s.lostConnections {
+			if lost.involves(server) {
+				mergeParticipation(requests, fp, participation{responseStarted: lost.responseStarted, laterStage: first != server})
 				delete(s.lostConnections, first)
 			}
 		}
 	}
-	news := t.recordExit(server, domain, present)
-	if len(news) == 0 {
+	added := t.recordExit(server, domain, requests)
+	if len(added) == 0 {
 		return
 	}
-	for work := range news {
-		t.suspectFor(work).local = true
+	for fp := range added {
+		t.suspectFor(fp).local = true
 	}
-	t.outbox.addExit(server, domain, news)
-	t.logExit(server, domain, news, "this router")
+	t.outbox.addExit(server, domain, added)
+	t.logExit(server, domain, added, "this router")
 }
 
-// mergeParticipation unites what is known of one request at one server: what speaks against it counts.
-func mergeParticipation(present map[model.Fingerprint]participation, work model.Fingerprint, p participation) {
-	if before, ok := present[work]; ok {
+// mergeParticipation adds a request to those at an exit. If it is present already, the result is
+// the stronger evidence of the two.
+func mergeParticipation(requests map[model.Fingerprint]participation, fp model.Fingerprint, p participation) {
+	if before, ok := requests[fp]; ok {
 		p.responseStarted = p.responseStarted && before.responseStarted
 		p.laterStage = p.laterStage && before.laterStage
 	}
-	present[work] = p
+	requests[fp] = p
 }
 
-// recordExit takes in which requests were at a server that ended and gives those that were not
-// known. The caller holds the lock.
-func (t *Tracker) recordExit(server model.Incarnation, domain string, present map[model.Fingerprint]participation) map[model.Fingerprint]participation {
+// recordExit records the requests that ran at a server when it exited and returns those that
+// were not known yet. The caller must hold t.mu.
+func (t *Tracker) recordExit(server model.Incarnation, domain string, requests map[model.Fingerprint]participation) map[model.Fingerprint]participation {
 	e := t.exits[server]
 	if e == nil {
 		e = &serverExit{domain: domain, at: t.clock(), requests: map[model.Fingerprint]participation{}}
 		t.exits[server] = e
 	}
-	news := map[model.Fingerprint]participation{}
-	for work, p := range present {
-		if _, known := e.requests[work]; known {
-			mergeParticipation(e.requests, work, p)
+	added := map[model.Fingerprint]participation{}
+	for fp, p := range requests {
+		if _, known := e.requests[fp]; known {
+			mergeParticipation(e.requests, fp, p)
 			continue
 		}
 		if len(e.requests) >= maxRequestsPerExit {
 			e.truncated = true
 			break
 		}
-		e.requests[work] = p
+		e.requests[fp] = p
 		t.participations++
-		s := t.suspectFor(work)
+		s := t.suspectFor(fp)
 		s.exits[server] = true
 		delete(s.lostConnections, server)
 		if len(s.exits) > maxExitsPerRequest {
-			t.removeParticipation(work, t.oldestExit(s.exits))
+			t.removeParticipation(fp, t.oldestExit(s.exits))
 		}
-		news[work] = p
+		added[fp] = p
 	}
 	for t.participations > maxParticipations || len(t.exits) > maxExits {
 		t.evictOldestExit()
 	}
-	return news
+	return added
 }
 
-// evictOldestExit forgets the oldest end. The caller holds the lock.
+// evictOldestExit removes the oldest exit. The caller must hold t.mu.
 func (t *Tracker) evictOldestExit() {
 	var oldest model.Incarnation
 	var found *serverExit
@@ -218,15 +223,15 @@
 	t.removeExit(oldest)
 }
 
-// oldestExit is the oldestExit of a request's ends.
-func (t *Tracker) oldestExit(ends map[model.Incarnation]bool) model.Incarnation {
-	return slices.MinFunc(slices.Collect(maps.Keys(ends)), func(a, b model.Incarnation) int { return cmp.Compare(t.exits[a].at, t.exits[b].at) })
+// oldestExit returns the server that exited first.
+func (t *Tracker) oldestExit(servers map[model.Incarnation]bool) model.Incarnation {
+	return slices.MinFunc(slices.Collect(maps.Keys(servers)), func(a, b model.Incarnation) int { return cmp.Compare(t.exits[a].at, t.exits[b].at) })
 }
 
-// removeParticipation forgets that a request was at an end.
-func (t *Tracker) removeParticipation(work model.Fingerprint, server model.Incarnation) {
-	delete(t.suspects[work].exits, server)
-	delete(t.exits[server].requests, work)
+// removeParticipation removes a request from an exit.
+func (t *Tracker) removeParticipation(fp model.Fingerprint, server model.Incarnation) {
+	delete(t.suspects[fp].exits, server)
+	delete(t.exits[server].requests, fp)
 	t.participations--
 }
 
@@ -234,43 +239,44 @@
 	e := t.exits[server]
 	delete(t.exits, server)
 	t.participations -= len(e.requests)
-	for work := range e.requests {
-		if s := t.suspects[work]; s != nil {
+	for fp := range e.requests {
+		if s := t.suspects[fp]; s != nil {
 			delete(s.exits, server)
-			t.removeIfUnsuspected(work)
+			t.removeIfUnsuspected(fp)
 		}
 	}
 }
 
-// ServerAlive takes in that a server whose connection broke off takes new ones: its process goes
-// on, and what broke off there blames nobody. Of a chain another engine may have ended.
+// ServerAlive records that a server accepts connections after one was lost, so its process has
+// not exited. The lost connections of plain requests to it are discarded. Those of chains are
+// kept, because another engine of the chain may have exited.
 func (t *Tracker) ServerAlive(server model.Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for work, s := range t.suspects {
-		if b, ok := s.lostConnections[server]; ok && len(b.locations) == 1 {
+	for fp, s := range t.suspects {
+		if lost, ok := s.lostConnections[server]; ok && len(lost.locations) == 1 {
 			delete(s.lostConnections, server)
-			t.removeIfUnsuspected(work)
+			t.removeIfUnsuspected(fp)
 		}
 	}
 }
 
-// clearSuspect takes back all blame of a request that a server has answered. The caller holds
-// the lock.
-func (t *Tracker) clearSuspect(work model.Fingerprint) (was int) {
-	s := t.suspects[work]
+// clearSuspect removes all evidence against a request and returns the number of its exits. The
+// caller must hold t.mu.
+func (t *Tracker) clearSuspect(fp model.Fingerprint) (exits int) {
+	s := t.suspects[fp]
 	if s == nil {
 		return 0
 	}
 	for server := range s.exits {
-		delete(t.exits[server].requests, work)
+		delete(t.exits[server].requests, fp)
 		t.participations--
 	}
-	delete(t.suspects, work)
+	delete(t.suspects, fp)
 	return len(s.exits)
 }
 
-// Expire forgets what is too old.
+// Expire removes exits, lost connections and verdicts that are past their retention.
 func (t *Tracker) Expire() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -280,23 +286,23 @@
 			t.removeExit(server)
 		}
 	}
-	for work, s := range t.suspects {
-		for server, b := range s.lostConnections {
-			if now-b.at > lostConnectionRetention {
+	for fp, s := range t.suspects {
+		for server, lost := range s.lostConnections {
+			if now-lost.at > lostConnectionRetention {
 				delete(s.lostConnections, server)
 			}
 		}
-		t.removeIfUnsuspected(work)
+		t.removeIfUnsuspected(fp)
 	}
 	maps.DeleteFunc(t.checkedAt, func(_ model.Incarnation, at time.Duration) bool { return now-at > checkInterval })
-	for work, v := range t.verdicts {
+	for fp, v := range t.verdicts {
 		if now-v.since > v.term+probation(v.term) {
-			delete(t.verdicts, work)
+			delete(t.verdicts, fp)
 		}
 	}
 }
 
-// Counts gives the requests that are under suspicion and in quarantine, for metrics.
+// Counts returns the number of suspects and of requests with a verdict, for metrics.
 func (t *Tracker) Counts() (suspects, quarantined int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
