--- a/internal/coordination/quarantine/charge.go
+++ b/internal/coordination/quarantine/charge.go
@@ -10,138 +10,143 @@
 )
 
 const (
-	// minExits is the number of ends that a request needs to be blamed.
+	// minExits is the number of server exits required to quarantine a request.
 	minExits = 3
-	// weightBeforeResponse and weightAfterResponse weigh an end: a server that had begun to answer has run the
-	// request for a while, as servers do that end for another reason. guiltyWeight is met by
-	// three ends before an answer, or by six after its beginning.
+	// weightBeforeResponse and weightAfterResponse are the weights of an exit. One before
+	// the response started weighs more, because servers that exit for unrelated reasons
+	// often do so in the middle of a response. minWeight equals three exits before or six
+	// after the start of the response.
 	weightBeforeResponse, weightAfterResponse = 2, 1
 	minWeight                                 = 6
-	// minCauses is how many ends it takes that have no cause in common: a failure
-	// domain's trouble ends several servers of it within commonTime.
+	// minCauses is the number of exits required that cannot share a cause. A fault of a
+	// failure domain makes several of its servers exit within commonCauseWindow.
 	minCauses = 2
-	// For each unrelatedPerExtraExit servers that ended without a request within noisyTime it needs one
-	// more end of its own, up to mostMore: where servers end all the time, chance alone puts
-	// a request at three ends.
+	// For every unrelatedPerExtraExit servers that exited within unrelatedWindow without
+	// running the request, one more exit is required, up to maxExtraExits. With many
+	// unrelated exits a request can be present at minExits of them by chance.
 	unrelatedPerExtraExit = 6
 	unrelatedWindow       = 10 * time.Second
 	maxExtraExits         = 3
-	// commonCauseWindow and commonEnds tell a failure domain's trouble: where so many other
-	// servers of a domain ended within that time without the request, it is innocent there.
+	// An exit is attributed to a fault of the failure domain if at least
+	// minCommonCauseExits other servers of the domain exited within commonCauseWindow of it
+	// without running the request.
 	commonCauseWindow   = time.Second
 	minCommonCauseExits = 2
 )
 
-// evidence is what speaks against a request.
+// evidence is the set of exits that count against a request.
 type evidence struct {
-	// exits counts all ends that no other request is to blame for: they decide how it runs.
+	// exits counts the exits that are not caused by another quarantined request. It decides
+	// how the request is restricted.
 	exits      int
 	newestAt   time.Duration
 	laterStage bool
-	// attributed are those that also do not look like a failure domain's trouble: they decide
-	// whether it is blamed. Left out above too, two requests that end the servers of one
-	// domain would be excuses for each other, and go on.
+	// attributed lists those of exits that do not look like a fault of a failure domain.
+	// They decide whether the request is quarantined. Exits with a common cause still count
+	// towards exits: otherwise two requests that crash servers of the same domain would
+	// each hide the exits of the other, and both would keep running.
 	attributed []model.Incarnation
 	weight     int
 }
 
-// collectEvidence collects the ends that count against a request, since its last verdict. The caller
-// holds the lock.
-func (t *Tracker) collectEvidence(work model.Fingerprint, s *suspect) evidence {
-	var c evidence
+// collectEvidence returns the evidence against a request since its last verdict. The caller
+// must hold t.mu.
+func (t *Tracker) collectEvidence(fp model.Fingerprint, s *suspect) evidence {
+	var ev evidence
 	if s == nil {
-		return c
+		return ev
 	}
 	since := time.Duration(math.MinInt64)
-	if v := t.verdicts[work]; v != nil {
+	if v := t.verdicts[fp]; v != nil {
 		since = v.since + v.term
 	}
 	for server := range s.exits {
 		e := t.exits[server]
-		if e.truncated || e.at < since || t.causedByOther(e, work) {
+		if e.truncated || e.at < since || t.causedByOther(e, fp) {
 			continue
 		}
-		p := e.requests[work]
-		c.exits++
-		c.newestAt = max(c.newestAt, e.at)
-		c.laterStage = c.laterStage || p.laterStage
-		if !t.commonCause(work, server, e) {
-			c.attributed = append(c.attributed, server)
-			c.weight += p.weight()
+		p := e.requests[fp]
+		ev.exits++
+		ev.newestAt = max(ev.newestAt, e.at)
+		ev.laterStage = ev.laterStage || p.laterStage
+		if !t.commonCause(fp, server, e) {
+			ev.attributed = append(ev.attributed, server)
+			ev.weight += p.weight()
 		}
 	}
-	return c
+	return ev
 }
 
-// commonCause tells whether a server ended together with others of its failure domain that
-// did not run the request: when a domain loses power, what was sent on from one server to
-// the next is at several ends within a moment. Ends under a request that is known to end
-// servers are explained by that one.
-func (t *Tracker) commonCause(work model.Fingerprint, server model.Incarnation, e *serverExit) bool {
+// commonCause reports whether a server exited together with other servers of its failure
+// domain that did not run the request. When a domain loses power, a request that is retried
+// from one of its servers to the next is present at several exits. Exits that another request
+// explains do not count.
+func (t *Tracker) commonCause(fp model.Fingerprint, server model.Incarnation, e *serverExit) bool {
 	others := 0
 	for other, o := range t.exits {
 		if other == server || o.domain != e.domain || max(o.at-e.at, e.at-o.at) > commonCauseWindow {
 			continue
 		}
-		if _, with := o.requests[work]; !with && !t.causedByOther(o, work) && !t.hasBlamableRequest(o) {
+		if _, with := o.requests[fp]; !with && !t.causedByOther(o, fp) && !t.hasBlamableRequest(o) {
 			others++
 		}
 	}
 	return others >= minCommonCauseExits
 }
 
-// hasBlamableRequest tells whether a server ended under a request that was at enough ends to be
-// blamed, whether it will be or not: that may have ended it.
+// hasBlamableRequest reports whether any request at the exit was present at minExits exits or
+// more, and so may have caused it.
 func (t *Tracker) hasBlamableRequest(e *serverExit) bool {
-	for work := range e.requests {
-		if s := t.suspects[work]; s != nil && len(s.exits) >= minExits {
+	for fp := range e.requests {
+		if s := t.suspects[fp]; s != nil && len(s.exits) >= minExits {
 			return true
 		}
 	}
 	return false
 }
 
-// causedByOther tells whether a server ended under another request that is to blame for it.
-func (t *Tracker) causedByOther(e *serverExit, work model.Fingerprint) bool {
+// causedByOther reports whether another request that has a verdict ran at the server when it
+// exited.
+func (t *Tracker) causedByOther(e *serverExit, fp model.Fingerprint) bool {
 	for other := range t.verdicts {
-		if _, there := e.requests[other]; there && other != work {
+		if _, there := e.requests[other]; there && other != fp {
 			return true
 		}
 	}
 	return false
 }
 
-// isCause tells whether the evidence is enough to blame a request, and would not be enough
-// for another one that was at all of its ends as well.
-func (t *Tracker) isCause(work model.Fingerprint, c evidence) bool {
-	more := min(t.unrelatedExits(work)/unrelatedPerExtraExit, maxExtraExits)
-	if len(c.attributed) < minExits+more || c.weight < minWeight+more*weightBeforeResponse || t.distinctCauses(c.attributed) < minCauses {
+// isCause reports whether the evidence suffices to quarantine a request. It does not if
+// another request was present at all of the same exits with enough weight.
+func (t *Tracker) isCause(fp model.Fingerprint, ev evidence) bool {
+	extra := min(t.unrelatedExits(fp)/unrelatedPerExtraExit, maxExtraExits)
+	if len(ev.attributed) < minExits+extra || ev.weight < minWeight+extra*weightBeforeResponse || t.distinctCauses(ev.attributed) < minCauses {
 		return false
 	}
-	for other := range t.exits[c.attributed[0]].requests {
-		if other != work && t.weightAt(other, c.attributed) >= minWeight+more*weightBeforeResponse {
+	for other := range t.exits[ev.attributed[0]].requests {
+		if other != fp && t.weightAt(other, ev.attributed) >= minWeight+extra*weightBeforeResponse {
 			return false
 		}
 	}
 	return true
 }
 
-// unrelatedExits counts the servers that ended of late without a request, and not under another
-// one that is to blame for it.
-func (t *Tracker) unrelatedExits(work model.Fingerprint) int {
+// unrelatedExits counts the servers that exited within unrelatedWindow without running the
+// request, except those that another request with a verdict explains.
+func (t *Tracker) unrelatedExits(fp model.Fingerprint) int {
 	n := 0
 	for _, e := range t.exits {
-		if _, with := e.requests[work]; !with && t.clock()-e.at < unrelatedWindow && !t.causedByOther(e, work) {
+		if _, with := e.requests[fp]; !with && t.clock()-e.at < unrelatedWindow && !t.causedByOther(e, fp) {
 			n++
 		}
 	}
 	return n
 }
 
-// distinctCauses counts the ends that may have had distinctCauses of their own: those of one failure
-// domain that follow each other within commonTime count once.
-func (t *Tracker) distinctCauses(ends []model.Incarnation) int {
-	ordered := slices.SortedFunc(slices.Values(ends), func(a, b model.Incarnation) int { return cmp.Compare(t.exits[a].at, t.exits[b].at) })
+// distinctCauses counts the exits that may have separate causes. Consecutive exits of one
+// failure domain that are at most commonCauseWindow apart count once.
+func (t *Tracker) distinctCauses(exits []model.Incarnation) int {
+	ordered := slices.SortedFunc(slices.Values(exits), func(a, b model.Incarnation) int { return cmp.Compare(t.exits[a].at, t.exits[b].at) })
 	last := map[string]time.Duration{}
 	n := 0
 	for _, server := range ordered {
@@ -154,11 +159,12 @@
 	return n
 }
 
-// weightAt is what ends weigh against a request; nothing if it was not at all of them.
-func (t *Tracker) weightAt(work model.Fingerprint, ends []model.Incarnation) int {
+// weightAt returns the total weight of the exits against a request, or 0 if the request was
+// not present at all of them.
+func (t *Tracker) weightAt(fp model.Fingerprint, exits []model.Incarnation) int {
 	sum := 0
-	for _, server := range ends {
-		p, ok := t.exits[server].requests[work]
+	for _, server := range exits {
+		p, ok := t.exits[server].requests[fp]
 		if !ok {
 			return 0
 		}
