--- a/internal/coordination/quarantine/judge.go
+++ b/internal/coordination/quarantine/judge.go
@@ -7,47 +7,52 @@
 )
 
 const (
-	// minExitsForTrial is the number of ends from which on a request runs alone among suspects.
+	// minExitsForTrial is the number of server exits from which on a request needs a trial
+	// to run.
 	minExitsForTrial = 2
-	// evidenceDelay is how long others are given to tell which requests they had at a
-	// server that ended, before a request is blamed for it: a router with a third of a core
-	// may be that late.
+	// evidenceDelay is how long other routers have to report which requests they ran at a
+	// server that exited, before a request is quarantined for the exit. It covers a router
+	// that is short of CPU time.
 	evidenceDelay = 100 * time.Millisecond
-	// unconfirmedTimeout is how long a run that broke off counts as an end of its server for what
-	// becomes of the request next, though nobody has confirmed it.
+	// unconfirmedTimeout is how long a lost connection counts as an exit of its server
+	// while the exit is not confirmed.
 	unconfirmedTimeout = 300 * time.Millisecond
 )
 
-// Restriction is what may be done with a request.
+// Restriction is the limit on where a request may run.
 type Restriction int
 
-// Standings, each stricter than the one before.
+// The restrictions, from the weakest to the strictest.
 const (
-	// Unrestricted requests go anywhere.
+	// Unrestricted requests may run at any server.
 	Unrestricted Restriction = iota
-	// Separated requests were at a server that ended: they keep away from others of the kind.
+	// Separated requests ran at a server that exited. They should run at servers without
+	// other suspects.
 	Separated
-	// TrialOnly requests run only with a trial granted, see Trials.
+	// TrialOnly requests may run only if Trials grants a run.
 	TrialOnly
-	// Undecided requests go nowhere until the evidence is there, some tenth of a second.
+	// Undecided requests must wait for evidence, which takes some tenths of a second.
 	Undecided
-	// Quarantined requests go nowhere.
+	// Quarantined requests must not run.
 	Quarantined
 )
 
-// Assessment is a request's standing and what it rests on.
+// Assessment is a request's restriction and the evidence for it.
 type Assessment struct {
 	Restriction Restriction
-	// Exits counts the servers that are held against it.
+	// Exits is the number of server exits that count against the request.
 	Exits int
-	// LaterStage says that a server ended which ran a later part of its chain.
+	// LaterStage reports whether one of these servers ran a later stage of the request's
+	// chain.
 	LaterStage bool
-	// AvoidDomains are failure domains in which a server ended under it a moment ago. Another end
-	// there may have the same cause and would prove nothing.
+	// AvoidDomains holds the failure domains in which a server that ran the request exited
+	// within the last second. Another exit there may have the same cause and would be no
+	// evidence.
 	AvoidDomains map[string]bool
 }
 
-// HasSuspects tells whether any request is under suspicion: else none need be looked up.
+// HasSuspects reports whether any request is a suspect or has a verdict. If not, no request
+// needs an assessment.
 func (t *Tracker) HasSuspects() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -56,75 +61,77 @@
 
 func (t *Tracker) hasSuspects() bool { return len(t.suspects)+len(t.verdicts) > 0 }
 
-// Assess gives a request's standing.
-func (t *Tracker) Assess(work model.Fingerprint) Assessment {
+// Assess returns the assessment of a request. It quarantines the request if the evidence
+// suffices.
+func (t *Tracker) Assess(fp model.Fingerprint) Assessment {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	v := t.verdicts[work]
+	v := t.verdicts[fp]
 	if v != nil && t.inTerm(v) {
 		return Assessment{Restriction: Quarantined, Exits: v.exits}
 	}
-	s := t.suspects[work]
+	s := t.suspects[fp]
 	if s == nil && v == nil {
 		return Assessment{}
 	}
-	c := t.collectEvidence(work, s)
-	doubtful := t.unconfirmedExits(s)
-	out := Assessment{Exits: c.exits + doubtful, LaterStage: c.laterStage}
-	from := minExits
+	ev := t.collectEvidence(fp, s)
+	unconfirmed := t.unconfirmedExits(s)
+	out := Assessment{Exits: ev.exits + unconfirmed, LaterStage: ev.laterStage}
+	threshold := minExits
 	if v != nil {
 		out.Exits += v.exits
-		from = v.exits + 1
+		threshold = v.exits + 1
 	}
 	switch {
-	case out.Exits >= from && (doubtful > 0 || t.clock()-c.newestAt < evidenceDelay):
+	case out.Exits >= threshold && (unconfirmed > 0 || t.clock()-ev.newestAt < evidenceDelay):
 		out.Restriction = Undecided
-	case t.quarantineIfProven(work, v, c):
+	case t.quarantineIfProven(fp, v, ev):
 		out.Restriction = Quarantined
 	case out.Exits >= minExitsForTrial:
 		out.Restriction = TrialOnly
 		out.AvoidDomains = t.recentExitDomains(s)
-		t.logTrialOnly(work, s, c)
+		t.logTrialOnly(fp, s, ev)
 	case out.Exits > 0:
 		out.Restriction = Separated
 	}
 	return out
 }
 
-// EvaluateSuspects blames the requests against which the evidence is enough, whether they come again
-// or not.
+// EvaluateSuspects quarantines each request against which the evidence suffices, whether or
+// not the request is sent again.
 func (t *Tracker) EvaluateSuspects() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for work, s := range t.suspects {
-		v := t.verdicts[work]
+	for fp, s := range t.suspects {
+		v := t.verdicts[fp]
 		if v != nil && t.inTerm(v) || v == nil && len(s.exits) < minExits {
 			continue
 		}
-		if c := t.collectEvidence(work, s); t.clock()-c.newestAt >= evidenceDelay {
-			t.quarantineIfProven(work, v, c)
+		if ev := t.collectEvidence(fp, s); t.clock()-ev.newestAt >= evidenceDelay {
+			t.quarantineIfProven(fp, v, ev)
 		}
 	}
 }
 
-// quarantineIfProven puts a request into quarantine if the evidence is enough; v is a verdict whose
-// term is over, or nil. The caller holds the lock.
-func (t *Tracker) quarantineIfProven(work model.Fingerprint, v *verdictEntry, c evidence) bool {
+// quarantineIfProven quarantines a request if the evidence suffices and reports whether it
+// did. v is a verdict whose term has ended, or nil. The caller must hold t.mu.
+func (t *Tracker) quarantineIfProven(fp model.Fingerprint, v *verdictEntry, ev evidence) bool {
 	switch {
-	case v != nil && len(c.attributed) > 0:
-		t.renewVerdict(work, v)
-	case v == nil && t.isCause(work, c):
-		t.addVerdict(work, c)
+	case v != nil && len(ev.attributed) > 0:
+		t.renewVerdict(fp, v)
+	case v == nil && t.isCause(fp, ev):
+		t.addVerdict(fp, ev)
 	default:
 		return false
 	}
-	if s := t.suspects[work]; s != nil && s.local {
-		t.outbox.addVerdict(work)
+	if s := t.suspects[fp]; s != nil && s.local {
+		t.outbox.addVerdict(fp)
 	}
 	return true
 }
 
-// recentExitDomains lists the failure domains in which servers ended under a request a moment ago.
+// recentExitDomains returns the failure domains in which a server that ran the request exited
+// or lost its connection within commonCauseWindow.
 func (t *Tracker) recentExitDomains(s *suspect) map[string]bool {
 	out := map[string]bool{}
 	if s == nil {
@@ -136,22 +143,23 @@
 			out[e.domain] = true
 		}
 	}
-	for _, b := range s.lostConnections {
-		if b.at >= since {
-			out[b.locations[0].Domain] = true
+	for _, lost := range s.lostConnections {
+		if lost.at >= since {
+			out[lost.locations[0].Domain] = true
 		}
 	}
 	return out
 }
 
-// unconfirmedExits counts the servers at which a request just broke off.
+// unconfirmedExits counts the recent lost connections of a request whose servers are not known
+// to have exited.
 func (t *Tracker) unconfirmedExits(s *suspect) int {
 	if s == nil {
 		return 0
 	}
 	n := 0
-	for _, b := range s.lostConnections {
-		if t.clock()-b.at < unconfirmedTimeout {
+	for _, lost := range s.lostConnections {
+		if t.clock()-lost.at < unconfirmedTimeout {
 			n++
 		}
 	}
