--- a/internal/coordination/quarantine/report.go
+++ b/internal/coordination/quarantine/report.go
@@ -6,36 +6,37 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// maxRequestsPerReport bounds the requests that one report names, some hundred bytes each.
+// maxRequestsPerReport bounds the requests that one report names, at about a hundred bytes
+// each.
 const maxRequestsPerReport = 128
 
-// Report is what a router tells all others as soon as a server has ended under requests.
+// Report is the message that a router sends to all peers after a server exited under requests.
 type Report struct {
 	Exits    []ExitReport        `json:"ends,omitempty"`
 	Cleared  []model.Fingerprint `json:"cleared,omitempty"`
 	Verdicts []Verdict           `json:"sentences,omitempty"`
 }
 
-// ExitReport names the requests that one router had at a server whose process ended.
+// ExitReport names the requests that one router had at a server when its process exited.
 type ExitReport struct {
 	Server   model.Incarnation `json:"server"`
 	Domain   string            `json:"domain"`
 	Requests []RequestAtExit   `json:"present"`
 }
 
-// RequestAtExit is one of them.
+// RequestAtExit is a request that ran at a server when its process exited.
 type RequestAtExit struct {
 	Fingerprint     model.Fingerprint `json:"work"`
 	ResponseStarted bool              `json:"answered,omitempty"`
 	LaterStage      bool              `json:"later,omitempty"`
 }
 
-// outbox is what the other routers are to be told.
+// outbox holds what is to be reported to the other routers.
 type outbox struct {
 	exits    map[model.Incarnation]*ExitReport
 	cleared  map[model.Fingerprint]bool
 	verdicts map[model.Fingerprint]bool
-	// due says, once, that there is something.
+	// due receives a value when there is something to report.
 	due chan struct{}
 }
 
@@ -55,60 +56,60 @@
 	}
 }
 
-func (o *outbox) addExit(server model.Incarnation, domain string, present map[model.Fingerprint]participation) {
+func (o *outbox) addExit(server model.Incarnation, domain string, requests map[model.Fingerprint]participation) {
 	r := o.exits[server]
 	if r == nil {
 		r = &ExitReport{Server: server, Domain: domain}
 		o.exits[server] = r
 	}
-	for work, p := range present {
-		r.Requests = append(r.Requests, RequestAtExit{Fingerprint: work, ResponseStarted: p.responseStarted, LaterStage: p.laterStage})
+	for fp, p := range requests {
+		r.Requests = append(r.Requests, RequestAtExit{Fingerprint: fp, ResponseStarted: p.responseStarted, LaterStage: p.laterStage})
 	}
 	o.signal()
 }
 
-func (o *outbox) addCleared(work model.Fingerprint) {
-	o.cleared[work] = true
+func (o *outbox) addCleared(fp model.Fingerprint) {
+	o.cleared[fp] = true
 	o.signal()
 }
 
-func (o *outbox) addVerdict(work model.Fingerprint) {
-	o.verdicts[work] = true
+func (o *outbox) addVerdict(fp model.Fingerprint) {
+	o.verdicts[fp] = true
 	o.signal()
 }
 
-// ReportDue tells when there is something to report.
+// ReportDue returns a channel that receives a value when TakeReport has something to return.
 func (t *Tracker) ReportDue() <-chan struct{} { return t.outbox.due }
 
-// TakeReport takes what the other routers are to be told, as much as one message may hold;
-// false if there is nothing.
+// TakeReport removes pending items from the outbox, up to the limit of one report, and returns
+// them. It returns false if there are none.
 func (t *Tracker) TakeReport() (Report, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var r Report
-	room := maxRequestsPerReport
-	for work := range t.outbox.verdicts {
-		if v := t.verdicts[work]; v != nil {
-			r.Verdicts = append(r.Verdicts, t.exportVerdict(work, v))
-			room--
+	remaining := maxRequestsPerReport
+	for fp := range t.outbox.verdicts {
+		if v := t.verdicts[fp]; v != nil {
+			r.Verdicts = append(r.Verdicts, t.exportVerdict(fp, v))
+			remaining--
 		}
-		delete(t.outbox.verdicts, work)
+		delete(t.outbox.verdicts, fp)
 	}
-	for work := range t.outbox.cleared {
-		if room <= 0 {
+	for fp := range t.outbox.cleared {
+		if remaining <= 0 {
 			break
 		}
-		r.Cleared = append(r.Cleared, work)
-		delete(t.outbox.cleared, work)
-		room--
+		r.Cleared = append(r.Cleared, fp)
+		delete(t.outbox.cleared, fp)
+		remaining--
 	}
 	for server, e := range t.outbox.exits {
-		if room <= 0 {
+		if remaining <= 0 {
 			break
 		}
-		n := min(len(e.Requests), room)
+		n := min(len(e.Requests), remaining)
 		r.Exits = append(r.Exits, ExitReport{Server: e.Server, Domain: e.Domain, Requests: e.Requests[:n]})
-		room -= n
+		remaining -= n
 		if e.Requests = e.Requests[n:]; len(e.Requests) == 0 {
 			delete(t.outbox.exits, server)
 		}
@@ -116,34 +117,34 @@
 	if len(t.outbox.exits)+len(t.outbox.cleared) > 0 {
 		t.outbox.signal()
 	}
-	return r, room < maxRequestsPerReport
+	return r, remaining < maxRequestsPerReport
 }
 
-// ApplyReport takes in a peer's report. The same one may come twice.
+// ApplyReport applies a peer's report. Applying the same report twice has no further effect.
 func (t *Tracker) ApplyReport(r Report, peer string) {
 	t.mu.Lock()
-	for _, work := range r.Cleared {
-		if t.clearSuspect(work) > 0 {
-			logClearedByPeer(work, peer)
+	for _, fp := range r.Cleared {
+		if t.clearSuspect(fp) > 0 {
+			logClearedByPeer(fp, peer)
 		}
 	}
 	for _, e := range r.Exits {
-		present := map[model.Fingerprint]participation{}
+		requests := map[model.Fingerprint]participation{}
 		for _, p := range e.Requests {
-			mergeParticipation(present, p.Fingerprint, participation{responseStarted: p.ResponseStarted, laterStage: p.LaterStage})
+			mergeParticipation(requests, p.Fingerprint, participation{responseStarted: p.ResponseStarted, laterStage: p.LaterStage})
 		}
-		t.recordExit(e.Server, e.Domain, present)
+		t.recordExit(e.Server, e.Domain, requests)
 	}
 	t.mu.Unlock()
 	t.ApplyVerdicts(r.Verdicts, peer)
 }
 
-// reportInterval is between two reports of one router. The first one after a rest is told
-// nearly at once, and what comes with it within reportBatchDelay.
+// reportBatchDelay is the delay before a report is sent, so that it includes what happens at
+// nearly the same time. reportInterval is the delay after it.
 const (
 	reportBatchDelay = 5 * time.Millisecond
 	reportInterval   = 50 * time.Millisecond
 )
 
-// ReportDelays gives how long to wait before a report and after it.
+// ReportDelays returns the delays to observe before and after each report.
 func ReportDelays() (before, after time.Duration) { return reportBatchDelay, reportInterval }
