--- a/internal/coordination/quarantine/verdict.go
+++ b/internal/coordination/quarantine/verdict.go
@@ -7,99 +7,98 @@
 )
 
 const (
-	// minTerm is how long a request is kept from servers at first. Each time that it
-	// ends one again after its term, the term doubles, up to longestTerm.
+	// minTerm is the first term for which a request is quarantined. The term doubles, up to
+	// maxTerm, each time that the request makes a server exit after its last term.
 	minTerm = 10 * time.Minute
 	maxTerm = 3 * time.Hour
-	// maxVerdicts bounds the requests that are kept; the one whose term ends first makes
-	// room.
+	// maxVerdicts bounds the verdicts kept. The one whose term ends first is evicted.
 	maxVerdicts = 256
 )
 
-// verdictEntry is a request that is known to end servers.
+// verdictEntry is a verdict on a request that makes servers exit.
 type verdictEntry struct {
 	since time.Duration
 	term  time.Duration
 	exits int
 }
 
-// probation is how long after its term a request is remembered: it runs alone then, and
-// one more end brings it back.
+// probation returns how long a verdict is kept after its term. In that time the request runs
+// only as a trial, and one more exit renews the verdict.
 func probation(term time.Duration) time.Duration { return term }
 
-// inTerm tells whether a request's term goes on.
+// inTerm reports whether the term of a verdict has not ended.
 func (t *Tracker) inTerm(v *verdictEntry) bool { return t.clock()-v.since < v.term }
 
-// addVerdict puts a request into quarantine.
-func (t *Tracker) addVerdict(work model.Fingerprint, c evidence) {
-	t.storeVerdict(work, &verdictEntry{since: t.clock(), term: minTerm, exits: len(c.attributed)})
-	logQuarantined(work, c, "this router")
+// addVerdict quarantines a request for the first term.
+func (t *Tracker) addVerdict(fp model.Fingerprint, ev evidence) {
+	t.storeVerdict(fp, &verdictEntry{since: t.clock(), term: minTerm, exits: len(ev.attributed)})
+	logQuarantined(fp, ev, "this router")
 }
 
-// renewVerdict puts a request that ended a server after its term back into quarantine.
-func (t *Tracker) renewVerdict(work model.Fingerprint, v *verdictEntry) {
-	t.verdicts[work] = &verdictEntry{since: t.clock(), term: min(2*v.term, maxTerm), exits: v.exits + 1}
-	logRenewed(work, v.exits+1)
+// renewVerdict quarantines a request again that made a server exit after its term.
+func (t *Tracker) renewVerdict(fp model.Fingerprint, v *verdictEntry) {
+	t.verdicts[fp] = &verdictEntry{since: t.clock(), term: min(2*v.term, maxTerm), exits: v.exits + 1}
+	logRenewed(fp, v.exits+1)
 }
 
-// storeVerdict remembers a verdict.
-func (t *Tracker) storeVerdict(work model.Fingerprint, v *verdictEntry) {
+// storeVerdict adds a verdict and evicts another one if there are too many.
+func (t *Tracker) storeVerdict(fp model.Fingerprint, v *verdictEntry) {
 	if len(t.verdicts) >= maxVerdicts {
 		var first model.Fingerprint
 		var found *verdictEntry
-		for w, o := range t.verdicts {
+		for f, o := range t.verdicts {
 			if found == nil || o.since+o.term < found.since+found.term {
-				first, found = w, o
+				first, found = f, o
 			}
 		}
 		delete(t.verdicts, first)
 	}
-	t.verdicts[work] = v
+	t.verdicts[fp] = v
 }
 
-// Verdict is a verdict as routers tell it and as it is stored.
+// Verdict is a verdict as routers exchange it.
 type Verdict struct {
 	Fingerprint model.Fingerprint `json:"work"`
-	// TermMS is how long the request is kept from servers, and AgeMS for how long it has
-	// been.
+	// TermMS is the length of the quarantine and AgeMS the time since it began, both in
+	// milliseconds.
 	TermMS int64 `json:"term_ms"`
 	AgeMS  int64 `json:"age_ms"`
 	Exits  int   `json:"ends"`
 }
 
-func (t *Tracker) exportVerdict(work model.Fingerprint, v *verdictEntry) Verdict {
-	return Verdict{Fingerprint: work, TermMS: v.term.Milliseconds(), AgeMS: (t.clock() - v.since).Milliseconds(), Exits: v.exits}
+func (t *Tracker) exportVerdict(fp model.Fingerprint, v *verdictEntry) Verdict {
+	return Verdict{Fingerprint: fp, TermMS: v.term.Milliseconds(), AgeMS: (t.clock() - v.since).Milliseconds(), Exits: v.exits}
 }
 
-// Verdicts lists the requests whose terms go on.
+// Verdicts returns the verdicts whose terms have not ended.
 func (t *Tracker) Verdicts() []Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Verdict
-	for work, v := range t.verdicts {
+	for fp, v := range t.verdicts {
 		if t.inTerm(v) {
-			out = append(out, t.exportVerdict(work, v))
+			out = append(out, t.exportVerdict(fp, v))
 		}
 	}
 	return out
 }
 
-// ApplyVerdicts takes in verdicts from somewhere else: a peer, or the store. A term that ends
-// later replaces one that ends sooner; one that is over is no news.
-func (t *Tracker) ApplyVerdicts(sentences []Verdict, source string) {
+// ApplyVerdicts applies verdicts from a peer or from the store. A verdict replaces a known one
+// if its term ends later. Verdicts whose term has ended are ignored.
+func (t *Tracker) ApplyVerdicts(verdicts []Verdict, source string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, s := range sentences {
-		term := min(time.Duration(s.TermMS)*time.Millisecond, maxTerm)
-		left := term - max(time.Duration(s.AgeMS)*time.Millisecond, 0)
-		known := t.verdicts[s.Fingerprint]
+	for _, received := range verdicts {
+		term := min(time.Duration(received.TermMS)*time.Millisecond, maxTerm)
+		left := term - max(time.Duration(received.AgeMS)*time.Millisecond, 0)
+		known := t.verdicts[received.Fingerprint]
 		if left <= 0 {
 			continue
 		}
-		v := &verdictEntry{since: t.clock() + left - term, term: term, exits: s.Exits}
+		v := &verdictEntry{since: t.clock() + left - term, term: term, exits: received.Exits}
 		if known == nil {
-			t.storeVerdict(s.Fingerprint, v)
-			logVerdictReceived(s, source)
+			t.storeVerdict(received.Fingerprint, v)
+			logVerdictReceived(received, source)
 			continue
 		}
 		if v.since+v.term > known.since+known.term {
