--- a/internal/coordination/quarantine/trials.go
+++ b/internal/coordination/quarantine/trials.go
@@ -7,20 +7,20 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// trialDuration is for how long a server that runs a suspect alone takes no other one. A
-// request that ends servers does so as they begin to run it; one that has run so long may
-// have company.
+// trialDuration is how long a trial reserves its request and its servers. Requests that make
+// servers exit do so soon after the server starts to run them.
 const trialDuration = time.Second
 
-// Trials grants runs of requests that must run alone. One router keeps them for all, the
-// first by rendezvous hashing among the living; while routers disagree on who that is, two
-// suspects may meet, which delays a verdict and makes no wrong one.
+// Trials grants trials, which are runs of requests restricted to TrialOnly. One router grants
+// them for all routers: the first by rendezvous hashing among those alive. While routers disagree
+// on which one that is, two suspects may run at one server. This can delay a verdict but not make
+// it wrong.
 type Trials struct {
 	tracker *Tracker
 	clock   func() time.Duration
 
 	mu       sync.Mutex
-	requests map[model.Fingerprint]time.Duration // until when
+	requests map[model.Fingerprint]time.Duration // when the reservation ends
 	servers  map[model.Incarnation]reservation
 }
 
@@ -29,57 +29,57 @@
 	until       time.Duration
 }
 
-// NewTrials makes a keeper that has granted nothing.
+// NewTrials returns a Trials without reservations.
 func NewTrials(tracker *Tracker) *Trials {
 	return &Trials{tracker: tracker, clock: tracker.clock, requests: map[model.Fingerprint]time.Duration{}, servers: map[model.Incarnation]reservation{}}
 }
 
-// Grant is the answer to who wants to run a suspect at servers.
+// Grant is the reply to a request for a trial.
 type Grant struct {
 	Granted bool `json:"granted"`
-	// BusyServer is a server that runs another suspect; empty where the request itself is on
-	// trial.
+	// BusyServer is a server reserved for another suspect. It is empty if the request itself
+	// is already running as a trial.
 	BusyServer model.Incarnation `json:"busy,omitzero"`
-	// WaitMS is how long that lasts at most.
+	// WaitMS is the remaining time of that reservation in milliseconds.
 	WaitMS int64 `json:"wait_ms,omitempty"`
 }
 
-// Request grants a run of a request at servers, or tells what stands against it: a request
-// runs once at a time, and a server runs one suspect.
+// Request grants a trial of a request at servers, or returns what prevents it. A request has at
+// most one trial at a time, and so has a server.
 //
-// Who asks may have missed what others told: what the keeper knows against the request
-// counts as well.
-func (t *Trials) Request(work model.Fingerprint, servers []model.Incarnation) Grant {
-	if t.tracker.Assess(work).Restriction > TrialOnly {
+// It refuses a request that this router's own tracker restricts further than to trials, because
+// the asking router may have missed a report.
+func (t *Trials) Request(fp model.Fingerprint, servers []model.Incarnation) Grant {
+	if t.tracker.Assess(fp).Restriction > TrialOnly {
 		return Grant{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock()
 	t.removeExpired(now)
-	if until, ok := t.requests[work]; ok {
+	if until, ok := t.requests[fp]; ok {
 		return Grant{WaitMS: (until - now).Milliseconds()}
 	}
 	for _, server := range servers {
-		if c, ok := t.servers[server]; ok {
-			return Grant{BusyServer: server, WaitMS: (c.until - now).Milliseconds()}
+		if r, ok := t.servers[server]; ok {
+			return Grant{BusyServer: server, WaitMS: (r.until - now).Milliseconds()}
 		}
 	}
-	t.requests[work] = now + trialDuration
+	t.requests[fp] = now + trialDuration
 	for _, server := range servers {
-		t.servers[server] = reservation{fingerprint: work, until: now + trialDuration}
+		t.servers[server] = reservation{fingerprint: fp, until: now + trialDuration}
 	}
 	return Grant{Granted: true}
 }
 
 func (t *Trials) removeExpired(now time.Duration) {
-	for work, until := range t.requests {
+	for fp, until := range t.requests {
 		if until <= now {
-			delete(t.requests, work)
+			delete(t.requests, fp)
 		}
 	}
-	for server, c := range t.servers {
-		if c.until <= now {
+	for server, r := range t.servers {
+		if r.until <= now {
 			delete(t.servers, server)
 		}
 	}
