--- a/internal/coordination/quarantine/log.go
+++ b/internal/coordination/quarantine/log.go
@@ -6,31 +6,31 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// maxLoggedRequests bounds the requests that a line names.
+// maxLoggedRequests bounds the requests that one log line lists.
 const maxLoggedRequests = 8
 
-// logExit tells which requests were at a server that ended, those first that were at other
-// ends too.
-func (t *Tracker) logExit(server model.Incarnation, domain string, present map[model.Fingerprint]participation, source string) {
-	var again []string
-	for work := range present {
-		if s := t.suspects[work]; s != nil && len(s.exits) > 1 && len(again) < maxLoggedRequests {
-			again = append(again, work.String())
+// logExit logs the exit of a server under requests and lists those that were present at other
+// exits too.
+func (t *Tracker) logExit(server model.Incarnation, domain string, requests map[model.Fingerprint]participation, source string) {
+	var seenBefore []string
+	for fp := range requests {
+		if s := t.suspects[fp]; s != nil && len(s.exits) > 1 && len(seenBefore) < maxLoggedRequests {
+			seenBefore = append(seenBefore, fp.String())
 		}
 	}
-	klog.InfoS("server ended under requests", "server", server, "failureDomain", domain, "requests", len(present), "seenBefore", again, "source", source)
+	klog.InfoS("server exited while it ran requests", "server", server, "failureDomain", domain, "requests", len(requests), "seenBefore", seenBefore, "source", source)
 }
 
-func (t *Tracker) logTrialOnly(work model.Fingerprint, s *suspect, c evidence) {
+func (t *Tracker) logTrialOnly(fp model.Fingerprint, s *suspect, ev evidence) {
 	if s == nil || s.trialOnlyLogged {
 		return
 	}
 	s.trialOnlyLogged = true
-	klog.InfoS("request runs alone from now on", "work", work, "ends", incarnationNames(c.attributed), "unconfirmed", len(s.lostConnections))
+	klog.InfoS("request restricted to trials: several servers exited while they ran it", "work", fp, "ends", incarnationNames(ev.attributed), "unconfirmed", len(s.lostConnections))
 }
 
-func logQuarantined(work model.Fingerprint, c evidence, source string) {
-	klog.InfoS("request quarantined: servers end under it", "work", work, "ends", incarnationNames(c.attributed), "weight", c.weight, "wide", c.laterStage, "term", minTerm, "source", source)
+func logQuarantined(fp model.Fingerprint, ev evidence, source string) {
+	klog.InfoS("request quarantined: servers exited while they ran it", "work", fp, "ends", incarnationNames(ev.attributed), "weight", ev.weight, "wide", ev.laterStage, "term", minTerm, "source", source)
 }
 
 func incarnationNames(servers []model.Incarnation) []string {
@@ -41,18 +41,18 @@
 	return out
 }
 
-func logRenewed(work model.Fingerprint, ends int) {
-	klog.InfoS("request quarantined again: a server ended under it after its term", "work", work, "ends", ends)
+func logRenewed(fp model.Fingerprint, exits int) {
+	klog.InfoS("request quarantined again: a server exited while it ran the request after its term", "work", fp, "ends", exits)
 }
 
-func logVerdictReceived(s Verdict, source string) {
-	klog.InfoS("request quarantined: servers end under it", "work", s.Fingerprint, "ends", s.Exits, "termMs", s.TermMS, "ageMs", s.AgeMS, "source", source)
+func logVerdictReceived(v Verdict, source string) {
+	klog.InfoS("request quarantined: servers exited while they ran it", "work", v.Fingerprint, "ends", v.Exits, "termMs", v.TermMS, "ageMs", v.AgeMS, "source", source)
 }
 
-func logCleared(work model.Fingerprint, ends int) {
-	klog.InfoS("request cleared: a server answered it", "work", work, "ends", ends)
+func logCleared(fp model.Fingerprint, exits int) {
+	klog.InfoS("request cleared: a server completed it", "work", fp, "ends", exits)
 }
 
-func logClearedByPeer(work model.Fingerprint, peer string) {
-	klog.V(1).InfoS("request cleared by a peer", "work", work, "peer", peer)
+func logClearedByPeer(fp model.Fingerprint, peer string) {
+	klog.V(1).InfoS("request cleared by a peer", "work", fp, "peer", peer)
 }
