--- a/internal/coordination/quarantine/archive.go
+++ b/internal/coordination/quarantine/archive.go
@@ -13,46 +13,47 @@
 )
 
 const (
-	// takeoverDelay is how long each router further down the order waits before it stores
-	// verdicts in place of those above it, which may have ended or be cut off.
+	// takeoverDelay is the additional delay per rank before a router writes verdicts that
+	// the routers ranked above it have not written.
 	takeoverDelay = 2 * time.Second
-	// minRetryDelay and longestRetry are between tries to store that failed; each is a priced
-	// call.
+	// minRetryDelay and maxRetryDelay bound the delay after a write that did not complete.
+	// Each call to the store is billed.
 	minRetryDelay = 500 * time.Millisecond
 	maxRetryDelay = 8 * time.Second
-	// storeTimeout bounds one call.
+	// storeTimeout bounds one call to the store.
 	storeTimeout = 900 * time.Millisecond
 )
 
-// Persister keeps the verdicts in the store, so that routers which all start anew know them.
-// One key holds all of them; it is written only when one is missing there.
+// Persister writes verdicts to the store and loads them from there, so that they survive a
+// restart of all routers. One key holds all verdicts. It is written only when a verdict is
+// missing from it.
 type Persister struct {
 	Tracker *Tracker
 	Store   platform.Store
 	Key     string
-	// Rank is this router's place in the order of those who may write, 0 for the first.
+	// Rank returns this router's position in the order of writers, 0 for the first.
 	Rank func() int
-	// Clock goes on while the instance is suspended; Now is the time of day, by which
-	// stored verdicts age.
+	// Clock returns a monotonic time that includes suspension of the instance. Now returns
+	// the time of day, which decides when stored verdicts expire.
 	Clock func() time.Duration
 	Now   func() time.Time
 
 	mu           sync.Mutex
-	loaded       bool // the store was read
+	loaded       bool // the key has been read from the store
 	revision     model.Revision
-	stored       map[model.Fingerprint]int64 // until when, in Unix milliseconds
-	missingSince time.Duration               // since when one is missing; 0 for none
+	stored       map[model.Fingerprint]int64 // end of the term in Unix milliseconds
+	missingSince time.Duration               // 0 while no verdict is missing
 	nextRetryAt  time.Duration
 	retryDelay   time.Duration
 }
 
-// record is what the key holds.
+// record is the value of the key.
 type record struct {
 	Requests []storedVerdict `json:"requests"`
 }
 
-// storedVerdict is a verdict with the time of day at which its term ends, in Unix
-// milliseconds, by the clock of who wrote it. Clocks differ by seconds, terms last minutes.
+// storedVerdict is a verdict with the end of its term in Unix milliseconds, by the clock of
+// the router that wrote it. Clocks differ by seconds and terms last minutes.
 type storedVerdict struct {
 	Fingerprint model.Fingerprint `json:"work"`
 	TermMS      int64             `json:"term_ms"`
@@ -60,90 +61,92 @@
 	Exits       int               `json:"ends"`
 }
 
-// Observe takes in the key as the store holds it; an empty value says that it does not exist.
-func (a *Persister) Observe(value []byte, revision model.Revision) {
+// Observe applies the value of the key as read from the store. An empty value means that the
+// key does not exist.
+func (p *Persister) Observe(value []byte, revision model.Revision) {
 	var rec record
 	if len(value) > 0 {
 		if err := json.Unmarshal(value, &rec); err != nil {
-			klog.ErrorS(err, "stored verdicts cannot be read and are written anew", "revision", revision)
+			klog.ErrorS(err, "stored verdicts cannot be decoded and will be overwritten", "revision", revision)
 		}
 	}
-	now := a.Now().UnixMilli()
+	now := p.Now().UnixMilli()
 	stored := map[model.Fingerprint]int64{}
-	var sentences []Verdict
+	var verdicts []Verdict
 	for _, s := range rec.Requests[:min(len(rec.Requests), maxVerdicts)] {
 		stored[s.Fingerprint] = s.UntilMS
-		sentences = append(sentences, Verdict{Fingerprint: s.Fingerprint, TermMS: s.TermMS, AgeMS: s.TermMS - (s.UntilMS - now), Exits: s.Exits})
+		verdicts = append(verdicts, Verdict{Fingerprint: s.Fingerprint, TermMS: s.TermMS, AgeMS: s.TermMS - (s.UntilMS - now), Exits: s.Exits})
 	}
-	a.Tracker.ApplyVerdicts(sentences, "store")
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.loaded, a.revision, a.stored = true, revision, stored
+	p.Tracker.ApplyVerdicts(verdicts, "store")
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.loaded, p.revision, p.stored = true, revision, stored
 }
 
-// Tick stores verdicts that are missing in the store, if that is this router's turn.
-func (a *Persister) Tick(ctx context.Context) {
-	sentences := a.Tracker.Verdicts()
-	if expected, due := a.writeDue(sentences, a.Rank()); due {
-		a.write(ctx, sentences, expected)
+// Tick writes the verdicts to the store if one is missing there and it is this router's turn.
+func (p *Persister) Tick(ctx context.Context) {
+	verdicts := p.Tracker.Verdicts()
+	if expected, due := p.writeDue(verdicts, p.Rank()); due {
+		p.write(ctx, verdicts, expected)
 	}
 }
 
-// writeDue tells whether this router is to store verdicts now, in place of which revision.
-func (a *Persister) writeDue(sentences []Verdict, rank int) (expected model.Revision, due bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	now := a.Clock()
-	if !a.loaded || !a.verdictMissing(sentences) {
-		a.missingSince = 0
-		a.retryDelay = 0
+// writeDue reports whether this router must write the verdicts now, and returns the revision
+// that the write replaces.
+func (p *Persister) writeDue(verdicts []Verdict, rank int) (expected model.Revision, due bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.Clock()
+	if !p.loaded || !p.verdictMissing(verdicts) {
+		p.missingSince = 0
+		p.retryDelay = 0
 		return 0, false
 	}
-	if a.missingSince == 0 {
-		a.missingSince = now
+	if p.missingSince == 0 {
+		p.missingSince = now
 	}
-	if now < a.nextRetryAt || now-a.missingSince < time.Duration(rank)*takeoverDelay {
+	if now < p.nextRetryAt || now-p.missingSince < time.Duration(rank)*takeoverDelay {
 		return 0, false
 	}
-	a.retryDelay = min(max(2*a.retryDelay, minRetryDelay), maxRetryDelay)
-	a.nextRetryAt = now + a.retryDelay
-	return a.revision, true
+	p.retryDelay = min(max(2*p.retryDelay, minRetryDelay), maxRetryDelay)
+	p.nextRetryAt = now + p.retryDelay
+	return p.revision, true
 }
 
-// verdictMissing tells whether a verdict is not in the store, or for a shorter term than a new one.
-// The caller holds the lock.
-func (a *Persister) verdictMissing(sentences []Verdict) bool {
-	now := a.Now().UnixMilli()
-	for _, s := range sentences {
-		until, ok := a.stored[s.Fingerprint]
-		if !ok || until < now+(s.TermMS-s.AgeMS)/2 {
+// verdictMissing reports whether the store lacks a verdict or holds it with less than half of
+// its remaining term. The caller must hold p.mu.
+func (p *Persister) verdictMissing(verdicts []Verdict) bool {
+	now := p.Now().UnixMilli()
+	for _, v := range verdicts {
+		until, ok := p.stored[v.Fingerprint]
+		if !ok || until < now+(v.TermMS-v.AgeMS)/2 {
 			return true
 		}
 	}
 	return false
 }
 
-// write replaces the key. Where it changed meanwhile nothing is written: the change comes
-// in with the store's news, and what is still missing is written after that.
-func (a *Persister) write(ctx context.Context, sentences []Verdict, expected model.Revision) {
-	now := a.Now().UnixMilli()
+// write replaces the key if it still has the expected revision. If it has changed, Observe
+// receives the new value, and a later Tick writes what is still missing.
+func (p *Persister) write(ctx context.Context, verdicts []Verdict, expected model.Revision) {
+	now := p.Now().UnixMilli()
 	var rec record
-	for _, s := range sentences {
-		rec.Requests = append(rec.Requests, storedVerdict{Fingerprint: s.Fingerprint, TermMS: s.TermMS, UntilMS: now + s.TermMS - s.AgeMS, Exits: s.Exits})
+	for _, v := range verdicts {
+		rec.Requests = append(rec.Requests, storedVerdict{Fingerprint: v.Fingerprint, TermMS: v.TermMS, UntilMS: now + v.TermMS - v.AgeMS, Exits: v.Exits})
 	}
 	value, err := json.Marshal(rec)
 	if err != nil {
-		klog.ErrorS(err, "verdicts not encoded")
+		klog.ErrorS(err, "failed to encode verdicts")
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	revision, err := a.Store.Commit(ctx, platform.Txn{
-		If:  []platform.Condition{{Key: a.Key, Revision: expected}},
-		Put: []platform.Item{{Key: a.Key, Value: value}},
+	revision, err := p.Store.Commit(ctx, platform.Txn{
+		If:  []platform.Condition{{Key: p.Key, Revision: expected}},
+		Put: []platform.Item{{Key: p.Key, Value: value}},
 	})
-	klog.InfoS("verdicts stored", "requests", len(rec.Requests), "revision", revision, "expected", expected, "err", err)
+	klog.InfoS("wrote verdicts to the store", "requests", len(rec.Requests), "revision", revision, "expected", expected, "err", err)
 	if err == nil {
-		a.Observe(value, revision)
+		p.Observe(value, revision)
 	}
 }
