--- a/internal/coordination/quarantine/cost_test.go
+++ b/internal/coordination/quarantine/cost_test.go
@@ -8,29 +8,28 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// What a request costs while nothing is suspected, which is nearly always.
-func BenchmarkRequestOnACalmDay(b *testing.B) {
+// Cost of a request while there are no suspects.
+func BenchmarkRequestWithoutSuspects(b *testing.B) {
 	t := New(func() time.Duration { return 0 })
-	of := func() model.Fingerprint { return crashing }
-	places := []Location{{server(1), "a"}, {server(2), "a"}, {server(3), "a"}, {server(4), "a"}}
+	fingerprint := func() model.Fingerprint { return crashing }
+	locations := []Location{{server(1), "a"}, {server(2), "a"}, {server(3), "a"}, {server(4), "a"}}
 	for b.Loop() {
 		if t.HasSuspects() {
 			b.Fatal("suspects")
 		}
-		run := t.Begin(of, false, places...)
-		run.AnswerStarted()
+		run := t.Begin(fingerprint, false, locations...)
+		run.ResponseStarted()
 		run.End(Completed)
 	}
 }
 
-// What looking a suspect up costs after a bad ten minutes: as many ends and requests at
-// them as are remembered.
-func BenchmarkSuspectAfterManyEnds(b *testing.B) {
+// Cost of an assessment with the maximum number of exits and of requests at them.
+func BenchmarkAssessWithManyExits(b *testing.B) {
 	now := time.Duration(0)
 	t := New(func() time.Duration { return now })
 	for n := range maxExits {
-		for w := range maxParticipations / maxExits {
-			t.Begin(func() model.Fingerprint { return testFingerprint(w) }, false, Location{server(n), fmt.Sprint("d", n%18)})
+		for r := range maxParticipations / maxExits {
+			t.Begin(func() model.Fingerprint { return testFingerprint(r) }, false, Location{server(n), fmt.Sprint("d", n%18)})
 		}
 		now += 500 * time.Millisecond
 		t.ServerExited(server(n), fmt.Sprint("d", n%18))
--- a/internal/coordination/quarantine/model_test.go
+++ b/internal/coordination/quarantine/model_test.go
@@ -13,10 +13,10 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// The model: routers with a tracker each before servers in three failure domains, in
-// virtual time. Messages between routers take from 1 to 25 ms, some are lost. A router
-// sends a request to the server with the least work and the fewest suspects as far as it
-// knows, and sends it on when the server ends under it, as the relay does.
+// simulation runs routers with a tracker each and servers in three failure domains in virtual
+// time. Messages between routers take 1 to 25 ms, and some are lost. A router sends a request to
+// the server with the fewest runs and suspects that it knows of, and retries it when the server
+// exits, as the relay does.
 type simulation struct {
 	t       *testing.T
 	rnd     *rand.Rand
@@ -25,19 +25,19 @@
 	seq     int
 	routers []*simRouter
 	servers []*simServer
-	// lossRate is the share of messages between routers that are lost.
+	// lossRate is the fraction of messages between routers that are lost.
 	lossRate float64
-	// sendGrace is how long after the third end a send may still be under way.
+	// sendGrace is how long after the third exit the crashing request may still be sent.
 	sendGrace time.Duration
-	// thirdEnd is when the third server ended under the guilty request, lateSends counts
-	// its sends from spare after that on.
+	// thirdExitAt is when the third server exited under the crashing request. lateSends
+	// counts the sends of that request more than sendGrace later.
 	exits       int
 	thirdExitAt time.Duration
 	lateSends   int
 }
 
 const (
-	maxSends     = 4 // of one attempt
+	maxSends     = 4 // of one request
 	restartDelay = 3 * time.Second
 )
 
@@ -62,19 +62,19 @@
 }
 
 type simRouter struct {
-	w          *simulation
+	sim        *simulation
 	name       string
 	tracker    *Tracker
 	trials     *Trials
-	generation int // starts so far
+	generation int // number of starts
 }
 
 type simServer struct {
-	w      *simulation
-	inc    model.Incarnation
-	domain string
-	up     bool
-	active []*simRun // in the order of their sends, so that a seed plays the same again
+	sim         *simulation
+	incarnation model.Incarnation
+	domain      string
+	up          bool
+	active      []*simRun // in the order of their sends, so that a seed is reproducible
 }
 
 type simRequest struct {
@@ -94,112 +94,112 @@
 }
 
 func newSimulation(t *testing.T, seed uint64, routers, servers int) *simulation {
-	w := &simulation{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), sendGrace: 50 * time.Millisecond}
+	sim := &simulation{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), sendGrace: 50 * time.Millisecond}
 	for i := range routers {
-		r := &simRouter{w: w, name: fmt.Sprintf("r%d", i)}
+		r := &simRouter{sim: sim, name: fmt.Sprintf("r%d", i)}
 		r.start()
-		w.routers = append(w.routers, r)
+		sim.routers = append(sim.routers, r)
 	}
 	for i := range servers {
-		w.servers = append(w.servers, &simServer{w: w, inc: model.Incarnation{ID: fmt.Sprintf("s%d", i)}, domain: fmt.Sprintf("d%d", i%3), up: true})
+		sim.servers = append(sim.servers, &simServer{sim: sim, incarnation: model.Incarnation{ID: fmt.Sprintf("s%d", i)}, domain: fmt.Sprintf("d%d", i%3), up: true})
 	}
 	for at := time.Duration(0); at < 40*time.Second; at += 50 * time.Millisecond {
-		w.schedule(at, func() {
-			for _, r := range w.routers {
+		sim.schedule(at, func() {
+			for _, r := range sim.routers {
 				r.tracker.EvaluateSuspects()
 			}
 		})
 	}
 	for at := time.Duration(0); at < 40*time.Second; at += time.Second {
-		w.schedule(at, func() {
-			for _, r := range w.routers {
-				sentences, peer := r.tracker.Verdicts(), w.randomRouter()
-				w.schedule(w.messageDelay(), func() { peer.tracker.ApplyReport(Report{Verdicts: sentences}, r.name) })
+		sim.schedule(at, func() {
+			for _, r := range sim.routers {
+				verdicts, peer := r.tracker.Verdicts(), sim.randomRouter()
+				sim.schedule(sim.messageDelay(), func() { peer.tracker.ApplyReport(Report{Verdicts: verdicts}, r.name) })
 			}
 		})
 	}
-	return w
+	return sim
 }
 
 func (r *simRouter) start() {
 	r.generation++
-	clock := func() time.Duration { return r.w.now }
+	clock := func() time.Duration { return r.sim.now }
 	r.tracker = New(clock)
 	r.trials = NewTrials(r.tracker)
 }
 
-func (w *simulation) schedule(d time.Duration, do func()) {
-	heap.Push(&w.pending, event{at: w.now + d, seq: w.seq, do: do})
-	w.seq++
+func (sim *simulation) schedule(d time.Duration, do func()) {
+	heap.Push(&sim.pending, event{at: sim.now + d, seq: sim.seq, do: do})
+	sim.seq++
 }
 
-func (w *simulation) run(until time.Duration) {
-	for len(w.pending) > 0 && w.pending[0].at <= until {
-		e := heap.Pop(&w.pending).(event)
-		w.now = e.at
+func (sim *simulation) run(until time.Duration) {
+	for len(sim.pending) > 0 && sim.pending[0].at <= until {
+		e := heap.Pop(&sim.pending).(event)
+		sim.now = e.at
 		e.do()
-		for _, r := range w.routers {
+		for _, r := range sim.routers {
 			r.sendReports()
 		}
 	}
-	w.now = until
+	sim.now = until
 }
 
-func (w *simulation) messageDelay() time.Duration {
-	return time.Millisecond + time.Duration(w.rnd.ExpFloat64()*float64(3*time.Millisecond))
+func (sim *simulation) messageDelay() time.Duration {
+	return time.Millisecond + time.Duration(sim.rnd.ExpFloat64()*float64(3*time.Millisecond))
 }
 
-// sendReports sends what the router has to report, a moment later.
+// sendReports sends the router's pending reports after reportBatchDelay.
 func (r *simRouter) sendReports() {
 	select {
 	case <-r.tracker.ReportDue():
 	default:
 		return
 	}
-	r.w.schedule(reportBatchDelay, func() {
+	r.sim.schedule(reportBatchDelay, func() {
 		for {
 			report, ok := r.tracker.TakeReport()
 			if !ok {
 				return
 			}
-			for _, peer := range r.w.routers {
-				if peer != r && r.w.rnd.Float64() >= r.w.lossRate {
-					r.w.schedule(min(r.w.messageDelay(), 25*time.Millisecond), func() { peer.tracker.ApplyReport(report, r.name) })
+			for _, peer := range r.sim.routers {
+				if peer != r && r.sim.rnd.Float64() >= r.sim.lossRate {
+					r.sim.schedule(min(r.sim.messageDelay(), 25*time.Millisecond), func() { peer.tracker.ApplyReport(report, r.name) })
 				}
 			}
 		}
 	})
 }
 
-// serve handles one attempt.
+// serve assesses a request and sends it to a server if it may run.
 func (r *simRouter) serve(q *simRequest) {
-	w := r.w
-	v := r.tracker.Assess(q.fingerprint)
-	switch v.Restriction {
+	sim := r.sim
+	a := r.tracker.Assess(q.fingerprint)
+	switch a.Restriction {
 	case Quarantined:
 		return
 	case Undecided:
-		w.schedule(20*time.Millisecond, func() { r.serve(q) })
+		sim.schedule(20*time.Millisecond, func() { r.serve(q) })
 		return
 	case TrialOnly:
-		r.requestTrial(q, v)
+		r.requestTrial(q, a)
 		return
 	}
-	if s := r.choose(q, v); s != nil {
-		r.send(q, s, v.Restriction != Unrestricted)
+	if s := r.choose(q, a); s != nil {
+		r.send(q, s, a.Restriction != Unrestricted)
 	}
 }
 
-func (r *simRouter) choose(q *simRequest, v Assessment) *simServer {
+func (r *simRouter) choose(q *simRequest, a Assessment) *simServer {
 	var best *simServer
 	lowest := 0.0
-	for _, s := range r.w.servers {
-		if !s.up || q.busy[s.inc] || v.AvoidDomains[s.domain] {
+	for _, s := range r.sim.servers {
+		if !s.up || q.busy[s.incarnation] || a.AvoidDomains[s.domain] {
 			continue
 		}
-		cost := float64(len(s.active)) + r.w.rnd.Float64()
-		if v.Restriction != Unrestricted {
-			cost += 5 * float64(r.tracker.SuspectRuns(s.inc))
+		cost := float64(len(s.active)) + r.sim.rnd.Float64()
+		if a.Restriction != Unrestricted {
+			cost += 5 * float64(r.tracker.SuspectRuns(s.incarnation))
 		}
 		if best == nil || cost < lowest {
 			best, lowest = s, cost
@@ -208,22 +208,22 @@
 	return best
 }
 
-// requestTrial asks the keeper for a trial.
-func (r *simRouter) requestTrial(q *simRequest, v Assessment) {
-	w := r.w
-	s := r.choose(q, v)
+// requestTrial asks the first router for a trial.
+func (r *simRouter) requestTrial(q *simRequest, a Assessment) {
+	sim := r.sim
+	s := r.choose(q, a)
 	if q.trialAttempts++; q.trialAttempts > 20 {
 		return
 	}
 	if s == nil {
 		q.busy = nil
-		w.schedule(100*time.Millisecond, func() { r.serve(q) })
+		sim.schedule(100*time.Millisecond, func() { r.serve(q) })
 		return
 	}
-	keeper := w.routers[0]
-	w.schedule(w.messageDelay(), func() {
-		g := keeper.trials.Request(q.fingerprint, []model.Incarnation{s.inc})
-		w.schedule(w.messageDelay(), func() {
+	granter := sim.routers[0]
+	sim.schedule(sim.messageDelay(), func() {
+		g := granter.trials.Request(q.fingerprint, []model.Incarnation{s.incarnation})
+		sim.schedule(sim.messageDelay(), func() {
 			switch {
 			case g.Granted:
 				r.send(q, s, true)
@@ -239,33 +239,33 @@
 }
 
 func (r *simRouter) send(q *simRequest, s *simServer, suspect bool) {
-	w := r.w
-	if q.crashesServer && w.exits >= minExits && w.now > w.thirdExitAt+w.sendGrace {
-		w.lateSends++
+	sim := r.sim
+	if q.crashesServer && sim.exits >= minExits && sim.now > sim.thirdExitAt+sim.sendGrace {
+		sim.lateSends++
 	}
 	q.sends++
 	q.busy = nil
-	run := &simRun{simRequest: q, r: r, generation: r.generation, server: s, run: r.tracker.Begin(func() model.Fingerprint { return q.fingerprint }, suspect, Location{Server: s.inc, Domain: s.domain})}
+	run := &simRun{simRequest: q, r: r, generation: r.generation, server: s, run: r.tracker.Begin(func() model.Fingerprint { return q.fingerprint }, suspect, Location{Server: s.incarnation, Domain: s.domain})}
 	s.active = append(s.active, run)
-	inc := s.inc
+	incarnation := s.incarnation
 	if q.crashesServer {
-		w.schedule(time.Duration(60+w.rnd.IntN(80))*time.Millisecond, func() {
-			if s.up && s.inc == inc && slices.Contains(s.active, run) {
-				w.exits++
-				if w.exits == minExits {
-					w.thirdExitAt = w.now
+		sim.schedule(time.Duration(60+sim.rnd.IntN(80))*time.Millisecond, func() {
+			if s.up && s.incarnation == incarnation && slices.Contains(s.active, run) {
+				sim.exits++
+				if sim.exits == minExits {
+					sim.thirdExitAt = sim.now
 				}
 				s.exit()
 			}
 		})
 		return
 	}
-	w.schedule(time.Duration(100+w.rnd.IntN(200))*time.Millisecond, func() {
+	sim.schedule(time.Duration(100+sim.rnd.IntN(200))*time.Millisecond, func() {
 		if slices.Contains(s.active, run) {
-			run.run.AnswerStarted()
+			run.run.ResponseStarted()
 		}
 	})
-	w.schedule(time.Duration(500+w.rnd.IntN(2500))*time.Millisecond, func() {
+	sim.schedule(time.Duration(500+sim.rnd.IntN(2500))*time.Millisecond, func() {
 		if slices.Contains(s.active, run) {
 			s.active = slices.DeleteFunc(s.active, func(r *simRun) bool { return r == run })
 			run.run.End(Completed)
@@ -273,26 +273,26 @@
 	})
 }
 
-// exit ends a server's process: those who have runs there see it at once, two routers
-// that watch it a little later, and they tell all others.
+// exit ends a server's process. Routers with runs there see lost connections, and all routers
+// learn of the exit a little later.
 func (s *simServer) exit() {
-	w := s.w
+	sim := s.sim
 	if !s.up {
 		return
 	}
 	s.up = false
-	inc, domain := s.inc, s.domain
+	incarnation, domain := s.incarnation, s.domain
 	runs := s.active
 	s.active = nil
 	for _, run := range runs {
-		w.schedule(w.messageDelay(), func() { run.connectionLost() })
+		sim.schedule(sim.messageDelay(), func() { run.connectionLost() })
 	}
-	for _, r := range w.routers {
-		w.schedule(5*time.Millisecond+w.messageDelay(), func() { r.tracker.ServerExited(inc, domain) })
+	for _, r := range sim.routers {
+		sim.schedule(5*time.Millisecond+sim.messageDelay(), func() { r.tracker.ServerExited(incarnation, domain) })
 	}
-	w.schedule(restartDelay, func() {
+	sim.schedule(restartDelay, func() {
 		s.up = true
-		s.inc.Born++
+		s.incarnation.Born++
 	})
 }
 
@@ -302,11 +302,11 @@
 		return
 	}
 	for _, server := range run.run.End(ConnectionLost) {
-		r.w.schedule(2*time.Millisecond, func() {
-			for _, s := range r.w.servers {
-				if s.inc == server && !s.up {
+		r.sim.schedule(2*time.Millisecond, func() {
+			for _, s := range r.sim.servers {
+				if s.incarnation == server && !s.up {
 					r.tracker.ServerExited(server, s.domain)
-				} else if s.inc == server {
+				} else if s.incarnation == server {
 					r.tracker.ServerAlive(server)
 				}
 			}
@@ -321,23 +321,23 @@
 	return (&model.Call{Method: "POST", Target: fmt.Sprint(n)}).Fingerprint("school")
 }
 
-// addHarmlessTraffic sends requests of many kinds all the while, each of them some times.
-func (w *simulation) addHarmlessTraffic(perSecond int, until time.Duration) {
+// addHarmlessTraffic sends many different requests, each of them several times.
+func (sim *simulation) addHarmlessTraffic(perSecond int, until time.Duration) {
 	for at := time.Duration(0); at < until; at += time.Second / time.Duration(perSecond) {
-		w.schedule(at, func() {
-			w.randomRouter().serve(&simRequest{fingerprint: testFingerprint(1 + w.rnd.IntN(perSecond*20))})
+		sim.schedule(at, func() {
+			sim.randomRouter().serve(&simRequest{fingerprint: testFingerprint(1 + sim.rnd.IntN(perSecond*20))})
 		})
 	}
 }
 
-func (w *simulation) randomRouter() *simRouter { return w.routers[w.rnd.IntN(len(w.routers))] }
+func (sim *simulation) randomRouter() *simRouter { return sim.routers[sim.rnd.IntN(len(sim.routers))] }
 
-// quarantined lists the requests that any router has in quarantine.
-func (w *simulation) quarantined() map[model.Fingerprint]int {
+// quarantined returns the quarantined requests with the number of routers that know of each.
+func (sim *simulation) quarantined() map[model.Fingerprint]int {
 	out := map[model.Fingerprint]int{}
-	for _, r := range w.routers {
-		for _, s := range r.tracker.Verdicts() {
-			out[s.Fingerprint]++
+	for _, r := range sim.routers {
+		for _, v := range r.tracker.Verdicts() {
+			out[v.Fingerprint]++
 		}
 	}
 	return out
@@ -345,121 +345,118 @@
 
 var crashing = testFingerprint(0)
 
-// A request ends each server that runs it, under the streams of others, and comes again at
-// random routers, several copies at once. All routers soon know it, nobody else is taken
-// for it, and once a third server has ended under it it is sent to none any more.
-func TestOnlyTheGuiltyRequestIsBlamed(t *testing.T) {
+// A request makes each server that runs it exit and is sent again to random routers. Guards
+// against quarantining harmless requests and against sends after the third exit.
+func TestOnlyCrashingRequestIsQuarantined(t *testing.T) {
 	for _, n := range []int{3, 5, 30, 100, 400} {
 		for seed := range uint64(max(100/n, 2)) {
 			t.Run(fmt.Sprintf("%d routers, seed %d", n, seed), func(t *testing.T) {
 				t.Parallel()
-				w := newSimulation(t, seed, n, 12+n/4)
-				w.playCrashingRequest()
-				assert.Equal(t, w.lateSends, 0, "sends after the third end, of %d ends", w.exits)
-				w.checkOnlyCrashingQuarantined()
+				sim := newSimulation(t, seed, n, 12+n/4)
+				sim.playCrashingRequest()
+				assert.Equal(t, sim.lateSends, 0, "sends after the third exit, of %d exits", sim.exits)
+				sim.checkOnlyCrashingQuarantined()
 			})
 		}
 	}
 }
 
-// The same where one in twenty messages between routers is lost. A router may then send the
-// request once more; reminders tell it, long before the time in which it must know.
-func TestTheGuiltyRequestIsBlamedThoughMessagesAreLost(t *testing.T) {
+// One in twenty messages between routers is lost. Guards against routers that miss a report and
+// never learn of the verdict.
+func TestCrashingRequestIsQuarantinedDespiteLostMessages(t *testing.T) {
 	for _, n := range []int{3, 30, 400} {
 		for seed := range uint64(max(60/n, 2)) {
 			t.Run(fmt.Sprintf("%d routers, seed %d", n, seed), func(t *testing.T) {
 				t.Parallel()
-				w := newSimulation(t, seed, n, 12+n/4)
-				w.lossRate = 0.05
-				w.sendGrace = time.Second
-				w.playCrashingRequest()
-				assert.Equal(t, w.lateSends, 0, "sends after the third end, of %d ends", w.exits)
-				w.checkOnlyCrashingQuarantined()
+				sim := newSimulation(t, seed, n, 12+n/4)
+				sim.lossRate = 0.05
+				sim.sendGrace = time.Second
+				sim.playCrashingRequest()
+				assert.Equal(t, sim.lateSends, 0, "sends after the third exit, of %d exits", sim.exits)
+				sim.checkOnlyCrashingQuarantined()
 			})
 		}
 	}
 }
 
-// playCrashingRequest plays the guilty request's coming again and again beside innocents.
-func (w *simulation) playCrashingRequest() {
-	w.addHarmlessTraffic(40, 12*time.Second)
-	for at := 2 * time.Second; at < 12*time.Second; at += time.Duration(100+w.rnd.IntN(900)) * time.Millisecond {
-		w.schedule(at, func() { w.randomRouter().serve(&simRequest{fingerprint: crashing, crashesServer: true}) })
+// playCrashingRequest sends the crashing request repeatedly, among harmless traffic.
+func (sim *simulation) playCrashingRequest() {
+	sim.addHarmlessTraffic(40, 12*time.Second)
+	for at := 2 * time.Second; at < 12*time.Second; at += time.Duration(100+sim.rnd.IntN(900)) * time.Millisecond {
+		sim.schedule(at, func() { sim.randomRouter().serve(&simRequest{fingerprint: crashing, crashesServer: true}) })
 	}
-	w.run(14 * time.Second)
+	sim.run(14 * time.Second)
 }
 
-func (w *simulation) checkOnlyCrashingQuarantined() {
-	blamed := w.quarantined()
-	assert.Equal(w.t, blamed[crashing], len(w.routers), "routers that know it")
-	assert.Equal(w.t, len(blamed), 1, "blamed: %v", blamed)
-	assert.Assert(w.t, w.exits <= minExits+1, "%d servers ended", w.exits)
+func (sim *simulation) checkOnlyCrashingQuarantined() {
+	quarantined := sim.quarantined()
+	assert.Equal(sim.t, quarantined[crashing], len(sim.routers), "routers that know the verdict")
+	assert.Equal(sim.t, len(quarantined), 1, "quarantined: %v", quarantined)
+	assert.Assert(sim.t, sim.exits <= minExits+1, "%d servers exited", sim.exits)
 }
 
-// A failure domain's servers end one after the other within a third of a second, each time
-// under requests that were sent on from the one before, and all routers of it see resets;
-// then the next domain, and the next. No request is taken for the cause.
-func TestNobodyIsBlamedForALostDomain(t *testing.T) {
+// The servers of one failure domain after the other exit within 300 ms, so that retried requests
+// meet several exits. No request may be quarantined for it.
+func TestNoRequestIsQuarantinedForLostDomains(t *testing.T) {
 	for _, n := range []int{3, 30, 400} {
 		for seed := range uint64(max(100/n, 2)) {
 			t.Run(fmt.Sprintf("%d routers, seed %d", n, seed), func(t *testing.T) {
 				t.Parallel()
-				w := newSimulation(t, seed, n, 12+n/4)
-				w.addHarmlessTraffic(60, 12*time.Second)
+				sim := newSimulation(t, seed, n, 12+n/4)
+				sim.addHarmlessTraffic(60, 12*time.Second)
 				for round := range 3 {
-					for _, s := range w.servers {
+					for _, s := range sim.servers {
 						if s.domain == fmt.Sprintf("d%d", round) {
-							w.schedule(time.Duration(2+3*round)*time.Second+time.Duration(w.rnd.IntN(300))*time.Millisecond, s.exit)
+							sim.schedule(time.Duration(2+3*round)*time.Second+time.Duration(sim.rnd.IntN(300))*time.Millisecond, s.exit)
 						}
 					}
 				}
-				w.run(14 * time.Second)
-				assert.Equal(t, len(w.quarantined()), 0)
+				sim.run(14 * time.Second)
+				assert.Equal(t, len(sim.quarantined()), 0)
 			})
 		}
 	}
 }
 
-// Servers end one by one for reasons of their own, one a second for ten seconds, more than
-// any fleet should lose. No request is taken for the cause.
-func TestNobodyIsBlamedForScatteredEnds(t *testing.T) {
+// Single servers exit for ten seconds, about one a second, for unrelated reasons. No request may
+// be quarantined for it.
+func TestNoRequestIsQuarantinedForUnrelatedExits(t *testing.T) {
 	for _, n := range []int{3, 30, 400} {
 		for seed := range uint64(max(100/n, 2)) {
 			t.Run(fmt.Sprintf("%d routers, seed %d", n, seed), func(t *testing.T) {
 				t.Parallel()
-				w := newSimulation(t, seed, n, 12+n/4)
-				w.addHarmlessTraffic(60, 12*time.Second)
-				for at := time.Second; at < 11*time.Second; at += time.Duration(w.rnd.IntN(2000)) * time.Millisecond {
-					w.schedule(at, func() { w.servers[w.rnd.IntN(len(w.servers))].exit() })
+				sim := newSimulation(t, seed, n, 12+n/4)
+				sim.addHarmlessTraffic(60, 12*time.Second)
+				for at := time.Second; at < 11*time.Second; at += time.Duration(sim.rnd.IntN(2000)) * time.Millisecond {
+					sim.schedule(at, func() { sim.servers[sim.rnd.IntN(len(sim.servers))].exit() })
 				}
-				w.run(14 * time.Second)
-				assert.Equal(t, len(w.quarantined()), 0)
+				sim.run(14 * time.Second)
+				assert.Equal(t, len(sim.quarantined()), 0)
 			})
 		}
 	}
 }
 
-// Two requests that end servers come at one time and end servers of the same few failure
-// domains. Neither is an excuse for the other: both are soon known everywhere, and nobody
-// else is taken for them. Each ends three servers, and two more where copies were under way.
-func TestTwoGuiltyRequestsAreNoExcuseForEachOther(t *testing.T) {
+// Two requests crash servers of the same failure domains at the same time. Guards against each
+// hiding the exits that the other caused: both must be quarantined, and no other request.
+func TestTwoCrashingRequestsAreBothQuarantined(t *testing.T) {
 	for _, n := range []int{3, 30, 100} {
 		for seed := range uint64(max(60/n, 2)) {
 			t.Run(fmt.Sprintf("%d routers, seed %d", n, seed), func(t *testing.T) {
 				t.Parallel()
-				w := newSimulation(t, seed, n, 24+n/4)
-				w.addHarmlessTraffic(40, 14*time.Second)
+				sim := newSimulation(t, seed, n, 24+n/4)
+				sim.addHarmlessTraffic(40, 14*time.Second)
 				second := testFingerprint(-1)
-				for at := 2 * time.Second; at < 14*time.Second; at += time.Duration(50+w.rnd.IntN(250)) * time.Millisecond {
-					w.schedule(at, func() { w.randomRouter().serve(&simRequest{fingerprint: crashing, crashesServer: true}) })
-					w.schedule(at, func() { w.randomRouter().serve(&simRequest{fingerprint: second, crashesServer: true}) })
+				for at := 2 * time.Second; at < 14*time.Second; at += time.Duration(50+sim.rnd.IntN(250)) * time.Millisecond {
+					sim.schedule(at, func() { sim.randomRouter().serve(&simRequest{fingerprint: crashing, crashesServer: true}) })
+					sim.schedule(at, func() { sim.randomRouter().serve(&simRequest{fingerprint: second, crashesServer: true}) })
 				}
-				w.run(16 * time.Second)
-				blamed := w.quarantined()
-				assert.Equal(t, blamed[crashing], n)
-				assert.Equal(t, blamed[second], n)
-				assert.Equal(t, len(blamed), 2, "blamed: %v", blamed)
-				assert.Assert(t, w.exits <= 2*(minExits+2), "%d servers ended", w.exits)
+				sim.run(16 * time.Second)
+				quarantined := sim.quarantined()
+				assert.Equal(t, quarantined[crashing], n)
+				assert.Equal(t, quarantined[second], n)
+				assert.Equal(t, len(quarantined), 2, "quarantined: %v", quarantined)
+				assert.Assert(t, sim.exits <= 2*(minExits+2), "%d servers exited", sim.exits)
 			})
 		}
 	}
--- a/internal/coordination/quarantine/run.go
+++ b/internal/coordination/quarantine/run.go
@@ -9,102 +9,102 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// Location is a server that runs a request, and its failure domain.
+// Location is a server and its failure domain.
 type Location struct {
 	Server model.Incarnation
 	Domain string
 }
 
-// Run is one request at the servers that run it: one of a plain service, or the engines of
-// a chain, the first of which it was sent to.
+// Run is one run of a request: at a server of a plain service, or at the engines of a chain,
+// of which the first received the request. It must be finished with End.
 type Run struct {
 	tracker            *Tracker
 	once               sync.Once
 	fingerprint        model.Fingerprint
 	computeFingerprint func() model.Fingerprint
 
-	// The tracker's lock guards the rest.
+	// The fields below are guarded by tracker.mu.
 	locations       []Location
 	responseStarted bool
-	// exitCountedAt is when a server ended under it that counts, since it was moved last; zero
-	// for none.
+	// exitCountedAt is when an exit was last counted against the request, or 0. Move resets
+	// it once simultaneousExitWindow has passed.
 	exitCountedAt time.Duration
 	suspect       bool
 }
 
-// simultaneousExitWindow is within what time engines drop out at one moment: a run that is moved
-// meanwhile may still pass through one whose end was not told yet.
+// simultaneousExitWindow is the time within which exits of engines count as simultaneous. A run
+// that is moved within it may still include an engine whose exit has not been reported yet.
 const simultaneousExitWindow = 50 * time.Millisecond
 
-// Result is how a run ended.
+// Result is the outcome of a run.
 type Result int
 
 // Results of a run.
 const (
-	// Inconclusive says nothing of the request: its caller left, time ran out, the server
-	// refused it or fell silent.
+	// Inconclusive means that the run says nothing about the request: the caller
+	// disconnected, the deadline passed, or the server refused it or did not respond.
 	Inconclusive Result = iota
-	// Completed means that the server answered it whole, be it with a failure of its own.
+	// Completed means that the server sent a whole response, which may be an error.
 	Completed
-	// ConnectionLost means that the server's connection ended under it.
+	// ConnectionLost means that the server's connection ended during the run.
 	ConnectionLost
 )
 
-// Begin notes that servers begin to run a request. work gives its fingerprint; it is asked
-// for only if a server ends under it. suspect says that it is one, so that others of its
-// kind keep away.
-func (t *Tracker) Begin(work func() model.Fingerprint, suspect bool, places ...Location) *Run {
-	r := &Run{tracker: t, computeFingerprint: work, suspect: suspect}
+// Begin records that the servers at the locations start to run a request. computeFingerprint
+// returns its fingerprint and is called only if it is needed. suspect marks the run as that of a
+// suspect, see SuspectRuns.
+func (t *Tracker) Begin(computeFingerprint func() model.Fingerprint, suspect bool, locations ...Location) *Run {
+	r := &Run{tracker: t, computeFingerprint: computeFingerprint, suspect: suspect}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r.setLocations(places)
+	r.setLocations(locations)
 	return r
 }
 
-// Fingerprint is the fingerprint of what runs.
+// Fingerprint returns the fingerprint of the request.
 func (r *Run) Fingerprint() model.Fingerprint {
 	r.once.Do(func() { r.fingerprint = r.computeFingerprint() })
 	return r.fingerprint
 }
 
-// setLocations makes the places those that run it. The caller holds the lock.
-func (r *Run) setLocations(places []Location) {
-	for _, p := range r.locations {
-		delete(r.tracker.runs[p.Server], r)
-		if len(r.tracker.runs[p.Server]) == 0 {
-			delete(r.tracker.runs, p.Server)
+// setLocations replaces the locations of the run. The caller must hold the tracker's lock.
+func (r *Run) setLocations(locations []Location) {
+	for _, l := range r.locations {
+		delete(r.tracker.runs[l.Server], r)
+		if len(r.tracker.runs[l.Server]) == 0 {
+			delete(r.tracker.runs, l.Server)
 		}
 	}
-	r.locations = places
-	for _, p := range places {
-		if r.tracker.runs[p.Server] == nil {
-			r.tracker.runs[p.Server] = map[*Run]bool{}
+	r.locations = locations
+	for _, l := range locations {
+		if r.tracker.runs[l.Server] == nil {
+			r.tracker.runs[l.Server] = map[*Run]bool{}
 		}
-		r.tracker.runs[p.Server][r] = true
+		r.tracker.runs[l.Server][r] = true
 	}
 }
 
-// Move notes that other servers run it now.
-func (r *Run) Move(places []Location) {
+// Move records that the run continues at other locations.
+func (r *Run) Move(locations []Location) {
 	r.tracker.mu.Lock()
 	defer r.tracker.mu.Unlock()
 	if r.tracker.clock()-r.exitCountedAt >= simultaneousExitWindow {
 		r.exitCountedAt = 0
 	}
-	r.setLocations(places)
+	r.setLocations(locations)
 }
 
-// AnswerStarted notes that an answer has begun.
-func (r *Run) AnswerStarted() {
+// ResponseStarted records that the response has started.
+func (r *Run) ResponseStarted() {
 	r.tracker.mu.Lock()
 	defer r.tracker.mu.Unlock()
 	r.responseStarted = true
 }
 
-// countExit tells whether the end of a server under it counts. Of a chain that several engines
-// drop out of at one moment, one was ended by its request at most: where a failure domain
-// loses half of its engines, all streams through two of them would else have to run alone.
-// The caller holds the lock.
+// countExit reports whether the exit of one of the run's servers counts against the request, and
+// records that it does. Of simultaneous exits in one chain only the first counts: otherwise a
+// failure domain that loses half of its engines would restrict to trials each stream that ran
+// through two of them. The caller must hold the tracker's lock.
 func (r *Run) countExit() bool {
 	if r.exitCountedAt != 0 {
 		return false
@@ -113,70 +113,73 @@
 	return true
 }
 
-// participationAt is how it is at one of its servers. The caller holds the lock.
+// participationAt returns how the run takes part at one of its servers. The caller must hold the
+// tracker's lock.
 func (r *Run) participationAt(server model.Incarnation) participation {
 	return participation{responseStarted: r.responseStarted, laterStage: r.locations[0].Server != server}
 }
 
-// End notes how the run ended. doubtful lists servers whose end is not confirmed and should
-// be looked into: those of a request that would stand alone, as its next run waits for
-// that, and one of a plain service, as nobody else watches those.
-func (r *Run) End(result Result) (doubtful []model.Incarnation) {
+// End records the result of the run. It returns the servers whose exit is not confirmed and that
+// the caller should probe: all of them if the request would be restricted to trials, because its
+// next run waits for the result, and else the server of a plain service, because nothing else
+// watches it.
+func (r *Run) End(result Result) (unconfirmed []model.Incarnation) {
 	t := r.tracker
 	if result == ConnectionLost || result == Completed && t.HasSuspects() {
-		r.Fingerprint() // not under the lock: it reads the whole body
+		r.Fingerprint() // outside the lock, because it reads the whole body
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	places := r.locations
+	locations := r.locations
 	r.setLocations(nil)
 	switch {
-	case len(places) == 0:
+	case len(locations) == 0:
 	case result == Completed && t.hasSuspects():
 		t.recordCompletion(r.Fingerprint())
 	case result == ConnectionLost:
-		return t.recordLostConnection(r.Fingerprint(), places, r.responseStarted)
+		return t.recordLostConnection(r.Fingerprint(), locations, r.responseStarted)
 	}
 	return nil
 }
 
-// recordCompletion takes in that a server answered a request. The caller holds the lock.
-func (t *Tracker) recordCompletion(work model.Fingerprint) {
-	v := t.verdicts[work]
+// recordCompletion clears a request that a server completed. The caller must hold t.mu.
+func (t *Tracker) recordCompletion(fp model.Fingerprint) {
+	v := t.verdicts[fp]
 	onProbation := v != nil && !t.inTerm(v)
-	ends := t.clearSuspect(work)
+	exits := t.clearSuspect(fp)
 	if onProbation {
-		delete(t.verdicts, work)
+		delete(t.verdicts, fp)
 	}
-	if ends > 0 || onProbation {
-		t.outbox.addCleared(work)
-		logCleared(work, ends)
+	if exits > 0 || onProbation {
+		t.outbox.addCleared(fp)
+		logCleared(fp, exits)
 	}
 }
 
-// recordLostConnection takes in that a server's connection ended under a request. Only that of the first
-// server shows that; the ends of later ones are told by others. The caller holds the lock.
-func (t *Tracker) recordLostConnection(work model.Fingerprint, places []Location, answered bool) (doubtful []model.Incarnation) {
-	s := t.suspectFor(work)
-	at := places[0]
-	for _, p := range places {
-		// One end, of whichever engine, breaks the whole chain off.
-		if s.exits[p.Server] {
+// recordLostConnection records that the connection to the first server of a run ended, and
+// returns the servers to probe. Exits of the servers behind it are reported separately. The
+// caller must hold t.mu.
+func (t *Tracker) recordLostConnection(fp model.Fingerprint, locations []Location, responseStarted bool) (unconfirmed []model.Incarnation) {
+	s := t.suspectFor(fp)
+	first := locations[0]
+	for _, l := range locations {
+		// The exit of any engine ends the whole chain and is already counted.
+		if s.exits[l.Server] {
 			return nil
 		}
 	}
-	s.lostConnections[at.Server] = lostConnection{at: t.clock(), locations: places, responseStarted: answered}
+	s.lostConnections[first.Server] = lostConnection{at: t.clock(), locations: locations, responseStarted: responseStarted}
 	switch {
 	case len(s.exits)+len(s.lostConnections) >= minExitsForTrial:
 		return slices.Collect(maps.Keys(s.lostConnections))
-	case len(places) == 1 && t.startCheck(at.Server):
-		return []model.Incarnation{at.Server}
+	case len(locations) == 1 && t.startCheck(first.Server):
+		return []model.Incarnation{first.Server}
 	}
 	return nil
 }
 
-// startCheck tells whether a server of a plain service should be looked into, and notes
-// that it is. The caller holds the lock.
+// startCheck reports whether a server of a plain service should be probed, and records that it
+// is. The caller must hold t.mu.
 func (t *Tracker) startCheck(server model.Incarnation) bool {
 	now := t.clock()
 	if at, ok := t.checkedAt[server]; ok && now-at < checkInterval {
@@ -186,7 +189,7 @@
 	return true
 }
 
-// SuspectRuns counts the runs of suspects that this router has at a server.
+// SuspectRuns returns the number of runs of suspects that this router has at a server.
 func (t *Tracker) SuspectRuns(server model.Incarnation) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -217,7 +217,7 @@
 		if s.ranEvents == 0 {
 			parts, _ := w.state()
 			s.succeed(parts, w.since)
-			w.record.AnswerStarted()
+			w.record.ResponseStarted()
 		}
 		s.ranEvents++
 		if !q.out.head {
