--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -17,25 +17,25 @@
 	// wait is answered at once with when to come back. One that was overtaken
 	// and has waited twice as long is given up.
 	maxWait = 400 * time.Millisecond
-	// blindQueue bounds the queue while nothing is known of how fast it moves.
-	blindQueue = 16
-	// calm is how long after the last refusal the limit binds. Without refusals
+	// initialQueueLimit bounds the queue while nothing is known of how fast it moves.
+	initialQueueLimit = 16
+	// limitHold is how long after the last refusal the limit binds. Without refusals
 	// there is room for whatever comes.
-	calm = time.Second
-	// backOff is what the limit is multiplied by when the engines are full.
-	backOff = 0.97
-	// backOffEvery keeps one full moment from being counted for each request
+	limitHold = time.Second
+	// decreaseFactor is what the limit is multiplied by when the engines are full.
+	decreaseFactor = 0.97
+	// minDecreaseInterval keeps one full moment from being counted for each request
 	// that met it.
-	backOffEvery = 50 * time.Millisecond
-	// headroom is how far beyond the limit a customer may go that holds no more
+	minDecreaseInterval = 50 * time.Millisecond
+	// fairShareHeadroom is how far beyond the limit a customer may go that holds no more
 	// than its equal share of the places. One customer that sends without pause
 	// takes each place as it comes free; a small burst of the others then waits
 	// for places that are held for seconds, and is given up. Measured: of 184
 	// requests of nine customers beside such a flood 1 to 19 were refused
 	// without it.
-	headroom = 0.15
-	// rateWeight is the weight of the newest interval between two leavings.
-	rateWeight = 0.05
+	fairShareHeadroom = 0.15
+	// intervalWeight is the weight of the newest interval between two leavings.
+	intervalWeight = 0.05
 )
 
 // Limiter holds the requests that an entry has at the engines. How many it may
@@ -44,24 +44,24 @@
 type Limiter struct {
 	now func() time.Time
 
-	mu       sync.Mutex
-	limit    float64
-	inside   int
-	queue    *fair.Queue[*place]
-	interval time.Duration // smoothed time between two leavings
-	leftAt   time.Time
-	fullAt   time.Time
+	mu              sync.Mutex
+	limit           float64
+	inFlight        int
+	queue           *fair.Queue[*waiter]
+	releaseInterval time.Duration // smoothed time between two leavings
+	lastReleaseAt   time.Time
+	lastOverloadAt  time.Time
 }
 
-// place is a request's wait for room.
-type place struct {
-	in   chan struct{} // closed when it may go on
-	shed chan struct{} // closed when it was given up
+// waiter is a request's wait for room.
+type waiter struct {
+	admitted chan struct{} // closed when it may go on
+	dropped  chan struct{} // closed when it was given up
 }
 
 // NewLimiter makes an empty room.
 func NewLimiter(now func() time.Time) *Limiter {
-	return &Limiter{now: now, queue: fair.New[*place]()}
+	return &Limiter{now: now, queue: fair.New[*waiter]()}
 }
 
 // Request is what the room needs to know.
@@ -77,70 +77,70 @@
 	if ctx.Err() != nil {
 		return r.refusal("the caller has left")
 	}
-	p, err := r.join(q)
+	p, err := r.acquireOrQueue(q)
 	if err != nil || p == nil {
 		return err
 	}
 	patience := time.NewTimer(2 * maxWait)
 	defer patience.Stop()
 	select {
-	case <-p.in:
-	case <-p.shed:
+	case <-p.admitted:
+	case <-p.dropped:
 		return r.refusal("given up for a request worth more")
 	case <-patience.C:
 	case <-ctx.Done():
 	}
-	return r.settle(ctx, p, q)
+	return r.finishWait(ctx, p, q)
 }
 
-// join goes in at once, or into the queue, or is refused.
-func (r *Limiter) join(q Request) (*place, error) {
+// acquireOrQueue goes in at once, or into the queue, or is refused.
+func (r *Limiter) acquireOrQueue(q Request) (*waiter, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.now().Sub(r.fullAt) > calm {
-		r.limit = max(r.limit, float64(r.inside+r.queue.Len()+1))
-		r.admit()
+	if r.now().Sub(r.lastOverloadAt) > limitHold {
+		r.limit = max(r.limit, float64(r.inFlight+r.queue.Len()+1))
+		r.admitWaiting()
 	}
-	if r.queue.Len() == 0 && r.hasRoom(q.Customer) {
-		r.inside++
+	if r.queue.Len() == 0 && r.hasCapacity(q.Customer) {
+		r.inFlight++
 		r.queue.Acquire(q.Customer)
 		return nil, nil
 	}
-	if r.tooLong(q) {
+	if r.waitTooLong(q) {
 		victim, ok := r.queue.Shed(q.Customer, q.Priority)
 		if !ok {
 			return nil, r.refusalLocked("too many requests wait already")
 		}
-		close(victim.shed)
+		close(victim.dropped)
 	}
-	p := &place{in: make(chan struct{}), shed: make(chan struct{})}
+	p := &waiter{admitted: make(chan struct{}), dropped: make(chan struct{})}
 	r.queue.Push(p, q.Customer, q.Priority)
-	r.admit()
+	r.admitWaiting()
 	return p, nil
 }
 
-// hasRoom tells whether one more of a customer may go in.
-func (r *Limiter) hasRoom(customer string) bool {
+// hasCapacity tells whether one more of a customer may go in.
+func (r *Limiter) hasCapacity(customer string) bool {
 	limit := r.limit
 	if float64(r.queue.Held(customer)+1) <= r.limit/float64(r.queue.Customers()+1) {
-		limit += headroom * r.limit
+		limit += fairShareHeadroom * r.limit
 	}
-	return float64(r.inside+1) <= limit
+	return float64(r.inFlight+1) <= limit
 }
 
-// tooLong tells whether one more would wait longer than it may.
-func (r *Limiter) tooLong(q Request) bool {
-	wait := r.wait()
+// waitTooLong tells whether one more would wait longer than it may.
+func (r *Limiter) waitTooLong(q Request) bool {
+	wait := r.expectedWait()
 	half := q.Deadline.Sub(r.now()) / 2
-	if r.interval == 0 {
-		return r.queue.Len() >= blindQueue
+	if r.releaseInterval == 0 {
+		return r.queue.Len() >= initialQueueLimit
 	}
 	return wait > min(maxWait, half)
 }
 
-// wait predicts how long the last in the queue waits.
-func (r *Limiter) wait() time.Duration {
-	return time.Duration(r.queue.Len()+1) * r.interval
+// expectedWait predicts how long the last in the queue waits.
+func (r *Limiter) expectedWait() time.Duration {
+	return time.Duration(r.queue.Len()+1) * r.releaseInterval
 }
 
 func (r *Limiter) refusal(msg string) error {
@@ -152,44 +152,44 @@
 // refusalLocked says when to come back: when the present queue will be gone,
 // spread so that a burst does not come back as one.
 func (r *Limiter) refusalLocked(msg string) error {
-	e := fault.New(fault.Overloaded, "%s: %d at the engines, %d waiting", msg, r.inside, r.queue.Len())
-	e.RetryAfter = limits.Jitter(max(2*r.wait(), time.Second))
+	e := fault.New(fault.Overloaded, "%s: %d at the engines, %d waiting", msg, r.inFlight, r.queue.Len())
+	e.RetryAfter = limits.Jitter(max(2*r.expectedWait(), time.Second))
 	return e
 }
 
-// settle ends a wait. Its end, the caller's and a place that is given may come in the
+// finishWait ends a wait. Its end, the caller's and a place that is given may come in the
 // same moment, so it asks again under the lock that places are given under: a place
 // that was given is used, unless nobody is there to use it.
-func (r *Limiter) settle(ctx context.Context, p *place, q Request) error {
+func (r *Limiter) finishWait(ctx context.Context, p *waiter, q Request) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.queue.Remove(p) {
 		return r.refusalLocked("waited in vain")
 	}
 	select {
-	case <-p.in:
+	case <-p.admitted:
 	default:
 		return r.refusalLocked("given up for a request worth more")
 	}
 	if ctx.Err() == nil {
 		return nil
 	}
-	r.leave(q.Customer)
+	r.releaseLocked(q.Customer)
 	return r.refusalLocked("the caller has left")
 }
 
-// admit lets in what there is room for. The queue counts the places by
+// admitWaiting lets in what there is room for. The queue counts the places by
 // customer, so a popped place is held by its own.
-func (r *Limiter) admit() {
+func (r *Limiter) admitWaiting() {
 	for {
 		next, ok := r.queue.NextCustomer()
-		if !ok || !r.hasRoom(next) {
+		if !ok || !r.hasCapacity(next) {
 			return
 		}
 		p, customer, _ := r.queue.PopWithCustomer()
-		r.inside++
+		r.inFlight++
 		r.queue.Acquire(customer)
-		close(p.in)
+		close(p.admitted)
 	}
 }
 
@@ -198,41 +198,41 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !full {
-		r.measure()
-		if float64(r.inside) >= r.limit-1 {
+		r.recordRelease()
+		if float64(r.inFlight) >= r.limit-1 {
 			r.limit += 1 / r.limit
 		}
 	}
-	r.leave(customer)
+	r.releaseLocked(customer)
 }
 
-func (r *Limiter) leave(customer string) {
-	r.inside--
+func (r *Limiter) releaseLocked(customer string) {
+	r.inFlight--
 	r.queue.Release(customer)
-	r.admit()
+	r.admitWaiting()
 }
 
-func (r *Limiter) measure() {
+func (r *Limiter) recordRelease() {
 	now := r.now()
-	if !r.leftAt.IsZero() {
-		d := now.Sub(r.leftAt)
-		if r.interval == 0 {
-			r.interval = d
+	if !r.lastReleaseAt.IsZero() {
+		d := now.Sub(r.lastReleaseAt)
+		if r.releaseInterval == 0 {
+			r.releaseInterval = d
 		}
-		r.interval += time.Duration(rateWeight * float64(d-r.interval))
+		r.releaseInterval += time.Duration(intervalWeight * float64(d-r.releaseInterval))
 	}
-	r.leftAt = now
+	r.lastReleaseAt = now
 }
 
 // Overloaded takes in that a gate or the router refused for lack of room.
 func (r *Limiter) Overloaded() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.now().Sub(r.fullAt) < backOffEvery {
+	if r.now().Sub(r.lastOverloadAt) < minDecreaseInterval {
 		return
 	}
-	r.fullAt = r.now()
-	r.limit = max(1, min(r.limit, float64(r.inside))*backOff)
+	r.lastOverloadAt = r.now()
+	r.limit = max(1, min(r.limit, float64(r.inFlight))*decreaseFactor)
 }
 
 // Limit is how many requests may be inside now.
--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -12,14 +12,14 @@
 	"github.com/skylarkwood/skylarkwood/internal/fault"
 )
 
-func ask(customer string, priority int) Request {
+func request(customer string, priority int) Request {
 	return Request{Customer: customer, Priority: priority, Deadline: time.Now().Add(time.Minute)}
 }
 
-// fill lets n requests in, then says that the engines are full.
-func fill(t *testing.T, r *Limiter, customer string, n int) {
+// saturate lets n requests in, then says that the engines are full.
+func saturate(t *testing.T, r *Limiter, customer string, n int) {
 	for i := 0; i < n; i++ {
-		assert.NilError(t, r.Acquire(context.Background(), ask(customer, 3)))
+		assert.NilError(t, r.Acquire(context.Background(), request(customer, 3)))
 	}
 	r.Overloaded()
 }
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := NewLimiter(time.Now)
 		for i := 0; i < 1000; i++ {
-			assert.NilError(t, r.Acquire(context.Background(), ask("c", 0)))
+			assert.NilError(t, r.Acquire(context.Background(), request("c", 0)))
 		}
 	})
 }
@@ -39,7 +39,7 @@
 func TestFloodIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := NewLimiter(time.Now)
-		fill(t, r, "flood", 10)
+		saturate(t, r, "flood", 10)
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		after := map[time.Duration]bool{}
@@ -47,7 +47,7 @@
 		for i := 0; i < 100; i++ {
 			wg.Go(func() {
 				began := time.Now()
-				err := r.Acquire(context.Background(), ask("flood", 3))
+				err := r.Acquire(context.Background(), request("flood", 3))
 				assert.Check(t, fault.Is(err, fault.Overloaded))
 				mu.Lock()
 				defer mu.Unlock()
@@ -68,10 +68,10 @@
 func TestSmallCustomerGoesBeforeTheFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := NewLimiter(time.Now)
-		fill(t, r, "flood", 10)
+		saturate(t, r, "flood", 10)
 		order := make(chan string, 32)
 		enter := func(customer string) {
-			if r.Acquire(context.Background(), ask(customer, 3)) == nil {
+			if r.Acquire(context.Background(), request(customer, 3)) == nil {
 				order <- customer
 			}
 		}
@@ -95,18 +95,18 @@
 func TestLowPriorityIsShedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := NewLimiter(time.Now)
-		fill(t, r, "c", 4)
-		low := make(chan time.Duration, blindQueue)
-		for i := 0; i < blindQueue; i++ {
+		saturate(t, r, "c", 4)
+		low := make(chan time.Duration, initialQueueLimit)
+		for i := 0; i < initialQueueLimit; i++ {
 			go func() {
 				began := time.Now()
-				assert.Check(t, fault.Is(r.Acquire(context.Background(), ask("c", 1)), fault.Overloaded))
+				assert.Check(t, fault.Is(r.Acquire(context.Background(), request("c", 1)), fault.Overloaded))
 				low <- time.Since(began)
 			}()
 		}
 		synctest.Wait()
 		high := make(chan error, 1)
-		go func() { high <- r.Acquire(context.Background(), ask("c", 9)) }()
+		go func() { high <- r.Acquire(context.Background(), request("c", 9)) }()
 		assert.Equal(t, <-low, time.Duration(0))
 		r.Release("c", false)
 		assert.NilError(t, <-high)
@@ -119,10 +119,10 @@
 func TestDeadlineWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := NewLimiter(time.Now)
-		fill(t, r, "c", 4)
+		saturate(t, r, "c", 4)
 		ctx, cancel := context.WithTimeout(context.Background(), maxWait/4)
 		defer cancel()
-		assert.Assert(t, r.Acquire(ctx, ask("c", 1)) != nil)
+		assert.Assert(t, r.Acquire(ctx, request("c", 1)) != nil)
 		assert.Equal(t, r.queue.Len(), 0)
 	})
 }
@@ -134,23 +134,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		const places, small = 60, 5
 		r := NewLimiter(time.Now)
-		fill(t, r, "flood", places)
+		saturate(t, r, "flood", places)
 		for i := range small {
 			began := time.Now()
-			assert.NilError(t, r.Acquire(context.Background(), ask(string(rune('a'+i)), 3)))
+			assert.NilError(t, r.Acquire(context.Background(), request(string(rune('a'+i)), 3)))
 			assert.Equal(t, time.Since(began), time.Duration(0))
 		}
-		err := r.Acquire(context.Background(), ask("flood", 3))
+		err := r.Acquire(context.Background(), request("flood", 3))
 		assert.Assert(t, fault.Is(err, fault.Overloaded))
 	})
 }
 
-// insiders counts who has a place, once all is quiet.
-func insiders(r *Limiter) int {
+// inFlight counts who has a place, once all is quiet.
+func inFlight(r *Limiter) int {
 	synctest.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.inside
+	return r.inFlight
 }
 
 // A request has left, or leaves in the moment its turn comes. Its place goes to the
@@ -160,21 +160,21 @@
 		left, leave := context.WithCancel(context.Background())
 		leave()
 		r := NewLimiter(time.Now)
-		assert.Check(t, r.Acquire(left, ask("c", 3)) != nil)
-		assert.Check(t, insiders(r) == 0)
+		assert.Check(t, r.Acquire(left, request("c", 3)) != nil)
+		assert.Check(t, inFlight(r) == 0)
 		for range 100 {
 			r := NewLimiter(time.Now)
-			fill(t, r, "c", 1)
+			saturate(t, r, "c", 1)
 			ctx, leave := context.WithCancel(context.Background())
 			answer := make(chan error, 1)
-			go func() { answer <- r.Acquire(ctx, ask("c", 3)) }()
+			go func() { answer <- r.Acquire(ctx, request("c", 3)) }()
 			synctest.Wait()
 			r.mu.Lock()
 			leave()
-			r.leave("c")
+			r.releaseLocked("c")
 			r.mu.Unlock()
 			assert.Check(t, <-answer != nil)
-			assert.Check(t, insiders(r) == 0)
+			assert.Check(t, inFlight(r) == 0)
 		}
 	})
 }
@@ -184,16 +184,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		for range 100 {
 			r := NewLimiter(time.Now)
-			fill(t, r, "c", 1)
+			saturate(t, r, "c", 1)
 			answer := make(chan error, 1)
-			go func() { answer <- r.Acquire(context.Background(), ask("c", 3)) }()
+			go func() { answer <- r.Acquire(context.Background(), request("c", 3)) }()
 			synctest.Wait()
 			r.mu.Lock()
 			time.Sleep(2 * maxWait) // the wait ends now as well
-			r.leave("c")
+			r.releaseLocked("c")
 			r.mu.Unlock()
 			assert.Check(t, <-answer == nil)
-			assert.Check(t, insiders(r) == 1)
+			assert.Check(t, inFlight(r) == 1)
 		}
 	})
 }
--- a/internal/coordination/admission/line.go
+++ b/internal/coordination/admission/line.go
@@ -8,23 +8,23 @@
 	"github.com/skylarkwood/skylarkwood/internal/coordination/fair"
 )
 
-// lineTick is how often the front of a line looks for room that other routers'
+// pollInterval is how often the front of a line looks for room that other routers'
 // streams gave back; room given back here wakes it at once.
-const lineTick = 40 * time.Millisecond
+const pollInterval = 40 * time.Millisecond
 
 // WaitQueue lets requests wait a moment for token memory, the most urgent first and
 // fairly among customers. Only who is at the front may try.
 type WaitQueue struct {
 	mu    sync.Mutex
-	queue *fair.Queue[*waiter]
+	queue *fair.Queue[*queuedRequest]
 }
 
-type waiter struct {
+type queuedRequest struct {
 	wake chan struct{}
 }
 
 // NewWaitQueue makes an empty line.
-func NewWaitQueue() *WaitQueue { return &WaitQueue{queue: fair.New[*waiter]()} }
+func NewWaitQueue() *WaitQueue { return &WaitQueue{queue: fair.New[*queuedRequest]()} }
 
 // Len counts who waits.
 func (l *WaitQueue) Len() int {
@@ -44,17 +44,17 @@
 	if l.Len() == 0 && try() {
 		return true
 	}
-	w := &waiter{wake: make(chan struct{}, 1)}
+	w := &queuedRequest{wake: make(chan struct{}, 1)}
 	l.mu.Lock()
 	l.queue.Push(w, q.Customer, q.Priority)
 	l.mu.Unlock()
-	defer l.leave(w)
+	defer l.remove(w)
 	patience := time.NewTimer(most)
 	defer patience.Stop()
-	tick := time.NewTicker(lineTick)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
-		if ctx.Err() == nil && l.first(w) && try() {
+		if ctx.Err() == nil && l.isFront(w) && try() {
 			return true
 		}
 		select {
@@ -62,7 +62,7 @@
 		case <-tick.C:
 		case <-patience.C:
 			// Room may have come free since the last look, here or elsewhere.
-			return ctx.Err() == nil && l.first(w) && try()
+			return ctx.Err() == nil && l.isFront(w) && try()
 		case <-ctx.Done():
 			return false
 		}
@@ -73,10 +73,10 @@
 func (l *WaitQueue) Notify() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.poke()
+	l.notifyLocked()
 }
 
-func (l *WaitQueue) poke() {
+func (l *WaitQueue) notifyLocked() {
 	if w, ok := l.queue.Peek(); ok {
 		select {
 		case w.wake <- struct{}{}:
@@ -85,16 +85,16 @@
 	}
 }
 
-func (l *WaitQueue) first(w *waiter) bool {
+func (l *WaitQueue) isFront(w *queuedRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	front, ok := l.queue.Peek()
 	return ok && front == w
 }
 
-func (l *WaitQueue) leave(w *waiter) {
+func (l *WaitQueue) remove(w *queuedRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.queue.Remove(w)
-	l.poke()
+	l.notifyLocked()
 }
--- a/internal/coordination/admission/line_test.go
+++ b/internal/coordination/admission/line_test.go
@@ -59,7 +59,7 @@
 		for range 3 {
 			room.Add(1)
 			l.Notify()
-			time.Sleep(lineTick)
+			time.Sleep(pollInterval)
 			synctest.Wait()
 		}
 		all.Wait()
@@ -121,7 +121,7 @@
 func TestLineLooksOnceMoreBeforeItGivesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		most := lineTick - time.Millisecond
+		most := pollInterval - time.Millisecond
 		try := func() bool { return time.Since(began) >= most }
 		assert.Assert(t, NewWaitQueue().Wait(context.Background(), Request{Customer: "c"}, most, try))
 		assert.Equal(t, time.Since(began), most)
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -37,20 +37,20 @@
 	// call of every router: at a hundred of them 4 calls a second at this TTL, 11 at a
 	// third of it. As long a router that went for good still has a share of the budgets.
 	memberTTL = 27 * time.Second
-	// renewShare of a lease passes between renewals, so that one lost renewal
+	// renewFraction of a lease passes between renewals, so that one lost renewal
 	// does not end it.
-	renewShare = 1.0 / 3
-	// turnEvery is between two looks at what is due.
-	turnEvery = leaderTTL / 3
+	renewFraction = 1.0 / 3
+	// checkInterval is between two looks at what is due.
+	checkInterval = leaderTTL / 3
 	// callTimeout bounds one call; the store answers in 4 ms, a slow one in 350.
 	callTimeout = 900 * time.Millisecond
-	// registerSpread is the time over which routers register again after the store came
+	// maxRegisterDelay is the time over which routers register again after the store came
 	// back from an older copy: four hundred of them take a hundred calls a second.
-	registerSpread = 4 * time.Second
-	// raceDelay spreads candidates, so that few transactions decide: each costs two
+	maxRegisterDelay = 4 * time.Second
+	// maxCampaignDelay spreads candidates, so that few transactions decide: each costs two
 	// calls, and the loser hears of the winner only once changes have gathered. Of a
 	// hundred candidates the first stands after 10 ms, of three after a third of it.
-	raceDelay = 800 * time.Millisecond
+	maxCampaignDelay = 800 * time.Millisecond
 )
 
 // Member is a router as it registered itself.
@@ -72,9 +72,9 @@
 	return m, nil
 }
 
-// claim is the value of the leadership key. Incarnation tells a lost answer's
+// leaderRecord is the value of the leadership key. Incarnation tells a lost answer's
 // write from that of an earlier life of the same instance.
-type claim struct {
+type leaderRecord struct {
 	Instance    string `json:"instance"`
 	Incarnation string `json:"incarnation"`
 }
@@ -90,36 +90,36 @@
 	// Eligible tells whether this process may lead now.
 	Eligible func() bool
 
-	mu      sync.Mutex
-	member  lease          // of this router's entry
-	claim   lease          // of the leadership key, while this router holds or claims it
-	token   model.Revision // fencing token; 0 while not leading
-	refused model.Revision // token that an engine refused as too old
-	holder  string
-	highest model.Revision // highest token heard of
-	// vacantAt is the revision at which nobody led, as far as was heard.
-	vacantAt model.Revision
-	era      int64 // the store's newest that was heard of
-	left     bool  // this process stops: it leads no more
-	// standAfter is when this process may stand for leadership, and registerAt when it
+	mu            sync.Mutex
+	memberLease   lease          // of this router's entry
+	leaderLease   lease          // of the leadership key, while this router holds or claims it
+	fencingToken  model.Revision // fencing token; 0 while not leading
+	rejectedToken model.Revision // token that an engine refused as too old
+	holder        string
+	highestToken  model.Revision // highest token heard of
+	// vacantRevision is the revision at which nobody led, as far as was heard.
+	vacantRevision model.Revision
+	knownEra       int64 // the store's newest that was heard of
+	stopped        bool  // this process stops: it leads no more
+	// campaignAfter is when this process may stand for leadership, and registerAfter when it
 	// may register, at the earliest.
-	standAfter, registerAt time.Duration
+	campaignAfter, registerAfter time.Duration
 }
 
 // FencingToken is the fencing token while this process leads; 0 otherwise.
 func (e *Elector) FencingToken() model.Revision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.token == 0 || e.token < e.highest || e.Clock() > e.claim.until {
+	if e.fencingToken == 0 || e.fencingToken < e.highestToken || e.Clock() > e.leaderLease.validUntil {
 		return 0
 	}
-	return e.token
+	return e.fencingToken
 }
 
 // Observe takes in the leadership key: who holds it and since which revision. An
 // empty value means that nobody does.
 func (e *Elector) Observe(value []byte, revision model.Revision) {
-	var c claim
+	var c leaderRecord
 	if len(value) > 0 {
 		if err := json.Unmarshal(value, &c); err != nil {
 			klog.InfoS("leadership key cannot be read", "err", err)
@@ -128,22 +128,22 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.era = max(e.era, revision.Era())
+	e.knownEra = max(e.knownEra, revision.Era())
 	before := e.holder
 	e.holder = c.Instance
 	if c.Instance != "" {
-		e.highest = max(e.highest, revision)
+		e.highestToken = max(e.highestToken, revision)
 	} else {
-		e.vacantAt = max(e.vacantAt, revision)
+		e.vacantRevision = max(e.vacantRevision, revision)
 	}
-	if c.Incarnation == e.Incarnation && e.token == 0 && revision != e.refused && !e.left && e.claim.id != 0 {
+	if c.Incarnation == e.Incarnation && e.fencingToken == 0 && revision != e.rejectedToken && !e.stopped && e.leaderLease.id != 0 {
 		// The answer to our own claim was lost, but the claim took effect.
-		e.token = revision
+		e.fencingToken = revision
 		klog.InfoS("leadership found won", "token", revision)
 	}
-	if c.Incarnation != e.Incarnation && e.token != 0 {
-		klog.InfoS("leadership lost", "token", e.token, "holder", c.Instance, "revision", revision)
-		e.token = 0
+	if c.Incarnation != e.Incarnation && e.fencingToken != 0 {
+		klog.InfoS("leadership lost", "token", e.fencingToken, "holder", c.Instance, "revision", revision)
+		e.fencingToken = 0
 	}
 	if before != e.holder {
 		klog.InfoS("leader changed", "from", before, "to", e.holder, "revision", revision)
@@ -158,23 +158,23 @@
 // fall, as revisions of a new era are higher than all before. Entries are written again
 // spread over time, or all routers would call at one moment.
 func (e *Elector) HandleStoreRestore() {
-	spread := registerSpread
+	spread := maxRegisterDelay
 	if e.Eligible() {
-		spread = raceDelay // only who is registered stands
+		spread = maxCampaignDelay // only who is registered stands
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Clock()
-	e.standAfter = now + leaderTTL
-	e.registerAt = now + time.Duration(rand.Int64N(int64(spread)))
-	if e.token != 0 && now <= e.claim.until {
+	e.campaignAfter = now + leaderTTL
+	e.registerAfter = now + time.Duration(rand.Int64N(int64(spread)))
+	if e.fencingToken != 0 && now <= e.leaderLease.validUntil {
 		// It is the one that may believe in a lease, and does not any more.
-		klog.InfoS("leadership lost: the store came back from an older copy", "token", e.token)
-		e.standAfter, e.registerAt = now, now
+		klog.InfoS("leadership lost: the store came back from an older copy", "token", e.fencingToken)
+		e.campaignAfter, e.registerAfter = now, now
 	}
-	e.token = 0
-	e.claim = lease{}
-	e.member = lease{}
+	e.fencingToken = 0
+	e.leaderLease = lease{}
+	e.memberLease = lease{}
 	e.holder = ""
 }
 
@@ -182,67 +182,67 @@
 func (e *Elector) TokenRejected(token model.Revision) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.token == token {
+	if e.fencingToken == token {
 		klog.InfoS("resigned: an engine has seen a higher fencing token", "token", token)
-		e.token = 0
-		e.refused = token
+		e.fencingToken = 0
+		e.rejectedToken = token
 	}
 }
 
 // Run registers, renews and stands for leadership until ctx ends; then it gives
 // its leases back, so that another need not wait for them.
 func (e *Elector) Run(ctx context.Context) {
-	tick := time.NewTicker(turnEvery)
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
-		e.turn(ctx)
-		if e.vacant() {
+		e.maintainLeases(ctx)
+		if e.canCampaign() {
 			select {
-			case <-time.After(time.Duration(rand.Int64N(int64(raceDelay)))):
-				e.stand(ctx)
+			case <-time.After(time.Duration(rand.Int64N(int64(maxCampaignDelay)))):
+				e.campaign(ctx)
 			case <-ctx.Done():
 			}
 		}
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			e.leave()
+			e.releaseLeases()
 			return
 		}
 	}
 }
 
-// vacant tells whether nobody leads and this router may stand: it is registered,
+// canCampaign tells whether nobody leads and this router may stand: it is registered,
 // and no claim of its own is undecided.
-func (e *Elector) vacant() bool {
+func (e *Elector) canCampaign() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.holder == "" && e.member.id != 0 && e.Clock() >= max(e.claim.until, e.standAfter)
+	return e.holder == "" && e.memberLease.id != 0 && e.Clock() >= max(e.leaderLease.validUntil, e.campaignAfter)
 }
 
-// stand tries to become leader: the key must not exist.
-func (e *Elector) stand(ctx context.Context) {
-	if !e.vacant() || !e.Eligible() {
+// campaign tries to become leader: the key must not exist.
+func (e *Elector) campaign(ctx context.Context) {
+	if !e.canCampaign() || !e.Eligible() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	value, err := json.Marshal(claim{Instance: e.Self.Instance, Incarnation: e.Incarnation})
+	value, err := json.Marshal(leaderRecord{Instance: e.Self.Instance, Incarnation: e.Incarnation})
 	if err != nil {
 		klog.ErrorS(err, "claim not encoded")
 		return
 	}
-	if e.taken(ctx) {
+	if e.leaderInCopy(ctx) {
 		return
 	}
 	l := e.grant(ctx, leaderTTL)
-	if l.id == 0 || !e.vacant() {
+	if l.id == 0 || !e.canCampaign() {
 		return
 	}
 	// Before the claim is made: the watch may show that it won before its answer
 	// comes, or instead of it.
 	e.mu.Lock()
-	e.claim = l
+	e.leaderLease = l
 	e.mu.Unlock()
 	revision, err := e.Store.Commit(ctx, platform.Txn{
 		If:  []platform.Condition{{Key: Key}},
@@ -250,10 +250,10 @@
 	})
 	if err != nil {
 		klog.InfoS("leadership not won", "err", err)
-		e.notWon(err)
+		e.recordLoss(err)
 		return
 	}
-	if e.win(revision) {
+	if e.recordWin(revision) {
 		return
 	}
 	if err := e.Store.Revoke(ctx, l.id); err != nil {
@@ -261,48 +261,48 @@
 	}
 }
 
-// taken tells whether a copy of the store already has another leader: a tenth of a call
+// leaderInCopy tells whether a copy of the store already has another leader: a tenth of a call
 // saves two. The copy may be old; what it has counts only if it is newer than all that
 // the watch told, and the watch goes on telling who leads.
-func (e *Elector) taken(ctx context.Context) bool {
+func (e *Elector) leaderInCopy(ctx context.Context) bool {
 	it, err := e.Store.Peek(ctx, Key)
 	if err != nil {
 		return false
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return it.Revision > e.vacantAt
+	return it.Revision > e.vacantRevision
 }
 
-// win takes in that the claim was carried out. Where that was in an era of the store of
+// recordWin takes in that the claim was carried out. Where that was in an era of the store of
 // which this process has not heard, it gives the leadership up: the key was absent because
 // the store came back without it, and a leader may still believe in its lease.
-func (e *Elector) win(revision model.Revision) bool {
+func (e *Elector) recordWin(revision model.Revision) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if revision.Era() > e.era || e.Clock() < e.standAfter {
-		klog.InfoS("leadership given up: it was won in an era not heard of before", "revision", revision, "era", e.era)
-		e.claim = lease{}
+	if revision.Era() > e.knownEra || e.Clock() < e.campaignAfter {
+		klog.InfoS("leadership given up: it was won in an era not heard of before", "revision", revision, "era", e.knownEra)
+		e.leaderLease = lease{}
 		return false
 	}
-	e.token = revision
-	e.highest = max(e.highest, revision)
+	e.fencingToken = revision
+	e.highestToken = max(e.highestToken, revision)
 	e.holder = e.Self.Instance
 	klog.InfoS("leadership won", "token", revision)
 	return true
 }
 
-// notWon forgets a claim that surely did not win. One whose answer was lost shows
+// recordLoss forgets a claim that surely did not win. One whose answer was lost shows
 // in the watch, or in nothing; until its lease has run out the next one would
 // replace the lease under which it may stand, and a leader that renewed the wrong
 // lease would believe to lead after its key is gone.
-func (e *Elector) notWon(err error) {
+func (e *Elector) recordLoss(err error) {
 	if !errors.Is(err, platform.ErrConflict) {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.claim = lease{}
+	e.leaderLease = lease{}
 }
 
 // resign ends the leadership here, for good, and gives the leases to be given back.
@@ -314,12 +314,12 @@
 func (e *Elector) resign() []platform.LeaseID {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	held := []platform.LeaseID{e.claim.id, e.member.id}
-	if e.token != 0 {
-		klog.InfoS("resigned: this router stops", "token", e.token)
+	held := []platform.LeaseID{e.leaderLease.id, e.memberLease.id}
+	if e.fencingToken != 0 {
+		klog.InfoS("resigned: this router stops", "token", e.fencingToken)
 	}
-	e.left = true
-	e.token = 0
-	e.claim = lease{}
+	e.stopped = true
+	e.fencingToken = 0
+	e.leaderLease = lease{}
 	return held
 }
--- a/internal/coordination/leader/leader_test.go
+++ b/internal/coordination/leader/leader_test.go
@@ -15,25 +15,25 @@
 	"github.com/skylarkwood/skylarkwood/platform/standin"
 )
 
-// candidate is an elector with a watch of the leadership key, and a clock that
+// testElector is an elector with a watch of the leadership key, and a clock that
 // can be stopped and thawed like that of a suspended instance.
-type candidate struct {
+type testElector struct {
 	e    *Elector
 	stop context.CancelFunc
 	done sync.WaitGroup
 }
 
-func start(store *standin.Store, name string) *candidate {
+func start(store *standin.Store, name string) *testElector {
 	c, ctx := run(store, name)
 	c.done.Go(func() { c.watch(ctx, store) })
 	return c
 }
 
 // run starts a candidate that does not watch yet; its context ends with end.
-func run(store platform.Store, name string) (*candidate, context.Context) {
+func run(store platform.Store, name string) (*testElector, context.Context) {
 	ctx, cancel := context.WithCancel(context.Background())
 	began := time.Now()
-	c := &candidate{stop: cancel}
+	c := &testElector{stop: cancel}
 	c.e = &Elector{
 		Store:       store,
 		Self:        Member{Instance: name, Address: name + ":1"},
@@ -45,7 +45,7 @@
 	return c, ctx
 }
 
-func (c *candidate) watch(ctx context.Context, store *standin.Store) {
+func (c *testElector) watch(ctx context.Context, store *standin.Store) {
 	after := model.Revision(0)
 	for ctx.Err() == nil {
 		bounded, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -62,12 +62,12 @@
 	}
 }
 
-func (c *candidate) end() {
+func (c *testElector) shutDown() {
 	c.stop()
 	c.done.Wait()
 }
 
-func leaders(cs ...*candidate) int {
+func leaders(cs ...*testElector) int {
 	n := 0
 	for _, c := range cs {
 		if c.e.FencingToken() != 0 {
@@ -84,9 +84,9 @@
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, leaders(a, b, c), 1)
 		assert.Equal(t, len(store.Keys(MemberPrefix)), 3)
-		a.end()
-		b.end()
-		c.end()
+		a.shutDown()
+		b.shutDown()
+		c.shutDown()
 	})
 }
 
@@ -101,10 +101,10 @@
 		assert.Assert(t, first != 0)
 		b := start(store, "b")
 		time.Sleep(2 * time.Second)
-		a.end()
+		a.shutDown()
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, b.e.FencingToken() > first)
-		b.end()
+		b.shutDown()
 	})
 }
 
@@ -122,7 +122,7 @@
 		mem.SetFaults(standin.StoreFaults{})
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, leaders(a), 1, "it stands again")
-		a.end()
+		a.shutDown()
 	})
 }
 
@@ -132,15 +132,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		// The first write is the registration, the second the claim.
-		lossy := &losing{Store: store, skip: 1, lose: 1}
+		lossy := &lossyStore{Store: store, skip: 1, drop: 1}
 		a := start(store, "a")
-		a.end()
+		a.shutDown()
 		b, ctx := run(lossy, "b")
 		b.done.Go(func() { b.watch(ctx, store) })
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, lossy.losses(), 1)
+		assert.Equal(t, lossy.droppedCount(), 1)
 		assert.Equal(t, leaders(b), 1)
-		b.end()
+		b.shutDown()
 	})
 }
 
@@ -158,24 +158,24 @@
 		assert.NilError(t, err)
 		a.e.Observe(it.Value, it.Revision)
 		assert.Equal(t, a.e.FencingToken(), model.Revision(0))
-		a.end()
+		a.shutDown()
 	})
 }
 
-// losing loses the answers of some commits that took effect.
-type losing struct {
+// lossyStore loses the answers of some commits that took effect.
+type lossyStore struct {
 	*standin.Store
-	mu               sync.Mutex
-	skip, lose, lost int
+	mu                  sync.Mutex
+	skip, drop, dropped int
 }
 
-func (l *losing) losses() int {
+func (l *lossyStore) droppedCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lost
+	return l.dropped
 }
 
-func (l *losing) Commit(ctx context.Context, txn platform.Txn) (model.Revision, error) {
+func (l *lossyStore) Commit(ctx context.Context, txn platform.Txn) (model.Revision, error) {
 	revision, err := l.Store.Commit(ctx, txn)
 	if err != nil {
 		return revision, err
@@ -186,9 +186,9 @@
 		l.skip--
 		return revision, nil
 	}
-	if l.lose > 0 {
-		l.lose--
-		l.lost++
+	if l.drop > 0 {
+		l.drop--
+		l.dropped++
 		return 0, platform.ErrUnknown
 	}
 	return revision, nil
@@ -200,10 +200,10 @@
 func TestLeaderHoldsTheLeaseOfItsKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
-		lossy := &losing{Store: store, skip: 1, lose: 1}
+		lossy := &lossyStore{Store: store, skip: 1, drop: 1}
 		c, ctx := run(lossy, "c")
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, lossy.losses(), 1)
+		assert.Equal(t, lossy.droppedCount(), 1)
 		c.done.Go(func() { c.watch(ctx, store) })
 		led := 0
 		for range 200 {
@@ -216,7 +216,7 @@
 			}
 		}
 		assert.Assert(t, led > 190, "led at %d of 200 looks", led)
-		c.end()
+		c.shutDown()
 	})
 }
 
@@ -228,7 +228,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const routers, seconds = 24, 60
 		store := standin.NewStore()
-		var all []*candidate
+		var all []*testElector
 		for i := range routers {
 			all = append(all, start(store, fmt.Sprint("r", i)))
 		}
@@ -241,7 +241,7 @@
 		assert.Assert(t, calls.KeepAlives <= mostRenewals, "%d renewals", calls.KeepAlives)
 		assert.Assert(t, calls.Writes <= mostWrites, "%d writes", calls.Writes)
 		for _, c := range all {
-			c.end()
+			c.shutDown()
 		}
 	})
 }
--- a/internal/coordination/leader/lease.go
+++ b/internal/coordination/leader/lease.go
@@ -13,30 +13,30 @@
 
 // lease is one lease of this process; the zero value is none.
 type lease struct {
-	id    platform.LeaseID
-	until time.Duration // by this process's clock it runs at least so long
-	renew time.Duration // when it is due to be renewed
+	id         platform.LeaseID
+	validUntil time.Duration // by this process's clock it runs at least so long
+	renewAt    time.Duration // when it is due to be renewed
 }
 
-func granted(id platform.LeaseID, began, ttl time.Duration) lease {
-	return lease{id: id, until: began + ttl, renew: began + time.Duration(renewShare*float64(ttl))}
+func newLease(id platform.LeaseID, began, ttl time.Duration) lease {
+	return lease{id: id, validUntil: began + ttl, renewAt: began + time.Duration(renewFraction*float64(ttl))}
 }
 
-// turn renews what is due, and registers where there is no entry.
-func (e *Elector) turn(ctx context.Context) {
-	e.keepClaim(ctx)
+// maintainLeases renews what is due, and registers where there is no entry.
+func (e *Elector) maintainLeases(ctx context.Context) {
+	e.renewLeaderLease(ctx)
 	e.mu.Lock()
-	member := e.member
-	due := e.Clock() >= e.registerAt
+	member := e.memberLease
+	due := e.Clock() >= e.registerAfter
 	e.mu.Unlock()
 	switch {
 	case member.id == 0 && due:
 		e.register(ctx)
-	case member.id != 0 && e.Clock() >= member.renew:
-		kept := e.keep(ctx, member, memberTTL)
+	case member.id != 0 && e.Clock() >= member.renewAt:
+		kept := e.renew(ctx, member, memberTTL)
 		e.mu.Lock()
-		if e.member.id == member.id { // else a new era began meanwhile
-			e.member = kept
+		if e.memberLease.id == member.id { // else a new era began meanwhile
+			e.memberLease = kept
 		}
 		e.mu.Unlock()
 		if kept.id == 0 {
@@ -45,38 +45,38 @@
 	}
 }
 
-// keepClaim renews the lease of the leadership key while this router leads. That
+// renewLeaderLease renews the lease of the leadership key while this router leads. That
 // of a claim which did not win runs out by itself: nothing hangs on it.
-func (e *Elector) keepClaim(ctx context.Context) {
+func (e *Elector) renewLeaderLease(ctx context.Context) {
 	e.mu.Lock()
-	claim := e.claim
-	leads := e.token != 0
+	claim := e.leaderLease
+	leads := e.fencingToken != 0
 	e.mu.Unlock()
 	if claim.id == 0 || !leads {
 		return
 	}
-	kept := e.keep(ctx, claim, leaderTTL)
+	kept := e.renew(ctx, claim, leaderTTL)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.claim.id != claim.id {
+	if e.leaderLease.id != claim.id {
 		return // a new era began meanwhile
 	}
-	e.claim = kept
+	e.leaderLease = kept
 	if kept.id == 0 {
-		e.token = 0
+		e.fencingToken = 0
 	}
 }
 
-// keep renews a lease; it gives none where the lease has ended, and the lease as
+// renew renews a lease; it gives none where the lease has ended, and the lease as
 // it was where that is not known.
-func (e *Elector) keep(ctx context.Context, l lease, ttl time.Duration) lease {
+func (e *Elector) renew(ctx context.Context, l lease, ttl time.Duration) lease {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	began := e.Clock()
 	err := e.Store.KeepAlive(ctx, l.id)
 	switch {
 	case err == nil:
-		return granted(l.id, began, ttl)
+		return newLease(l.id, began, ttl)
 	case errors.Is(err, platform.ErrLeaseEnded):
 		klog.InfoS("lease ended", "lease", l.id)
 		return lease{}
@@ -93,7 +93,7 @@
 		klog.V(1).InfoS("no lease granted", "err", err)
 		return lease{}
 	}
-	return granted(id, began, given)
+	return newLease(id, began, given)
 }
 
 // register takes a lease and writes this router's entry under it.
@@ -118,12 +118,12 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.member = member
+	e.memberLease = member
 	klog.InfoS("registered", "lease", member.id, "ttl", memberTTL)
 }
 
-// leave gives back what this router holds, the leadership first.
-func (e *Elector) leave() {
+// releaseLeases gives back what this router holds, the leadership first.
+func (e *Elector) releaseLeases() {
 	held := e.resign()
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
--- a/internal/coordination/leader/leave_test.go
+++ b/internal/coordination/leader/leave_test.go
@@ -15,14 +15,14 @@
 	"github.com/skylarkwood/skylarkwood/platform/standin"
 )
 
-// watched tells of each lease that is given back, before it is.
-type watched struct {
+// revokeHook tells of each lease that is given back, before it is.
+type revokeHook struct {
 	*standin.Store
-	revoking func()
+	onRevoke func()
 }
 
-func (w *watched) Revoke(ctx context.Context, id platform.LeaseID) error {
-	w.revoking()
+func (w *revokeHook) Revoke(ctx context.Context, id platform.LeaseID) error {
+	w.onRevoke()
 	return w.Store.Revoke(ctx, id)
 }
 
@@ -32,10 +32,10 @@
 // many load at a time as do without slowing each other down.
 func TestALeaderThatStopsNoLongerLeadsWhenItsLeaseIsFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var a *candidate
+		var a *testElector
 		var mu sync.Mutex
 		tokens := []model.Revision{}
-		store := &watched{Store: standin.NewStore(), revoking: func() {
+		store := &revokeHook{Store: standin.NewStore(), onRevoke: func() {
 			mu.Lock()
 			defer mu.Unlock()
 			tokens = append(tokens, a.e.FencingToken())
@@ -44,7 +44,7 @@
 		a.done.Go(func() { a.watch(ctx, store.Store) })
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, a.e.FencingToken() != 0)
-		a.end()
+		a.shutDown()
 		mu.Lock()
 		defer mu.Unlock()
 		assert.DeepEqual(t, tokens, []model.Revision{0, 0})
@@ -58,12 +58,12 @@
 func TestAClaimFoundWonAfterTheStopIsNotTakenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
-		lossy := &losing{Store: store, skip: 1, lose: 1}
+		lossy := &lossyStore{Store: store, skip: 1, drop: 1}
 		a, _ := run(lossy, "a")
 		time.Sleep(time.Second)
-		assert.Equal(t, lossy.losses(), 1)
-		a.end()
-		value, err := json.Marshal(claim{Instance: "a", Incarnation: "a-1"})
+		assert.Equal(t, lossy.droppedCount(), 1)
+		a.shutDown()
+		value, err := json.Marshal(leaderRecord{Instance: "a", Incarnation: "a-1"})
 		assert.NilError(t, err)
 		a.e.Observe(value, 3)
 		assert.Equal(t, a.e.FencingToken(), model.Revision(0))
--- a/internal/coordination/leader/race_test.go
+++ b/internal/coordination/leader/race_test.go
@@ -25,7 +25,7 @@
 		assert.Equal(t, c.e.FencingToken(), model.Revision(0))
 		// One lease and one write for its own entry.
 		assert.Equal(t, store.Calls().Writes-before.Writes, 2)
-		c.end()
+		c.shutDown()
 	})
 }
 
@@ -36,9 +36,9 @@
 		store := standin.NewStore()
 		revision := store.Put(Key, []byte(`{"instance":"b","incarnation":"b-1"}`))
 		e := &Elector{Store: store}
-		assert.Assert(t, e.taken(t.Context()))
+		assert.Assert(t, e.leaderInCopy(t.Context()))
 		e.Observe(nil, revision+1)
-		assert.Assert(t, !e.taken(t.Context()))
+		assert.Assert(t, !e.leaderInCopy(t.Context()))
 	})
 }
 
@@ -46,7 +46,7 @@
 func TestFewStandForLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
-		var all []*candidate
+		var all []*testElector
 		for i := range 10 {
 			all = append(all, start(store, fmt.Sprint("r", i)))
 		}
@@ -55,7 +55,7 @@
 		before := store.Calls()
 		for _, c := range all {
 			if c.e.FencingToken() != 0 {
-				c.end()
+				c.shutDown()
 			}
 		}
 		time.Sleep(3 * time.Second)
@@ -63,7 +63,7 @@
 		// A lease and a claim of the winner, and of one more who crossed it.
 		assert.Assert(t, store.Calls().Writes-before.Writes <= 4+2, "%d writes", store.Calls().Writes-before.Writes)
 		for _, c := range all {
-			c.end()
+			c.shutDown()
 		}
 	})
 }
--- a/internal/coordination/leader/restore_test.go
+++ b/internal/coordination/leader/restore_test.go
@@ -16,36 +16,36 @@
 	"github.com/skylarkwood/skylarkwood/platform/standin"
 )
 
-// cuttable is a store that one router may be cut off from.
-type cuttable struct {
+// disconnectableStore is a store that one router may be cut off from.
+type disconnectableStore struct {
 	*standin.Store
-	cut atomic.Bool
+	disconnected atomic.Bool
 }
 
-func (c *cuttable) KeepAlive(ctx context.Context, id platform.LeaseID) error {
-	if c.cut.Load() {
+func (c *disconnectableStore) KeepAlive(ctx context.Context, id platform.LeaseID) error {
+	if c.disconnected.Load() {
 		<-ctx.Done()
 		return platform.ErrUnavailable
 	}
 	return c.Store.KeepAlive(ctx, id)
 }
 
-func (c *cuttable) Commit(ctx context.Context, txn platform.Txn) (model.Revision, error) {
-	if c.cut.Load() {
+func (c *disconnectableStore) Commit(ctx context.Context, txn platform.Txn) (model.Revision, error) {
+	if c.disconnected.Load() {
 		<-ctx.Done()
 		return 0, platform.ErrUnavailable
 	}
 	return c.Store.Commit(ctx, txn)
 }
 
-// startOver starts a candidate that follows the store over restores, as a router does.
-func startOver(store *cuttable, name string) *candidate {
+// startFollowing starts a candidate that follows the store over restores, as a router does.
+func startFollowing(store *disconnectableStore, name string) *testElector {
 	c, ctx := run(store, name)
 	c.done.Go(func() {
 		after := model.Revision(0)
 		for ctx.Err() == nil {
 			page, err := store.Watch(ctx, Key, after, 200*time.Millisecond)
-			if err == nil && !store.cut.Load() {
+			if err == nil && !store.disconnected.Load() {
 				for _, it := range page.Items {
 					c.e.Observe(it.Value, it.Revision)
 				}
@@ -53,7 +53,7 @@
 				continue
 			}
 			time.Sleep(50 * time.Millisecond)
-			if errors.Is(err, platform.ErrCompacted) && !store.cut.Load() {
+			if errors.Is(err, platform.ErrCompacted) && !store.disconnected.Load() {
 				after = c.reread(ctx, store, after)
 			}
 		}
@@ -61,7 +61,7 @@
 	return c
 }
 
-func (c *candidate) reread(ctx context.Context, store *cuttable, before model.Revision) model.Revision {
+func (c *testElector) reread(ctx context.Context, store *disconnectableStore, before model.Revision) model.Revision {
 	page, err := store.Range(ctx, Key)
 	if err != nil {
 		return before
@@ -76,29 +76,29 @@
 	return page.Revision
 }
 
-// trial is three routers and what is seen of their leadership every few milliseconds.
-type trial struct {
-	t      *testing.T
-	store  *standin.Store
-	stores []*cuttable
-	all    []*candidate
-	// highest is the highest token that gave orders, as engines remember it.
-	highest model.Revision
+// cluster is three routers and what is seen of their leadership every few milliseconds.
+type cluster struct {
+	t        *testing.T
+	store    *standin.Store
+	stores   []*disconnectableStore
+	electors []*testElector
+	// highestToken is the highestToken token that gave orders, as engines remember it.
+	highestToken model.Revision
 }
 
-func newTrial(t *testing.T) *trial {
-	tr := &trial{t: t, store: standin.NewStore()}
+func newCluster(t *testing.T) *cluster {
+	tr := &cluster{t: t, store: standin.NewStore()}
 	for _, name := range []string{"a", "b", "c"} {
-		s := &cuttable{Store: tr.store}
+		s := &disconnectableStore{Store: tr.store}
 		tr.stores = append(tr.stores, s)
-		tr.all = append(tr.all, startOver(s, name))
+		tr.electors = append(tr.electors, startFollowing(s, name))
 	}
 	return tr
 }
 
 // leader is the index of who leads; -1 for nobody.
-func (tr *trial) leader() int {
-	for i, c := range tr.all {
+func (tr *cluster) leader() int {
+	for i, c := range tr.electors {
 		if c.e.FencingToken() != 0 {
 			return i
 		}
@@ -106,87 +106,87 @@
 	return -1
 }
 
-// pass lets time pass; never two lead, and no engine that has seen a token sees a lower
+// checkFor lets time checkFor; never two lead, and no engine that has seen a token sees a lower
 // one from who takes itself for the leader.
-func (tr *trial) pass(d time.Duration) {
+func (tr *cluster) checkFor(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		assert.Assert(tr.t, leaders(tr.all...) <= 1)
+		assert.Assert(tr.t, leaders(tr.electors...) <= 1)
 		if i := tr.leader(); i >= 0 {
-			token := tr.all[i].e.FencingToken()
-			assert.Assert(tr.t, token >= tr.highest, "token %s after %s", token, tr.highest)
-			tr.highest = token
+			token := tr.electors[i].e.FencingToken()
+			assert.Assert(tr.t, token >= tr.highestToken, "token %s after %s", token, tr.highestToken)
+			tr.highestToken = token
 		}
 	}
 }
 
-// led waits until somebody leads with a token of the present era.
-func (tr *trial) led(within time.Duration) {
-	for end := time.Now().Add(within); time.Now().Before(end); tr.pass(50 * time.Millisecond) {
-		if i := tr.leader(); i >= 0 && tr.all[i].e.FencingToken().Era() == tr.store.Now(0).Era() {
+// awaitLeader waits until somebody leads with a token of the present era.
+func (tr *cluster) awaitLeader(within time.Duration) {
+	for end := time.Now().Add(within); time.Now().Before(end); tr.checkFor(50 * time.Millisecond) {
+		if i := tr.leader(); i >= 0 && tr.electors[i].e.FencingToken().Era() == tr.store.Now(0).Era() {
 			return
 		}
 	}
 	tr.t.Fatalf("nobody leads in era %d", tr.store.Now(0).Era())
 }
 
-func (tr *trial) end() {
-	for _, c := range tr.all {
-		c.end()
+func (tr *cluster) shutDown() {
+	for _, c := range tr.electors {
+		c.shutDown()
 	}
 }
 
-// orders is how soon after a restore engines are ordered again: the time in which an old
+// recoveryTimeout is how soon after a restore engines are ordered again: the time in which an old
 // leader may believe in its lease, and the race.
-const orders = leaderTTL + 2*time.Second
+const recoveryTimeout = leaderTTL + 2*time.Second
 
 // The store comes back from copies taken before anybody led, under the same leader, and
 // under one that has ended since, in series. There are never two leaders, not even where
 // the old one is cut off and does not hear of the return; tokens never fall, and somebody
 // leads again soon.
 func TestLeadershipOverRestores(t *testing.T) {
-	for name, play := range map[string]func(tr *trial){
-		"from before the claim": func(tr *trial) {
+	for name, play := range map[string]func(tr *cluster){
+		"from before the claim": func(tr *cluster) {
 			c := tr.store.Copy()
-			tr.led(5 * time.Second)
+			tr.awaitLeader(5 * time.Second)
 			tr.store.Restore(c)
 		},
-		"under the same leader": func(tr *trial) {
-			tr.led(5 * time.Second)
+		"under the same leader": func(tr *cluster) {
+			tr.awaitLeader(5 * time.Second)
 			c := tr.store.Copy()
-			tr.pass(2 * time.Second)
+			tr.checkFor(2 * time.Second)
 			tr.store.Restore(c)
 		},
-		"under a leader that ended": func(tr *trial) {
-			tr.led(5 * time.Second)
+		"under a leader that ended": func(tr *cluster) {
+			tr.awaitLeader(5 * time.Second)
 			c := tr.store.Copy()
 			i := tr.leader()
-			tr.all[i].end()
-			tr.led(5 * time.Second)
+			tr.electors[i].shutDown()
+			tr.awaitLeader(5 * time.Second)
 			tr.store.Restore(c)
 		},
-		"the old leader is cut off": func(tr *trial) {
+		"the old leader is cut off": func(tr *cluster) {
 			c := tr.store.Copy()
-			tr.led(5 * time.Second)
-			tr.stores[tr.leader()].cut.Store(true)
+			tr.awaitLeader(5 * time.Second)
+			tr.stores[tr.leader()].disconnected.Store(true)
 			tr.store.Restore(c)
 		},
-		"three in series": func(tr *trial) {
-			tr.led(5 * time.Second)
+		"three in series": func(tr *cluster) {
+			tr.awaitLeader(5 * time.Second)
 			c := tr.store.Copy()
 			for range 3 {
-				tr.pass(700 * time.Millisecond)
+				tr.checkFor(700 * time.Millisecond)
 				tr.store.Restore(c)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				tr := newTrial(t)
-				defer tr.end()
+				tr := newCluster(t)
+				defer tr.shutDown()
 				play(tr)
-				tr.led(orders)
-				tr.pass(10 * time.Second)
-				tr.led(time.Second)
+				tr.awaitLeader(recoveryTimeout)
+				tr.checkFor(10 * time.Second)
+				tr.awaitLeader(time.Second)
 				assert.Assert(t, len(tr.store.Keys(MemberPrefix)) >= 2, "routers are registered again")
 			})
 		})
@@ -199,8 +199,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		c := store.Copy()
-		s := &cuttable{Store: store}
-		a := startOver(s, "a")
+		s := &disconnectableStore{Store: store}
+		a := startFollowing(s, "a")
 		time.Sleep(3 * time.Second)
 		store.Restore(c)
 		time.Sleep(100 * time.Millisecond)
@@ -210,7 +210,7 @@
 			_, err = store.Commit(t.Context(), platform.Txn{Put: []platform.Item{{Key: fmt.Sprint(Prefix, "other", i), Value: []byte("x"), Lease: id}}})
 			assert.NilError(t, err)
 		}
-		a.end()
+		a.shutDown()
 		assert.Equal(t, len(store.Keys(Prefix+"other")), 4)
 	})
 }
@@ -233,7 +233,7 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		assert.Equal(t, leaders(behind), 0)
-		a.end()
-		behind.end()
+		a.shutDown()
+		behind.shutDown()
 	})
 }
