--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -1,6 +1,6 @@
-// Package leader holds a process's membership in the store and elects the one
-// router that orders engines. Leadership is a key bound to a lease; the
-// revision at which it was won is the fencing token of every order.
+// Package leader registers a router in the store and elects the one router that sends orders to
+// engines. Leadership is a key bound to a lease. The revision at which the key was written is the
+// fencing token of the leader's orders.
 package leader
 
 import (
@@ -24,43 +24,44 @@
 	MemberPrefix = Prefix + "routers/"
 	Key          = Prefix + "leader"
 	PlanPrefix   = Prefix + "plan/"
-	// QuarantineKey holds the requests under which servers end.
+	// QuarantineKey holds the verdicts on quarantined requests.
 	QuarantineKey = Prefix + "quarantine"
 )
 
 const (
-	// leaderTTL is the lease of the leadership key: a leader that died is
-	// replaced after it.
+	// leaderTTL is the lease of the leadership key. A leader that exited is replaced after
+	// it.
 	leaderTTL = 3 * time.Second
-	// memberTTL is the lease of a router's entry. It only tells routers where
-	// others are; whether they are there is heard from themselves. Each renewal is a
-	// call of every router: at a hundred of them 4 calls a second at this TTL, 11 at a
-	// third of it. As long a router that went for good still has a share of the budgets.
+	// memberTTL is the lease of a router's entry. The entry only holds the router's address:
+	// routers detect by themselves whether a peer is alive. A long TTL keeps the number of
+	// renewals low, each of which is a call to the store. A router that exited counts
+	// towards the shared budgets until the lease expires.
 	memberTTL = 27 * time.Second
-	// renewFraction of a lease passes between renewals, so that one lost renewal
-	// does not end it.
+	// renewFraction is the fraction of a TTL after which a lease is renewed, so that one
+	// failed renewal does not end it.
 	renewFraction = 1.0 / 3
-	// checkInterval is between two looks at what is due.
+	// checkInterval is the interval at which Run checks for leases to renew and for a
+	// vacant leadership.
 	checkInterval = leaderTTL / 3
-	// callTimeout bounds one call; the store answers in 4 ms, a slow one in 350.
+	// callTimeout bounds one call to the store.
 	callTimeout = 900 * time.Millisecond
-	// maxRegisterDelay is the time over which routers register again after the store came
-	// back from an older copy: four hundred of them take a hundred calls a second.
+	// maxRegisterDelay bounds the random delay before a router registers again after the
+	// store was restored from an older copy.
 	maxRegisterDelay = 4 * time.Second
-	// maxCampaignDelay spreads candidates, so that few transactions decide: each costs two
-	// calls, and the loser hears of the winner only once changes have gathered. Of a
-	// hundred candidates the first stands after 10 ms, of three after a third of it.
+	// maxCampaignDelay bounds the random delay before a router campaigns, so that few
+	// routers campaign at once. Each campaign costs two calls to the store.
 	maxCampaignDelay = 800 * time.Millisecond
 )
 
-// Member is a router as it registered itself.
+// Member is a router's entry in the store.
 type Member struct {
 	Instance string `json:"instance"`
-	Address  string `json:"address"` // where its peers reach it
+	Address  string `json:"address"` // for calls from other routers
 	Domain   string `json:"domain"`
 }
 
-// DecodeMember reads a router's entry. One that names no address leads nowhere.
+// DecodeMember decodes a router's entry. It returns an error if the entry is malformed or has no
+// valid address.
 func DecodeMember(value []byte) (Member, error) {
 	var m Member
 	if err := json.Unmarshal(value, &m); err != nil {
@@ -72,41 +73,42 @@
 	return m, nil
 }
 
-// leaderRecord is the value of the leadership key. Incarnation tells a lost answer's
-// write from that of an earlier life of the same instance.
+// leaderRecord is the value of the leadership key. The incarnation distinguishes a write of this
+// process from one of an earlier process of the same instance.
 type leaderRecord struct {
 	Instance    string `json:"instance"`
 	Incarnation string `json:"incarnation"`
 }
 
-// Elector keeps this process registered and stands for leadership.
+// Elector keeps this router registered in the store and campaigns for leadership. Its fields must
+// be set before use and not changed afterwards. It is safe for concurrent use.
 type Elector struct {
 	Store       platform.Store
 	Self        Member
 	Incarnation string
-	// Clock goes on while the instance is suspended: a leader that wakes from
-	// a freeze knows that its lease ran out.
+	// Clock returns a monotonic time that includes suspension of the instance, so that a
+	// leader detects after a suspension that its lease has expired.
 	Clock func() time.Duration
-	// Eligible tells whether this process may lead now.
+	// Eligible reports whether this router may become leader now.
 	Eligible func() bool
 
 	mu            sync.Mutex
 	memberLease   lease          // of this router's entry
-	leaderLease   lease          // of the leadership key, while this router holds or claims it
-	fencingToken  model.Revision // fencing token; 0 while not leading
-	rejectedToken model.Revision // token that an engine refused as too old
+	leaderLease   lease          // of the leadership key, while this router leads or campaigns
+	fencingToken  model.Revision // 0 while this router does not lead
+	rejectedToken model.Revision // token that an engine rejected as too old
 	holder        string
-	highestToken  model.Revision // highest token heard of
-	// vacantRevision is the revision at which nobody led, as far as was heard.
+	highestToken  model.Revision // highest observed token
+	// vacantRevision is the newest observed revision at which there was no leader.
 	vacantRevision model.Revision
-	knownEra       int64 // the store's newest that was heard of
-	stopped        bool  // this process stops: it leads no more
-	// campaignAfter is when this process may stand for leadership, and registerAfter when it
-	// may register, at the earliest.
+	knownEra       int64 // newest observed era of the store
+	stopped        bool  // set by resign; this router does not lead again
+	// campaignAfter and registerAfter are the earliest times at which this router may
+	// campaign and register.
 	campaignAfter, registerAfter time.Duration
 }
 
-// FencingToken is the fencing token while this process leads; 0 otherwise.
+// FencingToken returns the fencing token while this router leads, and 0 otherwise.
 func (e *Elector) FencingToken() model.Revision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -116,13 +118,13 @@
 	return e.fencingToken
 }
 
-// Observe takes in the leadership key: who holds it and since which revision. An
-// empty value means that nobody does.
+// Observe applies the leadership key as read from the store, with the revision at which it was
+// written. An empty value means that there is no leader.
 func (e *Elector) Observe(value []byte, revision model.Revision) {
-	var c leaderRecord
+	var r leaderRecord
 	if len(value) > 0 {
-		if err := json.Unmarshal(value, &c); err != nil {
-			klog.InfoS("leadership key cannot be read", "err", err)
+		if err := json.Unmarshal(value, &r); err != nil {
+			klog.InfoS("leadership key cannot be decoded", "err", err)
 			return
 		}
 	}
@@ -130,19 +132,19 @@
 	defer e.mu.Unlock()
 	e.knownEra = max(e.knownEra, revision.Era())
 	before := e.holder
-	e.holder = c.Instance
-	if c.Instance != "" {
+	e.holder = r.Instance
+	if r.Instance != "" {
 		e.highestToken = max(e.highestToken, revision)
 	} else {
 		e.vacantRevision = max(e.vacantRevision, revision)
 	}
-	if c.Incarnation == e.Incarnation && e.fencingToken == 0 && revision != e.rejectedToken && !e.stopped && e.leaderLease.id != 0 {
-		// The answer to our own claim was lost, but the claim took effect.
+	if r.Incarnation == e.Incarnation && e.fencingToken == 0 && revision != e.rejectedToken && !e.stopped && e.leaderLease.id != 0 {
+		// The campaign succeeded, but the store's response to it was lost.
 		e.fencingToken = revision
-		klog.InfoS("leadership found won", "token", revision)
+		klog.InfoS("leadership won, as observed in the store", "token", revision)
 	}
-	if c.Incarnation != e.Incarnation && e.fencingToken != 0 {
-		klog.InfoS("leadership lost", "token", e.fencingToken, "holder", c.Instance, "revision", revision)
+	if r.Incarnation != e.Incarnation && e.fencingToken != 0 {
+		klog.InfoS("leadership lost", "token", e.fencingToken, "holder", r.Instance, "revision", revision)
 		e.fencingToken = 0
 	}
 	if before != e.holder {
@@ -150,26 +152,26 @@
 	}
 }
 
-// HandleStoreRestore takes in that the store came back from an older copy: what this process wrote there
-// may be gone, and the numbers of its leases may be given out to others.
+// HandleStoreRestore resets the elector after the store was restored from an older copy. The
+// keys that this router wrote may be missing, and its lease IDs may be assigned to others.
 //
-// Nobody stands for as long as a leader may believe in its lease that has not heard of the
-// return: the key that kept others out is gone, and two would order engines. Tokens do not
-// fall, as revisions of a new era are higher than all before. Entries are written again
-// spread over time, or all routers would call at one moment.
+// This router does not campaign for one leaderTTL, because the old leader may not know of the
+// restore and still rely on its lease. Tokens do not decrease, because the revisions of a new era
+// are higher than all earlier ones. Routers register again after random delays to spread the load
+// on the store.
 func (e *Elector) HandleStoreRestore() {
-	spread := maxRegisterDelay
+	maxDelay := maxRegisterDelay
 	if e.Eligible() {
-		spread = maxCampaignDelay // only who is registered stands
+		maxDelay = maxCampaignDelay // only a registered router campaigns
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Clock()
 	e.campaignAfter = now + leaderTTL
-	e.registerAfter = now + time.Duration(rand.Int64N(int64(spread)))
+	e.registerAfter = now + time.Duration(rand.Int64N(int64(maxDelay)))
 	if e.fencingToken != 0 && now <= e.leaderLease.validUntil {
-		// It is the one that may believe in a lease, and does not any more.
-		klog.InfoS("leadership lost: the store came back from an older copy", "token", e.fencingToken)
+		// This router is the old leader, so there is none to wait for.
+		klog.InfoS("leadership lost: the store was restored from an older copy", "token", e.fencingToken)
 		e.campaignAfter, e.registerAfter = now, now
 	}
 	e.fencingToken = 0
@@ -178,19 +180,20 @@
 	e.holder = ""
 }
 
-// TokenRejected takes in that an engine has seen a higher token.
+// TokenRejected records that an engine rejected a token because it has received a higher one. If
+// the token is this router's, the router stops leading.
 func (e *Elector) TokenRejected(token model.Revision) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.fencingToken == token {
-		klog.InfoS("resigned: an engine has seen a higher fencing token", "token", token)
+		klog.InfoS("resigned: an engine has received a higher fencing token", "token", token)
 		e.fencingToken = 0
 		e.rejectedToken = token
 	}
 }
 
-// Run registers, renews and stands for leadership until ctx ends; then it gives
-// its leases back, so that another need not wait for them.
+// Run registers this router, renews its leases and campaigns for leadership until ctx ends. It
+// then revokes the leases, so that another router can lead without waiting for them to expire.
 func (e *Elector) Run(ctx context.Context) {
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
@@ -212,15 +215,15 @@
 	}
 }
 
-// canCampaign tells whether nobody leads and this router may stand: it is registered,
-// and no claim of its own is undecided.
+// canCampaign reports whether there is no leader and this router may campaign: it is registered
+// and has no campaign whose outcome is unknown.
 func (e *Elector) canCampaign() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.holder == "" && e.memberLease.id != 0 && e.Clock() >= max(e.leaderLease.validUntil, e.campaignAfter)
 }
 
-// campaign tries to become leader: the key must not exist.
+// campaign tries to become leader by writing the leadership key if it does not exist.
 func (e *Elector) campaign(ctx context.Context) {
 	if !e.canCampaign() || !e.Eligible() {
 		return
@@ -229,7 +232,7 @@
 	defer cancel()
 	value, err := json.Marshal(leaderRecord{Instance: e.Self.Instance, Incarnation: e.Incarnation})
 	if err != nil {
-		klog.ErrorS(err, "claim not encoded")
+		klog.ErrorS(err, "failed to encode the leadership key")
 		return
 	}
 	if e.leaderInCopy(ctx) {
@@ -239,8 +242,8 @@
 	if l.id == 0 || !e.canCampaign() {
 		return
 	}
-	// Before the claim is made: the watch may show that it won before its answer
-	// comes, or instead of it.
+	// Set before the write: Observe may learn of its success before the response arrives, or
+	// without one.
 	e.mu.Lock()
 	e.leaderLease = l
 	e.mu.Unlock()
@@ -257,13 +260,12 @@
 		return
 	}
 	if err := e.Store.Revoke(ctx, l.id); err != nil {
-		klog.InfoS("lease of a claim that was given up not given back; it runs out", "lease", l.id, "err", err)
+		klog.InfoS("failed to revoke the lease of an abandoned campaign; it will expire", "lease", l.id, "err", err)
 	}
 }
 
-// leaderInCopy tells whether a copy of the store already has another leader: a tenth of a call
-// saves two. The copy may be old; what it has counts only if it is newer than all that
-// the watch told, and the watch goes on telling who leads.
+// leaderInCopy reports whether a copy of the store holds a leadership key that is newer than the
+// newest vacancy observed. Reading the copy is much cheaper than a campaign that fails.
 func (e *Elector) leaderInCopy(ctx context.Context) bool {
 	it, err := e.Store.Peek(ctx, Key)
 	if err != nil {
@@ -274,14 +276,15 @@
 	return it.Revision > e.vacantRevision
 }
 
-// recordWin takes in that the claim was carried out. Where that was in an era of the store of
-// which this process has not heard, it gives the leadership up: the key was absent because
-// the store came back without it, and a leader may still believe in its lease.
+// recordWin makes this router the leader after a successful campaign and reports whether it did.
+// It does not if the key was written in an era of the store that this router has not observed:
+// the key may have been missing only because of a restore, and the old leader may still rely on
+// its lease.
 func (e *Elector) recordWin(revision model.Revision) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if revision.Era() > e.knownEra || e.Clock() < e.campaignAfter {
-		klog.InfoS("leadership given up: it was won in an era not heard of before", "revision", revision, "era", e.knownEra)
+		klog.InfoS("leadership abandoned: the store was restored from an older copy during the campaign", "revision", revision, "era", e.knownEra)
 		e.leaderLease = lease{}
 		return false
 	}
@@ -292,10 +295,10 @@
 	return true
 }
 
-// recordLoss forgets a claim that surely did not win. One whose answer was lost shows
-// in the watch, or in nothing; until its lease has run out the next one would
-// replace the lease under which it may stand, and a leader that renewed the wrong
-// lease would believe to lead after its key is gone.
+// recordLoss discards the lease of a campaign that certainly failed. If the outcome is unknown,
+// the lease is kept until it expires: Observe may still learn that the campaign succeeded, and a
+// second campaign would replace the lease of the key. The router would then renew the wrong lease
+// and lead on after its key has expired.
 func (e *Elector) recordLoss(err error) {
 	if !errors.Is(err, platform.ErrConflict) {
 		return
@@ -305,18 +308,17 @@
 	e.leaderLease = lease{}
 }
 
-// resign ends the leadership here, for good, and gives the leases to be given back.
+// resign ends this router's leadership for good and returns the leases to revoke. They include the
+// lease of a campaign whose outcome is unknown.
 //
-// It comes before the lease is free: another router wins at once then, and while this
-// one took itself for the leader both would order engines, so that twice as many load
-// at a time as do without slowing each other down. A claim that is undecided may have
-// won, so its lease is given back as well.
+// It must be called before the leases are revoked. Otherwise another router could win while this
+// one still leads, and both would order engines to load layers.
 func (e *Elector) resign() []platform.LeaseID {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	held := []platform.LeaseID{e.leaderLease.id, e.memberLease.id}
 	if e.fencingToken != 0 {
-		klog.InfoS("resigned: this router stops", "token", e.fencingToken)
+		klog.InfoS("resigned: this router is stopping", "token", e.fencingToken)
 	}
 	e.stopped = true
 	e.fencingToken = 0
