--- a/internal/coordination/leader/lease.go
+++ b/internal/coordination/leader/lease.go
@@ -11,18 +11,18 @@
 	"github.com/skylarkwood/skylarkwood/internal/platform"
 )
 
-// lease is one lease of this process; the zero value is none.
+// lease is a lease held by this process. The zero value means none.
 type lease struct {
 	id         platform.LeaseID
-	validUntil time.Duration // by this process's clock it runs at least so long
-	renewAt    time.Duration // when it is due to be renewed
+	validUntil time.Duration // earliest time at which it can expire, by this process's clock
+	renewAt    time.Duration
 }
 
 func newLease(id platform.LeaseID, began, ttl time.Duration) lease {
 	return lease{id: id, validUntil: began + ttl, renewAt: began + time.Duration(renewFraction*float64(ttl))}
 }
 
-// maintainLeases renews what is due, and registers where there is no entry.
+// maintainLeases renews the leases that are due and registers this router if it has no entry.
 func (e *Elector) maintainLeases(ctx context.Context) {
 	e.renewLeaderLease(ctx)
 	e.mu.Lock()
@@ -33,42 +33,42 @@
 	case member.id == 0 && due:
 		e.register(ctx)
 	case member.id != 0 && e.Clock() >= member.renewAt:
-		kept := e.renew(ctx, member, memberTTL)
+		renewed := e.renew(ctx, member, memberTTL)
 		e.mu.Lock()
-		if e.memberLease.id == member.id { // else a new era began meanwhile
-			e.memberLease = kept
+		if e.memberLease.id == member.id { // false if the store was restored meanwhile
+			e.memberLease = renewed
 		}
 		e.mu.Unlock()
-		if kept.id == 0 {
+		if renewed.id == 0 {
 			e.register(ctx)
 		}
 	}
 }
 
-// renewLeaderLease renews the lease of the leadership key while this router leads. That
-// of a claim which did not win runs out by itself: nothing hangs on it.
+// renewLeaderLease renews the lease of the leadership key while this router leads. The lease of a
+// failed campaign is left to expire.
 func (e *Elector) renewLeaderLease(ctx context.Context) {
 	e.mu.Lock()
-	claim := e.leaderLease
+	held := e.leaderLease
 	leads := e.fencingToken != 0
 	e.mu.Unlock()
-	if claim.id == 0 || !leads {
+	if held.id == 0 || !leads {
 		return
 	}
-	kept := e.renew(ctx, claim, leaderTTL)
+	renewed := e.renew(ctx, held, leaderTTL)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.leaderLease.id != claim.id {
-		return // a new era began meanwhile
+	if e.leaderLease.id != held.id {
+		return // the store was restored meanwhile
 	}
-	e.leaderLease = kept
-	if kept.id == 0 {
+	e.leaderLease = renewed
+	if renewed.id == 0 {
 		e.fencingToken = 0
 	}
 }
 
-// renew renews a lease; it gives none where the lease has ended, and the lease as
-// it was where that is not known.
+// renew renews a lease and returns it. It returns the zero lease if the lease has ended, and the
+// lease unchanged if the outcome is unknown.
 func (e *Elector) renew(ctx context.Context, l lease, ttl time.Duration) lease {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -81,22 +81,22 @@
 		klog.InfoS("lease ended", "lease", l.id)
 		return lease{}
 	}
-	klog.V(1).InfoS("lease not renewed", "lease", l.id, "err", err)
+	klog.V(1).InfoS("failed to renew the lease", "lease", l.id, "err", err)
 	return l
 }
 
-// grant takes a new lease; the zero value where there is none.
+// grant requests a new lease. It returns the zero lease on failure.
 func (e *Elector) grant(ctx context.Context, ttl time.Duration) lease {
 	began := e.Clock()
-	id, given, err := e.Store.Grant(ctx, ttl)
+	id, granted, err := e.Store.Grant(ctx, ttl)
 	if err != nil {
-		klog.V(1).InfoS("no lease granted", "err", err)
+		klog.V(1).InfoS("failed to get a lease", "err", err)
 		return lease{}
 	}
-	return newLease(id, began, given)
+	return newLease(id, began, granted)
 }
 
-// register takes a lease and writes this router's entry under it.
+// register writes this router's entry under a new lease.
 func (e *Elector) register(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -106,14 +106,14 @@
 	}
 	value, err := json.Marshal(e.Self)
 	if err != nil {
-		klog.ErrorS(err, "member entry not encoded")
+		klog.ErrorS(err, "failed to encode the router's entry")
 		return
 	}
 	item := platform.Item{Key: MemberPrefix + e.Self.Instance, Value: value, Lease: member.id}
-	// Without an answer the entry may stand or not; it only helps peers to find
-	// each other, and the next lease writes it again.
+	// If the outcome is unknown, the entry may exist under this lease. It does no harm, and
+	// the next attempt overwrites it.
 	if _, err := e.Store.Commit(ctx, platform.Txn{Put: []platform.Item{item}}); err != nil {
-		klog.InfoS("not registered", "err", err)
+		klog.InfoS("failed to register the router", "err", err)
 		return
 	}
 	e.mu.Lock()
@@ -122,7 +122,7 @@
 	klog.InfoS("registered", "lease", member.id, "ttl", memberTTL)
 }
 
-// releaseLeases gives back what this router holds, the leadership first.
+// releaseLeases resigns and revokes the leases of this router.
 func (e *Elector) releaseLeases() {
 	held := e.resign()
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
@@ -132,7 +132,7 @@
 			continue
 		}
 		if err := e.Store.Revoke(ctx, id); err != nil {
-			klog.InfoS("lease not given back; it runs out", "lease", id, "err", err)
+			klog.InfoS("failed to revoke the lease; it will expire", "lease", id, "err", err)
 		}
 	}
 }
