--- a/internal/coordination/leader/leader_test.go
+++ b/internal/coordination/leader/leader_test.go
@@ -15,8 +15,7 @@
 	"github.com/skylarkwood/skylarkwood/platform/standin"
 )
 
-// testElector is an elector with a watch of the leadership key, and a clock that
-// can be stopped and thawed like that of a suspended instance.
+// testElector is a running elector that may watch the leadership key.
 type testElector struct {
 	e    *Elector
 	stop context.CancelFunc
@@ -29,7 +28,7 @@
 	return c
 }
 
-// run starts a candidate that does not watch yet; its context ends with end.
+// run starts an elector that does not watch the key. The context ends with shutDown.
 func run(store platform.Store, name string) (*testElector, context.Context) {
 	ctx, cancel := context.WithCancel(context.Background())
 	began := time.Now()
@@ -77,7 +76,7 @@
 	return n
 }
 
-func TestOneLeads(t *testing.T) {
+func TestExactlyOneRouterLeads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		a, b, c := start(store, "a"), start(store, "b"), start(store, "c")
@@ -90,9 +89,9 @@
 	})
 }
 
-// A planned stop gives the lease back: another leads within a second or two,
-// under a higher token.
-func TestLeadershipIsHandedOn(t *testing.T) {
+// After a planned stop, which revokes the lease, another router leads within two seconds under a
+// higher token.
+func TestStopHandsOverLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		a := start(store, "a")
@@ -108,9 +107,8 @@
 	})
 }
 
-// The leader is cut from the store. It stops leading when its own lease must
-// have run out, before another can have won, and stays out of it afterwards.
-func TestCutOffLeaderStepsDownFirst(t *testing.T) {
+// Guards against a leader that loses the store and leads on after its lease has expired.
+func TestDisconnectedLeaderStepsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mem := standin.NewStore()
 		a := start(mem, "a")
@@ -121,17 +119,17 @@
 		assert.Equal(t, leaders(a), 0)
 		mem.SetFaults(standin.StoreFaults{})
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, leaders(a), 1, "it stands again")
+		assert.Equal(t, leaders(a), 1, "it campaigns again")
 		a.shutDown()
 	})
 }
 
-// The answer to the winning claim is lost. The watch shows the claim, so that
-// the winner knows; a leader that does not know of itself would block everybody.
-func TestLostAnswerToTheClaim(t *testing.T) {
+// The response to a successful campaign is lost. Guards against a leader that does not know that
+// it leads, which would block all others.
+func TestLostCampaignResponseIsObserved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
-		// The first write is the registration, the second the claim.
+		// The first write is the registration, the second the campaign.
 		lossy := &lossyStore{Store: store, skip: 1, drop: 1}
 		a := start(store, "a")
 		a.shutDown()
@@ -144,9 +142,8 @@
 	})
 }
 
-// An engine has seen a higher token. The leader resigns instead of calling on
-// with the old one, and does not take the same token up again.
-func TestRefusedTokenIsGivenUp(t *testing.T) {
+// A leader whose token an engine rejected must resign and must not use that token again.
+func TestRejectedTokenEndsLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		a := start(store, "a")
@@ -162,7 +159,7 @@
 	})
 }
 
-// lossyStore loses the answers of some commits that took effect.
+// lossyStore drops the responses to some successful commits.
 type lossyStore struct {
 	*standin.Store
 	mu                  sync.Mutex
@@ -194,10 +191,9 @@
 	return revision, nil
 }
 
-// The answer to the winning claim is lost and the watch shows the claim only two
-// seconds later. The winner must not claim again meanwhile: it would then renew
-// the second claim's lease, and lead on after its key ended with the first one.
-func TestLeaderHoldsTheLeaseOfItsKey(t *testing.T) {
+// The response to a successful campaign is lost and the key is observed two seconds later. Guards
+// against a second campaign meanwhile, whose lease would be renewed instead of the key's.
+func TestLeaderRenewsTheLeaseOfItsKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		lossy := &lossyStore{Store: store, skip: 1, drop: 1}
@@ -211,20 +207,17 @@
 			if token := c.e.FencingToken(); token != 0 {
 				led++
 				it, err := store.Get(ctx, Key)
-				assert.NilError(t, err, "it believes to lead without the key")
+				assert.NilError(t, err, "the router leads without the key")
 				assert.Equal(t, it.Revision, token)
 			}
 		}
-		assert.Assert(t, led > 190, "led at %d of 200 looks", led)
+		assert.Assert(t, led > 190, "led at %d of 200 checks", led)
 		c.shutDown()
 	})
 }
 
-// The load: two dozen routers, of which one leads, for a minute without trouble;
-// each call of the store is priced. An entry is renewed every three seconds and
-// the leadership every second; before each router renewed for a leader's time,
-// three times as often.
-func TestRegistrationsAreFewCalls(t *testing.T) {
+// Bounds the calls to the store of 24 routers in a minute without faults, since each is billed.
+func TestLeasesNeedFewStoreCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const routers, seconds = 24, 60
 		store := standin.NewStore()
@@ -236,10 +229,10 @@
 		calls := store.Calls()
 		assert.Equal(t, leaders(all...), 1)
 		assert.Equal(t, len(store.Keys(MemberPrefix)), routers)
-		mostRenewals := routers*seconds/3 + seconds
-		mostWrites := routers * 4 // a lease and an entry, a lease and a claim
-		assert.Assert(t, calls.KeepAlives <= mostRenewals, "%d renewals", calls.KeepAlives)
-		assert.Assert(t, calls.Writes <= mostWrites, "%d writes", calls.Writes)
+		maxRenewals := routers*seconds/3 + seconds
+		maxWrites := routers * 4 // a lease and an entry, a lease and a campaign
+		assert.Assert(t, calls.KeepAlives <= maxRenewals, "%d renewals", calls.KeepAlives)
+		assert.Assert(t, calls.Writes <= maxWrites, "%d writes", calls.Writes)
 		for _, c := range all {
 			c.shutDown()
 		}
