--- a/internal/coordination/leader/leave_test.go
+++ b/internal/coordination/leader/leave_test.go
@@ -15,7 +15,7 @@
 	"github.com/skylarkwood/skylarkwood/platform/standin"
 )
 
-// revokeHook tells of each lease that is given back, before it is.
+// revokeHook calls onRevoke before each revocation of a lease.
 type revokeHook struct {
 	*standin.Store
 	onRevoke func()
@@ -26,11 +26,9 @@
 	return w.Store.Revoke(ctx, id)
 }
 
-// The leader is told to stop and gives its lease back, while its controller goes on
-// with the drain. Another router wins at once. Where the old one still takes itself
-// for the leader, until its lease would have run out, both order engines: twice as
-// many load at a time as do without slowing each other down.
-func TestALeaderThatStopsNoLongerLeadsWhenItsLeaseIsFree(t *testing.T) {
+// A stopping leader must not lead any more when its lease is revoked. Otherwise it and the next
+// leader both send orders to engines.
+func TestStoppingLeaderResignsBeforeRevokingItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var a *testElector
 		var mu sync.Mutex
@@ -52,10 +50,9 @@
 	})
 }
 
-// A router is told to stop while it claims the leadership, and the claim's answer is
-// lost. The watch shows only after its end that the claim had won. It must not take
-// the leadership up then: it will not renew it, and orders nothing any more.
-func TestAClaimFoundWonAfterTheStopIsNotTakenUp(t *testing.T) {
+// A router stops while the outcome of its campaign is unknown, and observes the success afterwards.
+// It must not lead then, because it no longer renews the lease.
+func TestCampaignWonAfterStopIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		lossy := &lossyStore{Store: store, skip: 1, drop: 1}
@@ -68,6 +65,6 @@
 		a.e.Observe(value, 3)
 		assert.Equal(t, a.e.FencingToken(), model.Revision(0))
 		_, err = store.Get(context.Background(), Key)
-		assert.ErrorIs(t, err, platform.ErrNotFound, "nobody can lead until the claim's lease has run out")
+		assert.ErrorIs(t, err, platform.ErrNotFound, "no router can lead until the lease expires")
 	})
 }
