--- a/internal/coordination/leader/member_test.go
+++ b/internal/coordination/leader/member_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Whatever lies in a router's place, only what names an address is told to peers.
+// Guards against malformed entries: only one with a valid address may be used.
 func FuzzDecodeMember(f *testing.F) {
 	for _, seed := range []string{`{"instance":"r","address":"10.0.0.1:7340","domain":"a"}`, `{"address":"nowhere"}`, `{"address":7}`, `{}`, `null`, "\xff"} {
 		f.Add([]byte(seed))
