--- a/internal/coordination/leader/race_test.go
+++ b/internal/coordination/leader/race_test.go
@@ -12,26 +12,25 @@
 	"github.com/skylarkwood/skylarkwood/platform/standin"
 )
 
-// Another router has won, and the watch here has not told yet, as changes gather. This
-// one looks at a copy of the store first, and does not stand: each stand that cannot win
-// is two calls, of every router that watches.
-func TestCandidateLooksBeforeItStands(t *testing.T) {
+// Another router has won, but this one has not observed it yet. Guards against campaigns that
+// cannot succeed, each of which costs two calls to the store.
+func TestElectorReadsCopyBeforeCampaign(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		store.Put(Key, []byte(`{"instance":"b","incarnation":"b-1"}`))
 		before := store.Calls()
-		c, _ := run(store, "a") // it does not watch
+		c, _ := run(store, "a") // does not watch the key
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, c.e.FencingToken(), model.Revision(0))
-		// One lease and one write for its own entry.
+		// One lease and one write for the router's own entry.
 		assert.Equal(t, store.Calls().Writes-before.Writes, 2)
 		c.shutDown()
 	})
 }
 
-// The copy of the store is old: it still has the leader of before, whose end the watch has
-// told. It does not keep this router from standing, or nobody would lead until it is new.
-func TestOldCopyKeepsNobodyFromStanding(t *testing.T) {
+// The copy still holds a leader whose exit has been observed. Guards against waiting for the copy
+// to catch up, since no router would lead until then.
+func TestOutdatedCopyDoesNotPreventCampaign(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		revision := store.Put(Key, []byte(`{"instance":"b","incarnation":"b-1"}`))
@@ -42,8 +41,8 @@
 	})
 }
 
-// A leader ends where ten routers watch. They spread, so that few of them stand.
-func TestFewStandForLeadership(t *testing.T) {
+// Guards against all routers campaigning at once when the leader stops.
+func TestFewRoutersCampaign(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		var all []*testElector
@@ -60,7 +59,7 @@
 		}
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, leaders(all...), 1)
-		// A lease and a claim of the winner, and of one more who crossed it.
+		// A lease and a campaign each, of the winner and of one router that campaigned at the same time.
 		assert.Assert(t, store.Calls().Writes-before.Writes <= 4+2, "%d writes", store.Calls().Writes-before.Writes)
 		for _, c := range all {
 			c.shutDown()
