--- a/internal/coordination/leader/model_test.go
+++ b/internal/coordination/leader/model_test.go
@@ -6,24 +6,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// A small model of leadership over restores, searched exhaustively: what three routers can do
-// with two restores, in every order, where any of them may be slow, cut off or behind. Time
-// goes in steps; a lease lasts leaseSteps of them at the store and not longer in its holder's
-// belief.
+// A model of leader election across restores of the store, searched exhaustively: three routers
+// and two restores, with events in every order and any router slow, disconnected or behind. Time
+// passes in steps. A lease lasts leaseSteps at the store and at most as long at its holder.
 const (
 	routerCount = 3
 	maxRestores = 2
 	leaseSteps  = 2
-	maxClaims   = 3 // claims in all; more show nothing new
+	maxClaims   = 3 // claims in total; more reach no new faults
 	noHolder    = -1
 )
 
-// revision is a revision: its era and count.
 type revision struct{ era, count int8 }
 
 func (s revision) after(o revision) bool { return s.era > o.era || s.era == o.era && s.count > o.count }
 
-// leaderKey is the leadership leaderKey in the store.
+// leaderKey is the leadership key in the store.
 type leaderKey struct {
 	holder int8
 	age    int8 // steps since its lease was renewed
@@ -32,7 +30,7 @@
 type modelStore struct {
 	at     revision
 	key    leaderKey
-	backup struct { // the copy
+	backup struct {
 		taken  bool
 		count  int8
 		holder int8
@@ -40,11 +38,11 @@
 }
 
 type modelRouter struct {
-	token          revision // zero: it does not lead
-	age            int8     // steps since it renewed
-	era            int8     // the newest that it knows
-	campaignDelay  int8     // steps before it may stand
-	observedHolder int8     // the holder in its picture
+	token          revision // zero while the router does not lead
+	age            int8     // steps since the last renewal
+	era            int8     // newest observed era
+	campaignDelay  int8     // steps before it may campaign
+	observedHolder int8     // holder as last observed
 }
 
 func (r *modelRouter) leads() bool { return r.token != revision{} && r.age < leaseSteps }
@@ -56,16 +54,16 @@
 	claims  int8
 }
 
-// guards are the guards that a search may do without.
+// guards are the protections that a search can leave out.
 type guards struct {
-	// waitForOldLease is that nobody stands in a new era before an old leader's belief has ended.
+	// waitForOldLease delays campaigns in a new era until an old leader's lease has expired.
 	waitForOldLease bool
-	// rejectUnknownEra is that a claim which turns out to be won in an era that its router
-	// has not seen is given up.
+	// rejectUnknownEra abandons a claim that succeeded in an era that its router has not
+	// observed.
 	rejectUnknownEra bool
 }
 
-// next lists what may happen in a state. fault tells what must not have.
+// next returns the states that can follow. fault describes a violated invariant.
 func (s modelState) next(g guards) (out []modelState, fault string) {
 	add := func(f func(n *modelState)) {
 		n := s
@@ -86,7 +84,7 @@
 		if r := s.routers[i]; !r.leads() && r.observedHolder == noHolder && r.campaignDelay == 0 && s.store.key.holder == noHolder && s.claims < maxClaims {
 			n := s
 			if !n.claim(i, g) {
-				fault = "a token that is not higher than all before"
+				fault = "token is not higher than all earlier ones"
 			}
 			out = append(out, n)
 		}
@@ -103,7 +101,7 @@
 	return out, fault
 }
 
-// step lets time pass.
+// step advances time by one step.
 func (s *modelState) step() {
 	if s.store.key.holder != noHolder {
 		if s.store.key.age++; s.store.key.age >= leaseSteps {
@@ -122,13 +120,13 @@
 	}
 }
 
-// restore brings the store back from its copy; leases of the copy begin anew.
+// restore restores the store from its backup and restarts the leases in it.
 func (s *modelState) restore() {
 	s.store.at = revision{era: s.store.at.era + 1, count: s.store.backup.count}
 	s.store.key = leaderKey{holder: s.store.backup.holder}
 }
 
-// renew is a leader's renewal, which the store answers by what it holds now.
+// renew renews a leader's lease if the store still holds its key, and ends its leadership otherwise.
 func (s *modelState) renew(i int) {
 	r := &s.routers[i]
 	switch {
@@ -140,7 +138,7 @@
 	}
 }
 
-// observe brings a router's picture up to date.
+// observe updates what a router knows of the store.
 func (s *modelState) observe(i int, g guards) {
 	r := &s.routers[i]
 	if r.era < s.store.at.era {
@@ -156,13 +154,13 @@
 	}
 }
 
-// claim claims the key, which is absent. It tells whether the token is higher than all before.
+// claim writes the missing key. It reports whether the token is higher than all earlier ones.
 func (s *modelState) claim(i int, g guards) bool {
 	r := &s.routers[i]
 	s.claims++
 	s.store.at.count++
 	if g.rejectUnknownEra && r.era < s.store.at.era {
-		return true // it gives the lease back, and the key with it
+		return true // it revokes the lease, which removes the key
 	}
 	s.store.key = leaderKey{holder: int8(i)}
 	r.token, r.age, r.observedHolder = s.store.at, 0, int8(i)
@@ -171,7 +169,7 @@
 	return higher
 }
 
-// search walks all states; it gives how many there are and the first fault.
+// search visits all states and returns their number and the first fault.
 func search(g guards) (states int, fault string) {
 	var begin modelState
 	begin.store.key.holder = noHolder
@@ -180,10 +178,10 @@
 		begin.routers[i].observedHolder = noHolder
 	}
 	seen := map[modelState]bool{begin: true}
-	todo := []modelState{begin}
-	for len(todo) > 0 {
-		s := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
+	pending := []modelState{begin}
+	for len(pending) > 0 {
+		s := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
 		following, wrong := s.next(g)
 		if wrong != "" {
 			return len(seen), wrong
@@ -191,16 +189,16 @@
 		for _, n := range following {
 			if !seen[n] {
 				seen[n] = true
-				todo = append(todo, n)
+				pending = append(pending, n)
 			}
 		}
 	}
 	return len(seen), ""
 }
 
-// In no order of restores, renewals, claims and late news do two routers lead, or is a token
-// given out that is not higher than all before. Without either guard it happens.
-func TestNoOrderOfEventsMakesTwoLeaders(t *testing.T) {
+// No order of restores, renewals, claims and late observations may lead to two leaders or to a
+// token that is not higher than all earlier ones. Without either guard the search finds a fault.
+func TestNoEventOrderMakesTwoLeaders(t *testing.T) {
 	states, fault := search(guards{waitForOldLease: true, rejectUnknownEra: true})
 	assert.Equal(t, fault, "")
 	t.Logf("%d states", states)
