--- a/internal/coordination/leader/restore_test.go
+++ b/internal/coordination/leader/restore_test.go
@@ -16,7 +16,7 @@
 	"github.com/skylarkwood/skylarkwood/platform/standin"
 )
 
-// disconnectableStore is a store that one router may be cut off from.
+// disconnectableStore is a router's connection to the store that can be cut.
 type disconnectableStore struct {
 	*standin.Store
 	disconnected atomic.Bool
@@ -38,7 +38,7 @@
 	return c.Store.Commit(ctx, txn)
 }
 
-// startFollowing starts a candidate that follows the store over restores, as a router does.
+// startFollowing starts an elector that follows the store across restores, as a router does.
 func startFollowing(store *disconnectableStore, name string) *testElector {
 	c, ctx := run(store, name)
 	c.done.Go(func() {
@@ -76,29 +76,29 @@
 	return page.Revision
 }
 
-// cluster is three routers and what is seen of their leadership every few milliseconds.
+// cluster is three electors that share a store.
 type cluster struct {
 	t        *testing.T
 	store    *standin.Store
 	stores   []*disconnectableStore
 	electors []*testElector
-	// highestToken is the highestToken token that gave orders, as engines remember it.
+	// highestToken is the highest token of a leader so far.
 	highestToken model.Revision
 }
 
 func newCluster(t *testing.T) *cluster {
-	tr := &cluster{t: t, store: standin.NewStore()}
+	cl := &cluster{t: t, store: standin.NewStore()}
 	for _, name := range []string{"a", "b", "c"} {
-		s := &disconnectableStore{Store: tr.store}
-		tr.stores = append(tr.stores, s)
-		tr.electors = append(tr.electors, startFollowing(s, name))
+		s := &disconnectableStore{Store: cl.store}
+		cl.stores = append(cl.stores, s)
+		cl.electors = append(cl.electors, startFollowing(s, name))
 	}
-	return tr
+	return cl
 }
 
-// leader is the index of who leads; -1 for nobody.
-func (tr *cluster) leader() int {
-	for i, c := range tr.electors {
+// leader returns the index of the leader, or -1.
+func (cl *cluster) leader() int {
+	for i, c := range cl.electors {
 		if c.e.FencingToken() != 0 {
 			return i
 		}
@@ -106,96 +106,93 @@
 	return -1
 }
 
-// checkFor lets time checkFor; never two lead, and no engine that has seen a token sees a lower
-// one from who takes itself for the leader.
-func (tr *cluster) checkFor(d time.Duration) {
+// checkFor checks for a duration that at most one elector leads and that tokens do not decrease.
+func (cl *cluster) checkFor(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		assert.Assert(tr.t, leaders(tr.electors...) <= 1)
-		if i := tr.leader(); i >= 0 {
-			token := tr.electors[i].e.FencingToken()
-			assert.Assert(tr.t, token >= tr.highestToken, "token %s after %s", token, tr.highestToken)
-			tr.highestToken = token
+		assert.Assert(cl.t, leaders(cl.electors...) <= 1)
+		if i := cl.leader(); i >= 0 {
+			token := cl.electors[i].e.FencingToken()
+			assert.Assert(cl.t, token >= cl.highestToken, "token %s after %s", token, cl.highestToken)
+			cl.highestToken = token
 		}
 	}
 }
 
-// awaitLeader waits until somebody leads with a token of the present era.
-func (tr *cluster) awaitLeader(within time.Duration) {
-	for end := time.Now().Add(within); time.Now().Before(end); tr.checkFor(50 * time.Millisecond) {
-		if i := tr.leader(); i >= 0 && tr.electors[i].e.FencingToken().Era() == tr.store.Now(0).Era() {
+// awaitLeader waits for a leader with a token of the current era.
+func (cl *cluster) awaitLeader(within time.Duration) {
+	for end := time.Now().Add(within); time.Now().Before(end); cl.checkFor(50 * time.Millisecond) {
+		if i := cl.leader(); i >= 0 && cl.electors[i].e.FencingToken().Era() == cl.store.Now(0).Era() {
 			return
 		}
 	}
-	tr.t.Fatalf("nobody leads in era %d", tr.store.Now(0).Era())
+	cl.t.Fatalf("no leader in era %d", cl.store.Now(0).Era())
 }
 
-func (tr *cluster) shutDown() {
-	for _, c := range tr.electors {
+func (cl *cluster) shutDown() {
+	for _, c := range cl.electors {
 		c.shutDown()
 	}
 }
 
-// recoveryTimeout is how soon after a restore engines are ordered again: the time in which an old
-// leader may believe in its lease, and the race.
+// recoveryTimeout is how soon after a restore there must be a leader: after the old leader's lease
+// has expired and one campaign.
 const recoveryTimeout = leaderTTL + 2*time.Second
 
-// The store comes back from copies taken before anybody led, under the same leader, and
-// under one that has ended since, in series. There are never two leaders, not even where
-// the old one is cut off and does not hear of the return; tokens never fall, and somebody
-// leads again soon.
-func TestLeadershipOverRestores(t *testing.T) {
-	for name, play := range map[string]func(tr *cluster){
-		"from before the claim": func(tr *cluster) {
-			c := tr.store.Copy()
-			tr.awaitLeader(5 * time.Second)
-			tr.store.Restore(c)
+// The store is restored from older copies. Guards against two leaders, decreasing tokens and a
+// missing leader, also if the old leader is disconnected and does not learn of the restore.
+func TestOneLeaderAcrossRestores(t *testing.T) {
+	for name, play := range map[string]func(cl *cluster){
+		"copy without a leader": func(cl *cluster) {
+			c := cl.store.Copy()
+			cl.awaitLeader(5 * time.Second)
+			cl.store.Restore(c)
 		},
-		"under the same leader": func(tr *cluster) {
-			tr.awaitLeader(5 * time.Second)
-			c := tr.store.Copy()
-			tr.checkFor(2 * time.Second)
-			tr.store.Restore(c)
+		"copy with the same leader": func(cl *cluster) {
+			cl.awaitLeader(5 * time.Second)
+			c := cl.store.Copy()
+			cl.checkFor(2 * time.Second)
+			cl.store.Restore(c)
 		},
-		"under a leader that ended": func(tr *cluster) {
-			tr.awaitLeader(5 * time.Second)
-			c := tr.store.Copy()
-			i := tr.leader()
-			tr.electors[i].shutDown()
-			tr.awaitLeader(5 * time.Second)
-			tr.store.Restore(c)
+		"copy with a stopped leader": func(cl *cluster) {
+			cl.awaitLeader(5 * time.Second)
+			c := cl.store.Copy()
+			i := cl.leader()
+			cl.electors[i].shutDown()
+			cl.awaitLeader(5 * time.Second)
+			cl.store.Restore(c)
 		},
-		"the old leader is cut off": func(tr *cluster) {
-			c := tr.store.Copy()
-			tr.awaitLeader(5 * time.Second)
-			tr.stores[tr.leader()].disconnected.Store(true)
-			tr.store.Restore(c)
+		"old leader is disconnected": func(cl *cluster) {
+			c := cl.store.Copy()
+			cl.awaitLeader(5 * time.Second)
+			cl.stores[cl.leader()].disconnected.Store(true)
+			cl.store.Restore(c)
 		},
-		"three in series": func(tr *cluster) {
-			tr.awaitLeader(5 * time.Second)
-			c := tr.store.Copy()
+		"three restores in a row": func(cl *cluster) {
+			cl.awaitLeader(5 * time.Second)
+			c := cl.store.Copy()
 			for range 3 {
-				tr.checkFor(700 * time.Millisecond)
-				tr.store.Restore(c)
+				cl.checkFor(700 * time.Millisecond)
+				cl.store.Restore(c)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				tr := newCluster(t)
-				defer tr.shutDown()
-				play(tr)
-				tr.awaitLeader(recoveryTimeout)
-				tr.checkFor(10 * time.Second)
-				tr.awaitLeader(time.Second)
-				assert.Assert(t, len(tr.store.Keys(MemberPrefix)) >= 2, "routers are registered again")
+				cl := newCluster(t)
+				defer cl.shutDown()
+				play(cl)
+				cl.awaitLeader(recoveryTimeout)
+				cl.checkFor(10 * time.Second)
+				cl.awaitLeader(time.Second)
+				assert.Assert(t, len(cl.store.Keys(MemberPrefix)) >= 2, "routers must register again")
 			})
 		})
 	}
 }
 
-// The numbers of leases are given out again. A router that stops gives back its own, not
-// the one that bears its old number now and is the leader's.
-func TestNumbersOfLeasesAreGivenOutAgain(t *testing.T) {
+// After a restore the store assigns lease IDs again. Guards against a stopping router that revokes
+// another's lease with the ID of its own old one.
+func TestReassignedLeaseIsNotRevoked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		c := store.Copy()
@@ -215,10 +212,9 @@
 	})
 }
 
-// A router has not heard that the store came back without the leadership key, and knows of
-// no leader as it is behind. Its claim finds the key absent and is carried out, while the
-// old leader believes in its lease for two more seconds. It gives the leadership up.
-func TestClaimInAnUnknownEraIsGivenUp(t *testing.T) {
+// A router that has not observed a restore finds the leadership key missing and writes it, while
+// the old leader still relies on its lease. It must abandon the leadership.
+func TestCampaignInUnknownEraIsAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		c := store.Copy()
