--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -235,7 +235,7 @@
 		klog.ErrorS(err, "failed to encode the leadership key")
 		return
 	}
-	if e.leaderInCopy(ctx) {
+	if e.leaderInReplica(ctx) {
 		return
 	}
 	l := e.grant(ctx, leaderTTL)
@@ -264,9 +264,9 @@
 	}
 }
 
-// leaderInCopy reports whether a copy of the store holds a leadership key that is newer than the
-// newest vacancy observed. Reading the copy is much cheaper than a campaign that fails.
-func (e *Elector) leaderInCopy(ctx context.Context) bool {
+// leaderInReplica reports whether a replica of the store holds a leadership key that is newer than
+// the newest vacancy observed. Reading a replica is much cheaper than a campaign that fails.
+func (e *Elector) leaderInReplica(ctx context.Context) bool {
 	it, err := e.Store.Peek(ctx, Key)
 	if err != nil {
 		return false
--- a/internal/coordination/leader/race_test.go
+++ b/internal/coordination/leader/race_test.go
@@ -14,7 +14,7 @@
 
 // Another router has won, but this one has not observed it yet. Guards against campaigns that
 // cannot succeed, each of which costs two calls to the store.
-func TestElectorReadsCopyBeforeCampaign(t *testing.T) {
+func TestElectorReadsReplicaBeforeCampaign(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		store.Put(Key, []byte(`{"instance":"b","incarnation":"b-1"}`))
@@ -28,16 +28,16 @@
 	})
 }
 
-// The copy still holds a leader whose exit has been observed. Guards against waiting for the copy
+// The replica still holds a leader whose exit has been observed. Guards against waiting for it
 // to catch up, since no router would lead until then.
-func TestOutdatedCopyDoesNotPreventCampaign(t *testing.T) {
+func TestStaleReplicaDoesNotPreventCampaign(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		revision := store.Put(Key, []byte(`{"instance":"b","incarnation":"b-1"}`))
 		e := &Elector{Store: store}
-		assert.Assert(t, e.leaderInCopy(t.Context()))
+		assert.Assert(t, e.leaderInReplica(t.Context()))
 		e.Observe(nil, revision+1)
-		assert.Assert(t, !e.leaderInCopy(t.Context()))
+		assert.Assert(t, !e.leaderInReplica(t.Context()))
 	})
 }
 
