--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission decides at an entry which requests go on to the engines,
-// which wait a moment, and which are refused at once.
+// Package admission decides at an entry which requests are sent to the engines, which wait for a
+// short time, and which are refused at once.
 package admission
 
 import (
@@ -13,34 +13,30 @@
 )
 
 const (
-	// maxWait bounds how long a request may be expected to wait here; a longer
-	// wait is answered at once with when to come back. One that was overtaken
-	// and has waited twice as long is given up.
+	// maxWait bounds the expected wait of a request. A request that would wait longer is
+	// refused at once. One that others overtake is refused after twice this time.
 	maxWait = 400 * time.Millisecond
-	// initialQueueLimit bounds the queue while nothing is known of how fast it moves.
+	// initialQueueLimit bounds the queue until the release interval is known.
 	initialQueueLimit = 16
-	// limitHold is how long after the last refusal the limit binds. Without refusals
-	// there is room for whatever comes.
+	// limitHold is how long the limit applies after the last overload.
 	limitHold = time.Second
-	// decreaseFactor is what the limit is multiplied by when the engines are full.
+	// decreaseFactor is the factor applied to the limit at an overload.
 	decreaseFactor = 0.97
-	// minDecreaseInterval keeps one full moment from being counted for each request
-	// that met it.
+	// minDecreaseInterval is the minimum time between two decreases, so that one overload
+	// is not counted for each request refused in it.
 	minDecreaseInterval = 50 * time.Millisecond
-	// fairShareHeadroom is how far beyond the limit a customer may go that holds no more
-	// than its equal share of the places. One customer that sends without pause
-	// takes each place as it comes free; a small burst of the others then waits
-	// for places that are held for seconds, and is given up. Measured: of 184
-	// requests of nine customers beside such a flood 1 to 19 were refused
-	// without it.
+	// fairShareHeadroom is the fraction by which a customer may exceed the limit while it
+	// holds no more than an equal share of it. Without it, a customer that sends without
+	// pause takes each slot as it is released, and small bursts of others are refused.
 	fairShareHeadroom = 0.15
-	// intervalWeight is the weight of the newest interval between two leavings.
+	// intervalWeight is the weight of the newest sample of the release interval.
 	intervalWeight = 0.05
 )
 
-// Limiter holds the requests that an entry has at the engines. How many it may
-// have, it learns from the gates' and the router's refusals: it grows while none
-// comes and shrinks when one does, as a TCP window does.
+// Limiter bounds the number of requests that an entry has in flight at the engines. The limit
+// adapts by additive increase and multiplicative decrease, like a TCP congestion window: it grows
+// while requests complete and shrinks when a gate or the router refuses one. It is safe for
+// concurrent use.
 type Limiter struct {
 	now func() time.Time
 
@@ -48,196 +44,198 @@
 	limit           float64
 	inFlight        int
 	queue           *fair.Queue[*waiter]
-	releaseInterval time.Duration // smoothed time between two leavings
+	releaseInterval time.Duration // smoothed time between two releases
 	lastReleaseAt   time.Time
 	lastOverloadAt  time.Time
 }
 
-// waiter is a request's wait for room.
+// waiter is a request that waits for a slot.
 type waiter struct {
-	admitted chan struct{} // closed when it may go on
-	dropped  chan struct{} // closed when it was given up
+	admitted chan struct{} // closed when the request is admitted
+	dropped  chan struct{} // closed when the request is removed in favour of another
 }
 
-// NewLimiter makes an empty room.
+// NewLimiter returns a Limiter without requests in flight.
 func NewLimiter(now func() time.Time) *Limiter {
 	return &Limiter{now: now, queue: fair.New[*waiter]()}
 }
 
-// Request is what the room needs to know.
+// Request describes a request that asks for admission.
 type Request struct {
 	Customer string
 	Priority int
 	Deadline time.Time
 }
 
-// Acquire waits for room. An error is the final answer: nothing of the request
-// went on. After nil, Leave must be called.
-func (r *Limiter) Acquire(ctx context.Context, q Request) error {
+// Acquire waits for a slot. If it returns nil, the caller must call Release. It returns a fault of
+// kind Overloaded if the request is refused; the request must then not be sent to an engine.
+func (l *Limiter) Acquire(ctx context.Context, q Request) error {
 	if ctx.Err() != nil {
-		return r.refusal("the caller has left")
+		return l.refusal("the caller disconnected")
 	}
-	p, err := r.acquireOrQueue(q)
-	if err != nil || p == nil {
+	w, err := l.acquireOrQueue(q)
+	if err != nil || w == nil {
 		return err
 	}
-	patience := time.NewTimer(2 * maxWait)
-	defer patience.Stop()
+	timeout := time.NewTimer(2 * maxWait)
+	defer timeout.Stop()
 	select {
-	case <-p.admitted:
-	case <-p.dropped:
-		return r.refusal("given up for a request worth more")
-	case <-patience.C:
+	case <-w.admitted:
+	case <-w.dropped:
+		return l.refusal("removed from the queue in favour of another request")
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
-	return r.finishWait(ctx, p, q)
+	return l.finishWait(ctx, w, q)
 }
 
-// acquireOrQueue goes in at once, or into the queue, or is refused.
-func (r *Limiter) acquireOrQueue(q Request) (*waiter, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.now().Sub(r.lastOverloadAt) > limitHold {
-		r.limit = max(r.limit, float64(r.inFlight+r.queue.Len()+1))
-		r.admitWaiting()
+// acquireOrQueue takes a slot and returns nil, or adds the request to the queue and returns its
+// waiter, or refuses the request and returns an error.
+func (l *Limiter) acquireOrQueue(q Request) (*waiter, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.now().Sub(l.lastOverloadAt) > limitHold {
+		l.limit = max(l.limit, float64(l.inFlight+l.queue.Len()+1))
+		l.admitWaiting()
 	}
-	if r.queue.Len() == 0 && r.hasCapacity(q.Customer) {
-		r.inFlight++
-		r.queue.Acquire(q.Customer)
+	if l.queue.Len() == 0 && l.hasCapacity(q.Customer) {
+		l.inFlight++
+		l.queue.Acquire(q.Customer)
 		return nil, nil
 	}
-	if r.waitTooLong(q) {
-		victim, ok := r.queue.Shed(q.Customer, q.Priority)
+	if l.waitTooLong(q) {
+		victim, ok := l.queue.Shed(q.Customer, q.Priority)
 		if !ok {
-			return nil, r.refusalLocked("too many requests wait already")
+			return nil, l.refusalLocked("too many requests are waiting")
 		}
 		close(victim.dropped)
 	}
-	p := &waiter{admitted: make(chan struct{}), dropped: make(chan struct{})}
-	r.queue.Push(p, q.Customer, q.Priority)
-	r.admitWaiting()
-	return p, nil
+	w := &waiter{admitted: make(chan struct{}), dropped: make(chan struct{})}
+	l.queue.Push(w, q.Customer, q.Priority)
+	l.admitWaiting()
+	return w, nil
 }
 
-// hasCapacity tells whether one more of a customer may go in.
-func (r *Limiter) hasCapacity(customer string) bool {
-	limit := r.limit
-	if float64(r.queue.Held(customer)+1) <= r.limit/float64(r.queue.Customers()+1) {
-		limit += fairShareHeadroom * r.limit
+// hasCapacity reports whether one more request of a customer may be in flight.
+func (l *Limiter) hasCapacity(customer string) bool {
+	limit := l.limit
+	if float64(l.queue.Held(customer)+1) <= l.limit/float64(l.queue.Customers()+1) {
+		limit += fairShareHeadroom * l.limit
 	}
-	return float64(r.inFlight+1) <= limit
+	return float64(l.inFlight+1) <= limit
 }
 
-// waitTooLong tells whether one more would wait longer than it may.
-func (r *Limiter) waitTooLong(q Request) bool {
-	wait := r.expectedWait()
-	half := q.Deadline.Sub(r.now()) / 2
-	if r.releaseInterval == 0 {
-		return r.queue.Len() >= initialQueueLimit
+// waitTooLong reports whether one more request would wait for longer than maxWait or half the
+// time to its deadline.
+func (l *Limiter) waitTooLong(q Request) bool {
+	wait := l.expectedWait()
+	half := q.Deadline.Sub(l.now()) / 2
+	if l.releaseInterval == 0 {
+		return l.queue.Len() >= initialQueueLimit
 	}
 	return wait > min(maxWait, half)
 }
 
-// expectedWait predicts how long the last in the queue waits.
-func (r *Limiter) expectedWait() time.Duration {
-	return time.Duration(r.queue.Len()+1) * r.releaseInterval
+// expectedWait returns the expected wait of a request added to the end of the queue.
+func (l *Limiter) expectedWait() time.Duration {
+	return time.Duration(l.queue.Len()+1) * l.releaseInterval
 }
 
-func (r *Limiter) refusal(msg string) error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.refusalLocked(msg)
+func (l *Limiter) refusal(msg string) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.refusalLocked(msg)
 }
 
-// refusalLocked says when to come back: when the present queue will be gone,
-// spread so that a burst does not come back as one.
-func (r *Limiter) refusalLocked(msg string) error {
-	e := fault.New(fault.Overloaded, "%s: %d at the engines, %d waiting", msg, r.inFlight, r.queue.Len())
-	e.RetryAfter = limits.Jitter(max(2*r.expectedWait(), time.Second))
+// refusalLocked returns a fault of kind Overloaded. Its RetryAfter is based on the time in which
+// the queue should drain, with jitter so that a refused burst does not return at once.
+func (l *Limiter) refusalLocked(msg string) error {
+	e := fault.New(fault.Overloaded, "%s: %d requests in flight at the engines, %d waiting", msg, l.inFlight, l.queue.Len())
+	e.RetryAfter = limits.Jitter(max(2*l.expectedWait(), time.Second))
 	return e
 }
 
-// finishWait ends a wait. Its end, the caller's and a place that is given may come in the
-// same moment, so it asks again under the lock that places are given under: a place
-// that was given is used, unless nobody is there to use it.
-func (r *Limiter) finishWait(ctx context.Context, p *waiter, q Request) error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.queue.Remove(p) {
-		return r.refusalLocked("waited in vain")
+// finishWait returns the result of a wait that was admitted or ended. Both can happen at the same
+// time, so it checks again under the lock. A slot that was granted is used, unless the caller
+// disconnected.
+func (l *Limiter) finishWait(ctx context.Context, w *waiter, q Request) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.queue.Remove(w) {
+		return l.refusalLocked("no capacity became free in time")
 	}
 	select {
-	case <-p.admitted:
+	case <-w.admitted:
 	default:
-		return r.refusalLocked("given up for a request worth more")
+		return l.refusalLocked("removed from the queue in favour of another request")
 	}
 	if ctx.Err() == nil {
 		return nil
 	}
-	r.releaseLocked(q.Customer)
-	return r.refusalLocked("the caller has left")
+	l.releaseLocked(q.Customer)
+	return l.refusalLocked("the caller disconnected")
 }
 
-// admitWaiting lets in what there is room for. The queue counts the places by
-// customer, so a popped place is held by its own.
-func (r *Limiter) admitWaiting() {
+// admitWaiting admits requests from the queue while there is capacity.
+func (l *Limiter) admitWaiting() {
 	for {
-		next, ok := r.queue.NextCustomer()
-		if !ok || !r.hasCapacity(next) {
+		next, ok := l.queue.NextCustomer()
+		if !ok || !l.hasCapacity(next) {
 			return
 		}
-		p, customer, _ := r.queue.PopWithCustomer()
-		r.inFlight++
-		r.queue.Acquire(customer)
-		close(p.admitted)
+		w, customer, _ := l.queue.PopWithCustomer()
+		l.inFlight++
+		l.queue.Acquire(customer)
+		close(w.admitted)
 	}
 }
 
-// Release gives a place back. full tells that the engines had no room for it.
-func (r *Limiter) Release(customer string, full bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if !full {
-		r.recordRelease()
-		if float64(r.inFlight) >= r.limit-1 {
-			r.limit += 1 / r.limit
+// Release frees the slot of a request. overloaded reports that the engines refused the request
+// for lack of capacity.
+func (l *Limiter) Release(customer string, overloaded bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !overloaded {
+		l.recordRelease()
+		if float64(l.inFlight) >= l.limit-1 {
+			l.limit += 1 / l.limit
 		}
 	}
-	r.releaseLocked(customer)
+	l.releaseLocked(customer)
 }
 
-func (r *Limiter) releaseLocked(customer string) {
-	r.inFlight--
-	r.queue.Release(customer)
-	r.admitWaiting()
+func (l *Limiter) releaseLocked(customer string) {
+	l.inFlight--
+	l.queue.Release(customer)
+	l.admitWaiting()
 }
 
-func (r *Limiter) recordRelease() {
-	now := r.now()
-	if !r.lastReleaseAt.IsZero() {
-		d := now.Sub(r.lastReleaseAt)
-		if r.releaseInterval == 0 {
-			r.releaseInterval = d
+func (l *Limiter) recordRelease() {
+	now := l.now()
+	if !l.lastReleaseAt.IsZero() {
+		d := now.Sub(l.lastReleaseAt)
+		if l.releaseInterval == 0 {
+			l.releaseInterval = d
 		}
-		r.releaseInterval += time.Duration(intervalWeight * float64(d-r.releaseInterval))
+		l.releaseInterval += time.Duration(intervalWeight * float64(d-l.releaseInterval))
 	}
-	r.lastReleaseAt = now
+	l.lastReleaseAt = now
 }
 
-// Overloaded takes in that a gate or the router refused for lack of room.
-func (r *Limiter) Overloaded() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.now().Sub(r.lastOverloadAt) < minDecreaseInterval {
+// Overloaded records that a gate or the router refused a request for lack of capacity.
+func (l *Limiter) Overloaded() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.now().Sub(l.lastOverloadAt) < minDecreaseInterval {
 		return
 	}
-	r.lastOverloadAt = r.now()
-	r.limit = max(1, min(r.limit, float64(r.inFlight))*decreaseFactor)
+	l.lastOverloadAt = l.now()
+	l.limit = max(1, min(l.limit, float64(l.inFlight))*decreaseFactor)
 }
 
-// Limit is how many requests may be inside now.
-func (r *Limiter) Limit() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return int(r.limit)
+// Limit returns the number of requests that may be in flight.
+func (l *Limiter) Limit() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return int(l.limit)
 }
