--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -16,30 +16,29 @@
 	return Request{Customer: customer, Priority: priority, Deadline: time.Now().Add(time.Minute)}
 }
 
-// saturate lets n requests in, then says that the engines are full.
-func saturate(t *testing.T, r *Limiter, customer string, n int) {
+// saturate admits n requests and then reports an overload.
+func saturate(t *testing.T, l *Limiter, customer string, n int) {
 	for i := 0; i < n; i++ {
-		assert.NilError(t, r.Acquire(context.Background(), request(customer, 3)))
+		assert.NilError(t, l.Acquire(context.Background(), request(customer, 3)))
 	}
-	r.Overloaded()
+	l.Overloaded()
 }
 
-// While nobody refuses, whatever comes goes in at once.
-func TestNoLimitWithoutRefusals(t *testing.T) {
+// The limit applies only after an overload.
+func TestNoLimitWithoutOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := NewLimiter(time.Now)
+		l := NewLimiter(time.Now)
 		for i := 0; i < 1000; i++ {
-			assert.NilError(t, r.Acquire(context.Background(), request("c", 0)))
+			assert.NilError(t, l.Acquire(context.Background(), request("c", 0)))
 		}
 	})
 }
 
-// The engines are full and a flood waits. Its queue is short; what does not fit
-// is refused at once, and each refusal says when to come back, not all the same.
-func TestFloodIsRefusedAtOnce(t *testing.T) {
+// Requests beyond the queue limit are refused at once, with different retry delays.
+func TestExcessRequestsAreRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := NewLimiter(time.Now)
-		saturate(t, r, "flood", 10)
+		l := NewLimiter(time.Now)
+		saturate(t, l, "flood", 10)
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		after := map[time.Duration]bool{}
@@ -47,7 +46,7 @@
 		for i := 0; i < 100; i++ {
 			wg.Go(func() {
 				began := time.Now()
-				err := r.Acquire(context.Background(), request("flood", 3))
+				err := l.Acquire(context.Background(), request("flood", 3))
 				assert.Check(t, fault.Is(err, fault.Overloaded))
 				mu.Lock()
 				defer mu.Unlock()
@@ -59,19 +58,19 @@
 		}
 		wg.Wait()
 		assert.Assert(t, atOnce >= 80, "%d of 100 refused at once", atOnce)
-		assert.Assert(t, len(after) > 50, "come-back times are spread: %d differ", len(after))
+		assert.Assert(t, len(after) > 50, "only %d different retry delays", len(after))
 	})
 }
 
-// A flood fills the room and the queue. A small customer's request comes last
-// and goes in first.
-func TestSmallCustomerGoesBeforeTheFlood(t *testing.T) {
+// One customer fills the limit and the queue. The request of another customer that arrives last
+// must be admitted first.
+func TestCustomerWithFewRequestsIsAdmittedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := NewLimiter(time.Now)
-		saturate(t, r, "flood", 10)
+		l := NewLimiter(time.Now)
+		saturate(t, l, "flood", 10)
 		order := make(chan string, 32)
 		enter := func(customer string) {
-			if r.Acquire(context.Background(), request(customer, 3)) == nil {
+			if l.Acquire(context.Background(), request(customer, 3)) == nil {
 				order <- customer
 			}
 		}
@@ -81,119 +80,117 @@
 		synctest.Wait()
 		go enter("small")
 		synctest.Wait()
-		r.Release("flood", false)
+		l.Release("flood", false)
 		synctest.Wait()
-		r.Release("flood", false)
+		l.Release("flood", false)
 		synctest.Wait()
 		assert.Equal(t, <-order, "small")
 		time.Sleep(2 * maxWait)
 	})
 }
 
-// A higher priority takes the place of a lower one in a full queue; the lower
-// one gets its final answer at that moment.
-func TestLowPriorityIsShedFirst(t *testing.T) {
+// A request of higher priority replaces one of lower priority in a full queue. The replaced one is
+// refused at once.
+func TestLowPriorityIsDroppedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := NewLimiter(time.Now)
-		saturate(t, r, "c", 4)
+		l := NewLimiter(time.Now)
+		saturate(t, l, "c", 4)
 		low := make(chan time.Duration, initialQueueLimit)
 		for i := 0; i < initialQueueLimit; i++ {
 			go func() {
 				began := time.Now()
-				assert.Check(t, fault.Is(r.Acquire(context.Background(), request("c", 1)), fault.Overloaded))
+				assert.Check(t, fault.Is(l.Acquire(context.Background(), request("c", 1)), fault.Overloaded))
 				low <- time.Since(began)
 			}()
 		}
 		synctest.Wait()
 		high := make(chan error, 1)
-		go func() { high <- r.Acquire(context.Background(), request("c", 9)) }()
+		go func() { high <- l.Acquire(context.Background(), request("c", 9)) }()
 		assert.Equal(t, <-low, time.Duration(0))
-		r.Release("c", false)
+		l.Release("c", false)
 		assert.NilError(t, <-high)
 		time.Sleep(2 * maxWait)
 	})
 }
 
-// A caller's time ends while its request waits: it is answered then, and its
-// place in the queue is gone.
-func TestDeadlineWhileWaiting(t *testing.T) {
+// A request whose context ends while it waits is refused then and leaves the queue.
+func TestContextEndsWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := NewLimiter(time.Now)
-		saturate(t, r, "c", 4)
+		l := NewLimiter(time.Now)
+		saturate(t, l, "c", 4)
 		ctx, cancel := context.WithTimeout(context.Background(), maxWait/4)
 		defer cancel()
-		assert.Assert(t, r.Acquire(ctx, request("c", 1)) != nil)
-		assert.Equal(t, r.queue.Len(), 0)
+		assert.Assert(t, l.Acquire(ctx, request("c", 1)) != nil)
+		assert.Equal(t, l.queue.Len(), 0)
 	})
 }
 
-// A flood holds every place, and each is held for seconds. Five small customers
-// send one request each at the same moment. Waiting for places to come free they
-// would be given up; they go in at once, and the flood's next one does not.
-func TestBurstOfSmallCustomersDoesNotWaitForTheFlood(t *testing.T) {
+// One customer holds all slots for seconds. Guards against refusing a burst of single requests of
+// other customers, which fairShareHeadroom admits at once.
+func TestBurstOfOtherCustomersIsAdmittedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const places, small = 60, 5
-		r := NewLimiter(time.Now)
-		saturate(t, r, "flood", places)
-		for i := range small {
+		const slots, others = 60, 5
+		l := NewLimiter(time.Now)
+		saturate(t, l, "flood", slots)
+		for i := range others {
 			began := time.Now()
-			assert.NilError(t, r.Acquire(context.Background(), request(string(rune('a'+i)), 3)))
+			assert.NilError(t, l.Acquire(context.Background(), request(string(rune('a'+i)), 3)))
 			assert.Equal(t, time.Since(began), time.Duration(0))
 		}
-		err := r.Acquire(context.Background(), request("flood", 3))
+		err := l.Acquire(context.Background(), request("flood", 3))
 		assert.Assert(t, fault.Is(err, fault.Overloaded))
 	})
 }
 
-// inFlight counts who has a place, once all is quiet.
-func inFlight(r *Limiter) int {
+// inFlight returns the number of admitted requests once all goroutines are blocked.
+func inFlight(l *Limiter) int {
 	synctest.Wait()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.inFlight
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.inFlight
 }
 
-// A request has left, or leaves in the moment its turn comes. Its place goes to the
-// next: it would work for nobody.
-func TestRoomLetsNobodyInWhoLeft(t *testing.T) {
+// The caller has disconnected, or does so when its request is admitted. Guards against a slot that
+// no request uses or releases.
+func TestDisconnectedCallerIsNotAdmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		left, leave := context.WithCancel(context.Background())
-		leave()
-		r := NewLimiter(time.Now)
-		assert.Check(t, r.Acquire(left, request("c", 3)) != nil)
-		assert.Check(t, inFlight(r) == 0)
+		ended, cancel := context.WithCancel(context.Background())
+		cancel()
+		l := NewLimiter(time.Now)
+		assert.Check(t, l.Acquire(ended, request("c", 3)) != nil)
+		assert.Check(t, inFlight(l) == 0)
 		for range 100 {
-			r := NewLimiter(time.Now)
-			saturate(t, r, "c", 1)
-			ctx, leave := context.WithCancel(context.Background())
-			answer := make(chan error, 1)
-			go func() { answer <- r.Acquire(ctx, request("c", 3)) }()
+			l := NewLimiter(time.Now)
+			saturate(t, l, "c", 1)
+			ctx, cancel := context.WithCancel(context.Background())
+			result := make(chan error, 1)
+			go func() { result <- l.Acquire(ctx, request("c", 3)) }()
 			synctest.Wait()
-			r.mu.Lock()
-			leave()
-			r.releaseLocked("c")
-			r.mu.Unlock()
-			assert.Check(t, <-answer != nil)
-			assert.Check(t, inFlight(r) == 0)
+			l.mu.Lock()
+			cancel()
+			l.releaseLocked("c")
+			l.mu.Unlock()
+			assert.Check(t, <-result != nil)
+			assert.Check(t, inFlight(l) == 0)
 		}
 	})
 }
 
-// A place is given as the wait for it ends. The request has it, and goes in.
-func TestRoomKeepsAPlaceThatWasGiven(t *testing.T) {
+// A request is admitted at the moment its wait times out. Guards against losing the slot.
+func TestAdmissionAtTimeoutIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for range 100 {
-			r := NewLimiter(time.Now)
-			saturate(t, r, "c", 1)
-			answer := make(chan error, 1)
-			go func() { answer <- r.Acquire(context.Background(), request("c", 3)) }()
+			l := NewLimiter(time.Now)
+			saturate(t, l, "c", 1)
+			result := make(chan error, 1)
+			go func() { result <- l.Acquire(context.Background(), request("c", 3)) }()
 			synctest.Wait()
-			r.mu.Lock()
-			time.Sleep(2 * maxWait) // the wait ends now as well
-			r.releaseLocked("c")
-			r.mu.Unlock()
-			assert.Check(t, <-answer == nil)
-			assert.Check(t, inFlight(r) == 1)
+			l.mu.Lock()
+			time.Sleep(2 * maxWait) // the wait times out too
+			l.releaseLocked("c")
+			l.mu.Unlock()
+			assert.Check(t, <-result == nil)
+			assert.Check(t, inFlight(l) == 1)
 		}
 	})
 }
