--- a/internal/coordination/admission/line.go
+++ b/internal/coordination/admission/line.go
@@ -8,12 +8,12 @@
 	"github.com/skylarkwood/skylarkwood/internal/coordination/fair"
 )
 
-// pollInterval is how often the front of a line looks for room that other routers'
-// streams gave back; room given back here wakes it at once.
+// pollInterval is how often the front of the queue tries again, for capacity that was released at
+// other routers. Notify makes it try at once.
 const pollInterval = 40 * time.Millisecond
 
-// WaitQueue lets requests wait a moment for token memory, the most urgent first and
-// fairly among customers. Only who is at the front may try.
+// WaitQueue lets requests wait for token memory, ordered by priority and fairly among customers.
+// Only the request at the front tries to get it. It is safe for concurrent use.
 type WaitQueue struct {
 	mu    sync.Mutex
 	queue *fair.Queue[*queuedRequest]
@@ -23,61 +23,61 @@
 	wake chan struct{}
 }
 
-// NewWaitQueue makes an empty line.
+// NewWaitQueue returns an empty queue.
 func NewWaitQueue() *WaitQueue { return &WaitQueue{queue: fair.New[*queuedRequest]()} }
 
-// Len counts who waits.
-func (l *WaitQueue) Len() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.queue.Len()
+// Len returns the number of waiting requests.
+func (q *WaitQueue) Len() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.queue.Len()
 }
 
-// Wait calls try whenever it may succeed, until it does, at most for the given
-// time. It tells whether try succeeded. Nobody overtakes who waits already,
-// unless more urgent. After the end of ctx it tries no more: a wake may come in the
-// same moment, and what try takes would be taken for nobody.
-func (l *WaitQueue) Wait(ctx context.Context, q Request, most time.Duration, try func() bool) bool {
+// Wait calls try each time it may succeed, until it does or the timeout passes or ctx ends. It
+// reports whether try succeeded. A request does not overtake one that waits already unless its
+// priority is higher. Wait does not call try after ctx has ended, because the caller would not use
+// what try acquires.
+func (q *WaitQueue) Wait(ctx context.Context, r Request, timeout time.Duration, try func() bool) bool {
 	if ctx.Err() != nil {
 		return false
 	}
-	if l.Len() == 0 && try() {
+	if q.Len() == 0 && try() {
 		return true
 	}
 	w := &queuedRequest{wake: make(chan struct{}, 1)}
-	l.mu.Lock()
-	l.queue.Push(w, q.Customer, q.Priority)
-	l.mu.Unlock()
-	defer l.remove(w)
-	patience := time.NewTimer(most)
-	defer patience.Stop()
+	q.mu.Lock()
+	q.queue.Push(w, r.Customer, r.Priority)
+	q.mu.Unlock()
+	defer q.remove(w)
+	expired := time.NewTimer(timeout)
+	defer expired.Stop()
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
-		if ctx.Err() == nil && l.isFront(w) && try() {
+		if ctx.Err() == nil && q.isFront(w) && try() {
 			return true
 		}
 		select {
 		case <-w.wake:
 		case <-tick.C:
-		case <-patience.C:
-			// Room may have come free since the last look, here or elsewhere.
-			return ctx.Err() == nil && l.isFront(w) && try()
+		case <-expired.C:
+			// Capacity may have been released since the last try.
+			return ctx.Err() == nil && q.isFront(w) && try()
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// Notify tells the front of the line that there may be room.
-func (l *WaitQueue) Notify() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.notifyLocked()
+// Notify makes the request at the front try again, because capacity may have been released.
+func (q *WaitQueue) Notify() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.notifyLocked()
 }
 
-func (l *WaitQueue) notifyLocked() {
-	if w, ok := l.queue.Peek(); ok {
+func (q *WaitQueue) notifyLocked() {
+	if w, ok := q.queue.Peek(); ok {
 		select {
 		case w.wake <- struct{}{}:
 		default:
@@ -85,16 +85,16 @@
 	}
 }
 
-func (l *WaitQueue) isFront(w *queuedRequest) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	front, ok := l.queue.Peek()
+func (q *WaitQueue) isFront(w *queuedRequest) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	front, ok := q.queue.Peek()
 	return ok && front == w
 }
 
-func (l *WaitQueue) remove(w *queuedRequest) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.queue.Remove(w)
-	l.notifyLocked()
+func (q *WaitQueue) remove(w *queuedRequest) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.queue.Remove(w)
+	q.notifyLocked()
 }
