--- a/internal/coordination/admission/line_test.go
+++ b/internal/coordination/admission/line_test.go
@@ -11,36 +11,34 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestLineLetsInAtOnce(t *testing.T) {
-	l := NewWaitQueue()
-	assert.Assert(t, l.Wait(context.Background(), Request{Customer: "c"}, time.Minute, func() bool { return true }))
-	assert.Equal(t, l.Len(), 0)
+func TestWaitSucceedsAtOnce(t *testing.T) {
+	q := NewWaitQueue()
+	assert.Assert(t, q.Wait(context.Background(), Request{Customer: "c"}, time.Minute, func() bool { return true }))
+	assert.Equal(t, q.Len(), 0)
 }
 
-// Nothing becomes free. The request is given up after its wait, not held until
-// its deadline: its caller is told at once when to come back.
-func TestLineGivesUp(t *testing.T) {
+// Without free capacity Wait returns after its timeout and leaves the queue.
+func TestWaitTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := NewWaitQueue()
+		q := NewWaitQueue()
 		began := time.Now()
-		ok := l.Wait(context.Background(), Request{Customer: "c"}, 400*time.Millisecond, func() bool { return false })
+		ok := q.Wait(context.Background(), Request{Customer: "c"}, 400*time.Millisecond, func() bool { return false })
 		assert.Assert(t, !ok)
 		assert.Equal(t, time.Since(began), 400*time.Millisecond)
-		assert.Equal(t, l.Len(), 0)
+		assert.Equal(t, q.Len(), 0)
 	})
 }
 
-// Urgent and less urgent requests wait for one place after another. The urgent
-// ones go first though they came last; nobody is let in twice or forgotten.
-func TestLineLetsUrgentFirst(t *testing.T) {
+// A request of higher priority that arrives last is admitted first, and each request once.
+func TestHigherPriorityIsAdmittedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := NewWaitQueue()
-		var room atomic.Int64
+		q := NewWaitQueue()
+		var capacity atomic.Int64
 		try := func() bool {
-			if room.Load() <= 0 {
+			if capacity.Load() <= 0 {
 				return false
 			}
-			room.Add(-1)
+			capacity.Add(-1)
 			return true
 		}
 		var mu sync.Mutex
@@ -48,7 +46,7 @@
 		var all sync.WaitGroup
 		for _, priority := range []int{-2, -2, -1} {
 			all.Go(func() {
-				if l.Wait(context.Background(), Request{Customer: "c", Priority: priority}, time.Minute, try) {
+				if q.Wait(context.Background(), Request{Customer: "c", Priority: priority}, time.Minute, try) {
 					mu.Lock()
 					defer mu.Unlock()
 					order = append(order, priority)
@@ -57,8 +55,8 @@
 			synctest.Wait()
 		}
 		for range 3 {
-			room.Add(1)
-			l.Notify()
+			capacity.Add(1)
+			q.Notify()
 			time.Sleep(pollInterval)
 			synctest.Wait()
 		}
@@ -67,27 +65,26 @@
 	})
 }
 
-// The caller leaves while it waits: its place in the line goes to the next.
-func TestLineForgetsWhoLeft(t *testing.T) {
+// A request whose context ends while it waits leaves the queue.
+func TestContextEndRemovesRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := NewWaitQueue()
-		ctx, leave := context.WithCancel(context.Background())
+		q := NewWaitQueue()
+		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan bool)
-		go func() { done <- l.Wait(ctx, Request{Customer: "c"}, time.Minute, func() bool { return false }) }()
+		go func() { done <- q.Wait(ctx, Request{Customer: "c"}, time.Minute, func() bool { return false }) }()
 		synctest.Wait()
-		assert.Equal(t, l.Len(), 1)
-		leave()
+		assert.Equal(t, q.Len(), 1)
+		cancel()
 		assert.Assert(t, !<-done)
-		assert.Equal(t, l.Len(), 0)
+		assert.Equal(t, q.Len(), 0)
 	})
 }
 
-// The caller has left, and in the same moment room comes free: the wake and the end
-// of the context race. Let in, the request would take memory and be sent on for
-// nobody.
-func TestLineLetsNobodyInWhoLeft(t *testing.T) {
-	ctx, leave := context.WithCancel(context.Background())
-	leave()
+// The context ends at the same time as capacity is released. Guards against taking memory for a
+// request whose caller has disconnected.
+func TestNoTryAfterContextEnd(t *testing.T) {
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
 	tried := false
 	try := func() bool {
 		tried = true
@@ -96,34 +93,33 @@
 	assert.Assert(t, !NewWaitQueue().Wait(ctx, Request{Customer: "c"}, time.Minute, try))
 	assert.Assert(t, !tried)
 	for range 100 {
-		l := NewWaitQueue()
-		ctx, leave := context.WithCancel(context.Background())
-		room := false
+		q := NewWaitQueue()
+		ctx, cancel := context.WithCancel(context.Background())
+		capacity := false
 		try := func() bool {
-			if room {
+			if capacity {
 				return true
 			}
-			room = l.Len() > 0
-			if room {
-				leave()
-				l.Notify()
+			capacity = q.Len() > 0
+			if capacity {
+				cancel()
+				q.Notify()
 			}
 			return false
 		}
-		assert.Assert(t, !l.Wait(ctx, Request{Customer: "c"}, time.Minute, try))
-		assert.Equal(t, l.Len(), 0)
+		assert.Assert(t, !q.Wait(ctx, Request{Customer: "c"}, time.Minute, try))
+		assert.Equal(t, q.Len(), 0)
 	}
 }
 
-// Room comes free at another router as the wait ends; nobody here is woken for it.
-// The front of the line looks once more before it is refused: its caller would be
-// sent away from a place that is free.
-func TestLineLooksOnceMoreBeforeItGivesUp(t *testing.T) {
+// Capacity is released at another router just before the timeout, without a Notify. Guards against
+// a refusal although there is capacity.
+func TestWaitTriesAgainAtTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		most := pollInterval - time.Millisecond
-		try := func() bool { return time.Since(began) >= most }
-		assert.Assert(t, NewWaitQueue().Wait(context.Background(), Request{Customer: "c"}, most, try))
-		assert.Equal(t, time.Since(began), most)
+		timeout := pollInterval - time.Millisecond
+		try := func() bool { return time.Since(began) >= timeout }
+		assert.Assert(t, NewWaitQueue().Wait(context.Background(), Request{Customer: "c"}, timeout, try))
+		assert.Equal(t, time.Since(began), timeout)
 	})
 }
