--- a/internal/coordination/quarantine/charge.go
+++ b/internal/coordination/quarantine/charge.go
@@ -87,16 +87,16 @@
 		if other == server || o.domain != e.domain || max(o.at-e.at, e.at-o.at) > commonCauseWindow {
 			continue
 		}
-		if _, with := o.requests[fp]; !with && !t.causedByOther(o, fp) && !t.hasBlamableRequest(o) {
+		if _, with := o.requests[fp]; !with && !t.causedByOther(o, fp) && !t.hasStrongSuspect(o) {
 			others++
 		}
 	}
 	return others >= minCommonCauseExits
 }
 
-// hasBlamableRequest reports whether any request at the exit was present at minExits exits or
+// hasStrongSuspect reports whether any request at the exit was present at minExits exits or
 // more, and so may have caused it.
-func (t *Tracker) hasBlamableRequest(e *serverExit) bool {
+func (t *Tracker) hasStrongSuspect(e *serverExit) bool {
 	for fp := range e.requests {
 		if s := t.suspects[fp]; s != nil && len(s.exits) >= minExits {
 			return true
