--- a/internal/coordination/leader/leader_test.go
+++ b/internal/coordination/leader/leader_test.go
@@ -15,25 +15,24 @@
 	"github.com/skylarkwood/skylarkwood/platform/standin"
 )
 
-// candidate is an elector with a watch of the leadership key, and a clock that
-// can be stopped and thawed like that of a suspended instance.
-type candidate struct {
+// testElector is a running elector that may watch the leadership key.
+type testElector struct {
 	e    *Elector
 	stop context.CancelFunc
 	done sync.WaitGroup
 }
 
-func start(store *standin.Store, name string) *candidate {
+func start(store *standin.Store, name string) *testElector {
 	c, ctx := run(store, name)
 	c.done.Go(func() { c.watch(ctx, store) })
 	return c
 }
 
-// run starts a candidate that does not watch yet; its context ends with end.
-func run(store platform.Store, name string) (*candidate, context.Context) {
+// run starts an elector that does not watch the key. The context ends with shutDown.
+func run(store platform.Store, name string) (*testElector, context.Context) {
 	ctx, cancel := context.WithCancel(context.Background())
 	began := time.Now()
-	c := &candidate{stop: cancel}
+	c := &testElector{stop: cancel}
 	c.e = &Elector{
 		Store:       store,
 		Self:        Member{Instance: name, Address: name + ":1"},
@@ -45,7 +44,7 @@
 	return c, ctx
 }
 
-func (c *candidate) watch(ctx context.Context, store *standin.Store) {
+func (c *testElector) watch(ctx context.Context, store *standin.Store) {
 	after := model.Revision(0)
 	for ctx.Err() == nil {
 		bounded, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -62,12 +61,12 @@
 	}
 }
 
-func (c *candidate) end() {
+func (c *testElector) shutDown() {
 	c.stop()
 	c.done.Wait()
 }
 
-func leaders(cs ...*candidate) int {
+func leaders(cs ...*testElector) int {
 	n := 0
 	for _, c := range cs {
 		if c.e.FencingToken() != 0 {
@@ -77,22 +76,22 @@
 	return n
 }
 
-func TestOneLeads(t *testing.T) {
+func TestExactlyOneRouterLeads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		a, b, c := start(store, "a"), start(store, "b"), start(store, "c")
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, leaders(a, b, c), 1)
 		assert.Equal(t, len(store.Keys(MemberPrefix)), 3)
-		a.end()
-		b.end()
-		c.end()
+		a.shutDown()
+		b.shutDown()
+		c.shutDown()
 	})
 }
 
-// A planned stop gives the lease back: another leads within a second or two,
-// under a higher token.
-func TestLeadershipIsHandedOn(t *testing.T) {
+// After a planned stop, which revokes the lease, another router leads within two seconds under a
+// higher token.
+func TestStopHandsOverLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		a := start(store, "a")
@@ -101,16 +100,15 @@
 		assert.Assert(t, first != 0)
 		b := start(store, "b")
 		time.Sleep(2 * time.Second)
-		a.end()
+		a.shutDown()
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, b.e.FencingToken() > first)
-		b.end()
+		b.shutDown()
 	})
 }
 
-// The leader is cut from the store. It stops leading when its own lease must
-// have run out, before another can have won, and stays out of it afterwards.
-func TestCutOffLeaderStepsDownFirst(t *testing.T) {
+// Guards against a leader that loses the store and leads on after its lease has expired.
+func TestDisconnectedLeaderStepsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mem := standin.NewStore()
 		a := start(mem, "a")
@@ -121,32 +119,31 @@
 		assert.Equal(t, leaders(a), 0)
 		mem.SetFaults(standin.StoreFaults{})
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, leaders(a), 1, "it stands again")
-		a.end()
+		assert.Equal(t, leaders(a), 1, "it campaigns again")
+		a.shutDown()
 	})
 }
 
-// The answer to the winning claim is lost. The watch shows the claim, so that
-// the winner knows; a leader that does not know of itself would block everybody.
-func TestLostAnswerToTheClaim(t *testing.T) {
+// The response to a successful campaign is lost. Guards against a leader that does not know that
+// it leads, which would block all others.
+func TestLostCampaignResponseIsObserved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
-		// The first write is the registration, the second the claim.
-		lossy := &losing{Store: store, skip: 1, lose: 1}
+		// The first write is the registration, the second the campaign.
+		lossy := &lossyStore{Store: store, skip: 1, drop: 1}
 		a := start(store, "a")
-		a.end()
+		a.shutDown()
 		b, ctx := run(lossy, "b")
 		b.done.Go(func() { b.watch(ctx, store) })
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, lossy.losses(), 1)
+		assert.Equal(t, lossy.droppedCount(), 1)
 		assert.Equal(t, leaders(b), 1)
-		b.end()
+		b.shutDown()
 	})
 }
 
-// An engine has seen a higher token. The leader resigns instead of calling on
-// with the old one, and does not take the same token up again.
-func TestRefusedTokenIsGivenUp(t *testing.T) {
+// A leader whose token an engine rejected must resign and must not use that token again.
+func TestRejectedTokenEndsLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		a := start(store, "a")
@@ -158,24 +155,24 @@
 		assert.NilError(t, err)
 		a.e.Observe(it.Value, it.Revision)
 		assert.Equal(t, a.e.FencingToken(), model.Revision(0))
-		a.end()
+		a.shutDown()
 	})
 }
 
-// losing loses the answers of some commits that took effect.
-type losing struct {
+// lossyStore drops the responses to some successful commits.
+type lossyStore struct {
 	*standin.Store
-	mu               sync.Mutex
-	skip, lose, lost int
+	mu                  sync.Mutex
+	skip, drop, dropped int
 }
 
-func (l *losing) losses() int {
+func (l *lossyStore) droppedCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lost
+	return l.dropped
 }
 
-func (l *losing) Commit(ctx context.Context, txn platform.Txn) (model.Revision, error) {
+func (l *lossyStore) Commit(ctx context.Context, txn platform.Txn) (model.Revision, error) {
 	revision, err := l.Store.Commit(ctx, txn)
 	if err != nil {
 		return revision, err
@@ -186,24 +183,23 @@
 		l.skip--
 		return revision, nil
 	}
-	if l.lose > 0 {
-		l.lose--
-		l.lost++
+	if l.drop > 0 {
+		l.drop--
+		l.dropped++
 		return 0, platform.ErrUnknown
 	}
 	return revision, nil
 }
 
-// The answer to the winning claim is lost and the watch shows the claim only two
-// seconds later. The winner must not claim again meanwhile: it would then renew
-// the second claim's lease, and lead on after its key ended with the first one.
-func TestLeaderHoldsTheLeaseOfItsKey(t *testing.T) {
+// The response to a successful campaign is lost and the key is observed two seconds later. Guards
+// against a second campaign meanwhile, whose lease would be renewed instead of the key's.
+func TestLeaderRenewsTheLeaseOfItsKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
-		lossy := &losing{Store: store, skip: 1, lose: 1}
+		lossy := &lossyStore{Store: store, skip: 1, drop: 1}
 		c, ctx := run(lossy, "c")
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, lossy.losses(), 1)
+		assert.Equal(t, lossy.droppedCount(), 1)
 		c.done.Go(func() { c.watch(ctx, store) })
 		led := 0
 		for range 200 {
@@ -211,24 +207,21 @@
 			if token := c.e.FencingToken(); token != 0 {
 				led++
 				it, err := store.Get(ctx, Key)
-				assert.NilError(t, err, "it believes to lead without the key")
+				assert.NilError(t, err, "the router leads without the key")
 				assert.Equal(t, it.Revision, token)
 			}
 		}
-		assert.Assert(t, led > 190, "led at %d of 200 looks", led)
-		c.end()
+		assert.Assert(t, led > 190, "led at %d of 200 checks", led)
+		c.shutDown()
 	})
 }
 
-// The load: two dozen routers, of which one leads, for a minute without trouble;
-// each call of the store is priced. An entry is renewed every three seconds and
-// the leadership every second; before each router renewed for a leader's time,
-// three times as often.
-func TestRegistrationsAreFewCalls(t *testing.T) {
+// Bounds the calls to the store of 24 routers in a minute without faults, since each is billed.
+func TestLeasesNeedFewStoreCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const routers, seconds = 24, 60
 		store := standin.NewStore()
-		var all []*candidate
+		var all []*testElector
 		for i := range routers {
 			all = append(all, start(store, fmt.Sprint("r", i)))
 		}
@@ -236,12 +229,12 @@
 		calls := store.Calls()
 		assert.Equal(t, leaders(all...), 1)
 		assert.Equal(t, len(store.Keys(MemberPrefix)), routers)
-		mostRenewals := routers*seconds/3 + seconds
-		mostWrites := routers * 4 // a lease and an entry, a lease and a claim
-		assert.Assert(t, calls.KeepAlives <= mostRenewals, "%d renewals", calls.KeepAlives)
-		assert.Assert(t, calls.Writes <= mostWrites, "%d writes", calls.Writes)
+		maxRenewals := routers*seconds/3 + seconds
+		maxWrites := routers * 4 // a lease and an entry, a lease and a campaign
+		assert.Assert(t, calls.KeepAlives <= maxRenewals, "%d renewals", calls.KeepAlives)
+		assert.Assert(t, calls.Writes <= maxWrites, "%d writes", calls.Writes)
 		for _, c := range all {
-			c.end()
+			c.shutDown()
 		}
 	})
 }
--- a/internal/coordination/leader/model_test.go
+++ b/internal/coordination/leader/model_test.go
@@ -6,67 +6,65 @@
 	"gotest.tools/v3/assert"
 )
 
-// A small model of leadership over restores, searched exhaustively: what three routers can do
-// with two restores, in every order, where any of them may be slow, cut off or behind. Time
-// goes in steps; a lease lasts modelTTL of them at the store and not longer in its holder's
-// belief.
+// A model of leader election across restores of the store, searched exhaustively: three routers
+// and two restores, with events in every order and any router slow, disconnected or behind. Time
+// passes in steps. A lease lasts leaseSteps at the store and at most as long at its holder.
 const (
-	modelRouters  = 3
-	modelRestores = 2
-	modelTTL      = 2
-	modelWins     = 3 // claims in all; more show nothing new
-	nobody        = -1
+	routerCount = 3
+	maxRestores = 2
+	leaseSteps  = 2
+	maxClaims   = 3 // claims in total; more reach no new faults
+	noHolder    = -1
 )
 
-// stamp is a revision: its era and count.
-type stamp struct{ era, count int8 }
+type revision struct{ era, count int8 }
 
-func (s stamp) after(o stamp) bool { return s.era > o.era || s.era == o.era && s.count > o.count }
+func (s revision) after(o revision) bool { return s.era > o.era || s.era == o.era && s.count > o.count }
 
-// key is the leadership key in the store.
-type key struct {
+// leaderKey is the leadership key in the store.
+type leaderKey struct {
 	holder int8
 	age    int8 // steps since its lease was renewed
 }
 
 type modelStore struct {
-	at    stamp
-	key   key
-	saved struct { // the copy
-		there  bool
+	at     revision
+	key    leaderKey
+	backup struct {
+		taken  bool
 		count  int8
 		holder int8
 	}
 }
 
 type modelRouter struct {
-	token stamp // zero: it does not lead
-	age   int8  // steps since it renewed
-	era   int8  // the newest that it knows
-	wait  int8  // steps before it may stand
-	sees  int8  // the holder in its picture
+	token          revision // zero while the router does not lead
+	age            int8     // steps since the last renewal
+	era            int8     // newest observed era
+	campaignDelay  int8     // steps before it may campaign
+	observedHolder int8     // holder as last observed
 }
 
-func (r *modelRouter) leads() bool { return r.token != stamp{} && r.age < modelTTL }
+func (r *modelRouter) leads() bool { return r.token != revision{} && r.age < leaseSteps }
 
 type modelState struct {
 	store   modelStore
-	routers [modelRouters]modelRouter
-	highest stamp
-	wins    int8
+	routers [routerCount]modelRouter
+	highest revision
+	claims  int8
 }
 
-// rules are the guards that a search may do without.
-type rules struct {
-	// waits is that nobody stands in a new era before an old leader's belief has ended.
-	waits bool
-	// refusesUnknown is that a claim which turns out to be won in an era that its router
-	// has not seen is given up.
-	refusesUnknown bool
+// guards are the protections that a search can leave out.
+type guards struct {
+	// waitForOldLease delays campaigns in a new era until an old leader's lease has expired.
+	waitForOldLease bool
+	// rejectUnknownEra abandons a claim that succeeded in an era that its router has not
+	// observed.
+	rejectUnknownEra bool
 }
 
-// next lists what may happen in a state. fault tells what must not have.
-func (s modelState) next(g rules) (out []modelState, fault string) {
+// next returns the states that can follow. fault describes a violated invariant.
+func (s modelState) next(g guards) (out []modelState, fault string) {
 	add := func(f func(n *modelState)) {
 		n := s
 		f(&n)
@@ -74,19 +72,19 @@
 	}
 	add((*modelState).step)
 	add(func(n *modelState) {
-		n.store.saved.there = true
-		n.store.saved.count, n.store.saved.holder = n.store.at.count, n.store.key.holder
+		n.store.backup.taken = true
+		n.store.backup.count, n.store.backup.holder = n.store.at.count, n.store.key.holder
 	})
-	if s.store.saved.there && s.store.at.era < modelRestores {
+	if s.store.backup.taken && s.store.at.era < maxRestores {
 		add((*modelState).restore)
 	}
 	for i := range s.routers {
 		add(func(n *modelState) { n.renew(i) })
-		add(func(n *modelState) { n.learn(i, g) })
-		if r := s.routers[i]; !r.leads() && r.sees == nobody && r.wait == 0 && s.store.key.holder == nobody && s.wins < modelWins {
+		add(func(n *modelState) { n.observe(i, g) })
+		if r := s.routers[i]; !r.leads() && r.observedHolder == noHolder && r.campaignDelay == 0 && s.store.key.holder == noHolder && s.claims < maxClaims {
 			n := s
-			if !n.win(i, g) {
-				fault = "a token that is not higher than all before"
+			if !n.claim(i, g) {
+				fault = "token is not higher than all earlier ones"
 			}
 			out = append(out, n)
 		}
@@ -103,32 +101,32 @@
 	return out, fault
 }
 
-// step lets time pass.
+// step advances time by one step.
 func (s *modelState) step() {
-	if s.store.key.holder != nobody {
-		if s.store.key.age++; s.store.key.age >= modelTTL {
-			s.store.key = key{holder: nobody}
+	if s.store.key.holder != noHolder {
+		if s.store.key.age++; s.store.key.age >= leaseSteps {
+			s.store.key = leaderKey{holder: noHolder}
 			s.store.at.count++
 		}
 	}
 	for i := range s.routers {
 		r := &s.routers[i]
-		r.wait = max(r.wait-1, 0)
+		r.campaignDelay = max(r.campaignDelay-1, 0)
 		if r.leads() {
 			r.age++
 		} else {
-			r.token, r.age = stamp{}, 0
+			r.token, r.age = revision{}, 0
 		}
 	}
 }
 
-// restore brings the store back from its copy; leases of the copy begin anew.
+// restore restores the store from its backup and restarts the leases in it.
 func (s *modelState) restore() {
-	s.store.at = stamp{era: s.store.at.era + 1, count: s.store.saved.count}
-	s.store.key = key{holder: s.store.saved.holder}
+	s.store.at = revision{era: s.store.at.era + 1, count: s.store.backup.count}
+	s.store.key = leaderKey{holder: s.store.backup.holder}
 }
 
-// renew is a leader's renewal, which the store answers by what it holds now.
+// renew renews a leader's lease if the store still holds its key, and ends its leadership otherwise.
 func (s *modelState) renew(i int) {
 	r := &s.routers[i]
 	switch {
@@ -136,54 +134,54 @@
 	case s.store.key.holder == int8(i):
 		s.store.key.age, r.age = 0, 0
 	default:
-		r.token = stamp{}
+		r.token = revision{}
 	}
 }
 
-// learn brings a router's picture up to date.
-func (s *modelState) learn(i int, g rules) {
+// observe updates what a router knows of the store.
+func (s *modelState) observe(i int, g guards) {
 	r := &s.routers[i]
 	if r.era < s.store.at.era {
-		if !r.leads() && g.waits {
-			r.wait = modelTTL
+		if !r.leads() && g.waitForOldLease {
+			r.campaignDelay = leaseSteps
 		}
-		r.token = stamp{}
+		r.token = revision{}
 		r.era = s.store.at.era
 	}
-	r.sees = s.store.key.holder
-	if r.sees != int8(i) {
-		r.token = stamp{}
+	r.observedHolder = s.store.key.holder
+	if r.observedHolder != int8(i) {
+		r.token = revision{}
 	}
 }
 
-// win claims the key, which is absent. It tells whether the token is higher than all before.
-func (s *modelState) win(i int, g rules) bool {
+// claim writes the missing key. It reports whether the token is higher than all earlier ones.
+func (s *modelState) claim(i int, g guards) bool {
 	r := &s.routers[i]
-	s.wins++
+	s.claims++
 	s.store.at.count++
-	if g.refusesUnknown && r.era < s.store.at.era {
-		return true // it gives the lease back, and the key with it
+	if g.rejectUnknownEra && r.era < s.store.at.era {
+		return true // it revokes the lease, which removes the key
 	}
-	s.store.key = key{holder: int8(i)}
-	r.token, r.age, r.sees = s.store.at, 0, int8(i)
+	s.store.key = leaderKey{holder: int8(i)}
+	r.token, r.age, r.observedHolder = s.store.at, 0, int8(i)
 	higher := s.store.at.after(s.highest)
 	s.highest = s.store.at
 	return higher
 }
 
-// search walks all states; it gives how many there are and the first fault.
-func search(g rules) (states int, fault string) {
+// search visits all states and returns their number and the first fault.
+func search(g guards) (states int, fault string) {
 	var begin modelState
-	begin.store.key.holder = nobody
-	begin.store.saved.holder = nobody
+	begin.store.key.holder = noHolder
+	begin.store.backup.holder = noHolder
 	for i := range begin.routers {
-		begin.routers[i].sees = nobody
+		begin.routers[i].observedHolder = noHolder
 	}
 	seen := map[modelState]bool{begin: true}
-	todo := []modelState{begin}
-	for len(todo) > 0 {
-		s := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
+	pending := []modelState{begin}
+	for len(pending) > 0 {
+		s := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
 		following, wrong := s.next(g)
 		if wrong != "" {
 			return len(seen), wrong
@@ -191,21 +189,21 @@
 		for _, n := range following {
 			if !seen[n] {
 				seen[n] = true
-				todo = append(todo, n)
+				pending = append(pending, n)
 			}
 		}
 	}
 	return len(seen), ""
 }
 
-// In no order of restores, renewals, claims and late news do two routers lead, or is a token
-// given out that is not higher than all before. Without either guard it happens.
-func TestNoOrderOfEventsMakesTwoLeaders(t *testing.T) {
-	states, fault := search(rules{waits: true, refusesUnknown: true})
+// No order of restores, renewals, claims and late observations may lead to two leaders or to a
+// token that is not higher than all earlier ones. Without either guard the search finds a fault.
+func TestNoEventOrderMakesTwoLeaders(t *testing.T) {
+	states, fault := search(guards{waitForOldLease: true, rejectUnknownEra: true})
 	assert.Equal(t, fault, "")
 	t.Logf("%d states", states)
 	assert.Assert(t, states > 10_000, "only %d states", states)
-	for _, without := range []rules{{refusesUnknown: true}, {waits: true}} {
+	for _, without := range []guards{{rejectUnknownEra: true}, {waitForOldLease: true}} {
 		_, fault := search(without)
 		assert.Equal(t, fault, "two leaders", "%+v", without)
 	}
--- a/internal/coordination/leader/race_test.go
+++ b/internal/coordination/leader/race_test.go
@@ -12,41 +12,40 @@
 	"github.com/skylarkwood/skylarkwood/platform/standin"
 )
 
-// Another router has won, and the watch here has not told yet, as changes gather. This
-// one looks at a copy of the store first, and does not stand: each stand that cannot win
-// is two calls, of every router that watches.
-func TestCandidateLooksBeforeItStands(t *testing.T) {
+// Another router has won, but this one has not observed it yet. Guards against campaigns that
+// cannot succeed, each of which costs two calls to the store.
+func TestElectorReadsReplicaBeforeCampaign(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		store.Put(Key, []byte(`{"instance":"b","incarnation":"b-1"}`))
 		before := store.Calls()
-		c, _ := run(store, "a") // it does not watch
+		c, _ := run(store, "a") // does not watch the key
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, c.e.FencingToken(), model.Revision(0))
-		// One lease and one write for its own entry.
+		// One lease and one write for the router's own entry.
 		assert.Equal(t, store.Calls().Writes-before.Writes, 2)
-		c.end()
+		c.shutDown()
 	})
 }
 
-// The copy of the store is old: it still has the leader of before, whose end the watch has
-// told. It does not keep this router from standing, or nobody would lead until it is new.
-func TestOldCopyKeepsNobodyFromStanding(t *testing.T) {
+// The replica still holds a leader whose exit has been observed. Guards against waiting for it
+// to catch up, since no router would lead until then.
+func TestStaleReplicaDoesNotPreventCampaign(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
 		revision := store.Put(Key, []byte(`{"instance":"b","incarnation":"b-1"}`))
 		e := &Elector{Store: store}
-		assert.Assert(t, e.taken(t.Context()))
+		assert.Assert(t, e.leaderInReplica(t.Context()))
 		e.Observe(nil, revision+1)
-		assert.Assert(t, !e.taken(t.Context()))
+		assert.Assert(t, !e.leaderInReplica(t.Context()))
 	})
 }
 
-// A leader ends where ten routers watch. They spread, so that few of them stand.
-func TestFewStandForLeadership(t *testing.T) {
+// Guards against all routers campaigning at once when the leader stops.
+func TestFewRoutersCampaign(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
-		var all []*candidate
+		var all []*testElector
 		for i := range 10 {
 			all = append(all, start(store, fmt.Sprint("r", i)))
 		}
@@ -55,15 +54,15 @@
 		before := store.Calls()
 		for _, c := range all {
 			if c.e.FencingToken() != 0 {
-				c.end()
+				c.shutDown()
 			}
 		}
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, leaders(all...), 1)
-		// A lease and a claim of the winner, and of one more who crossed it.
+		// A lease and a campaign each, of the winner and of one router that campaigned at the same time.
 		assert.Assert(t, store.Calls().Writes-before.Writes <= 4+2, "%d writes", store.Calls().Writes-before.Writes)
 		for _, c := range all {
-			c.end()
+			c.shutDown()
 		}
 	})
 }
--- a/internal/coordination/quarantine/log.go
+++ b/internal/coordination/quarantine/log.go
@@ -6,34 +6,34 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// mostNamed bounds the requests that a line names.
-const mostNamed = 8
-
-// logEnd tells which requests were at a server that ended, those first that were at other
-// ends too.
-func (t *Tracker) logEnd(server model.Incarnation, domain string, present map[model.Fingerprint]presence, source string) {
-	var again []string
-	for work := range present {
-		if s := t.suspects[work]; s != nil && len(s.ends) > 1 && len(again) < mostNamed {
-			again = append(again, work.String())
+// maxLoggedRequests bounds the requests that one log line lists.
+const maxLoggedRequests = 8
+
+// logExit logs the exit of a server under requests and lists those that were present at other
+// exits too.
+func (t *Tracker) logExit(server model.Incarnation, domain string, requests map[model.Fingerprint]participation, source string) {
+	var seenBefore []string
+	for fp := range requests {
+		if s := t.suspects[fp]; s != nil && len(s.exits) > 1 && len(seenBefore) < maxLoggedRequests {
+			seenBefore = append(seenBefore, fp.String())
 		}
 	}
-	klog.InfoS("server ended under requests", "server", server, "failureDomain", domain, "requests", len(present), "seenBefore", again, "source", source)
+	klog.InfoS("server exited while it ran requests", "server", server, "failureDomain", domain, "requests", len(requests), "seenBefore", seenBefore, "source", source)
 }
 
-func (t *Tracker) logAlone(work model.Fingerprint, s *suspect, c charge) {
-	if s == nil || s.warned {
+func (t *Tracker) logTrialOnly(fp model.Fingerprint, s *suspect, ev evidence) {
+	if s == nil || s.trialOnlyLogged {
 		return
 	}
-	s.warned = true
-	klog.InfoS("request runs alone from now on", "work", work, "ends", names(c.ends), "unconfirmed", len(s.broken))
+	s.trialOnlyLogged = true
+	klog.InfoS("request restricted to trials: several servers exited while they ran it", "work", fp, "ends", incarnationNames(ev.attributed), "unconfirmed", len(s.lostConnections))
 }
 
-func logQuarantined(work model.Fingerprint, c charge, source string) {
-	klog.InfoS("request quarantined: servers end under it", "work", work, "ends", names(c.ends), "weight", c.weight, "wide", c.wide, "term", firstTerm, "source", source)
+func logQuarantined(fp model.Fingerprint, ev evidence, source string) {
+	klog.InfoS("request quarantined: servers exited while they ran it", "work", fp, "ends", incarnationNames(ev.attributed), "weight", ev.weight, "wide", ev.laterStage, "term", minTerm, "source", source)
 }
 
-func names(servers []model.Incarnation) []string {
+func incarnationNames(servers []model.Incarnation) []string {
 	out := make([]string, len(servers))
 	for i, s := range servers {
 		out[i] = s.String()
@@ -41,18 +41,18 @@
 	return out
 }
 
-func logRelapsed(work model.Fingerprint, ends int) {
-	klog.InfoS("request quarantined again: a server ended under it after its term", "work", work, "ends", ends)
+func logRenewed(fp model.Fingerprint, exits int) {
+	klog.InfoS("request quarantined again: a server exited while it ran the request after its term", "work", fp, "ends", exits)
 }
 
-func logLearnt(s Verdict, source string) {
-	klog.InfoS("request quarantined: servers end under it", "work", s.Fingerprint, "ends", s.Exits, "termMs", s.TermMS, "ageMs", s.AgeMS, "source", source)
+func logVerdictReceived(v Verdict, source string) {
+	klog.InfoS("request quarantined: servers exited while they ran it", "work", v.Fingerprint, "ends", v.Exits, "termMs", v.TermMS, "ageMs", v.AgeMS, "source", source)
 }
 
-func logCleared(work model.Fingerprint, ends int) {
-	klog.InfoS("request cleared: a server answered it", "work", work, "ends", ends)
+func logCleared(fp model.Fingerprint, exits int) {
+	klog.InfoS("request cleared: a server completed it", "work", fp, "ends", exits)
 }
 
-func logClearedBy(work model.Fingerprint, peer string) {
-	klog.V(1).InfoS("request cleared by a peer", "work", work, "peer", peer)
+func logClearedByPeer(fp model.Fingerprint, peer string) {
+	klog.V(1).InfoS("request cleared by a peer", "work", fp, "peer", peer)
 }
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -216,7 +216,7 @@
 		if s.runEvents == 0 {
 			stages, _ := w.state()
 			s.recordSuccess(stages, w.sentAt)
-			w.record.AnswerStarted()
+			w.record.ResponseStarted()
 		}
 		s.runEvents++
 		if !q.out.headerWritten {
