--- a/internal/protocol/wire/heartbeat.go
+++ b/internal/protocol/wire/heartbeat.go
@@ -2,51 +2,54 @@
 
 import "github.com/skylarkwood/skylarkwood/internal/model"
 
-// RouterHeartbeat is what a router tells its peers a few times a second.
+// RouterHeartbeat is the state that a router sends to its peers several times per
+// second.
 type RouterHeartbeat struct {
-	// IntervalMS is how long until the next message.
+	// IntervalMS is the time until the next heartbeat.
 	IntervalMS int64
-	// Config is the version in force, and ConfigAgeMS how long ago it was known to
-	// be the newest.
+	// Config is the configuration version in force. ConfigAgeMS is the time since it was
+	// last confirmed to be the newest.
 	Config      int64
 	ConfigAgeMS int64
-	// Revision is that of the store up to which its picture is complete.
+	// Revision is the store revision up to which the router's state is complete.
 	Revision model.Revision
-	// Usage are what its streams take.
+	// Usage is the load of its streams on engines.
 	Usage []EngineUsage
-	// Slow are engines that said to be slower than their cards, by how much.
+	// Slow is the slowdown of engines that reported to be slower than their device
+	// profile.
 	Slow map[model.Incarnation]float64
-	// Interconnects is what its streams move between failure domains.
+	// Interconnects are the traffic rates of its streams between failure domains.
 	Interconnects []InterconnectRate
-	// Suspects are engines that do not do their work, with the milliseconds
-	// for which the suspicion still holds.
+	// Suspects are engines suspected to be unresponsive, with the remaining time of the
+	// suspicion in milliseconds.
 	Suspects map[model.Incarnation]int64
-	// Refusing are engines that answer but refuse work, with the milliseconds
-	// for which they should get none.
+	// Refusing are engines that respond but refuse requests, with the remaining time for
+	// which to avoid them in milliseconds.
 	Refusing map[model.Incarnation]int64
-	// SpareTokens are repeated sends that it could lend, by service.
+	// SpareTokens is the number of retry tokens that other routers may borrow, by
+	// service.
 	SpareTokens map[string]int
-	// HasTraffic says that it has seen callers' requests.
+	// HasTraffic is set if the router has received requests from callers.
 	HasTraffic bool
 }
 
-// InterconnectRate is the traffic between two failure domains, in Mbit/s.
+// InterconnectRate is the traffic between two failure domains in Mbit/s.
 type InterconnectRate struct {
 	A, B string
 	Rate float64
 }
 
-// EngineUsage is what a router's streams take of one engine.
+// EngineUsage is the load of a router's streams on one engine.
 type EngineUsage struct {
 	Server            model.Incarnation
 	TokenLayers       int64
 	Streams           int64
 	FirstStageStreams int64
-	// PrefillLoad is the share of the engine's time that goes into reading prompts.
+	// PrefillLoad is the share of the engine's time spent on prefill.
 	PrefillLoad float64
 }
 
-// Pack writes the message for Notice.
+// Pack encodes the heartbeat as the body of a notification.
 func (b *RouterHeartbeat) Pack() []byte {
 	p := &packer{}
 	p.number(b.IntervalMS)
@@ -75,7 +78,8 @@
 	return p.b
 }
 
-// UnpackRouterHeartbeat reads what Pack wrote; an error says that it is cut short.
+// UnpackRouterHeartbeat decodes the output of Pack. It returns an error if the message
+// is truncated.
 func UnpackRouterHeartbeat(raw []byte) (RouterHeartbeat, error) {
 	u := &unpacker{b: raw}
 	b := RouterHeartbeat{
@@ -100,25 +104,25 @@
 	return b, u.err
 }
 
-// packEach writes figures by what they are of.
-func packEach[K comparable, V any](p *packer, figures map[K]V, of func(K), write func(V)) {
-	p.number(int64(len(figures)))
-	for k, v := range figures {
-		of(k)
-		write(v)
+// packEach encodes a map.
+func packEach[K comparable, V any](p *packer, m map[K]V, packKey func(K), packValue func(V)) {
+	p.number(int64(len(m)))
+	for k, v := range m {
+		packKey(k)
+		packValue(v)
 	}
 }
 
-// unpackEach reads what packEach wrote; nil if it is empty.
-func unpackEach[K comparable, V any](u *unpacker, of func() K, read func() V) map[K]V {
+// unpackEach decodes the output of packEach. It returns nil for an empty map.
+func unpackEach[K comparable, V any](u *unpacker, unpackKey func() K, unpackValue func() V) map[K]V {
 	n := u.count()
 	if n == 0 {
 		return nil
 	}
 	out := make(map[K]V, n)
 	for range n {
-		k := of()
-		out[k] = read()
+		k := unpackKey()
+		out[k] = unpackValue()
 	}
 	return out
 }
--- a/internal/protocol/wire/pack.go
+++ b/internal/protocol/wire/pack.go
@@ -10,19 +10,19 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// thousandths is how finely fractions cross a link: a thousandth of an engine's
-// time or of an Mbit/s changes no choice.
-const thousandths = 1000
+// fractionScale is the resolution of encoded fractions: 1/1000.
+const fractionScale = 1000
 
-// errShort says that a packed message ends too early or names more than it holds.
-var errShort = errors.New("packed message is cut short")
+// errTruncated is returned if a message ends early or declares more items than it
+// contains.
+var errTruncated = errors.New("packed message is truncated")
 
-// packer writes a message without field names, in the order that its reader
-// knows: routers tell each other some eighty messages a second, and reading them
-// as JSON took more of a small router's processor than its callers' streams.
+// packer encodes a message without field names, in a fixed field order. Routers
+// exchange about eighty heartbeats per second, and decoding them as JSON would use much
+// of a small router's CPU time.
 type packer struct{ b []byte }
 
-// number writes a count; negative ones, which no count is, as 0.
+// number encodes a count. Negative values are encoded as 0.
 func (p *packer) number(n int64) { p.b = binary.AppendUvarint(p.b, uint64(max(n, 0))) }
 
 func (p *packer) text(s string) {
@@ -30,14 +30,13 @@
 	p.b = append(p.b, s...)
 }
 
-// incarnation writes an engine's id and start.
 func (p *packer) incarnation(inc model.Incarnation) {
 	p.text(inc.ID)
 	p.number(inc.Born)
 }
 
-// fraction writes a figure in thousandths.
-func (p *packer) fraction(f float64) { p.number(int64(math.Round(f * thousandths))) }
+// fraction encodes a number rounded to 1/fractionScale.
+func (p *packer) fraction(f float64) { p.number(int64(math.Round(f * fractionScale))) }
 
 func (p *packer) flag(set bool) {
 	if set {
@@ -47,7 +46,8 @@
 	p.number(0)
 }
 
-// unpacker reads what a packer wrote. After the first error it gives zero values.
+// unpacker decodes the output of a packer. After the first error it returns zero
+// values.
 type unpacker struct {
 	b   []byte
 	err error
@@ -56,19 +56,19 @@
 func (u *unpacker) number() int64 {
 	n, size := binary.Uvarint(u.b)
 	if size <= 0 || n > math.MaxInt64 {
-		u.fail()
+		u.setTruncated()
 		return 0
 	}
 	u.b = u.b[size:]
 	return int64(n)
 }
 
-// count reads how many items follow; each takes a byte or more, so a message
-// cannot make its reader reserve more memory than it has bytes.
+// count decodes the number of items that follow. Each item takes at least one byte, so
+// a message cannot make the decoder allocate more items than the message has bytes.
 func (u *unpacker) count() int {
 	n := u.number()
 	if n > int64(len(u.b)) {
-		u.fail()
+		u.setTruncated()
 		return 0
 	}
 	return int(n)
@@ -85,17 +85,17 @@
 	return model.Incarnation{ID: u.text(), Born: u.number()}
 }
 
-func (u *unpacker) fraction() float64 { return float64(u.number()) / thousandths }
+func (u *unpacker) fraction() float64 { return float64(u.number()) / fractionScale }
 
 func (u *unpacker) flag() bool { return u.number() != 0 }
 
-func (u *unpacker) fail() {
-	u.err = errShort
+func (u *unpacker) setTruncated() {
+	u.err = errTruncated
 	u.b = nil
 }
 
-// NotificationHeader goes before the body of a packed message, as Envelope goes around
-// that of a JSON message.
+// NotificationHeader precedes the body of a packed message, as Envelope wraps the body
+// of a JSON message.
 type NotificationHeader struct {
 	Clock    hlc.Timestamp
 	Revision int64
@@ -103,7 +103,7 @@
 	Method   Method
 }
 
-// Pack writes the head and a body.
+// Pack returns the encoded header followed by body.
 func (h NotificationHeader) Pack(body []byte) []byte {
 	p := &packer{}
 	p.number(h.Clock.Wall)
@@ -114,7 +114,8 @@
 	return append(p.b, body...)
 }
 
-// UnpackNotification reads what Pack wrote; an error says that it is cut short.
+// UnpackNotification decodes the output of NotificationHeader.Pack and returns the
+// header and the body. It returns an error if the message is truncated.
 func UnpackNotification(raw []byte) (NotificationHeader, []byte, error) {
 	u := &unpacker{b: raw}
 	h := NotificationHeader{
--- a/internal/protocol/wire/wire.go
+++ b/internal/protocol/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire holds the typed messages that processes of the system send each
-// other over their links, and the methods that carry them.
+// Package wire defines the messages that processes exchange over links, and the methods
+// under which they are sent.
 package wire
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/skylarkwood/skylarkwood/internal/state/events"
 )
 
-// Method names a message that is called or notified over a link.
+// Method identifies a call or notification on a link.
 type Method string
 
-// Methods answered by every process.
+// Methods that every process handles.
 const (
 	MethodHello       Method = "hello"
 	MethodEvents      Method = "events"
@@ -23,18 +23,18 @@
 	MethodConfigPush  Method = "config.push"
 )
 
-// Methods answered by sidecars.
+// Methods that sidecars handle.
 const (
 	MethodOpen    Method = "stage.open"
 	MethodResume  Method = "stage.resume"
-	MethodNoStage Method = "stage.none" // notification, answered by entries too
+	MethodNoStage Method = "stage.none" // notification; entries handle it too
 	MethodClose   Method = "stage.close"
 	MethodCall    Method = "plain.call"
 	MethodCancel  Method = "gate.cancel"
 	MethodQuery   Method = "gate.query"
 )
 
-// Methods answered by entries.
+// Methods that entries handle.
 const (
 	MethodStageFailed Method = "owner.stage_failed" // notification
 	MethodIntent      Method = "ledger.intent"
@@ -42,9 +42,9 @@
 	MethodOutcomeCopy Method = "owner.outcome_copy" // notification
 )
 
-// Envelope goes around every message and every reply. The clock reading keeps
-// events in causal order; the configuration revision tells a process that a
-// peer has newer templates than its own.
+// Envelope wraps every message and every reply. The clock reading keeps events in
+// causal order. A configuration revision higher than the receiver's shows that the
+// sender has newer templates.
 type Envelope struct {
 	Clock    hlc.Timestamp   `json:"h"`
 	Revision int64           `json:"v"`
@@ -52,34 +52,35 @@
 	Body     json.RawMessage `json:"b,omitempty"`
 }
 
-// Fault is an error as it crosses a link.
+// Fault is an error as encoded on a link.
 type Fault struct {
 	Kind       string        `json:"kind"`
 	Msg        string        `json:"msg"`
 	RetryAfter time.Duration `json:"after,omitempty"`
 }
 
-// Hello asks a process who it is; it doubles as the heartbeat. Known is the
-// incarnation that the asker has met; to it only the load is told again.
+// Hello requests a process's identity and serves as the heartbeat. If Known is the
+// present incarnation, the reply carries only the load.
 type Hello struct {
 	Known string `json:"k,omitempty"`
 }
 
-// HelloReply tells who a process is and how loaded.
+// HelloReply describes a process and its load.
 type HelloReply struct {
-	Instance    *model.Instance   `json:"instance,omitempty"` // nil where known
+	Instance    *model.Instance   `json:"instance,omitempty"` // nil if the sender knows it
 	Incarnation string            `json:"inc"`
-	Data        string            `json:"data,omitempty"` // where its data streams end
+	Data        string            `json:"data,omitempty"` // address for its data streams
 	Service     string            `json:"service,omitempty"`
 	Kind        model.ServiceKind `json:"kind,omitempty"`
 	Range       model.LayerRange  `json:"range,omitzero"`
-	Layers      int               `json:"layers,omitempty"` // of the whole model
+	Layers      int               `json:"layers,omitempty"` // of the complete model
 	StepMicros  int64             `json:"step,omitempty"`   // per layer and position
-	Rate        float64           `json:"rate,omitempty"`   // positions a second, full batches
+	Rate        float64           `json:"rate,omitempty"`   // positions per second with full batches
 	Load        Load              `json:"load"`
 }
 
-// Backend gives what the reply tells of a backend server in membership's terms.
+// Backend returns the reply's description of a backend server as package membership
+// represents it.
 func (r HelloReply) Backend() membership.Backend {
 	return membership.Backend{
 		Data:     r.Data,
@@ -96,7 +97,7 @@
 	}
 }
 
-// Load is what a gate says of itself on every reply.
+// Load is the load of a gate. Most replies of a gate carry it.
 type Load struct {
 	Active   int  `json:"a"`
 	Queued   int  `json:"q,omitempty"`
@@ -104,54 +105,55 @@
 	Leaving  bool `json:"l,omitempty"`
 }
 
-// RunKey names one run of a request. A caller may come back to another entry
-// while the first one's run still stands at the gates; the runs must not mix. A
-// request that is not repeatable has one run, with an empty Run, so that every
-// gate recognises it whoever sends it.
+// RunKey identifies one run of a request. A caller may retry at another entry while
+// gates still have the first entry's run. The two runs must stay separate. A request
+// that is not repeatable has a single run with an empty Run, so that every gate
+// recognizes it regardless of the sender.
 type RunKey struct {
 	model.RequestKey
 	Run string `json:"run,omitempty"`
 }
 
-// String gives the key for logs, maps and engine sessions.
+// String returns the key for logs, maps and engine sessions.
 func (k RunKey) String() string {
 	return k.RequestKey.String() + "#" + k.Run
 }
 
-// Stage is one stage of a chain.
+// Stage is one stage of a chain: an engine and its layers.
 type Stage struct {
 	Address     string           `json:"addr"`
-	Data        string           `json:"data,omitempty"` // where its data streams end
+	Data        string           `json:"data,omitempty"` // address for its data streams
 	Incarnation string           `json:"inc"`
 	Range       model.LayerRange `json:"range"`
 }
 
-// Open asks a gate for a place in a chain, or moves an open stage to a higher
-// epoch.
+// Open requests a slot at a gate for a stage of a chain, or moves an open stage to a
+// higher epoch.
 type Open struct {
 	Key   RunKey  `json:"key"`
 	Epoch int64   `json:"epoch"`
 	Chain []Stage `json:"chain"`
 	Index int     `json:"i"`
 	Owner string  `json:"owner"` // link address of the entry
-	// OwnerData is where the entry's data streams end.
+	// OwnerData is the address for the entry's data streams.
 	OwnerData string    `json:"odata"`
 	Prompt    int64     `json:"prompt"`
-	Tokens    int64     `json:"tokens"` // to generate
+	Tokens    int64     `json:"tokens"` // number to generate
 	Deadline  time.Time `json:"deadline"`
-	// RetainUntil is until when the gate must know what became of the request.
+	// RetainUntil is until when the gate must retain the record of the request.
 	RetainUntil time.Time `json:"keep"`
 	Priority    int       `json:"prio"`
 }
 
-// OpenReply tells which position the stage takes next, and how many it ran.
+// OpenReply returns the next position that the stage accepts and the number of
+// positions that it has run.
 type OpenReply struct {
 	Next int64 `json:"next"`
 	Ran  int64 `json:"ran"`
 	Load Load  `json:"load"`
 }
 
-// Resume lets a stage send under its epoch, from what its receivers lack.
+// Resume lets a stage send under its epoch, starting at what each receiver is missing.
 type Resume struct {
 	Key       RunKey `json:"key"`
 	Epoch     int64  `json:"epoch"`
@@ -160,7 +162,7 @@
 	FirstNext int64  `json:"first"` // last stage only: next position of the first stage
 }
 
-// Forward carries inputs of consecutive positions to a stage.
+// Forward carries the inputs of consecutive positions to a stage.
 type Forward struct {
 	Key      RunKey   `json:"key"`
 	Epoch    int64    `json:"epoch"`
@@ -168,14 +170,15 @@
 	Data     [][]byte `json:"data"`
 }
 
-// NoStage tells the sender of a Forward that no stage is open here for it: the
-// sidecar was replaced meanwhile.
+// NoStage notifies the sender of a Forward that the receiver has no open stage for it
+// because the sidecar was replaced.
 type NoStage struct {
 	Key   RunKey `json:"key"`
 	Epoch int64  `json:"epoch"`
 }
 
-// Tokens carries generated tokens to the owner. Position counts tokens from 0.
+// Tokens carries generated tokens to the owner. Position is the index of the first
+// token, counted from 0.
 type Tokens struct {
 	Key      RunKey   `json:"key"`
 	Epoch    int64    `json:"epoch"`
@@ -183,28 +186,28 @@
 	Data     [][]byte `json:"data"`
 }
 
-// StageFailed tells the owner that a stage cannot go on.
+// StageFailed notifies the owner that a stage cannot continue.
 type StageFailed struct {
 	Key   RunKey `json:"key"`
 	Epoch int64  `json:"epoch"`
-	// Address of the stage that is lost: the reporter's own if its engine
-	// failed, the next one's if that cannot be reached.
+	// Address is that of the lost stage: the sender if its own engine failed, or the
+	// next stage if that is unreachable.
 	Address string `json:"addr"`
 	Cause   string `json:"cause"`
 }
 
-// Close ends a stage's part in a request.
+// Close closes a stage of a request.
 type Close struct {
 	Key   RunKey `json:"key"`
 	Epoch int64  `json:"epoch"`
 }
 
-// CloseReply tells the load after it.
+// CloseReply carries the gate's load after the stage is closed.
 type CloseReply struct {
 	Load Load `json:"load"`
 }
 
-// Call asks a gate to carry out one call of a plain service.
+// Call requests one call of a plain service.
 type Call struct {
 	Key         RunKey    `json:"key"`
 	Attempt     int64     `json:"attempt"`
@@ -212,93 +215,94 @@
 	Body        []byte    `json:"body"`
 	Deadline    time.Time `json:"deadline"`
 	Priority    int       `json:"prio"`
-	// RetainUntil is until when the gate must know what became of the request.
+	// RetainUntil is until when the gate must retain the record of the request.
 	RetainUntil time.Time `json:"keep"`
-	// NotRepeatable allows one hand-over to the backend server, ever.
+	// NotRepeatable allows at most one handover to a backend server.
 	NotRepeatable bool `json:"nr,omitempty"`
-	// Revision is that of the configuration by which the call was admitted. The
-	// sender may have a newer one by now, which rides on the message.
+	// Revision is the configuration revision under which the call was admitted. The
+	// envelope's revision may be newer.
 	Revision int64 `json:"rev,omitempty"`
 }
 
-// AdmittedBy gives the revision by which the call was admitted.
+// AdmittedBy returns the configuration revision under which the call was admitted.
 func (c Call) AdmittedBy() int64 { return c.Revision }
 
-// CallReply is the backend server's answer.
+// CallReply carries the backend server's response.
 type CallReply struct {
 	Body []byte `json:"body"`
 	Load Load   `json:"load"`
 }
 
-// Cancel asks a gate to let a request not start; it also asks what the gate
-// remembers of it. The tombstone stands until Remember.
+// Cancel prevents a request from starting at a gate and requests its execution state.
+// The gate keeps the tombstone until RetainUntil.
 type Cancel struct {
 	Key         RunKey    `json:"key"`
 	Incarnation string    `json:"inc"`
 	RetainUntil time.Time `json:"keep"`
 }
 
-// ExecutionState is what a gate knows of a request. It is the gate's word for its own
-// incarnation only.
+// ExecutionState is a gate's record of whether a request was executed. It applies to
+// the gate's own incarnation only.
 type ExecutionState string
 
-// The verdicts. NeverStarted is proof: the gate holds a tombstone.
+// The execution states. NeverStarted is proof: the gate has a tombstone that prevents a
+// later start.
 const (
 	NeverStarted ExecutionState = "never_started"
 	WasStarted   ExecutionState = "started"
 	WasFinished  ExecutionState = "finished"
 )
 
-// CancelReply is the gate's word and, if it still has it, the answer.
+// CancelReply carries the execution state and, if the gate still has it, the response.
 type CancelReply struct {
 	State ExecutionState `json:"verdict"`
 	Body  []byte         `json:"body,omitempty"`
 }
 
-// Intent asks the owner of a ledger shard to grant the one hand-over of a
-// request that is not repeatable.
+// Intent requests the single handover of a request that is not repeatable from the
+// owner of its ledger shard.
 type Intent struct {
 	Key     model.RequestKey `json:"key"`
 	Content uint64           `json:"hash"`
 	Expires time.Time        `json:"exp"`
-	// Grant is the asker's own write id: who finds it stored owns the hand-over.
+	// Grant is the requester's write id. The requester may hand over the request only if
+	// the stored intent has this id.
 	Grant string  `json:"grant"`
-	Owner string  `json:"owner"` // link address of the asking entry
-	Gates []Stage `json:"gates"` // the only gates that may hand it over
+	Owner string  `json:"owner"` // link address of the requesting entry
+	Gates []Stage `json:"gates"` // the only gates that may hand the request over
 }
 
-// IntentReply gives the stored intent: the asker's own, or an earlier one.
+// IntentReply returns the stored intent: the requester's or an earlier one.
 type IntentReply struct {
 	Granted bool   `json:"granted"`
 	Stored  Intent `json:"stored"`
 }
 
-// EventsQuery asks for the events of one request.
+// EventsQuery requests the events of one request.
 type EventsQuery struct {
 	Key model.RequestKey `json:"key"`
 }
 
-// EventsReply gives them.
+// EventsReply returns the events of one request.
 type EventsReply struct {
 	Events []events.Event `json:"events"`
 }
 
-// OutcomeQuery asks an entry what it knows of a request.
+// OutcomeQuery requests an entry's record of a request.
 type OutcomeQuery struct {
 	Key model.RequestKey `json:"key"`
 }
 
-// OutcomeReply gives it; Known is false where nothing is remembered.
+// OutcomeReply returns an entry's record of a request. Known is false if there is none.
 type OutcomeReply struct {
 	Known   bool          `json:"known"`
 	Outcome model.Outcome `json:"outcome"`
 	Answer  [][]byte      `json:"answer,omitempty"`
-	// Started tells when the entry came up: about requests before that it
-	// cannot know.
+	// Started is when the entry started. It has no records of earlier requests.
 	Started time.Time `json:"started"`
 }
 
-// OutcomeCopy leaves a final outcome with another entry.
+// OutcomeCopy stores a copy of a final outcome at another entry.
 type OutcomeCopy struct {
 	Key     model.RequestKey `json:"key"`
 	Outcome model.Outcome    `json:"outcome"`
