--- a/internal/protocol/gate/gate.go
+++ b/internal/protocol/gate/gate.go
@@ -1,6 +1,6 @@
-// Package gate decides, beside one backend server, what may start there. It
-// alone says "started": nothing reaches the backend server but through a Ticket
-// whose Start succeeded, so its word that a request never started is proof.
+// Package gate controls admission at one backend server. A request reaches the backend
+// server only through a Ticket whose Start succeeded. The gate's report that a request
+// never started is therefore proof.
 package gate
 
 import (
@@ -14,17 +14,16 @@
 )
 
 const (
-	// ClockSkew is how far the clocks of two instances may differ. What a gate
-	// must remember it keeps that much longer: a late dispatch from an entry
-	// whose clock is behind would otherwise start after "not run" was said.
+	// ClockSkew is the largest clock difference between two instances. A gate retains
+	// its records that much longer, so that a late dispatch from an entry whose clock is
+	// behind still meets its tombstone.
 	ClockSkew = 5 * time.Second
-	// MinIncarnationLead is how much older than a request that is not repeatable a gate's
-	// incarnation must be to run it. A gate tells truly that such a request
-	// never ran only if its predecessor cannot have met it; so each incarnation
-	// runs only ids made after its start, allowing for a caller's clock that is
-	// ahead of an entry's by two seconds, and an entry's by one.
+	// MinIncarnationLead is the minimum time by which an incarnation must be older than
+	// a non-repeatable request to run it. No earlier incarnation can then have received
+	// the request. It allows for a caller's clock that is two seconds ahead of an
+	// entry's, and an entry's that is one second ahead.
 	MinIncarnationLead = 3 * time.Second
-	// ewmaWeight is the weight of the newest service time.
+	// ewmaWeight is the weight of the newest service time in the moving average.
 	ewmaWeight = 0.1
 )
 
@@ -37,7 +36,7 @@
 	tombstone
 )
 
-// record is what the gate remembers of a request.
+// record is the state of one request.
 type record struct {
 	phase         phase
 	attempt       int64
@@ -46,16 +45,16 @@
 	keepUntil     time.Time
 }
 
-// Request is what a gate needs to know to let a request in.
+// Request describes a request that asks for admission at a gate.
 type Request struct {
 	Key           wire.RunKey
 	Attempt       int64
 	Incarnation   string
 	Deadline      time.Time
-	RetainUntil   time.Time // until when the gate must know what became of it
+	RetainUntil   time.Time // until when the gate must retain the record
 	Priority      int
 	NotRepeatable bool
-	CreatedAt     time.Time // time in the id of a request that is not repeatable
+	CreatedAt     time.Time // time in the id of a non-repeatable request
 }
 
 // Gate is the gate of one sidecar incarnation.
@@ -66,18 +65,18 @@
 	queueLimit  int
 	now         func() time.Time
 
-	mu      sync.Mutex
-	records map[wire.RunKey]*record
-	active  int
-	queue   *fair.Queue[*Ticket]
-	pace    *limits.ConcurrencyLimiter // nil where the number of places is fixed
-	service time.Duration              // smoothed time that a request holds its place
-	leaving bool
-	drained chan struct{}
-	settled bool // drained is closed
+	mu            sync.Mutex
+	records       map[wire.RunKey]*record
+	active        int
+	queue         *fair.Queue[*Ticket]
+	limiter       *limits.ConcurrencyLimiter // nil if the number of slots is fixed
+	serviceTime   time.Duration              // smoothed time for which a request occupies its slot
+	leaving       bool
+	drained       chan struct{}
+	drainedClosed bool // whether drained is closed
 }
 
-// New makes a gate that lets capacity requests run and queueLimit more wait.
+// New returns a gate with capacity slots and a queue of at most queueLimit requests.
 func New(incarnation string, capacity, queueLimit int, now func() time.Time) *Gate {
 	return &Gate{
 		incarnation: incarnation,
@@ -91,39 +90,41 @@
 	}
 }
 
-// SetConcurrencyLimiter lets the number of places follow what the engine serves well, up to
-// the gate's capacity. It is called before the gate is used.
-func (g *Gate) SetConcurrencyLimiter(p *limits.ConcurrencyLimiter) { g.pace = p }
+// SetConcurrencyLimiter makes the number of slots follow the limiter, up to the gate's
+// capacity. It must be called before the gate is used.
+func (g *Gate) SetConcurrencyLimiter(p *limits.ConcurrencyLimiter) { g.limiter = p }
 
-// places is how many requests may run now.
-func (g *Gate) places() int {
-	if g.pace == nil {
+// slots returns the number of requests that may run at present.
+func (g *Gate) slots() int {
+	if g.limiter == nil {
 		return g.capacity
 	}
-	return min(g.capacity, g.pace.Limit())
+	return min(g.capacity, g.limiter.Limit())
 }
 
-// Ticket is a request's place at the gate.
+// Ticket is a request's reservation at the gate: a slot or a position in the queue. The
+// caller must call Finish once.
 type Ticket struct {
-	gate  *Gate
-	req   Request
-	rec   *record
-	ready chan struct{} // closed when the ticket holds a place
-	shed  chan struct{} // closed when the ticket is given up for another
-	held  bool
-	gone  bool
-	since time.Time
+	gate     *Gate
+	req      Request
+	rec      *record
+	ready    chan struct{} // closed when the ticket gets a slot
+	dropped  chan struct{} // closed when the ticket is dropped from the queue
+	granted  bool
+	released bool
+	since    time.Time
 }
 
-// Reserve takes a request in, to run at once or to wait; with canWait false a
-// full gate refuses. Every error is a proof that this dispatch did not start.
+// Reserve admits a request, which gets a slot or waits in the queue. If canWait is
+// false, it refuses the request when all slots are taken. Every error proves that this
+// dispatch did not start.
 func (g *Gate) Reserve(r Request, canWait bool) (*Ticket, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if err := g.admissible(r); err != nil {
+	if err := g.checkAdmission(r); err != nil {
 		return nil, err
 	}
-	if err := g.room(r, canWait); err != nil {
+	if err := g.ensureCapacity(r, canWait); err != nil {
 		return nil, err
 	}
 	rec := &record{
@@ -133,8 +134,8 @@
 		keepUntil:     r.RetainUntil.Add(ClockSkew),
 	}
 	g.records[r.Key] = rec
-	t := &Ticket{gate: g, req: r, rec: rec, ready: make(chan struct{}), shed: make(chan struct{})}
-	if g.active < g.places() {
+	t := &Ticket{gate: g, req: r, rec: rec, ready: make(chan struct{}), dropped: make(chan struct{})}
+	if g.active < g.slots() {
 		g.grant(t)
 	} else {
 		g.queue.Push(t, r.Key.Customer, r.Priority)
@@ -142,19 +143,19 @@
 	return t, nil
 }
 
-func (g *Gate) admissible(r Request) error {
+func (g *Gate) checkAdmission(r Request) error {
 	now := g.now()
 	if r.Incarnation != g.incarnation {
-		return fault.New(fault.WrongIncarnation, "dispatch is for incarnation %s, this is %s", r.Incarnation, g.incarnation)
+		return fault.New(fault.WrongIncarnation, "dispatch is for incarnation %s, current incarnation is %s", r.Incarnation, g.incarnation)
 	}
 	if !r.Deadline.After(now) {
-		return fault.New(fault.Deadline, "deadline passed before the hand-over")
+		return fault.New(fault.Deadline, "deadline passed before the handover")
 	}
 	if g.leaving {
 		return fault.New(fault.Leaving, "backend server is leaving")
 	}
 	if r.NotRepeatable && r.CreatedAt.Before(g.startedAt.Add(MinIncarnationLead)) {
-		e := fault.New(fault.NotReady, "request may be older than this incarnation")
+		e := fault.New(fault.NotReady, "request may be older than this incarnation of the sidecar")
 		e.RetryAfter = MinIncarnationLead
 		return e
 	}
@@ -162,27 +163,28 @@
 	if !known {
 		return nil
 	}
-	return admitAgain(rec, r)
+	return checkRepeat(rec, r)
 }
 
-// admitAgain decides on a request that the gate has met before.
-func admitAgain(rec *record, r Request) error {
+// checkRepeat checks a request for which the gate has a record.
+func checkRepeat(rec *record, r Request) error {
 	if rec.phase == tombstone {
 		return fault.New(fault.Cancelled, "request was cancelled before it started")
 	}
 	if rec.notRepeatable || r.NotRepeatable {
-		return fault.New(fault.AlreadyHandedOff, "request was handed over before")
+		return fault.New(fault.AlreadyHandedOff, "request was already handed over")
 	}
 	if rec.phase == finished && r.Attempt > rec.attempt {
 		return nil
 	}
-	return fault.New(fault.AlreadyHandedOff, "attempt %d is still here", rec.attempt)
+	return fault.New(fault.AlreadyHandedOff, "attempt %d is still in progress", rec.attempt)
 }
 
-// room refuses what would wait too long. A full queue gives up what is worth
-// least, by priority and by customer, for a newcomer that is worth more.
-func (g *Gate) room(r Request, canWait bool) error {
-	if g.active < g.places() {
+// ensureCapacity refuses a request that would have to wait if canWait is false, or if
+// the predicted wait exceeds its deadline. If the queue is full, it drops a queued
+// request of lower value, by priority and customer.
+func (g *Gate) ensureCapacity(r Request, canWait bool) error {
+	if g.active < g.slots() {
 		return nil
 	}
 	wait := g.predictedWait()
@@ -199,7 +201,7 @@
 	if !ok {
 		return g.overloaded(wait)
 	}
-	close(victim.shed)
+	close(victim.dropped)
 	return nil
 }
 
@@ -210,37 +212,38 @@
 	return e
 }
 
-// predictedWait is how long a request that came now would wait for its place.
+// predictedWait returns the expected wait of a request that arrives now.
 func (g *Gate) predictedWait() time.Duration {
-	rounds := float64(g.queue.Len()+1) / float64(max(g.places(), 1))
-	return max(time.Duration(rounds*float64(g.service)), time.Millisecond)
+	rounds := float64(g.queue.Len()+1) / float64(max(g.slots(), 1))
+	return max(time.Duration(rounds*float64(g.serviceTime)), time.Millisecond)
 }
 
 func (g *Gate) grant(t *Ticket) {
-	t.held = true
+	t.granted = true
 	t.since = g.now()
 	g.active++
 	g.queue.Acquire(t.req.Key.Customer)
 	close(t.ready)
 }
 
-// Ready is closed when the ticket holds a place.
+// Ready returns a channel that is closed when the ticket gets a slot.
 func (t *Ticket) Ready() <-chan struct{} { return t.ready }
 
-// Shed is closed when the ticket was given up for a request worth more; nothing
-// of it ran.
-func (t *Ticket) Shed() <-chan struct{} { return t.shed }
+// Shed returns a channel that is closed when the ticket is dropped from the queue.
+// Nothing of the request ran.
+func (t *Ticket) Shed() <-chan struct{} { return t.dropped }
 
-// Start is the hand-over: after true the backend server may be called, and the
-// gate says "started". False means that a cancel came first.
+// Start marks the request as started and reports whether the backend server may be
+// called. It returns false if the ticket has no slot, the request was cancelled or its
+// deadline passed.
 func (t *Ticket) Start() bool {
 	t.gate.mu.Lock()
 	defer t.gate.mu.Unlock()
-	if !t.held || t.gone || t.rec.phase != reserved {
+	if !t.granted || t.released || t.rec.phase != reserved {
 		return false
 	}
-	// A sidecar thawed after its deadline must not hand over what its caller
-	// has long been told about.
+	// A sidecar that was suspended past the deadline must not hand the request over. The
+	// caller may already have an outcome.
 	if !t.req.Deadline.After(t.gate.now()) {
 		return false
 	}
@@ -248,8 +251,8 @@
 	return true
 }
 
-// Finish gives the place back. The answer is kept as long as the request is
-// remembered, for a caller that comes back; nil keeps none.
+// Finish releases the slot or the queue position. A non-nil answer is kept as long as
+// the record of the request.
 func (t *Ticket) Finish(answer []byte) {
 	g := t.gate
 	g.mu.Lock()
@@ -265,43 +268,43 @@
 }
 
 func (g *Gate) release(t *Ticket) {
-	if t.gone {
+	if t.released {
 		return
 	}
-	t.gone = true
-	if !t.held {
+	t.released = true
+	if !t.granted {
 		g.queue.Remove(t)
-		g.settle()
+		g.closeIfDrained()
 		return
 	}
 	g.active--
 	g.queue.Release(t.req.Key.Customer)
-	g.observe(g.now().Sub(t.since))
-	for g.active < g.places() {
+	g.recordServiceTime(g.now().Sub(t.since))
+	for g.active < g.slots() {
 		next, ok := g.queue.Pop()
 		if !ok {
 			break
 		}
 		g.grant(next)
 	}
-	g.settle()
+	g.closeIfDrained()
 }
 
-func (g *Gate) observe(d time.Duration) {
-	if g.service == 0 {
-		g.service = d
+func (g *Gate) recordServiceTime(d time.Duration) {
+	if g.serviceTime == 0 {
+		g.serviceTime = d
 		return
 	}
-	g.service += time.Duration(ewmaWeight * float64(d-g.service))
+	g.serviceTime += time.Duration(ewmaWeight * float64(d-g.serviceTime))
 }
 
-// Cancel keeps a request from starting, now and later, and tells what the gate
-// knows of it. Asked about another incarnation's dispatch it knows nothing.
+// Cancel prevents a request from starting, now and later, and returns its execution
+// state. For another incarnation it returns a WrongIncarnation error.
 func (g *Gate) Cancel(c wire.Cancel) (wire.CancelReply, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if c.Incarnation != g.incarnation {
-		return wire.CancelReply{}, fault.New(fault.WrongIncarnation, "this incarnation knows nothing of %s", c.Incarnation)
+		return wire.CancelReply{}, fault.New(fault.WrongIncarnation, "this incarnation has no record of %s", c.Incarnation)
 	}
 	rec, known := g.records[c.Key]
 	if known && rec.phase == finished {
@@ -319,36 +322,36 @@
 	return wire.CancelReply{State: wire.NeverStarted}, nil
 }
 
-// Load is what the gate says of itself.
+// Load returns the gate's current load.
 func (g *Gate) Load() wire.Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return wire.Load{
 		Active:   g.active,
 		Queued:   g.queue.Len(),
-		Capacity: g.places(),
+		Capacity: g.slots(),
 		Leaving:  g.leaving,
 	}
 }
 
-// Drain refuses all new work from now on; the channel closes when what was
-// taken in has ended.
+// Drain refuses all further requests. The returned channel is closed when every
+// admitted request has finished.
 func (g *Gate) Drain() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.leaving = true
-	g.settle()
+	g.closeIfDrained()
 	return g.drained
 }
 
-func (g *Gate) settle() {
-	if g.leaving && g.active == 0 && g.queue.Len() == 0 && !g.settled {
-		g.settled = true
+func (g *Gate) closeIfDrained() {
+	if g.leaving && g.active == 0 && g.queue.Len() == 0 && !g.drainedClosed {
+		g.drainedClosed = true
 		close(g.drained)
 	}
 }
 
-// Sweep forgets requests that need not be remembered; it tells how many are left.
+// Sweep deletes records past their retention and returns the number left.
 func (g *Gate) Sweep() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/protocol/gate/gate_test.go
+++ b/internal/protocol/gate/gate_test.go
@@ -36,10 +36,10 @@
 	}
 }
 
-// Dispatches, cancels, starts and ends of the same few requests race in any
-// order. A request that the gate called "never started" never starts after; one
-// that is not repeatable starts once; no more run than there are places.
-func TestGateNeverTakesBackItsWord(t *testing.T) {
+// Dispatches, cancels, starts and finishes race. A request reported as never started
+// must not start later, a non-repeatable one starts at most once, and no more requests
+// run than there are slots.
+func TestExecutionStateIsNeverRetracted(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := newClock()
 		g := New(inc, 2, 3, c.now)
@@ -48,7 +48,7 @@
 		denied := map[wire.RunKey]bool{}
 		starts := map[wire.RunKey]int{}
 		running := map[*Ticket]bool{}
-		// Two ids that are not repeatable, and runs of two that are.
+		// Two ids of non-repeatable requests and runs of two repeatable ones.
 		anyKey := func() wire.RunKey {
 			k := key("c", fmt.Sprint("r", rapid.IntRange(0, 3).Draw(rt, "id")))
 			if k.ID > "r1" {
@@ -75,7 +75,7 @@
 				}
 				starts[tk.req.Key]++
 				running[tk] = true
-				assert.Assert(rt, !denied[tk.req.Key], "started after the gate said it never would")
+				assert.Assert(rt, !denied[tk.req.Key], "started after the gate reported that it never would")
 				assert.Assert(rt, !tk.req.NotRepeatable || starts[tk.req.Key] == 1, "started %d times", starts[tk.req.Key])
 				assert.Assert(rt, len(running) <= 2, "%d run", len(running))
 			},
@@ -93,7 +93,7 @@
 				rep, err := g.Cancel(wire.Cancel{Key: k, Incarnation: inc, RetainUntil: c.at.Add(time.Hour)})
 				assert.NilError(rt, err)
 				if rep.State == wire.NeverStarted {
-					assert.Assert(rt, k.Run != "" || starts[k] == 0, "%v started, the gate says never", k)
+					assert.Assert(rt, k.Run != "" || starts[k] == 0, "%v started, but the gate reports that it never did", k)
 					denied[k] = true
 				}
 			},
@@ -105,7 +105,7 @@
 	})
 }
 
-func TestRefusals(t *testing.T) {
+func TestReserveRefusals(t *testing.T) {
 	c := newClock()
 	old := c.request(key("c", "old"))
 	g := New(inc, 1, 1, c.now)
@@ -116,10 +116,10 @@
 		edit func(*Request)
 		want fault.Kind
 	}{
-		{"another incarnation's", func(r *Request) { r.Incarnation = "inc-0" }, fault.WrongIncarnation},
-		{"past its deadline", func(r *Request) { r.Deadline = c.at }, fault.Deadline},
-		{"older than the gate", func(r *Request) { r.NotRepeatable, r.CreatedAt = true, old.CreatedAt }, fault.NotReady},
-		{"as old as the gate", func(r *Request) { r.NotRepeatable, r.CreatedAt = true, old.CreatedAt.Add(MinIncarnationLead-1) }, fault.NotReady},
+		{"for another incarnation", func(r *Request) { r.Incarnation = "inc-0" }, fault.WrongIncarnation},
+		{"after its deadline", func(r *Request) { r.Deadline = c.at }, fault.Deadline},
+		{"created before the gate started", func(r *Request) { r.NotRepeatable, r.CreatedAt = true, old.CreatedAt }, fault.NotReady},
+		{"created too soon after the gate started", func(r *Request) { r.NotRepeatable, r.CreatedAt = true, old.CreatedAt.Add(MinIncarnationLead-1) }, fault.NotReady},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := fresh
@@ -130,9 +130,8 @@
 	}
 }
 
-// A gate that leaves refuses at once; what it took in before ends in its own
-// time, and only then is the gate drained.
-func TestDrain(t *testing.T) {
+// A draining gate refuses requests at once and is drained when the running ones finish.
+func TestDrainWaitsForRunningRequests(t *testing.T) {
 	c := newClock()
 	g := New(inc, 1, 1, c.now)
 	tk, err := g.Reserve(c.request(key("c", "r")), true)
@@ -143,38 +142,38 @@
 	assert.Assert(t, fault.Is(err, fault.Leaving))
 	select {
 	case <-drained:
-		t.Fatal("drained while a request runs")
+		t.Fatal("drained while a request is running")
 	default:
 	}
 	tk.Finish(nil)
 	<-drained
 }
 
-// One customer fills the queue. Another's single request is next all the same,
-// and a higher priority goes before both.
-func TestQueueOrder(t *testing.T) {
+// A customer with many queued requests must not delay another customer's request. A
+// higher priority precedes both.
+func TestQueueIsFairAndHonorsPriority(t *testing.T) {
 	c := newClock()
 	g := New(inc, 2, 8, c.now)
-	take := func(customer, id string, priority int) *Ticket {
+	reserve := func(customer, id string, priority int) *Ticket {
 		r := c.request(key(customer, id))
 		r.Priority = priority
 		tk, err := g.Reserve(r, true)
 		assert.NilError(t, err)
 		return tk
 	}
-	first, _ := take("flood", "1", 0), take("flood", "2", 0)
-	third := take("flood", "3", 0)
-	other := take("other", "1", 0)
-	urgent := take("flood", "4", 5)
+	first, _ := reserve("flood", "1", 0), reserve("flood", "2", 0)
+	third := reserve("flood", "3", 0)
+	other := reserve("other", "1", 0)
+	urgent := reserve("flood", "4", 5)
 	first.Finish(nil)
-	assert.Assert(t, urgent.held && !other.held && !third.held)
+	assert.Assert(t, urgent.granted && !other.granted && !third.granted)
 	urgent.Finish(nil)
-	assert.Assert(t, other.held && !third.held)
+	assert.Assert(t, other.granted && !third.granted)
 }
 
-// The wait that the gate predicts exceeds the deadline: the request is refused
-// at once, with when to come back, and not kept until it is too late.
-func TestRefusalByPredictedWait(t *testing.T) {
+// A request whose predicted wait exceeds its deadline must be refused at once with a
+// retry delay.
+func TestRequestThatWouldWaitTooLongIsRefused(t *testing.T) {
 	c := newClock()
 	g := New(inc, 1, 8, c.now)
 	tk, err := g.Reserve(c.request(key("c", "slow")), true)
@@ -191,8 +190,9 @@
 	assert.Equal(t, fault.From(err).RetryAfter, 10*time.Second)
 }
 
-// A request is remembered until its time, then forgotten: the gate stays small.
-func TestSweep(t *testing.T) {
+// Records must be deleted after their retention, so that the gate's memory stays
+// bounded.
+func TestSweepDeletesExpiredRecords(t *testing.T) {
 	c := newClock()
 	g := New(inc, 4, 4, c.now)
 	for i := 0; i < 4; i++ {
