--- a/internal/protocol/stage/stage_test.go
+++ b/internal/protocol/stage/stage_test.go
@@ -23,8 +23,8 @@
 
 var prompt = [][]byte{[]byte("two "), []byte("crews "), []byte("one "), []byte("hall")}
 
-// engine is a pure model: its state is everything it has seen, so that any
-// layer skipped, run twice or out of order changes all that follows.
+// engine is a deterministic model. Its state depends on all inputs, so a layer that is
+// skipped, repeated or run out of order changes all later outputs.
 type engine struct {
 	runs int64 // positions run
 	sum  uint64
@@ -45,7 +45,7 @@
 	return out, nil
 }
 
-// reference runs the stages one after the other, once each.
+// reference returns the answer when each stage runs each position once, in order.
 func reference() []byte {
 	engines := make([]engine, stages)
 	in, tokens := prompt, [][]byte{}
@@ -59,30 +59,30 @@
 	return bytes.Join(tokens, nil)
 }
 
-// message is one on its way; to is a stage's address or the owner's.
+// message is a message in flight. to is the address of a stage or the owner.
 type message struct {
 	to      string
 	forward *wire.Forward
 	tokens  *wire.Tokens
 }
 
-// chain is the stages of one request, its owner, and messages on their way.
+// chain holds the stages of one request, its owner and the messages in flight.
 type chain struct {
 	rt       *rapid.T
 	sessions []*Session
 	engines  []*engine
-	flying   []message
+	inFlight []message
 	epoch    int64
 	answer   *requests.Request
 }
 
 func (c *chain) Forward(_ context.Context, to wire.Stage, f wire.Forward) error {
-	c.flying = append(c.flying, message{to: to.Address, forward: &f})
+	c.inFlight = append(c.inFlight, message{to: to.Address, forward: &f})
 	return nil
 }
 
 func (c *chain) Tokens(_ context.Context, to wire.Stage, t wire.Tokens) error {
-	c.flying = append(c.flying, message{to: to.Address, tokens: &t})
+	c.inFlight = append(c.inFlight, message{to: to.Address, tokens: &t})
 	return nil
 }
 
@@ -99,11 +99,11 @@
 	c.answer, _ = store.GetOrCreate(model.RequestKey{Customer: "c", ID: "r"}, 0, time.Now())
 	c.sessions = make([]*Session, stages)
 	c.engines = make([]*engine, stages)
-	c.raise(-1)
+	c.raiseEpoch(-1)
 	return c
 }
 
-func (c *chain) hops() []wire.Stage {
+func (c *chain) chainStages() []wire.Stage {
 	var out []wire.Stage
 	for i := range c.sessions {
 		out = append(out, wire.Stage{Address: fmt.Sprint(i), Range: model.LayerRange{From: i, To: i + 1}})
@@ -111,13 +111,13 @@
 	return out
 }
 
-// raise opens all stages under the next epoch, the lost one anew, and resumes
-// them from where each stands, as the owner does.
-func (c *chain) raise(lost int) {
+// raiseEpoch opens all stages under the next epoch, replaces the lost one, and resumes
+// them from their positions, as the owner does.
+func (c *chain) raiseEpoch(lost int) {
 	c.epoch++
 	next := make([]int64, stages)
 	for i := range c.sessions {
-		o := wire.Open{Epoch: c.epoch, Chain: c.hops(), Index: i, Owner: ownerAt, Prompt: int64(len(prompt)), Tokens: wanted}
+		o := wire.Open{Epoch: c.epoch, Chain: c.chainStages(), Index: i, Owner: ownerAt, Prompt: int64(len(prompt)), Tokens: wanted}
 		if c.sessions[i] == nil || i == lost {
 			c.engines[i] = &engine{}
 			c.sessions[i] = New(o, c.engines[i].step, c)
@@ -135,19 +135,18 @@
 	}
 	inputs := append(append([][]byte{}, prompt...), c.answer.Answer()...)
 	if n := next[0]; n < int64(len(inputs)) {
-		c.flying = append(c.flying, message{to: "0", forward: &wire.Forward{Epoch: c.epoch, Position: n, Data: inputs[n:]}})
+		c.inFlight = append(c.inFlight, message{to: "0", forward: &wire.Forward{Epoch: c.epoch, Position: n, Data: inputs[n:]}})
 	}
 }
 
-// turn lets a stage work.
-func (c *chain) turn(i int) {
-	c.sessions[i].turn(context.Background())
+func (c *chain) runStage(i int) {
+	c.sessions[i].processInputs(context.Background())
 }
 
 func (c *chain) deliver(i int, keep bool) {
-	m := c.flying[i]
+	m := c.inFlight[i]
 	if !keep {
-		c.flying = append(c.flying[:i], c.flying[i+1:]...)
+		c.inFlight = append(c.inFlight[:i], c.inFlight[i+1:]...)
 	}
 	if m.tokens != nil {
 		c.answer.Append(m.tokens.Position, m.tokens.Data)
@@ -158,29 +157,28 @@
 	_ = c.sessions[at].Accept(*m.forward)
 }
 
-// Messages come late, twice, out of order or never; stages are lost and
-// replaced; epochs rise at any moment. Every stage that survives runs each
-// position once, in order (asserted in the session), and in the end the owner
-// holds the whole answer, each token once.
-func TestChainUnderAnyDelivery(t *testing.T) {
+// Messages are delayed, duplicated, reordered or lost, stages are replaced, and epochs
+// rise. Every stage must run each position once, in order, and the owner must get each
+// token once.
+func TestChainWithUnreliableDelivery(t *testing.T) {
 	want := reference()
 	rapid.Check(t, func(rt *rapid.T) {
 		c := newChain(rt)
 		for i := rapid.IntRange(0, 120).Draw(rt, "events"); i > 0; i-- {
 			switch rapid.IntRange(0, 9).Draw(rt, "event") {
 			case 0:
-				c.raise(rapid.IntRange(-1, stages-1).Draw(rt, "lost"))
+				c.raiseEpoch(rapid.IntRange(-1, stages-1).Draw(rt, "lost"))
 			case 1, 2, 3:
-				c.turn(rapid.IntRange(0, stages-1).Draw(rt, "stage"))
+				c.runStage(rapid.IntRange(0, stages-1).Draw(rt, "stage"))
 			default:
-				if len(c.flying) == 0 {
+				if len(c.inFlight) == 0 {
 					continue
 				}
-				at := rapid.IntRange(0, len(c.flying)-1).Draw(rt, "message")
+				at := rapid.IntRange(0, len(c.inFlight)-1).Draw(rt, "message")
 				switch rapid.IntRange(0, 5).Draw(rt, "fate") {
 				case 0: // lost
-					c.flying = append(c.flying[:at], c.flying[at+1:]...)
-				case 1: // comes twice
+					c.inFlight = append(c.inFlight[:at], c.inFlight[at+1:]...)
+				case 1: // delivered twice
 					c.deliver(at, true)
 				default:
 					c.deliver(at, false)
@@ -200,28 +198,28 @@
 	})
 }
 
-// finish raises the epoch once more and delivers everything in order.
+// finish raises the epoch once more and delivers all messages in order.
 func (c *chain) finish() {
-	c.raise(-1)
-	for quiet := 0; quiet < 2; {
-		quiet++
+	c.raiseEpoch(-1)
+	for idleRounds := 0; idleRounds < 2; {
+		idleRounds++
 		for i := range c.sessions {
-			c.turn(i)
+			c.runStage(i)
 		}
-		for len(c.flying) > 0 {
+		for len(c.inFlight) > 0 {
 			c.deliver(0, false)
-			quiet = 0
+			idleRounds = 0
 		}
 	}
 }
 
-// A message of an old epoch is refused: a stage thawed after it was replaced
-// must not feed the chain that goes on without it.
-func TestOldEpochIsRefused(t *testing.T) {
+// A stage that resumes after it was replaced must not send inputs into the chain of a
+// newer epoch.
+func TestMessageOfAnOldEpochIsRefused(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := newChain(rt)
 		old := wire.Forward{Epoch: c.epoch, Data: prompt}
-		c.raise(-1)
+		c.raiseEpoch(-1)
 		assert.ErrorContains(rt, c.sessions[0].Accept(old), "epoch")
 		accepted, _ := c.sessions[0].Positions()
 		assert.Equal(rt, accepted, int64(0))
