--- a/internal/protocol/sidecar/sidecar.go
+++ b/internal/protocol/sidecar/sidecar.go
@@ -1,5 +1,5 @@
-// Package sidecar is the process beside one backend server: its gate, its
-// stages of pipelines, its calls of a plain service.
+// Package sidecar implements the process beside one backend server. It has the gate,
+// the open stages of pipeline requests and the calls of a plain service.
 package sidecar
 
 import (
@@ -21,21 +21,22 @@
 	"github.com/skylarkwood/skylarkwood/internal/state/shard"
 )
 
-// ownerSilence is how long an entry may be silent before its stages are ended
-// here: work for an entry that is gone only takes places from others. Heartbeats
-// come every half second in a small fleet, every eight in a large one.
-const ownerSilence = 20 * time.Second
+// ownerTimeout is how long an entry may send nothing before its stages here are closed,
+// so that an exited entry does not occupy slots. Heartbeat intervals range from half a
+// second in a small fleet to eight seconds in a large one.
+const ownerTimeout = 20 * time.Second
 
-// Backend is the backend server beside the sidecar: one of the two is set.
+// Backend is the backend server beside the sidecar. Exactly one of Engine and Plain is
+// set.
 type Backend struct {
 	Engine platform.Engine
 	Plain  platform.Plain
 	Fence  int64
-	// Limiter learns from the engine's steps how many sessions it serves well.
+	// Limiter adapts the number of concurrent sessions to the engine's step times.
 	Limiter *limits.ConcurrencyLimiter
 }
 
-// Sidecar is one incarnation.
+// Sidecar is one incarnation of a sidecar process.
 type Sidecar struct {
 	address string
 	gate    *gate.Gate
@@ -44,49 +45,48 @@
 	events  *events.Log
 	now     func() time.Time
 
-	mu       sync.Mutex // guards opening and ending sessions
-	sessions *shard.Map[string, *session]
-	heard    *shard.Map[string, time.Time] // by entry address
+	mu          sync.Mutex // guards opening and closing of sessions
+	sessions    *shard.Map[string, *session]
+	lastContact *shard.Map[string, time.Time] // by entry address
 }
 
-// session is an open stage and its place at the gate.
+// session is an open stage and its ticket at the gate.
 type session struct {
 	*stage.Session
 	open   wire.Open
 	ticket *gate.Ticket
 	cancel context.CancelFunc
-	ended  chan struct{} // closed when the place was given back
-	name   string        // at the engine
+	closed chan struct{} // closed when the slot has been released
+	name   string        // session name at the engine
 }
 
-// New makes a sidecar reached at a link address.
+// New returns a sidecar that is reached at a link address.
 func New(address string, g *gate.Gate, b Backend, send stage.Sender, log *events.Log, now func() time.Time) *Sidecar {
 	return &Sidecar{
-		address:  address,
-		gate:     g,
-		backend:  b,
-		send:     send,
-		events:   log,
-		now:      now,
-		sessions: shard.New[string, *session](),
-		heard:    shard.New[string, time.Time](),
+		address:     address,
+		gate:        g,
+		backend:     b,
+		send:        send,
+		events:      log,
+		now:         now,
+		sessions:    shard.New[string, *session](),
+		lastContact: shard.New[string, time.Time](),
 	}
 }
 
-// Gate gives the sidecar's gate.
 func (s *Sidecar) Gate() *gate.Gate { return s.gate }
 
-// RecordContact notes that an entry is alive.
-func (s *Sidecar) RecordContact(entry string) { s.heard.Put(entry, s.now()) }
+// RecordContact records that an entry sent a message.
+func (s *Sidecar) RecordContact(entry string) { s.lastContact.Put(entry, s.now()) }
 
 // Open opens a stage or moves an open one to a higher epoch.
 func (s *Sidecar) Open(_ context.Context, from string, o wire.Open) (wire.OpenReply, error) {
 	s.RecordContact(from)
 	if o.Index < 0 || o.Index >= len(o.Chain) || o.Prompt < 1 {
-		return wire.OpenReply{}, fault.New(fault.InvalidRequest, "stage %d of %d", o.Index, len(o.Chain))
+		return wire.OpenReply{}, fault.New(fault.InvalidRequest, "stage index %d is not in a chain of %d stages, or the prompt is empty", o.Index, len(o.Chain))
 	}
 	if s.backend.Engine == nil {
-		return wire.OpenReply{}, fault.New(fault.InvalidRequest, "no engine here")
+		return wire.OpenReply{}, fault.New(fault.InvalidRequest, "this sidecar has no engine")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,20 +103,20 @@
 		RetainUntil:   o.RetainUntil,
 		Priority:      o.Priority,
 		NotRepeatable: o.Key.Run == "",
-		CreatedAt:     madeAt(o.Key.ID),
+		CreatedAt:     createdAt(o.Key.ID),
 	}, false)
 	if err != nil {
 		return wire.OpenReply{}, err
 	}
-	s.begin(o, ticket)
+	s.startSession(o, ticket)
 	return wire.OpenReply{Load: s.gate.Load()}, nil
 }
 
-func (s *Sidecar) begin(o wire.Open, ticket *gate.Ticket) {
+func (s *Sidecar) startSession(o wire.Open, ticket *gate.Ticket) {
 	ctx, cancel := context.WithDeadline(context.Background(), o.Deadline)
-	ses := &session{open: o, ticket: ticket, cancel: cancel, ended: make(chan struct{})}
-	// The name is this session's alone: a stage opened again for the same run
-	// starts from nothing at the engine.
+	ses := &session{open: o, ticket: ticket, cancel: cancel, closed: make(chan struct{})}
+	// The name is unique. A stage that is opened again for the same run gets a new
+	// session at the engine.
 	ses.name = fmt.Sprintf("%s/%d", o.Key, o.Epoch)
 	ses.Session = stage.New(o, s.engineFor(ses), s.send)
 	s.sessions.Put(o.Key.String(), ses)
@@ -124,44 +124,46 @@
 	go func() {
 		ses.Run(ctx)
 		cancel()
-		s.end(ses)
+		s.closeSession(ses)
 	}()
 }
 
-// engineFor is the one way from a stage to the engine: through the gate's word.
+// engineFor returns the function that runs steps for a session. The first step starts
+// the ticket, so that nothing reaches the engine without a started record at the gate.
 func (s *Sidecar) engineFor(ses *session) stage.Engine {
 	started := false
-	hop := ses.open.Chain[ses.open.Index]
+	chainStage := ses.open.Chain[ses.open.Index]
 	return func(ctx context.Context, pos int64, inputs [][]byte) ([][]byte, error) {
 		if !started {
 			if !ses.ticket.Start() {
 				return nil, fault.New(fault.Cancelled, "cancelled before it started")
 			}
 			started = true
-			s.events.Add(ses.open.Key.RequestKey, events.Started, "layers "+hop.Range.String())
-			s.log(ses.open.Key, hop.Incarnation)
+			s.events.Add(ses.open.Key.RequestKey, events.Started, "layers "+chainStage.Range.String())
+			s.log(ses.open.Key, chainStage.Incarnation)
 		}
-		began := s.now()
+		stepStart := s.now()
 		out, err := s.backend.Engine.Step(ctx, platform.Step{
 			Session:  ses.name,
-			Range:    hop.Range,
+			Range:    chainStage.Range,
 			Position: pos,
 			Inputs:   inputs,
 			Priority: ses.open.Priority,
 			Fence:    s.backend.Fence,
 		})
-		// Prompts take longer by their length; single positions tell the load.
+		// A prompt batch takes longer because of its length. Only steps of one position
+		// measure the load.
 		if err == nil && len(inputs) == 1 {
-			s.backend.Limiter.RecordStep(s.now().Sub(began), s.gate.Load().Active)
+			s.backend.Limiter.RecordStep(s.now().Sub(stepStart), s.gate.Load().Active)
 		}
 		return out, err
 	}
 }
 
-// endTimeout bounds telling the engine that a session is over.
+// endTimeout is the timeout for ending a session at the engine.
 const endTimeout = 2 * time.Second
 
-func (s *Sidecar) end(ses *session) {
+func (s *Sidecar) closeSession(ses *session) {
 	s.mu.Lock()
 	if cur, ok := s.sessions.Get(ses.open.Key.String()); ok && cur == ses {
 		s.sessions.Delete(ses.open.Key.String())
@@ -171,12 +173,12 @@
 	defer cancel()
 	_ = s.backend.Engine.EndSession(ctx, ses.name, s.backend.Fence)
 	ses.ticket.Finish(nil)
-	close(ses.ended)
+	close(ses.closed)
 	_, ran := ses.Positions()
 	s.events.Add(ses.open.Key.RequestKey, events.SessionEnded, fmt.Sprintf("%d positions ran", ran))
 }
 
-// Resume lets a stage send.
+// Resume allows an open stage to send.
 func (s *Sidecar) Resume(_ context.Context, from string, r wire.Resume) (struct{}, error) {
 	s.RecordContact(from)
 	ses, ok := s.sessions.Get(r.Key.String())
@@ -186,20 +188,20 @@
 	return struct{}{}, ses.Resume(r)
 }
 
-// Forward takes inputs in. Those for a stage that is not open are dropped and
-// the sender is told: this sidecar may have been replaced under the request, and
-// the owner would notice only by the tokens that fail to come.
+// Forward adds inputs to an open stage. If there is none, it notifies the sender,
+// because this sidecar may have replaced the one that had the stage.
 func (s *Sidecar) Forward(ctx context.Context, from string, f wire.Forward) {
 	ses, ok := s.sessions.Get(f.Key.String())
 	if !ok {
 		go func() { _ = s.send.NoStage(ctx, from, wire.NoStage{Key: f.Key, Epoch: f.Epoch}) }()
 		return
 	}
-	// An old epoch's inputs are refused; nobody waits for the answer.
+	// Inputs of an old epoch are rejected. The sender expects no reply.
 	_ = ses.Accept(f)
 }
 
-// NoStage takes in that another stage does not know a request.
+// NoStage handles the notification that another process has no open stage for a
+// request.
 func (s *Sidecar) NoStage(ctx context.Context, from string, n wire.NoStage) (struct{}, error) {
 	if ses, ok := s.sessions.Get(n.Key.String()); ok {
 		go ses.ReportMissingStage(ctx, from, n.Epoch)
@@ -207,23 +209,23 @@
 	return struct{}{}, nil
 }
 
-// Close ends a stage. The reply tells the load without it.
+// Close closes a stage and returns the load after it is closed.
 func (s *Sidecar) Close(ctx context.Context, _ string, c wire.Close) (wire.CloseReply, error) {
 	if ses, ok := s.sessions.Get(c.Key.String()); ok {
 		ses.cancel()
 		select {
-		case <-ses.ended:
+		case <-ses.closed:
 		case <-ctx.Done():
 		}
 	}
 	return wire.CloseReply{Load: s.gate.Load()}, nil
 }
 
-// Call carries out one call of the plain service.
+// Call executes one call of the plain service. It waits at the gate for a slot.
 func (s *Sidecar) Call(ctx context.Context, from string, c wire.Call) (wire.CallReply, error) {
 	s.RecordContact(from)
 	if s.backend.Plain == nil {
-		return wire.CallReply{}, fault.New(fault.InvalidRequest, "no plain service here")
+		return wire.CallReply{}, fault.New(fault.InvalidRequest, "this sidecar has no plain service")
 	}
 	ticket, err := s.gate.Reserve(gate.Request{
 		Key:           c.Key,
@@ -233,7 +235,7 @@
 		RetainUntil:   c.RetainUntil,
 		Priority:      c.Priority,
 		NotRepeatable: c.NotRepeatable,
-		CreatedAt:     madeAt(c.Key.ID),
+		CreatedAt:     createdAt(c.Key.ID),
 	}, true)
 	if err != nil {
 		return wire.CallReply{}, err
@@ -244,7 +246,7 @@
 	case <-ticket.Ready():
 	case <-ticket.Shed():
 		ticket.Finish(nil)
-		return wire.CallReply{}, fault.New(fault.Overloaded, "given up for a request worth more")
+		return wire.CallReply{}, fault.New(fault.Overloaded, "dropped from the queue for a request of higher value")
 	case <-ctx.Done():
 		ticket.Finish(nil)
 		return wire.CallReply{}, fault.New(fault.Deadline, "deadline passed while waiting at the gate")
@@ -256,8 +258,8 @@
 	return s.handOver(c, ticket)
 }
 
-// handOver calls the backend server. The call outlives the entry's connection:
-// what became of it is asked for later, over another one.
+// handOver calls the backend server. The call continues if the entry's connection is
+// lost, because the outcome may be requested over another one.
 func (s *Sidecar) handOver(c wire.Call, ticket *gate.Ticket) (wire.CallReply, error) {
 	s.events.Add(c.Key.RequestKey, events.Started, "plain call")
 	s.log(c.Key, c.Incarnation)
@@ -267,7 +269,7 @@
 	if err != nil {
 		ticket.Finish(nil)
 		s.events.Add(c.Key.RequestKey, events.Finished, err.Error())
-		return wire.CallReply{}, fault.New(fault.BackendFailed, "backend server: %v", err)
+		return wire.CallReply{}, fault.New(fault.BackendFailed, "backend server failed: %v", err)
 	}
 	ticket.Finish(body)
 	s.events.Add(c.Key.RequestKey, events.Finished, "ran")
@@ -279,7 +281,7 @@
 		"address", s.address, "incarnation", incarnation)
 }
 
-// Cancel keeps a request from starting and tells what the gate knows of it.
+// Cancel prevents a request from starting and returns its execution state at the gate.
 func (s *Sidecar) Cancel(_ context.Context, _ string, c wire.Cancel) (wire.CancelReply, error) {
 	rep, err := s.gate.Cancel(c)
 	if err == nil && rep.State == wire.NeverStarted {
@@ -288,20 +290,21 @@
 	return rep, err
 }
 
-// Sweep ends stages whose owner has been silent and forgets old requests.
+// Sweep closes stages whose owner has sent nothing for ownerTimeout, and deletes
+// expired records at the gate.
 func (s *Sidecar) Sweep() {
 	s.gate.Sweep()
-	limit := s.now().Add(-ownerSilence)
+	limit := s.now().Add(-ownerTimeout)
 	for _, ses := range s.sessions.Values() {
-		if at, ok := s.heard.Get(ses.open.Owner); ok && at.Before(limit) {
+		if at, ok := s.lastContact.Get(ses.open.Owner); ok && at.Before(limit) {
 			ses.cancel()
 		}
 	}
 }
 
-// madeAt reads the time in a ULID; another id counts as made at the beginning
-// of time, which the gate refuses where it matters.
-func madeAt(id string) time.Time {
+// createdAt returns the time in a ULID. For any other id it returns the zero time, and
+// the gate refuses it if the request is not repeatable.
+func createdAt(id string) time.Time {
 	u, err := ulid.ParseStrict(id)
 	if err != nil {
 		return time.Time{}
