--- a/internal/coordination/ledger/ledger.go
+++ b/internal/coordination/ledger/ledger.go
@@ -1,12 +1,12 @@
-// Package ledger grants the one hand-over of each request that is not
-// repeatable, over all entries.
+// Package ledger grants the single handover of each request that is not repeatable,
+// across all entries.
 //
-// Intents are kept in the key-value service, in pages by shard and by the time
-// in the request id. An entry that acts for a shard collects intents and stores
-// them in one compare-and-swap. Which entry acts is found by rendezvous hashing
-// and needs no lease: two entries that both believe they act for a shard, or
-// one thawed after a freeze, swap against each other's version, and only one
-// swap takes effect. The swap is the truth; the choice of entry is for speed.
+// Intents are stored in the key-value service, in pages by shard and by the time in the
+// request id. The entry responsible for a shard collects intents and stores them in one
+// compare-and-swap. Rendezvous hashing selects that entry without a lease. If two
+// entries both act for a shard, their swaps are made against the same version and only
+// one takes effect. Correctness depends on the swap only. The choice of the entry only
+// reduces conflicts.
 package ledger
 
 import (
@@ -26,38 +26,39 @@
 )
 
 const (
-	// ShardCount is over how many entries the intents spread at most.
+	// ShardCount is the maximum number of entries that share the intents.
 	ShardCount = 64
-	// pageSpan is the span of id times that share a page. A page is rewritten
-	// with each group, so it must stay small; short spans keep it so.
+	// pageSpan is the range of id times in one page. Each group rewrites its page, so a
+	// page must stay small.
 	pageSpan = 5 * time.Second
-	// MaxIDAge is how old an id may be. Older ones are refused, so that pages
-	// past it can be deleted without an intent being granted a second time.
+	// MaxIDAge is the maximum age of an id. Older ids are refused, so that their pages
+	// can be deleted without a second grant.
 	MaxIDAge = 3 * time.Minute
 	// MaxClockAhead is how far a caller's clock may be ahead of an entry's.
 	MaxClockAhead = 2 * time.Second
-	// pageKept is how much longer than Window a page stays, for entries whose
-	// clock is behind.
-	pageKept = 30 * time.Second
-	maxTries = 8
+	// pageRetention is how long a page is kept beyond MaxIDAge, for entries whose clock
+	// is behind.
+	pageRetention = 30 * time.Second
+	maxTries      = 8
 )
 
-// Intent is the grant of one hand-over.
+// Intent is the grant of one handover.
 type Intent struct {
 	Key     string `json:"k"` // customer/id
 	Content uint64 `json:"h"` // hash of the request
-	Grant   string `json:"g"` // write id of the asker
-	Owner   string `json:"o"` // link address of the asking entry
-	Gates   []Gate `json:"a"` // the only gates that may hand it over
+	Grant   string `json:"g"` // write id of the requester
+	Owner   string `json:"o"` // link address of the requesting entry
+	Gates   []Gate `json:"a"` // the only gates that may hand the request over
 }
 
-// Gate names one incarnation of a gate.
+// Gate identifies one incarnation of a gate.
 type Gate struct {
 	Address     string `json:"a"`
 	Incarnation string `json:"i"`
 }
 
-// CheckID refuses an id whose time the ledger cannot vouch for.
+// CheckID returns the time in an id. It returns an error if the id is no ULID, older
+// than MaxIDAge or too far in the future.
 func CheckID(id string, now time.Time) (time.Time, error) {
 	u, err := ulid.ParseStrict(id)
 	if err != nil {
@@ -65,20 +66,20 @@
 	}
 	at := ulid.Time(u.Time())
 	if now.Sub(at) > MaxIDAge {
-		return at, fault.New(fault.ExpiredID, "id is %v old, older than %v: whether it ran before cannot be told here", now.Sub(at).Round(time.Second), MaxIDAge)
+		return at, fault.New(fault.ExpiredID, "id is %v old, limit is %v: whether it ran before is unknown", now.Sub(at).Round(time.Second), MaxIDAge)
 	}
 	if at.Sub(now) > MaxClockAhead {
-		return at, fault.New(fault.InvalidRequest, "id is %v in the future", at.Sub(now).Round(time.Second))
+		return at, fault.New(fault.InvalidRequest, "time of the id is %v in the future", at.Sub(now).Round(time.Second))
 	}
 	return at, nil
 }
 
-// ShardOf gives the shard of a key.
+// ShardOf returns the shard of a key.
 func ShardOf(key string) int {
 	return int(xxhash.Sum64String(key) % ShardCount)
 }
 
-// Ledger stores intents for the shards that this process acts for.
+// Ledger stores the intents of the shards that this process acts for.
 type Ledger struct {
 	kv    platform.KV
 	now   func() time.Time
@@ -88,13 +89,13 @@
 	pages map[string]*page
 }
 
-// New makes a ledger that writes to the key-value service at most at the given
-// rate; what waits for its turn is stored together.
+// New returns a ledger. limit bounds the rate of its writes to the key-value service;
+// intents that wait are stored together.
 func New(kv platform.KV, now func() time.Time, limit *rate.Limiter) *Ledger {
 	return &Ledger{kv: kv, now: now, limit: limit, pages: map[string]*page{}}
 }
 
-// page is one value of the service as this process last saw it.
+// page is one value of the key-value service as this process last read or wrote it.
 type page struct {
 	key     string
 	until   time.Time // when it may be deleted
@@ -104,7 +105,7 @@
 
 	mu      sync.Mutex
 	pending []*waiter
-	busy    bool
+	working bool
 }
 
 type waiter struct {
@@ -114,9 +115,9 @@
 	err    error
 }
 
-// Record stores an intent unless its key has one, and gives the stored one: the
-// asker may hand over if and only if the stored grant is its own. After an
-// error the asker must not hand over.
+// Record stores an intent unless there is one for its key, and returns the stored one.
+// The caller may hand the request over only if the stored grant is its own. After an
+// error it must not.
 func (l *Ledger) Record(ctx context.Context, in Intent, id string) (Intent, error) {
 	at, err := CheckID(id, l.now())
 	if err != nil {
@@ -126,17 +127,17 @@
 	w := &waiter{intent: in, done: make(chan struct{})}
 	p.mu.Lock()
 	p.pending = append(p.pending, w)
-	start := !p.busy
-	p.busy = true
+	start := !p.working
+	p.working = true
 	p.mu.Unlock()
 	if start {
-		go l.work(p)
+		go l.storePending(p)
 	}
 	select {
 	case <-w.done:
 		return w.stored, w.err
 	case <-ctx.Done():
-		return Intent{}, fault.New(fault.StoreUnavailable, "intent was not stored in time")
+		return Intent{}, fault.New(fault.StoreUnavailable, "intent was not stored before the deadline")
 	}
 }
 
@@ -147,30 +148,32 @@
 	defer l.mu.Unlock()
 	p, ok := l.pages[name]
 	if !ok {
-		p = &page{key: name, until: span.Add(pageSpan + MaxIDAge + MaxClockAhead + pageKept)}
+		p = &page{key: name, until: span.Add(pageSpan + MaxIDAge + MaxClockAhead + pageRetention)}
 		l.pages[name] = p
 	}
 	return p
 }
 
-// work stores groups until nothing is pending. One goroutine works on a page.
-func (l *Ledger) work(p *page) {
+// storePending stores groups until no intent is pending. Each page has at most one such
+// goroutine.
+func (l *Ledger) storePending(p *page) {
 	for {
 		p.mu.Lock()
 		if len(p.pending) == 0 {
-			p.busy = false
+			p.working = false
 			p.mu.Unlock()
 			return
 		}
 		p.mu.Unlock()
-		l.group(p)
+		l.storeGroup(p)
 	}
 }
 
-// groupTimeout bounds one group, so that an outage is answered soon.
+// groupTimeout is the timeout for one group, so that requesters get a quick error
+// during an outage.
 const groupTimeout = 2 * time.Second
 
-func (l *Ledger) group(p *page) {
+func (l *Ledger) storeGroup(p *page) {
 	ctx, cancel := context.WithTimeout(context.Background(), groupTimeout)
 	defer cancel()
 	err := l.limit.Wait(ctx)
@@ -179,21 +182,22 @@
 	p.pending = nil
 	p.mu.Unlock()
 	for try := 0; err == nil && try < maxTries; try++ {
-		var settled bool
-		if settled, err = l.attempt(ctx, p, group); settled {
+		var done bool
+		if done, err = l.attempt(ctx, p, group); done {
 			break
 		}
 		if errors.Is(err, platform.ErrUnknown) && try < maxTries/2 {
-			err = nil // read back and see
+			err = nil // read the page again to see what was stored
 		}
 	}
 	for _, w := range group {
-		l.answer(p, w, err)
+		l.complete(p, w, err)
 	}
 }
 
-// attempt makes one swap of the page with the group's intents in it.
-func (l *Ledger) attempt(ctx context.Context, p *page, group []*waiter) (settled bool, err error) {
+// attempt makes one swap that adds the group's intents to the page. It reports whether
+// all intents of the group are stored.
+func (l *Ledger) attempt(ctx context.Context, p *page, group []*waiter) (done bool, err error) {
 	if !p.loaded {
 		if err := l.load(ctx, p); err != nil {
 			return false, err
@@ -205,16 +209,15 @@
 	}
 	data, err := json.Marshal(next)
 	if err != nil {
-		return false, errors.Wrap(err, "encode page")
+		return false, errors.Wrap(err, "encode ledger page")
 	}
 	if len(data) > platform.MaxValue {
 		return false, fault.New(fault.Overloaded, "ledger page is full")
 	}
 	version, err := l.kv.Swap(ctx, p.key, data, p.version)
 	if err != nil {
-		// Another entry was first, or the answer was lost. What is stored
-		// decides: it is read again, and a swap of ours that took effect is
-		// found by its grants.
+		// Another entry wrote first, or the answer was lost. The page is read again. If
+		// this swap took effect, its grants are found there.
 		p.loaded = false
 		if errors.Is(err, platform.ErrSwapFailed) {
 			err = nil
@@ -237,7 +240,7 @@
 	intents := map[string]Intent{}
 	if len(v.Data) > 0 {
 		if err := json.Unmarshal(v.Data, &intents); err != nil {
-			return errors.Wrap(err, "ledger page")
+			return errors.Wrap(err, "decode ledger page")
 		}
 	}
 	p.intents = intents
@@ -246,7 +249,7 @@
 	return nil
 }
 
-// merge gives the page with the group's new intents, nil if none is new.
+// merge returns the page with the group's new intents added, or nil if none is new.
 func (p *page) merge(group []*waiter) map[string]Intent {
 	next := make(map[string]Intent, len(p.intents)+len(group))
 	for k, in := range p.intents {
@@ -263,7 +266,7 @@
 	return next
 }
 
-func (l *Ledger) answer(p *page, w *waiter, err error) {
+func (l *Ledger) complete(p *page, w *waiter, err error) {
 	defer close(w.done)
 	stored, ok := p.intents[w.intent.Key]
 	if err == nil && p.loaded && ok {
@@ -275,12 +278,12 @@
 
 // Sweep deletes pages whose ids are too old to be accepted.
 func (l *Ledger) Sweep(ctx context.Context) {
-	for _, p := range l.expired() {
+	for _, p := range l.takeExpired() {
 		_ = l.kv.Delete(ctx, p.key)
 	}
 }
 
-func (l *Ledger) expired() []*page {
+func (l *Ledger) takeExpired() []*page {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []*page
--- a/internal/coordination/ledger/ledger_test.go
+++ b/internal/coordination/ledger/ledger_test.go
@@ -17,8 +17,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/standin"
 )
 
-// inBubble hides the test's deadline, which may not be asked for in a bubble of
-// virtual time.
+// inBubble hides the test's deadline, which is not available in virtual time.
 type inBubble struct{ rapid.TB }
 
 func idAt(at time.Time) string {
@@ -27,7 +26,7 @@
 
 func unlimited() *rate.Limiter { return rate.NewLimiter(rate.Inf, 1) }
 
-// onePage makes ids whose keys share a page, and so are stored together.
+// onePage returns ids whose keys share a page and are stored together.
 func onePage(n int) []string {
 	var ids []string
 	for len(ids) < n {
@@ -39,10 +38,8 @@
 	return ids
 }
 
-// Several entries act for the same shard at once, as after a freeze, while the
-// store is slow, out, or loses the answers of writes that took effect. Each key
-// is granted to one asker at most; and an asker that is told of another's grant
-// is told of the same one as everybody.
+// Several entries act for the same shard while the store is slow, unavailable or loses
+// answers. Each key must have one grant, the same for all requesters.
 func TestOneGrantPerKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(inBubble{t}, func(rt *rapid.T) {
@@ -55,7 +52,7 @@
 			var mu sync.Mutex
 			var wg sync.WaitGroup
 			granted := map[string]string{}
-			told := map[string]string{}
+			seen := map[string]string{}
 			for n := rapid.IntRange(1, 30).Draw(rt, "asks"); n > 0; n-- {
 				kv.SetFaults(standin.KVFaults{
 					Outage:      rapid.IntRange(0, 9).Draw(rt, "outage") == 0,
@@ -78,20 +75,20 @@
 						assert.Check(rt, granted[id] == "", "granted twice")
 						granted[id] = grant
 					}
-					assert.Check(rt, told[id] == "" || told[id] == stored.Grant, "two truths: %s and %s", told[id], stored.Grant)
-					told[id] = stored.Grant
+					assert.Check(rt, seen[id] == "" || seen[id] == stored.Grant, "two stored grants: %s and %s", seen[id], stored.Grant)
+					seen[id] = stored.Grant
 				})
 				time.Sleep(time.Duration(rapid.IntRange(0, 500).Draw(rt, "pause")) * time.Millisecond)
 			}
 			wg.Wait()
-			// Askers leave after their own time; a group that is being stored then
-			// ends with its timeout, and so does the one that waits behind it.
+			// A requester returns after its own timeout. A group in progress and the one
+			// behind it take up to groupTimeout each.
 			time.Sleep(2*groupTimeout + time.Second)
 		})
 	})
 }
 
-// Many callers at once cost a few writes: intents that wait are stored together.
+// Concurrent intents must share writes.
 func TestIntentsShareWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := standin.NewKV()
@@ -103,7 +100,6 @@
 		for i := 0; i < asks; i++ {
 			id := idAt(time.Now())
 			wg.Go(func() {
-				// One shard: the same hash for all is not needed, only the page.
 				_, err := l.Record(context.Background(), Intent{Key: fmt.Sprint(key, i), Grant: fmt.Sprint(i)}, id)
 				assert.Check(t, err)
 			})
@@ -120,7 +116,7 @@
 		id   string
 		want fault.Kind
 	}{
-		{"no ULID", "sheet-1", fault.InvalidRequest},
+		{"not a ULID", "sheet-1", fault.InvalidRequest},
 		{"too old", idAt(now.Add(-MaxIDAge - time.Second)), fault.ExpiredID},
 		{"from the future", idAt(now.Add(MaxClockAhead + time.Second)), fault.InvalidRequest},
 	} {
@@ -133,7 +129,7 @@
 	assert.NilError(t, err)
 }
 
-// Pages past the window are deleted from the store; the ledger stays small.
+// Pages with expired ids must be deleted from the store.
 func TestSweepDeletesOldPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := standin.NewKV()
