--- a/internal/protocol/owner/chain.go
+++ b/internal/protocol/owner/chain.go
@@ -16,14 +16,14 @@
 	"github.com/skylarkwood/skylarkwood/internal/wait"
 )
 
-// repair raises the epoch over a chain in which lost stages are replaced. A
-// request that is not repeatable keeps its chain or is cut off: a replacement
-// would run layers a second time.
-func (r *run) repair(ctx context.Context, broken string) error {
-	r.o.Events.Add(r.key(), events.StageLost, broken)
-	pause := firstPause
+// repair raises the epoch and replaces lost stages of the chain. A non-repeatable
+// request keeps its chain or is cut off, because a replacement would run layers a
+// second time.
+func (r *run) repair(ctx context.Context, lost string) error {
+	r.o.Events.Add(r.key(), events.StageLost, lost)
+	delay := minRetryDelay
 	for try := 1; ; try++ {
-		err := r.establish(ctx)
+		err := r.openChain(ctx)
 		if err == nil {
 			return nil
 		}
@@ -34,17 +34,17 @@
 		if try == maxRepairs {
 			return fault.New(fault.BackendLost, "no replacement for a lost stage: %s", e.Msg)
 		}
-		if !wait.For(ctx, limits.Jitter(pause)) {
+		if !wait.For(ctx, limits.Jitter(delay)) {
 			return fault.New(fault.Deadline, "deadline passed during repair: %s", e.Msg)
 		}
-		pause = min(2*pause, maxPause)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-// establish opens a chain under a new epoch, replacing stages that refuse, and
-// lets it run from where each stage stands.
-func (r *run) establish(ctx context.Context) error {
-	if err := r.choose(); err != nil {
+// openChain opens a chain under a new epoch, replaces stages that refuse, and resumes
+// each stage from its position.
+func (r *run) openChain(ctx context.Context) error {
+	if err := r.chooseChain(); err != nil {
 		return err
 	}
 	r.epoch++
@@ -60,14 +60,15 @@
 	return r.feed(ctx, next[0])
 }
 
-// choose keeps the stages that still stand and finds others for the rest.
-func (r *run) choose() error {
+// chooseChain keeps the intact stages of the chain and selects replacements for the
+// others.
+func (r *run) chooseChain() error {
 	if r.notRepeatable {
 		return nil
 	}
 	if len(r.chain) == 0 {
 		chain, err := r.o.Router.Chain(routing.ChainRequest{
-			Service:   r.ask.Service,
+			Service:   r.submission.Service,
 			Layers:    model.LayerRange{To: r.layers},
 			Avoid:     r.avoid,
 			Positions: r.positions(),
@@ -75,28 +76,28 @@
 		if err != nil {
 			return err
 		}
-		r.chain = hopsOf(chain)
+		r.chain = stagesOf(chain)
 		return nil
 	}
 	var next []wire.Stage
 	for _, h := range r.chain {
-		if r.stands(h) {
+		if r.isIntact(h) {
 			next = append(next, h)
 			continue
 		}
-		part, err := r.o.Router.Chain(routing.ChainRequest{Service: r.ask.Service, Layers: h.Range, Avoid: r.without(r.chain)})
+		part, err := r.o.Router.Chain(routing.ChainRequest{Service: r.submission.Service, Layers: h.Range, Avoid: r.avoidWithChain(r.chain)})
 		if err != nil {
 			return err
 		}
-		next = append(next, hopsOf(part)...)
+		next = append(next, stagesOf(part)...)
 	}
 	r.chain = next
 	return nil
 }
 
-// without is avoid with the members of the chain added: a member takes part
-// once, as a session has one range.
-func (r *run) without(chain []wire.Stage) map[string]bool {
+// avoidWithChain returns the avoided stages and the members of the chain. An engine has
+// one layer range per session, so it can be in a chain only once.
+func (r *run) avoidWithChain(chain []wire.Stage) map[string]bool {
 	out := map[string]bool{}
 	for a, bad := range r.avoid {
 		out[a] = bad
@@ -107,12 +108,12 @@
 	return out
 }
 
-func (r *run) stands(h wire.Stage) bool {
+func (r *run) isIntact(h wire.Stage) bool {
 	m, ok := r.o.Table.Get(h.Address)
 	return ok && !r.avoid[h.Address] && !m.Down() && m.Incarnation == h.Incarnation
 }
 
-// openAll opens every stage at once; it gives the next position of each.
+// openAll opens all stages concurrently and returns the next position of each.
 func (r *run) openAll(ctx context.Context) ([]int64, error) {
 	next := make([]int64, len(r.chain))
 	errs := make([]error, len(r.chain))
@@ -121,7 +122,7 @@
 		r.used[h.Address] = true
 		g.Go(func() error {
 			var rep wire.OpenReply
-			errs[i] = r.o.callTwice(ctx, h.Address, wire.MethodOpen, r.openMessage(i), &rep)
+			errs[i] = r.o.callWithRetry(ctx, h.Address, wire.MethodOpen, r.openMessage(i), &rep)
 			if errs[i] == nil {
 				next[i] = rep.Next
 				r.o.Table.ObserveLoad(h.Address, membership.Load(rep.Load))
@@ -130,7 +131,7 @@
 		})
 	}
 	_ = g.Wait()
-	return next, r.refusals(ctx, errs)
+	return next, r.recordRefusals(ctx, errs)
 }
 
 func (r *run) openMessage(i int) wire.Open {
@@ -142,37 +143,37 @@
 		Owner:       r.o.Address,
 		OwnerData:   r.o.Data,
 		Prompt:      int64(len(r.prompt)),
-		Tokens:      int64(r.ask.MaxTokens),
+		Tokens:      int64(r.submission.MaxTokens),
 		Deadline:    r.req.Deadline,
-		RetainUntil: r.remember,
+		RetainUntil: r.retainUntil,
 		Priority:    r.rule.Priority,
 	}
 }
 
-// refusals notes which stages did not open. Those that did stay open for the
-// next epoch.
-func (r *run) refusals(ctx context.Context, errs []error) error {
-	var worst error
+// recordRefusals records the stages that did not open and returns the last error.
+// Stages that did open stay open for the next epoch.
+func (r *run) recordRefusals(ctx context.Context, errs []error) error {
+	var lastErr error
 	for i, err := range errs {
 		if err == nil {
 			continue
 		}
 		h := r.chain[i]
 		r.avoid[h.Address] = true
-		worst = err
+		lastErr = err
 		e := fault.From(err)
 		if e.Kind == fault.Unreachable {
 			r.o.Table.RecordFailure(h.Address)
 		}
-		r.o.refused(ctx, r.job, h, e)
+		r.o.recordRefusal(ctx, r.job, h, e)
 	}
-	if worst != nil && !r.started {
-		r.chain = nil // nothing has run: any other chain will do
+	if lastErr != nil && !r.started {
+		r.chain = nil // nothing has run, so any other chain may be used
 	}
-	return worst
+	return lastErr
 }
 
-// resumeAll tells each stage what the one after it lacks.
+// resumeAll resumes each stage with the positions that its receivers are missing.
 func (r *run) resumeAll(ctx context.Context, next []int64) error {
 	last := len(r.chain) - 1
 	var g errgroup.Group
@@ -185,7 +186,7 @@
 			msg.FirstNext = next[0]
 		}
 		g.Go(func() error {
-			err := r.o.callTwice(ctx, h.Address, wire.MethodResume, msg, nil)
+			err := r.o.callWithRetry(ctx, h.Address, wire.MethodResume, msg, nil)
 			if fault.Is(err, fault.Unreachable) {
 				r.o.Table.RecordFailure(h.Address)
 			}
@@ -195,8 +196,8 @@
 	return g.Wait()
 }
 
-// feed gives the first stage what it lacks of the prompt and of the tokens that
-// came: it may be a replacement that has seen none of them.
+// feed sends the first stage the positions that it is missing of the prompt and the
+// tokens generated so far. A replacement has none of them.
 func (r *run) feed(ctx context.Context, from int64) error {
 	inputs := append(append([][]byte(nil), r.prompt...), r.req.Answer()...)
 	if from > 0 && from < int64(len(inputs)) {
@@ -218,7 +219,7 @@
 	return nil
 }
 
-// closeAll ends the request at every stage it was opened at.
+// closeAll closes the request at every stage where it was opened.
 func (r *run) closeAll() {
 	ctx, cancel := context.WithTimeout(context.Background(), r.o.Timing.CallTimeout)
 	defer cancel()
@@ -226,7 +227,7 @@
 	for addr := range r.used {
 		g.Go(func() error {
 			var rep wire.CloseReply
-			err := r.o.callTwice(ctx, addr, wire.MethodClose, wire.Close{Key: r.runKey(), Epoch: r.epoch}, &rep)
+			err := r.o.callWithRetry(ctx, addr, wire.MethodClose, wire.Close{Key: r.runKey(), Epoch: r.epoch}, &rep)
 			if err == nil {
 				r.o.Table.ObserveLoad(addr, membership.Load(rep.Load))
 			}
@@ -236,10 +237,10 @@
 	_ = g.Wait()
 }
 
-func hopsOf(chain []routing.Stage) []wire.Stage {
+func stagesOf(chain []routing.Stage) []wire.Stage {
 	out := make([]wire.Stage, 0, len(chain))
 	for _, s := range chain {
-		out = append(out, hopOf(s.Member, s.Range))
+		out = append(out, stageOf(s.Member, s.Range))
 	}
 	return out
 }
--- a/internal/protocol/owner/intake_test.go
+++ b/internal/protocol/owner/intake_test.go
@@ -16,7 +16,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/standin/world"
 )
 
-// plainWorld is one entry before one plain service whose calls take a second.
+// plainWorld returns a world with one entry and one plain service whose calls take a
+// second.
 func plainWorld(ctx context.Context, t *testing.T) *world.World {
 	w, err := world.New(ctx, world.Config{
 		Seed:    1,
@@ -29,27 +30,25 @@
 	return w
 }
 
-func notice(id string) owner.Submission {
+func submission(id string) owner.Submission {
 	return owner.Submission{Customer: world.Customer, ID: id, Service: world.Notices, Body: []byte("round 4")}
 }
 
-// A caller's request reaches an entry in a planned stop just after the entry has
-// found that nothing is in progress. Accepted then, it is handed over while the
-// process ends: the caller's stream breaks off, nobody has the outcome, and it
-// may have run. It must be refused as not accepted, so that it goes elsewhere.
-func TestNothingIsAcceptedAfterTheDrain(t *testing.T) {
+// A request that arrives after the drain has completed must be refused. If it were
+// accepted, its outcome would be lost when the process exits.
+func TestDrainedOwnerRefusesNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		w := plainWorld(ctx, t)
 		o := w.Entry(0).Owner
-		before, err := o.Submit(notice("before"))
+		before, err := o.Submit(submission("before"))
 		assert.NilError(t, err)
 		<-o.Drain()
 		assert.Equal(t, before.Outcome().State, model.Ran)
-		_, err = o.Submit(notice("after"))
+		_, err = o.Submit(submission("after"))
 		assert.Check(t, fault.Is(err, fault.Leaving), "accepted after the drain: %v", err)
-		again, err := o.Submit(notice("before"))
-		assert.Check(t, err, "a caller that comes back for its answer")
+		again, err := o.Submit(submission("before"))
+		assert.Check(t, err, "joining an earlier request after the drain")
 		assert.Check(t, again == before)
 		stop()
 		w.Close()
@@ -57,21 +56,20 @@
 	})
 }
 
-// Callers go on sending over the connections that they have while an entry
-// drains. Whatever it accepted has its outcome when the drain is over, and the
-// drain ends though requests keep coming.
-func TestDrainEndsAndLosesNothingUnderTraffic(t *testing.T) {
+// A drain must complete while callers keep sending, and every accepted request must
+// have its outcome by then.
+func TestDrainUnderTrafficKeepsAcceptedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		w := plainWorld(ctx, t)
 		o := w.Entry(0).Owner
 		var accepted sync.Map
-		traffic, hush := context.WithCancel(ctx)
+		traffic, stopTraffic := context.WithCancel(ctx)
 		var callers sync.WaitGroup
 		for c := range 8 {
 			callers.Go(func() {
 				for n := 0; traffic.Err() == nil; n++ {
-					if r, err := o.Submit(notice(strconv.Itoa(c) + "-" + strconv.Itoa(n))); err == nil {
+					if r, err := o.Submit(submission(strconv.Itoa(c) + "-" + strconv.Itoa(n))); err == nil {
 						accepted.Store(r, true)
 					}
 					time.Sleep(100 * time.Millisecond)
@@ -82,12 +80,12 @@
 		select {
 		case <-o.Drain():
 		case <-time.After(time.Minute):
-			t.Error("the drain does not end while requests come")
+			t.Error("drain did not complete while requests arrived")
 		}
 		accepted.Range(func(r, _ any) bool {
 			return assert.Check(t, r.(interface{ Outcome() model.Outcome }).Outcome().Final())
 		})
-		hush()
+		stopTraffic()
 		callers.Wait()
 		stop()
 		w.Close()
--- a/internal/protocol/owner/once.go
+++ b/internal/protocol/owner/once.go
@@ -19,16 +19,16 @@
 	"github.com/skylarkwood/skylarkwood/internal/wait"
 )
 
-// gatesPerIntent is how many gates an intent names. Only these may hand the
-// request over, so that whoever settles it later knows whom to ask.
+// gatesPerIntent is the number of gates that an intent names for a plain service. Only
+// these may hand the request over, so other entries can query them for its state.
 const gatesPerIntent = 3
 
-// serveOnce carries out a request that is not repeatable. The intent is stored
-// before the hand-over and names the gates; a caller that resends through
-// another entry finds it there.
-func (o *Owner) serveOnce(ctx context.Context, j *job) model.Outcome {
-	// Without a gate the intent is stored all the same, naming none: it keeps
-	// the request from running through another entry after "not run" was said.
+// serveNonRepeatable executes a request that is not repeatable. The intent names the
+// gates and is stored before the handover. If the caller retries through another entry,
+// that entry finds the intent.
+func (o *Owner) serveNonRepeatable(ctx context.Context, j *job) model.Outcome {
+	// The intent is stored even if no gate is available. It prevents the request from
+	// running through another entry after this one reported that it did not run.
 	plan, planErr := o.plan(j)
 	in := ledger.Intent{
 		Key:     j.key().String(),
@@ -39,13 +39,13 @@
 	for _, h := range plan {
 		in.Gates = append(in.Gates, ledger.Gate{Address: h.Address, Incarnation: h.Incarnation})
 	}
-	stored, err := o.RecordIntent(ctx, in, j.ask.ID)
+	stored, err := o.RecordIntent(ctx, in, j.submission.ID)
 	if err != nil {
-		return o.withoutLedger(ctx, j, fault.From(err))
+		return o.resolveWithoutLedger(ctx, j, fault.From(err))
 	}
 	o.Events.Add(j.key(), events.IntentStored, "granted to "+stored.Owner)
 	if stored.Grant != in.Grant {
-		return o.settleOther(ctx, j, stored)
+		return o.resolveOther(ctx, j, stored)
 	}
 	if planErr != nil {
 		return fault.NotRun(fault.From(planErr), "never handed over: the ledger's intent names no gate")
@@ -53,23 +53,23 @@
 	if j.kind == model.KindPipeline {
 		return o.servePipeline(ctx, j, plan)
 	}
-	return o.handOverOnce(ctx, j, plan)
+	return o.handOverNonRepeatable(ctx, j, plan)
 }
 
-// plan names the gates: some to choose from for a plain service, the whole
-// chain for a pipeline.
+// plan returns the gates for the intent: several candidates for a plain service, the
+// whole chain for a pipeline.
 func (o *Owner) plan(j *job) ([]wire.Stage, error) {
 	if j.kind == model.KindPipeline {
-		chain, err := o.Router.Chain(routing.ChainRequest{Service: j.ask.Service, Layers: model.LayerRange{To: j.layers}, Positions: j.positions()})
+		chain, err := o.Router.Chain(routing.ChainRequest{Service: j.submission.Service, Layers: model.LayerRange{To: j.layers}, Positions: j.positions()})
 		if err != nil {
 			return nil, err
 		}
-		return hopsOf(chain), nil
+		return stagesOf(chain), nil
 	}
 	avoid := map[string]bool{}
 	var plan []wire.Stage
 	for len(plan) < gatesPerIntent {
-		m, err := o.Router.PlainServer(j.ask.Service, avoid)
+		m, err := o.Router.PlainServer(j.submission.Service, avoid)
 		if err != nil && len(plan) == 0 {
 			return nil, err
 		}
@@ -77,19 +77,19 @@
 			break
 		}
 		avoid[m.Instance.Address] = true
-		if mayRunOnce(m, j) {
-			plan = append(plan, hopOf(m, model.LayerRange{}))
+		if mayRunNonRepeatable(m, j) {
+			plan = append(plan, stageOf(m, model.LayerRange{}))
 		}
 	}
 	if len(plan) == 0 {
-		return nil, fault.New(fault.NotReady, "every gate of %s was started only now", j.ask.Service)
+		return nil, fault.New(fault.NotReady, "all gates of %s started too recently", j.submission.Service)
 	}
 	return plan, nil
 }
 
-// handOverOnce goes on to the next gate only with proof that the one before
-// never started it.
-func (o *Owner) handOverOnce(ctx context.Context, j *job, plan []wire.Stage) model.Outcome {
+// handOverNonRepeatable tries the gates in turn. It continues with the next gate only
+// if the previous one proved that it did not start the request.
+func (o *Owner) handOverNonRepeatable(ctx context.Context, j *job, plan []wire.Stage) model.Outcome {
 	var last *fault.Error
 	for i, gate := range plan {
 		body, ran, err := o.dispatch(ctx, j, gate, int64(i+1))
@@ -104,59 +104,58 @@
 			break
 		}
 	}
-	return fault.NotRun(last, "every gate proved that it never started")
+	return fault.NotRun(last, "every gate proved that the request never started")
 }
 
-// maxWitnesses bounds how many processes are asked about one request while the
-// ledger cannot be.
-const maxWitnesses = 16
-
-// withoutLedger answers a request that the ledger could not vouch for. It does
-// not run here; but it may be a request sent again that ran through another
-// entry, and "not run" would have the caller send it under a new id. Entries
-// may come and go unseen, so they prove nothing; but every hand-over passes a
-// gate, and a gate runs only ids made after its start. If each gate of the
-// service was up before, never started it and now holds a tombstone, it neither
-// ran nor will: "not run" is proven.
-func (o *Owner) withoutLedger(ctx context.Context, j *job, e *fault.Error) model.Outcome {
+// maxQueried is the maximum number of processes queried about one request while the
+// ledger is unavailable.
+const maxQueried = 16
+
+// resolveWithoutLedger determines the outcome of a request whose intent could not be
+// stored. The request does not run here, but it may be a retry of one that ran through
+// another entry. Entries may have exited, so their reports are no proof. Every handover
+// passes a gate, and a gate runs only ids created after its start. The request is
+// proven not to run if each gate of the service started before it, did not start it and
+// now has a tombstone.
+func (o *Owner) resolveWithoutLedger(ctx context.Context, j *job, e *fault.Error) model.Outcome {
 	if addr, ok := o.findOwner(ctx, j.key()); ok {
-		return o.follow(ctx, j, addr)
+		return o.followOwner(ctx, j, addr)
 	}
-	gates, complete := o.Table.ServiceMembers(j.ask.Service)
-	if !complete || len(gates) == 0 || len(gates) > maxWitnesses || o.Table.ListAge() > gate.MinIncarnationLead {
-		return fault.CutOff(e, "not handed over here; whether it ran before cannot be told without the ledger")
+	gates, complete := o.Table.ServiceMembers(j.submission.Service)
+	if !complete || len(gates) == 0 || len(gates) > maxQueried || o.Table.ListAge() > gate.MinIncarnationLead {
+		return fault.CutOff(e, "not handed over here; without the ledger it is unknown whether it ran before")
 	}
 	unknown := ""
 	for _, m := range gates {
-		body, ran, err := o.settle(ctx, j, hopOf(m, model.LayerRange{}), e.WithKind(fault.Unreachable))
+		body, ran, err := o.resolveDispatch(ctx, j, stageOf(m, model.LayerRange{}), e.WithKind(fault.Unreachable))
 		if err == nil {
-			return o.complete(j, hopOf(m, model.LayerRange{}), body)
+			return o.complete(j, stageOf(m, model.LayerRange{}), body)
 		}
-		if ran || !mayRunOnce(m, j) {
+		if ran || !mayRunNonRepeatable(m, j) {
 			unknown = m.Instance.Address
 		}
 	}
 	if unknown != "" {
-		return fault.CutOff(e, "not handed over here; gate "+unknown+" cannot tell whether it ran before")
+		return fault.CutOff(e, "not handed over here; gate "+unknown+" does not know whether it ran before")
 	}
 	return fault.NotRun(e, "never handed over: no grant from the ledger, and tombstones at all gates of the service")
 }
 
-// mayRunOnce tells whether a gate's incarnation is old enough to run a request
-// that is not repeatable. It goes by the time in the incarnation, a ULID.
-func mayRunOnce(m membership.Member, j *job) bool {
+// mayRunNonRepeatable reports whether a gate's incarnation started early enough to run
+// a non-repeatable request. The incarnation is a ULID, which contains its start time.
+func mayRunNonRepeatable(m membership.Member, j *job) bool {
 	u, err := ulid.ParseStrict(m.Incarnation)
-	return err == nil && !j.made.Before(ulid.Time(u.Time()).Add(gate.MinIncarnationLead))
+	return err == nil && !j.createdAt.Before(ulid.Time(u.Time()).Add(gate.MinIncarnationLead))
 }
 
-// findOwner asks the other entries for one that knows a request.
+// findOwner returns the address of another entry that has a record of a request.
 func (o *Owner) findOwner(ctx context.Context, key model.RequestKey) (string, bool) {
 	entries := o.Table.Entries()
-	found := make([]bool, min(len(entries), maxWitnesses))
+	found := make([]bool, min(len(entries), maxQueried))
 	var g errgroup.Group
 	for i := range found {
 		g.Go(func() error {
-			rep, err := o.askEntry(ctx, entries[i].Instance.Address, key)
+			rep, err := o.queryOutcome(ctx, entries[i].Instance.Address, key)
 			found[i] = err == nil && rep.Known
 			return nil
 		})
@@ -168,22 +167,22 @@
 	return "", false
 }
 
-func (o *Owner) askEntry(ctx context.Context, addr string, key model.RequestKey) (wire.OutcomeReply, error) {
+func (o *Owner) queryOutcome(ctx context.Context, addr string, key model.RequestKey) (wire.OutcomeReply, error) {
 	var rep wire.OutcomeReply
-	err := o.callTwice(ctx, addr, wire.MethodOutcome, wire.OutcomeQuery{Key: key}, &rep)
+	err := o.callWithRetry(ctx, addr, wire.MethodOutcome, wire.OutcomeQuery{Key: key}, &rep)
 	return rep, err
 }
 
-// await waits for the outcome that another entry comes to; it tells whether that
-// entry knows the request and answers.
-func (o *Owner) await(ctx context.Context, j *job, addr string) (model.Outcome, bool) {
+// awaitOutcome waits for the outcome at another entry. It returns false if that entry
+// has no record of the request or does not respond.
+func (o *Owner) awaitOutcome(ctx context.Context, j *job, addr string) (model.Outcome, bool) {
 	for {
-		rep, err := o.askEntry(ctx, addr, j.key())
+		rep, err := o.queryOutcome(ctx, addr, j.key())
 		if err != nil || !rep.Known {
 			return model.Outcome{}, false
 		}
 		if rep.Outcome.Final() {
-			return adopt(j, rep), true
+			return adoptOutcome(j, rep), true
 		}
 		if !wait.For(ctx, o.Timing.PollInterval) {
 			return fault.CutOff(fault.New(fault.Deadline, "still in progress at entry %s", addr), "entry "+addr), true
@@ -191,45 +190,47 @@
 	}
 }
 
-// follow gives the outcome that another entry comes to, or that it is gone.
-func (o *Owner) follow(ctx context.Context, j *job, addr string) model.Outcome {
-	if out, ok := o.await(ctx, j, addr); ok {
+// followOwner returns the outcome at another entry, or a cut-off outcome if that entry
+// does not respond.
+func (o *Owner) followOwner(ctx context.Context, j *job, addr string) model.Outcome {
+	if out, ok := o.awaitOutcome(ctx, j, addr); ok {
 		return out
 	}
-	return fault.CutOff(fault.New(fault.BackendLost, "entry %s that had the request is gone", addr), "entry "+addr)
+	return fault.CutOff(fault.New(fault.BackendLost, "entry %s, which owned the request, does not respond", addr), "entry "+addr)
 }
 
-// settleOther finds the truth about a request whose hand-over was granted to
-// another entry: from that entry if it lives, else from the gates.
-func (o *Owner) settleOther(ctx context.Context, j *job, in ledger.Intent) model.Outcome {
+// resolveOther determines the outcome of a request whose handover was granted to
+// another entry. It queries that entry first, then the gates.
+func (o *Owner) resolveOther(ctx context.Context, j *job, in ledger.Intent) model.Outcome {
 	if in.Content != j.req.Content {
 		return fault.NotRun(fault.New(fault.ConflictingID, "request id was used for another request"),
 			"never handed over: the ledger holds another request under this id")
 	}
 	if in.Owner != o.Address {
-		if out, ok := o.await(ctx, j, in.Owner); ok {
+		if out, ok := o.awaitOutcome(ctx, j, in.Owner); ok {
 			return out
 		}
 	}
-	return o.askGates(ctx, j, in)
+	return o.resolveAtGates(ctx, j, in)
 }
 
-func adopt(j *job, rep wire.OutcomeReply) model.Outcome {
+func adoptOutcome(j *job, rep wire.OutcomeReply) model.Outcome {
 	if rep.Outcome.State == model.Ran && len(rep.Answer) > 0 {
 		j.req.Append(0, rep.Answer)
 	}
 	out := rep.Outcome
-	out.Evidence += "; told by entry " + out.Entry
+	out.Evidence += "; reported by entry " + out.Entry
 	return out
 }
 
-// askGates sets a tombstone at every gate that the intent names. All of them
-// together prove that it never ran; one that does not know leaves it open.
-func (o *Owner) askGates(ctx context.Context, j *job, in ledger.Intent) model.Outcome {
+// resolveAtGates sets a tombstone at every gate that the intent names. If all gates
+// report that the request never started, it is proven not to have run. If one does not
+// respond, the outcome is unknown.
+func (o *Owner) resolveAtGates(ctx context.Context, j *job, in ledger.Intent) model.Outcome {
 	unknown := ""
 	for _, g := range in.Gates {
 		gate := wire.Stage{Address: g.Address, Incarnation: g.Incarnation}
-		body, ran, err := o.settle(ctx, j, gate, fault.New(fault.Unreachable, "entry %s is gone", in.Owner))
+		body, ran, err := o.resolveDispatch(ctx, j, gate, fault.New(fault.Unreachable, "entry %s does not respond", in.Owner))
 		if err == nil {
 			return o.complete(j, gate, body)
 		}
@@ -238,8 +239,8 @@
 		}
 	}
 	if unknown != "" {
-		return fault.CutOff(fault.New(fault.BackendLost, "entry %s that handed it over is gone", in.Owner), unknown)
+		return fault.CutOff(fault.New(fault.BackendLost, "entry %s, which handed it over, does not respond", in.Owner), unknown)
 	}
-	e := fault.New(fault.Cancelled, "entry %s ended before the hand-over; send it again under a new id", in.Owner)
+	e := fault.New(fault.Cancelled, "entry %s stopped before the handover; retry with a new id", in.Owner)
 	return fault.NotRun(e, "tombstones at all gates of the intent")
 }
--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -1,6 +1,6 @@
-// Package owner is an entry's part in a request: from acceptance to the one
-// final outcome. It admits the request by its customer's template, hands it to
-// gates, collects the answer and repairs the pipeline under it.
+// Package owner implements an entry's handling of a request from acceptance to its
+// final outcome. It admits the request under its customer's template, hands it to
+// gates, collects the answer and repairs the chain of engines.
 package owner
 
 import (
@@ -26,50 +26,51 @@
 	"github.com/skylarkwood/skylarkwood/internal/state/shard"
 )
 
-// Limits on what a caller may send.
+// Limits on callers' requests.
 const (
 	MaxBody     = 1 << 20
 	MaxTokens   = 8192
 	MaxIDLength = 64
 	maxTimeout  = 10 * time.Minute
-	// MaxNonRepeatableTimeout bounds the time of a request that is not repeatable, as
-	// gates must remember it that much longer than its id is accepted.
+	// MaxNonRepeatableTimeout is the maximum timeout of a request that is not
+	// repeatable. Gates retain its record that much longer than its id is accepted.
 	MaxNonRepeatableTimeout = 2 * time.Minute
 )
 
-// Peers sends messages to other processes. A link.Pool is one.
+// Peers sends messages to other processes. link.Pool implements it.
 type Peers interface {
 	Call(ctx context.Context, addr string, m wire.Method, req, rep any) error
 	Notify(ctx context.Context, addr string, m wire.Method, msg any) error
 	Reset(addr string)
 }
 
-// Feeder sends inputs to a chain's first stage.
+// Feeder sends inputs to the first stage of a chain.
 type Feeder interface {
 	Forward(ctx context.Context, to wire.Stage, f wire.Forward) error
 }
 
-// Router chooses where work goes; see package routing.
+// Router selects chains and backend servers; see package routing.
 type Router interface {
-	// Chain covers layers with stages.
-	Chain(ask routing.ChainRequest) ([]routing.Stage, error)
-	// PlainServer chooses a backend server of a plain service.
+	// Chain returns stages that cover the requested layers.
+	Chain(req routing.ChainRequest) ([]routing.Stage, error)
+	// PlainServer returns a backend server of a plain service.
 	PlainServer(service string, avoid map[string]bool) (membership.Member, error)
-	// Describe tells a service's kind and the layers of its model.
+	// Describe returns a service's kind and the number of layers of its model, or false
+	// if the service is unknown.
 	Describe(service string) (model.ServiceKind, int, bool)
 }
 
-// RecordIntent asks the ledger for the one hand-over of a request; see package
-// ledger.
+// RecordIntent stores the intent to hand over a non-repeatable request; see
+// ledger.Ledger.Record.
 type RecordIntent func(ctx context.Context, in ledger.Intent, id string) (ledger.Intent, error)
 
-// Deps is what an Owner works with.
+// Deps are the dependencies of an Owner.
 type Deps struct {
 	Instance string // id of this entry
-	// Incarnation names this start of it, for logs.
+	// Incarnation identifies this start of the entry, for logs.
 	Incarnation      string
-	Address          string // its link address
-	Data             string // where its data streams end
+	Address          string // link address of this entry
+	Data             string // address for its data streams
 	Peers            Peers
 	Feeder           Feeder
 	Table            *membership.Table
@@ -82,24 +83,25 @@
 	Requests         *requests.Store
 	Events           *events.Log
 	Now              func() time.Time
-	// Refresh brings the configuration up to that of the peer at addr.
+	// Refresh updates the configuration to the revision of the peer at addr.
 	Refresh func(ctx context.Context, addr string) error
-	// Observe is told of each final outcome.
-	Observe func(service string, o model.Outcome, took time.Duration)
+	// Observe is called with each final outcome.
+	Observe func(service string, o model.Outcome, elapsed time.Duration)
 	Timing  Timing
 }
 
-// Timing is how long the owner waits before it looks into a request.
+// Timing configures the owner's timeouts and intervals.
 type Timing struct {
-	// CallTimeout bounds one control message.
+	// CallTimeout is the timeout of one control message.
 	CallTimeout time.Duration
-	// StallTimeout is how long a pipeline may bring no token before it is resynchronised.
+	// StallTimeout is how long a pipeline may return no token before its stages are
+	// checked.
 	StallTimeout time.Duration
-	// PollInterval is how often an outcome elsewhere is asked for.
+	// PollInterval is the interval at which another process is polled for an outcome.
 	PollInterval time.Duration
 }
 
-// DefaultTiming suits instances of one region.
+// DefaultTiming returns the timing for instances in one region.
 func DefaultTiming() Timing {
 	return Timing{
 		CallTimeout:  500 * time.Millisecond,
@@ -108,7 +110,7 @@
 	}
 }
 
-// Owner owns the requests of one entry.
+// Owner handles the requests of one entry.
 type Owner struct {
 	Deps
 	started time.Time
@@ -116,12 +118,12 @@
 	intake  *intake
 }
 
-// New makes an owner.
+// New returns an owner.
 func New(d Deps) *Owner {
 	return &Owner{Deps: d, started: d.Now(), runs: shard.New[string, *run](), intake: newIntake()}
 }
 
-// Submission is a caller's request.
+// Submission is a request as submitted by a caller.
 type Submission struct {
 	Customer      string
 	ID            string
@@ -132,118 +134,119 @@
 	NotRepeatable bool
 }
 
-// job is an accepted request on its way.
+// job is an accepted request in progress.
 type job struct {
-	ask           Submission
+	submission    Submission
 	req           *requests.Request
 	rule          config.Rule
-	revision      int64 // of the configuration that gave the rule
+	revision      int64 // of the configuration that contains the rule
 	kind          model.ServiceKind
 	layers        int
 	notRepeatable bool
-	began         time.Time
-	run           string    // empty for a request that is not repeatable
-	made          time.Time // time in the id of a request that is not repeatable
-	// remember is until when gates must know what became of the request: past
-	// its deadline, and for one that is not repeatable as long as the same id
-	// may still be sent to another entry and settled there.
-	remember time.Time
+	acceptedAt    time.Time
+	run           string    // empty for a non-repeatable request
+	createdAt     time.Time // time in the id of a non-repeatable request
+	// retainUntil is until when gates must retain the record of the request. It is past
+	// the deadline. For a non-repeatable request it covers the time in which the same id
+	// may still be sent to another entry.
+	retainUntil time.Time
 }
 
-// positions is how many a pipeline request runs.
+// positions returns the number of positions that a pipeline request runs.
 func (j *job) positions() int {
-	return len(splitPrompt(j.ask.Body)) + j.ask.MaxTokens - 1
+	return len(splitPrompt(j.submission.Body)) + j.submission.MaxTokens - 1
 }
 
 func (j *job) key() model.RequestKey { return j.req.Key }
 
-// runKey names the job's run at the gates.
+// runKey identifies the job's run at the gates.
 func (j *job) runKey() wire.RunKey { return wire.RunKey{RequestKey: j.req.Key, Run: j.run} }
 
-// Submit accepts a request or joins it to the same one sent before. An error
-// means that nothing was accepted and nothing ran.
-func (o *Owner) Submit(ask Submission) (*requests.Request, error) {
-	if ask.ID == "" {
-		ask.ID = ulid.MustNew(ulid.Timestamp(o.Now()), rand.Reader).String()
+// Submit accepts a request or joins it to an earlier one with the same id and contents.
+// On an error the request was not accepted and nothing ran.
+func (o *Owner) Submit(sub Submission) (*requests.Request, error) {
+	if sub.ID == "" {
+		sub.ID = ulid.MustNew(ulid.Timestamp(o.Now()), rand.Reader).String()
 	}
-	if err := validate(ask); err != nil {
-		return nil, o.reject(ask, err)
+	if err := validate(sub); err != nil {
+		return nil, o.reject(sub, err)
 	}
-	revision, rule, err := o.rule(ask)
+	revision, rule, err := o.rule(sub)
 	if err != nil {
-		return nil, o.reject(ask, err)
+		return nil, o.reject(sub, err)
 	}
-	j := &job{ask: ask, rule: rule, revision: revision, began: o.Now(), notRepeatable: ask.NotRepeatable || rule.NotRepeatable}
-	key := model.RequestKey{Customer: ask.Customer, ID: ask.ID}
+	j := &job{submission: sub, rule: rule, revision: revision, acceptedAt: o.Now(), notRepeatable: sub.NotRepeatable || rule.NotRepeatable}
+	key := model.RequestKey{Customer: sub.Customer, ID: sub.ID}
 	if r, ok := o.Requests.Get(key); ok {
-		return r, o.join(ask, r)
+		return r, o.join(sub, r)
 	}
 	if err := o.admit(j); err != nil {
-		return nil, o.reject(ask, err)
+		return nil, o.reject(sub, err)
 	}
 	if !o.intake.enter() {
-		return nil, o.reject(ask, fault.New(fault.Leaving, "entry is leaving"))
+		return nil, o.reject(sub, fault.New(fault.Leaving, "entry is leaving"))
 	}
-	r, joined := o.Requests.GetOrCreate(key, content(ask), j.began.Add(j.timeout()))
+	r, joined := o.Requests.GetOrCreate(key, contentHash(sub), j.acceptedAt.Add(j.timeout()))
 	if joined {
 		o.intake.leave()
-		return r, o.join(ask, r)
+		return r, o.join(sub, r)
 	}
 	j.req = r
-	j.remember = r.Deadline
+	j.retainUntil = r.Deadline
 	if j.notRepeatable {
-		j.remember = j.made.Add(ledger.MaxIDAge + MaxNonRepeatableTimeout)
+		j.retainUntil = j.createdAt.Add(ledger.MaxIDAge + MaxNonRepeatableTimeout)
 	} else {
-		j.run = ulid.MustNew(ulid.Timestamp(j.began), rand.Reader).String()
+		j.run = ulid.MustNew(ulid.Timestamp(j.acceptedAt), rand.Reader).String()
 	}
-	o.Events.Add(key, events.Accepted, ask.Service)
+	o.Events.Add(key, events.Accepted, sub.Service)
 	go o.serve(j)
 	return r, nil
 }
 
-func validate(ask Submission) error {
+func validate(sub Submission) error {
 	switch {
-	case ask.Customer == "":
+	case sub.Customer == "":
 		return fault.New(fault.InvalidRequest, "customer is missing")
-	case ask.Service == "":
+	case sub.Service == "":
 		return fault.New(fault.InvalidRequest, "service is missing")
-	case len(ask.Customer) > MaxIDLength:
+	case len(sub.Customer) > MaxIDLength:
 		return fault.New(fault.InvalidRequest, "customer is longer than %d bytes", MaxIDLength)
-	case len(ask.ID) > MaxIDLength:
+	case len(sub.ID) > MaxIDLength:
 		return fault.New(fault.InvalidRequest, "request id is longer than %d bytes", MaxIDLength)
-	case len(ask.Body) > MaxBody:
-		return fault.New(fault.TooLarge, "body of %d bytes exceeds %d", len(ask.Body), MaxBody)
-	case ask.MaxTokens < 0 || ask.MaxTokens > MaxTokens:
+	case len(sub.Body) > MaxBody:
+		return fault.New(fault.TooLarge, "body of %d bytes exceeds %d", len(sub.Body), MaxBody)
+	case sub.MaxTokens < 0 || sub.MaxTokens > MaxTokens:
 		return fault.New(fault.InvalidRequest, "max_tokens must be between 0 and %d", MaxTokens)
-	case ask.Timeout < 0 || ask.Timeout > maxTimeout:
+	case sub.Timeout < 0 || sub.Timeout > maxTimeout:
 		return fault.New(fault.InvalidRequest, "timeout must be between 0 and %v", maxTimeout)
 	}
 	return nil
 }
 
-// rule gives what the customer's template says, and the revision it is of.
-func (o *Owner) rule(ask Submission) (int64, config.Rule, error) {
+// rule returns the configuration revision and the rule of the customer's template for
+// the service.
+func (o *Owner) rule(sub Submission) (int64, config.Rule, error) {
 	current := o.Config.Current()
-	t, ok := current.Template(ask.Customer)
+	t, ok := current.Template(sub.Customer)
 	if !ok {
-		return 0, config.Rule{}, fault.New(fault.UnknownCustomer, "customer %q has no template", ask.Customer)
+		return 0, config.Rule{}, fault.New(fault.UnknownCustomer, "customer %q has no template", sub.Customer)
 	}
-	rule, ok := t.Rule(ask.Service)
+	rule, ok := t.Rule(sub.Service)
 	if !ok {
-		return 0, rule, fault.New(fault.Forbidden, "customer %q may not reach service %q", ask.Customer, ask.Service)
+		return 0, rule, fault.New(fault.Forbidden, "customer %q may not reach service %q", sub.Customer, sub.Service)
 	}
 	return current.Head.Revision, rule, nil
 }
 
-// readmit checks a call once more if the configuration changed since it was
-// admitted. An entry thawed after a freeze admits by the old template and takes
-// in the new one before it calls the gate: the message then carries the new
-// revision, and the gate could not tell.
+// readmit checks the request again if the configuration has changed since it was
+// admitted. A suspended entry may admit by the old template and apply the new
+// configuration before it calls the gate. The gate cannot detect this from the revision
+// in the message.
 func (o *Owner) readmit(j *job) error {
 	if o.Config.Revision() == j.revision {
 		return nil
 	}
-	revision, rule, err := o.rule(j.ask)
+	revision, rule, err := o.rule(j.submission)
 	if err != nil {
 		return err
 	}
@@ -252,27 +255,28 @@
 	return nil
 }
 
-// admit checks what does not depend on the request's id being new.
+// admit checks a new request and sets the job's kind, layers and creation time. The
+// result does not depend on whether the id is new.
 func (o *Owner) admit(j *job) error {
 	var known bool
-	if j.kind, j.layers, known = o.Router.Describe(j.ask.Service); !known {
-		return fault.New(fault.UnknownService, "no backend server offers service %q", j.ask.Service)
+	if j.kind, j.layers, known = o.Router.Describe(j.submission.Service); !known {
+		return fault.New(fault.UnknownService, "no backend server offers service %q", j.submission.Service)
 	}
-	if j.kind == model.KindPipeline && j.ask.MaxTokens == 0 {
-		return fault.New(fault.InvalidRequest, "max_tokens is missing for pipeline service %q", j.ask.Service)
+	if j.kind == model.KindPipeline && j.submission.MaxTokens == 0 {
+		return fault.New(fault.InvalidRequest, "max_tokens is missing for pipeline service %q", j.submission.Service)
 	}
-	if j.kind == model.KindPipeline && len(j.ask.Body) == 0 {
+	if j.kind == model.KindPipeline && len(j.submission.Body) == 0 {
 		return fault.New(fault.InvalidRequest, "prompt is empty")
 	}
 	if j.notRepeatable {
 		var err error
-		if j.made, err = ledger.CheckID(j.ask.ID, o.Now()); err != nil {
+		if j.createdAt, err = ledger.CheckID(j.submission.ID, o.Now()); err != nil {
 			return err
 		}
 	}
-	ok, wait := o.RateLimiter.Allow(j.ask.Customer, j.ask.Service, j.rule.Rate, j.rule.Burst, o.Now())
+	ok, wait := o.RateLimiter.Allow(j.submission.Customer, j.submission.Service, j.rule.Rate, j.rule.Burst, o.Now())
 	if !ok {
-		e := fault.New(fault.RateLimited, "rate of %g a second for service %q is used up", j.rule.Rate, j.ask.Service)
+		e := fault.New(fault.RateLimited, "rate limit of %g requests per second for service %q exceeded", j.rule.Rate, j.submission.Service)
 		e.RetryAfter = limits.Jitter(wait)
 		return e
 	}
@@ -285,8 +289,8 @@
 	if j.rule.DefaultTimeout > 0 {
 		d = j.rule.DefaultTimeout
 	}
-	if j.ask.Timeout > 0 {
-		d = j.ask.Timeout
+	if j.submission.Timeout > 0 {
+		d = j.submission.Timeout
 	}
 	if j.notRepeatable {
 		d = min(d, MaxNonRepeatableTimeout)
@@ -294,9 +298,9 @@
 	return d
 }
 
-func (o *Owner) join(ask Submission, r *requests.Request) error {
-	if r.Content != content(ask) {
-		err := fault.New(fault.ConflictingID, "request id %q was used for another request", ask.ID)
+func (o *Owner) join(sub Submission, r *requests.Request) error {
+	if r.Content != contentHash(sub) {
+		err := fault.New(fault.ConflictingID, "request id %q was used for another request", sub.ID)
 		o.Events.Add(r.Key, events.Rejected, err.Error())
 		return err
 	}
@@ -304,23 +308,23 @@
 	return nil
 }
 
-func (o *Owner) reject(ask Submission, err error) error {
-	o.Events.Add(model.RequestKey{Customer: ask.Customer, ID: ask.ID}, events.Rejected, err.Error())
-	klog.V(1).InfoS("Submission refused", "request", ask.ID, "customer", ask.Customer, "service", ask.Service,
+func (o *Owner) reject(sub Submission, err error) error {
+	o.Events.Add(model.RequestKey{Customer: sub.Customer, ID: sub.ID}, events.Rejected, err.Error())
+	klog.V(1).InfoS("Submission refused", "request", sub.ID, "customer", sub.Customer, "service", sub.Service,
 		"err", err, "instance", o.Instance, "incarnation", o.Incarnation)
 	return err
 }
 
-func content(ask Submission) uint64 {
+func contentHash(sub Submission) uint64 {
 	d := xxhash.New()
-	_, _ = d.WriteString(ask.Service)
-	_, _ = d.Write([]byte{0, byte(ask.MaxTokens), byte(ask.MaxTokens >> 8)})
-	_, _ = d.Write(ask.Body)
+	_, _ = d.WriteString(sub.Service)
+	_, _ = d.Write([]byte{0, byte(sub.MaxTokens), byte(sub.MaxTokens >> 8)})
+	_, _ = d.Write(sub.Body)
 	return d.Sum64()
 }
 
-// serve carries a request to its outcome. It does not end with the caller's
-// connection: the caller may come back for the answer.
+// serve executes a request until its outcome. It continues if the caller disconnects,
+// because the caller may reconnect for the answer.
 func (o *Owner) serve(j *job) {
 	defer o.intake.leave()
 	ctx, cancel := context.WithDeadline(context.Background(), j.req.Deadline)
@@ -329,7 +333,7 @@
 	var out model.Outcome
 	switch {
 	case j.notRepeatable:
-		out = o.serveOnce(ctx, j)
+		out = o.serveNonRepeatable(ctx, j)
 	case j.kind == model.KindPipeline:
 		out = o.serveAdmitted(ctx, j)
 	default:
@@ -339,13 +343,12 @@
 	o.Events.Add(j.key(), events.OutcomeRecorded, string(out.State)+" "+out.Kind)
 	o.log(j, out)
 	j.req.Finish(out)
-	o.Observe(j.ask.Service, out, o.Now().Sub(j.began))
+	o.Observe(j.submission.Service, out, o.Now().Sub(j.acceptedAt))
 	o.copyOutcome(j.key(), out)
 }
 
-// log writes a line for each request that ended, so that it can be found without
-// asking: always where it was cut off, which an engineer will be asked about;
-// with -v=1 where it did not run, as a burst refuses thousands; with -v=2 all.
+// log logs the outcome of a request: always if it was cut off, with -v=1 if it did not
+// run, because a burst may refuse thousands, and with -v=2 otherwise.
 func (o *Owner) log(j *job, out model.Outcome) {
 	level := klog.Level(2)
 	switch out.State {
@@ -354,15 +357,15 @@
 	case model.NotRun:
 		level = 1
 	}
-	klog.V(level).InfoS("Request ended", "request", j.ask.ID, "customer", j.ask.Customer, "service", j.ask.Service,
+	klog.V(level).InfoS("Request ended", "request", j.submission.ID, "customer", j.submission.Customer, "service", j.submission.Service,
 		"outcome", out.State, "kind", out.Kind, "cause", out.Cause, "evidence", out.Evidence,
 		"instance", o.Instance, "incarnation", o.Incarnation)
 }
 
-// serveAdmitted runs a pipeline request once there is room for it.
+// serveAdmitted runs a pipeline request after the admission limiter admits it.
 func (o *Owner) serveAdmitted(ctx context.Context, j *job) model.Outcome {
 	err := o.AdmissionLimiter.Acquire(ctx, admission.Request{
-		Customer: j.ask.Customer,
+		Customer: j.submission.Customer,
 		Priority: j.rule.Priority,
 		Deadline: j.req.Deadline,
 	})
@@ -370,12 +373,12 @@
 		return fault.NotRun(fault.From(err), "never handed over: refused at admission")
 	}
 	out := o.servePipeline(ctx, j, nil)
-	o.AdmissionLimiter.Release(j.ask.Customer, out.State == model.NotRun)
+	o.AdmissionLimiter.Release(j.submission.Customer, out.State == model.NotRun)
 	return out
 }
 
-// outcomeCopies is at how many other entries a final outcome is left, so that
-// it can be told after this entry is gone.
+// outcomeCopies is the number of other entries that get a copy of a final outcome, so
+// that it stays available after this entry exits.
 const outcomeCopies = 2
 
 func (o *Owner) copyOutcome(key model.RequestKey, out model.Outcome) {
@@ -395,7 +398,7 @@
 	return ranked[:min(outcomeCopies, len(ranked))]
 }
 
-// KnownOutcome answers what this entry knows of a request.
+// KnownOutcome returns this entry's record of a request.
 func (o *Owner) KnownOutcome(key model.RequestKey) wire.OutcomeReply {
 	rep := wire.OutcomeReply{Started: o.started}
 	if r, ok := o.Requests.Get(key); ok {
@@ -408,16 +411,18 @@
 	return rep
 }
 
-// certainty orders what entries tell of one request: that it ran outweighs that
-// it did not, as it may have been sent through several.
-var certainty = map[model.State]int{
+// statePrecedence ranks the states that entries report for one request. The request may
+// have been sent through several entries, so a report that it ran outweighs one that it
+// did not.
+var statePrecedence = map[model.State]int{
 	model.NotRun:     1,
 	model.InProgress: 2,
 	model.CutOff:     3,
 	model.Ran:        4,
 }
 
-// Outcome finds what became of a request, over all entries.
+// Outcome queries all entries for the outcome of a request. It returns the outcome of
+// highest precedence and the ids of the entries that could not be reached.
 func (o *Owner) Outcome(ctx context.Context, key model.RequestKey) (model.Outcome, []string, error) {
 	best := o.KnownOutcome(key)
 	var unreachable []string
@@ -425,18 +430,18 @@
 		if m.Instance.Role != model.RoleEntry {
 			continue
 		}
-		rep, err := o.askEntry(ctx, m.Instance.Address, key)
+		rep, err := o.queryOutcome(ctx, m.Instance.Address, key)
 		if err != nil {
 			unreachable = append(unreachable, m.Instance.ID)
 			continue
 		}
-		if rep.Known && certainty[rep.Outcome.State] > certainty[best.Outcome.State] {
+		if rep.Known && statePrecedence[rep.Outcome.State] > statePrecedence[best.Outcome.State] {
 			best = rep
 		}
 	}
 	if !best.Known {
 		return model.Outcome{}, unreachable, fault.New(fault.NotFound,
-			"no reachable entry knows request %s; its record may be lost with an instance that is gone", key)
+			"no reachable entry has a record of request %s; an instance that exited may have had it", key)
 	}
 	return best.Outcome, unreachable, nil
 }
@@ -447,9 +452,10 @@
 	return o.Peers.Call(ctx, addr, m, req, rep)
 }
 
-// callTwice calls again over a new connection where the first is silent: an
-// open connection can go dead while new ones work. Only for idempotent messages.
-func (o *Owner) callTwice(ctx context.Context, addr string, m wire.Method, req, rep any) error {
+// callWithRetry retries an unreachable peer over a new connection, because an open
+// connection may be dead while new ones work. It must be used for idempotent messages
+// only.
+func (o *Owner) callWithRetry(ctx context.Context, addr string, m wire.Method, req, rep any) error {
 	err := o.call(ctx, addr, m, req, rep)
 	if !fault.Is(err, fault.Unreachable) || ctx.Err() != nil {
 		return err
--- a/internal/protocol/owner/pipeline.go
+++ b/internal/protocol/owner/pipeline.go
@@ -14,70 +14,72 @@
 )
 
 const (
-	// feedBatch is how many positions one message to the first stage carries.
+	// feedBatch is the maximum number of positions in one message to the first stage.
 	feedBatch = 256
-	// maxRepairs bounds chain repairs without a new token between them.
+	// maxRepairs is the maximum number of chain repairs without a new token.
 	maxRepairs = 8
-	// maxOpenTries bounds attempts to open a first chain. All of them end
-	// before anything ran.
+	// maxOpenTries is the maximum number of attempts to open the first chain. Nothing
+	// runs before it is open.
 	maxOpenTries = 6
-	// fullAfter is after how many refusals the engines are taken to be full.
-	fullAfter  = 3
-	firstPause = 10 * time.Millisecond
-	maxPause   = 200 * time.Millisecond
-	// watchEvery is how often the membership is compared with the chain.
-	watchEvery = 50 * time.Millisecond
+	// overloadAfter is the number of refusals after which the engines are considered
+	// overloaded.
+	overloadAfter = 3
+	minRetryDelay = 10 * time.Millisecond
+	maxRetryDelay = 200 * time.Millisecond
+	// membershipCheckInterval is the interval at which the chain is compared with the
+	// membership.
+	membershipCheckInterval = 50 * time.Millisecond
 )
 
-// run is one pipeline request as its owner sees it.
+// run is the owner's state of one pipeline request.
 type run struct {
 	*job
 	o      *Owner
 	prompt [][]byte
 	epoch  int64
 	chain  []wire.Stage
-	// used are the stages that were ever opened, to be closed at the end.
+	// used are the addresses of all stages that were opened and must be closed at the
+	// end.
 	used map[string]bool
-	// avoid are stages that failed this request.
-	avoid    map[string]bool
-	reported map[string]int // failure reports by stage address
-	cuts     map[string]int // losses on links by the address at either end
-	started  bool           // the first stage was fed: it may have run
-	sentOnce bool           // first token was seen
-	probed   []stageAt      // where the stages stood at the last look
-	idle     int            // looks in a row at which no stage had moved
+	// avoid are the addresses of stages that failed this request.
+	avoid          map[string]bool
+	reported       map[string]int  // failure reports by stage address
+	losses         map[string]int  // losses on links by the address of either end
+	started        bool            // the first stage got inputs, so the request may have run
+	firstTokenSeen bool            // the first token has been received
+	probed         []stageProgress // progress of the stages at the last check
+	idle           int             // consecutive checks without progress
 
-	arrived chan struct{}         // signals new tokens; buffered by one
-	failed  chan wire.StageFailed // reports from stages
+	newTokens chan struct{}         // signals new tokens; buffered by one
+	failed    chan wire.StageFailed // reports from stages
 }
 
-// servePipeline runs a request over a chain. A request that is not repeatable
-// comes with its plan, which it must keep to.
+// servePipeline runs a request on a chain. For a non-repeatable request, plan is the
+// only chain that may be used.
 func (o *Owner) servePipeline(ctx context.Context, j *job, plan []wire.Stage) model.Outcome {
 	r := &run{
-		job:      j,
-		o:        o,
-		prompt:   splitPrompt(j.ask.Body),
-		chain:    plan,
-		used:     map[string]bool{},
-		avoid:    map[string]bool{},
-		reported: map[string]int{},
-		cuts:     map[string]int{},
-		arrived:  make(chan struct{}, 1),
-		failed:   make(chan wire.StageFailed, 16),
+		job:       j,
+		o:         o,
+		prompt:    splitPrompt(j.submission.Body),
+		chain:     plan,
+		used:      map[string]bool{},
+		avoid:     map[string]bool{},
+		reported:  map[string]int{},
+		losses:    map[string]int{},
+		newTokens: make(chan struct{}, 1),
+		failed:    make(chan wire.StageFailed, 16),
 	}
 	o.runs.Put(j.runKey().String(), r)
 	defer o.runs.Delete(j.runKey().String())
 	// The outcome does not wait for the stages to close.
 	defer func() { go r.closeAll() }()
 	if err := r.openFirst(ctx); err != nil {
-		return r.ended(err)
+		return r.failedOutcome(err)
 	}
 	return r.follow(ctx)
 }
 
-// splitPrompt makes one input of each word; tokenising is the engines' matter
-// and the stand-ins take any.
+// splitPrompt returns one input for each word. Tokenization is left to the engines.
 func splitPrompt(body []byte) [][]byte {
 	var out [][]byte
 	start := 0
@@ -93,92 +95,93 @@
 	return out
 }
 
-// openFirst opens a chain and feeds it the prompt. Refusals are answered by
-// another chain, a few times; none of them lets anything run.
+// openFirst opens a chain and sends it the prompt. If stages refuse, it tries another
+// chain. Nothing runs on a refusal.
 func (r *run) openFirst(ctx context.Context) error {
-	pause := firstPause
+	delay := minRetryDelay
 	for try := 1; ; try++ {
-		err := r.establish(ctx)
+		err := r.openChain(ctx)
 		if err == nil {
 			return nil
 		}
 		e := fault.From(err)
-		// One refusal is chance: loads lag. Several in a row mean that it is full.
-		if e.Kind == fault.Overloaded && try >= fullAfter {
+		// Load reports lag, so a single refusal may be outdated. Several consecutive ones
+		// indicate overload.
+		if e.Kind == fault.Overloaded && try >= overloadAfter {
 			r.o.AdmissionLimiter.Overloaded()
 		}
 		if r.notRepeatable || try == maxOpenTries || !e.Kind.Answer().Retryable {
 			return err
 		}
-		if !wait.For(ctx, limits.Jitter(pause)) {
-			return fault.New(fault.Deadline, "no chain opened before the deadline: %s", e.Msg)
+		if !wait.For(ctx, limits.Jitter(delay)) {
+			return fault.New(fault.Deadline, "no chain could be opened before the deadline: %s", e.Msg)
 		}
-		pause = min(2*pause, maxPause)
+		delay = min(2*delay, maxRetryDelay)
 		if !r.started {
-			clear(r.avoid) // a gate that was full may have room now
+			clear(r.avoid) // a gate that was full may have free slots
 		}
 	}
 }
 
-// follow waits for the tokens and repairs the chain under them.
+// follow waits for tokens and repairs the chain until the request has its outcome.
 func (r *run) follow(ctx context.Context) model.Outcome {
-	watch := time.NewTicker(watchEvery)
+	watch := time.NewTicker(membershipCheckInterval)
 	defer watch.Stop()
 	repairs, have := 0, r.req.Len()
-	beat := pulse{at: r.o.Now()}
-	told := r.o.Now()
+	interval := tokenInterval{lastToken: r.o.Now()}
+	lastHeartbeat := r.o.Now()
 	for {
 		if n := r.req.Len(); n > have {
-			r.firstToken(n)
+			r.recordFirstToken(n)
 			repairs, have = 0, n
-			beat.beat(r.o.Now())
+			interval.record(r.o.Now())
 		}
-		if have == int64(r.ask.MaxTokens) {
+		if have == int64(r.submission.MaxTokens) {
 			return model.Outcome{State: model.Ran, Evidence: fmt.Sprintf("all %d tokens, epoch %d", have, r.epoch)}
 		}
-		var broken string
+		var lost string
 		select {
-		case <-r.arrived:
+		case <-r.newTokens:
 			continue
 		case <-ctx.Done():
-			return r.ended(fault.New(fault.Deadline, "deadline passed after %d of %d tokens", have, r.ask.MaxTokens))
+			return r.failedOutcome(fault.New(fault.Deadline, "deadline passed after %d of %d tokens", have, r.submission.MaxTokens))
 		case f := <-r.failed:
-			broken = r.judge(f)
+			lost = r.handleStageFailure(f)
 		case <-watch.C:
-			if r.o.Now().Sub(told) > tellEvery {
-				told = r.o.Now()
-				go r.tellAlive(ctx, r.chain)
+			if r.o.Now().Sub(lastHeartbeat) > ownerHeartbeatInterval {
+				lastHeartbeat = r.o.Now()
+				go r.sendHeartbeats(ctx, r.chain)
 			}
-			patience := beat.patience(r.o.Timing.StallTimeout, have, repairs)
-			if broken = r.lostMember(); broken == "" && r.o.Now().Sub(beat.at) > patience {
-				broken = r.look(ctx)
-				beat.at = r.o.Now().Add(minSilence - patience) // look again soon
+			timeout := interval.timeout(r.o.Timing.StallTimeout, have, repairs)
+			if lost = r.findLostStage(); lost == "" && r.o.Now().Sub(interval.lastToken) > timeout {
+				lost = r.checkStages(ctx)
+				interval.lastToken = r.o.Now().Add(minTokenTimeout - timeout) // check again soon
 			}
 		}
-		if broken == "" {
+		if lost == "" {
 			continue
 		}
 		if repairs++; repairs > maxRepairs {
-			return r.ended(fault.New(fault.BackendLost, "chain could not be repaired: %s", broken))
+			return r.failedOutcome(fault.New(fault.BackendLost, "chain could not be repaired: %s", lost))
 		}
-		if err := r.repair(ctx, broken); err != nil {
-			return r.ended(err)
+		if err := r.repair(ctx, lost); err != nil {
+			return r.failedOutcome(err)
 		}
-		beat.at = r.o.Now()
+		interval.lastToken = r.o.Now()
 	}
 }
 
-func (r *run) firstToken(n int64) {
-	if r.sentOnce {
+func (r *run) recordFirstToken(n int64) {
+	if r.firstTokenSeen {
 		return
 	}
-	r.sentOnce = true
+	r.firstTokenSeen = true
 	r.o.Events.Add(r.key(), events.FirstToken, fmt.Sprintf("%d tokens", n))
 }
 
-// ended gives the outcome of a request that got no whole answer. Nothing has
-// run before the first stage was fed.
-func (r *run) ended(err error) model.Outcome {
+// failedOutcome returns the outcome of a request without a complete answer. Nothing has
+// run before the first stage got inputs.
+func (r *run) failedOutcome(err error) model.Outcome {
 	e := fault.From(err)
 	if e.After() > 0 {
 		e = &fault.Error{Kind: e.Kind, Msg: e.Msg, RetryAfter: limits.Jitter(e.After())}
@@ -186,11 +189,11 @@
 	if !r.started {
 		return fault.NotRun(e, "never handed over: the first stage was not fed")
 	}
-	return fault.CutOff(e, fmt.Sprintf("%d of %d tokens came, epoch %d", r.req.Len(), r.ask.MaxTokens, r.epoch))
+	return fault.CutOff(e, fmt.Sprintf("%d of %d tokens received, epoch %d", r.req.Len(), r.submission.MaxTokens, r.epoch))
 }
 
-// Tokens takes in generated tokens. Tokens of another epoch still count, as the
-// position tells where they belong and each position has one token.
+// Tokens adds generated tokens. Tokens of another epoch are valid, because a position
+// determines its token.
 func (o *Owner) Tokens(t wire.Tokens) {
 	r, ok := o.runs.Get(t.Key.String())
 	if !ok {
@@ -200,18 +203,18 @@
 		return
 	}
 	select {
-	case r.arrived <- struct{}{}:
+	case r.newTokens <- struct{}{}:
 	default:
 	}
 }
 
-// NoStage takes in that the first stage does not know a request that was fed.
+// NoStage handles the report that the first stage has no record of a request.
 func (o *Owner) NoStage(from string, n wire.NoStage) {
 	o.StageFailed(wire.StageFailed{Key: n.Key, Epoch: n.Epoch, Address: from, Cause: "no stage is open there"})
 }
 
-// StageFailed takes in a stage's report; a flood of them is cut, as one is
-// enough to look.
+// StageFailed handles a stage's report. Reports are dropped if too many are pending,
+// because one suffices to start a check.
 func (o *Owner) StageFailed(f wire.StageFailed) {
 	r, ok := o.runs.Get(f.Key.String())
 	if !ok {
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -11,22 +11,22 @@
 	"github.com/skylarkwood/skylarkwood/internal/wait"
 )
 
-// maxRefusals bounds how many gates may refuse one request before it is given
-// up; each refusal is proof that nothing ran.
+// maxRefusals is the maximum number of gates that may refuse one request. A refusal
+// proves that nothing ran.
 const maxRefusals = 4
 
-// servePlain carries out a repeatable call, at another backend server if the
-// first is lost.
+// servePlain executes a repeatable call and retries it at another backend server if one
+// is lost.
 func (o *Owner) servePlain(ctx context.Context, j *job) model.Outcome {
 	avoid := map[string]bool{}
 	mayHaveRun := false
 	var last *fault.Error
 	for attempt := int64(1); ; attempt++ {
-		m, err := o.Router.PlainServer(j.ask.Service, avoid)
+		m, err := o.Router.PlainServer(j.submission.Service, avoid)
 		if err != nil {
-			return giveUp(fault.From(orElse(last, err)), mayHaveRun, "no gate left to try")
+			return failedOutcome(fault.From(lastOr(last, err)), mayHaveRun, "no other gate is available")
 		}
-		gate := hopOf(m, model.LayerRange{})
+		gate := stageOf(m, model.LayerRange{})
 		body, ran, err := o.dispatch(ctx, j, gate, attempt)
 		if err == nil {
 			return o.complete(j, gate, body)
@@ -34,24 +34,25 @@
 		last = fault.From(err)
 		mayHaveRun = mayHaveRun || ran
 		if ctx.Err() != nil {
-			return giveUp(fault.New(fault.Deadline, "deadline passed"), mayHaveRun, "gate "+gate.Address)
+			return failedOutcome(fault.New(fault.Deadline, "deadline passed"), mayHaveRun, "gate "+gate.Address)
 		}
 		if !o.mayRetry(last, ran, attempt) {
-			return giveUp(last, mayHaveRun, "gate "+gate.Address)
+			return failedOutcome(last, mayHaveRun, "gate "+gate.Address)
 		}
 		avoid[gate.Address] = true
 	}
 }
 
-func orElse(last *fault.Error, err error) error {
+func lastOr(last *fault.Error, err error) error {
 	if last != nil {
 		return last
 	}
 	return err
 }
 
-// mayRetry: a refusal costs a backend server nothing and is bounded by number;
-// work that may have run is bounded by the budget.
+// mayRetry reports whether to try another gate. Retries after a refusal are limited by
+// maxRefusals, because a refusal costs the backend server little. Retries of a call
+// that may have run need a token of the retry budget.
 func (o *Owner) mayRetry(e *fault.Error, ran bool, attempt int64) bool {
 	if !ran {
 		return e.Kind.Answer().Retryable && attempt < maxRefusals
@@ -59,7 +60,7 @@
 	return o.RetryBudget.Take()
 }
 
-func giveUp(e *fault.Error, mayHaveRun bool, evidence string) model.Outcome {
+func failedOutcome(e *fault.Error, mayHaveRun bool, evidence string) model.Outcome {
 	if mayHaveRun {
 		return fault.CutOff(e, evidence+": handed over, no answer")
 	}
@@ -71,22 +72,22 @@
 	return model.Outcome{State: model.Ran, Evidence: "answer from gate " + gate.Address}
 }
 
-// dispatch makes one attempt at one gate. With an error, ran tells whether the
-// backend server may have run it; false is proof.
+// dispatch makes one attempt at one gate. If it returns an error, ran reports whether
+// the backend server may have run the call; false is proof that it did not.
 func (o *Owner) dispatch(ctx context.Context, j *job, gate wire.Stage, attempt int64) (body []byte, ran bool, err error) {
 	if err := o.readmit(j); err != nil {
 		return nil, false, err
 	}
 	var rep wire.CallReply
-	call, stop := o.whileUp(ctx, gate)
+	call, stop := o.contextWhileUp(ctx, gate)
 	defer stop()
 	err = o.Peers.Call(call, gate.Address, wire.MethodCall, wire.Call{
 		Key:           j.runKey(),
 		Attempt:       attempt,
 		Incarnation:   gate.Incarnation,
-		Body:          j.ask.Body,
+		Body:          j.submission.Body,
 		Deadline:      j.req.Deadline,
-		RetainUntil:   j.remember,
+		RetainUntil:   j.retainUntil,
 		Priority:      j.rule.Priority,
 		NotRepeatable: j.notRepeatable,
 		Revision:      j.revision,
@@ -97,19 +98,19 @@
 	}
 	e := fault.From(err)
 	if !provesNotStarted(e.Kind) {
-		return o.settle(ctx, j, gate, e)
+		return o.resolveDispatch(ctx, j, gate, e)
 	}
-	o.refused(ctx, j, gate, e)
+	o.recordRefusal(ctx, j, gate, e)
 	return nil, false, e
 }
 
-// whileUp gives a context that ends when the gate is found down or replaced. A
-// frozen gate keeps its connection open, and a call to it would otherwise be
-// waited for until the deadline, with no time left to try another.
-func (o *Owner) whileUp(ctx context.Context, gate wire.Stage) (context.Context, context.CancelFunc) {
+// contextWhileUp returns a context that is cancelled when the gate is found down or
+// replaced. A suspended gate keeps its connection open, and waiting for it until the
+// deadline would leave no time for another gate.
+func (o *Owner) contextWhileUp(ctx context.Context, gate wire.Stage) (context.Context, context.CancelFunc) {
 	call, cancel := context.WithCancel(ctx)
 	go func() {
-		for wait.For(call, watchEvery) {
+		for wait.For(call, membershipCheckInterval) {
 			m, ok := o.Table.Get(gate.Address)
 			if ok && (m.Down() || m.Incarnation != gate.Incarnation) {
 				cancel()
@@ -119,7 +120,8 @@
 	return call, cancel
 }
 
-// provesNotStarted lists the gate's answers that come before any hand-over.
+// provesNotStarted reports whether an error of this kind from a gate precedes any
+// handover.
 func provesNotStarted(k fault.Kind) bool {
 	switch k {
 	case fault.Leaving, fault.Overloaded, fault.WrongIncarnation, fault.Cancelled,
@@ -129,7 +131,7 @@
 	return false
 }
 
-func (o *Owner) refused(ctx context.Context, j *job, gate wire.Stage, e *fault.Error) {
+func (o *Owner) recordRefusal(ctx context.Context, j *job, gate wire.Stage, e *fault.Error) {
 	o.Events.Add(j.key(), events.GateRefused, gate.Address+" "+e.Error())
 	switch e.Kind {
 	case fault.Overloaded, fault.NoCapacity, fault.WrongIncarnation, fault.NotReady:
@@ -143,10 +145,10 @@
 	}
 }
 
-// settle finds out what became of a dispatch whose answer was lost: the gate's
-// tombstone or its memory is the proof. A backend server that failed the call
-// may have run it.
-func (o *Owner) settle(ctx context.Context, j *job, gate wire.Stage, e *fault.Error) ([]byte, bool, error) {
+// resolveDispatch determines the result of a dispatch whose response was lost. It
+// relies on the gate's tombstone or record. A backend server that failed the call may
+// have run it.
+func (o *Owner) resolveDispatch(ctx context.Context, j *job, gate wire.Stage, e *fault.Error) ([]byte, bool, error) {
 	if e.Kind != fault.Unreachable {
 		return nil, true, e
 	}
@@ -154,35 +156,36 @@
 		rep, err := o.cancel(ctx, j, gate)
 		switch {
 		case err != nil:
-			return nil, true, fault.New(fault.BackendLost, "gate %s gives no answer: %s", gate.Address, e.Msg)
+			return nil, true, fault.New(fault.BackendLost, "gate %s does not respond: %s", gate.Address, e.Msg)
 		case rep.State == wire.NeverStarted:
 			o.Events.Add(j.key(), events.Tombstoned, gate.Address)
-			return nil, false, fault.New(fault.BackendLost, "gate %s never started it", gate.Address)
+			return nil, false, fault.New(fault.BackendLost, "gate %s did not start the request", gate.Address)
 		case rep.State == wire.WasFinished && rep.Body != nil:
 			return rep.Body, true, nil
 		case rep.State == wire.WasFinished:
 			return nil, true, fault.New(fault.BackendFailed, "backend server at %s failed", gate.Address)
 		}
 		if !wait.For(ctx, o.Timing.PollInterval) {
-			return nil, true, fault.New(fault.Deadline, "still running at %s at the deadline", gate.Address)
+			return nil, true, fault.New(fault.Deadline, "request still running at %s at the deadline", gate.Address)
 		}
 	}
 }
 
-// cancel asks a gate to keep a request from starting. It goes on a little past
-// the deadline, as its answer decides what the caller is told.
+// cancel prevents a request from starting at a gate and returns its execution state. It
+// may take until shortly after the deadline, because the result determines the outcome
+// that the caller gets.
 func (o *Owner) cancel(ctx context.Context, j *job, gate wire.Stage) (wire.CancelReply, error) {
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*o.Timing.CallTimeout)
 	defer stop()
 	var rep wire.CancelReply
-	err := o.callTwice(ctx, gate.Address, wire.MethodCancel, wire.Cancel{
+	err := o.callWithRetry(ctx, gate.Address, wire.MethodCancel, wire.Cancel{
 		Key:         j.runKey(),
 		Incarnation: gate.Incarnation,
-		RetainUntil: j.remember,
+		RetainUntil: j.retainUntil,
 	}, &rep)
 	return rep, err
 }
 
-func hopOf(m membership.Member, r model.LayerRange) wire.Stage {
+func stageOf(m membership.Member, r model.LayerRange) wire.Stage {
 	return wire.Stage{Address: m.Instance.Address, Data: m.Backend.Data, Incarnation: m.Incarnation, Range: r}
 }
--- a/internal/protocol/owner/watch.go
+++ b/internal/protocol/owner/watch.go
@@ -12,15 +12,16 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/wire"
 )
 
-// pulse follows the time between tokens, to tell silence from slowness.
-type pulse struct {
-	at       time.Time
-	smoothed time.Duration
+// tokenInterval tracks the interval between tokens, to distinguish a lost chain from a
+// slow one.
+type tokenInterval struct {
+	lastToken time.Time
+	smoothed  time.Duration
 }
 
-func (p *pulse) beat(now time.Time) {
-	d := now.Sub(p.at)
-	p.at = now
+func (p *tokenInterval) record(now time.Time) {
+	d := now.Sub(p.lastToken)
+	p.lastToken = now
 	if p.smoothed == 0 {
 		p.smoothed = d
 	}
@@ -28,30 +29,31 @@
 }
 
 const (
-	// silentAfter is how many usual intervals without a token call for a look.
-	silentAfter = 8
-	// minSilence keeps looks rare where tokens come fast.
-	minSilence = 300 * time.Millisecond
+	// tokenTimeoutFactor is the number of usual token intervals without a token after
+	// which the stages are checked.
+	tokenTimeoutFactor = 8
+	// minTokenTimeout limits the rate of checks for chains with short intervals.
+	minTokenTimeout = 300 * time.Millisecond
 )
 
-// patience is how long to wait for a token before looking at the stages. A look
-// that finds a slow chain costs a message to each stage and changes nothing.
-// After a repair a token should come soon, or the repair was the wrong one; but
-// over a slow link it takes a while, and each further repair sends more over it.
-func (p *pulse) patience(most time.Duration, tokens int64, repairs int) time.Duration {
+// timeout returns how long to wait for a token before the stages are checked. A check
+// costs one message per stage and does not change the chain. After a repair the timeout
+// is short because the repair may have failed. It doubles with each repair, because a
+// slow link needs time and every repair sends more data over it.
+func (p *tokenInterval) timeout(limit time.Duration, tokens int64, repairs int) time.Duration {
 	if repairs > 0 {
-		return min(minSilence<<(repairs-1), 2*most)
+		return min(minTokenTimeout<<(repairs-1), 2*limit)
 	}
 	if tokens < 2 {
-		return most // the prompt may take long
+		return limit // prefill may take long
 	}
-	return min(max(silentAfter*p.smoothed, minSilence), most)
+	return min(max(tokenTimeoutFactor*p.smoothed, minTokenTimeout), limit)
 }
 
-// judge decides on a stage's report; it gives what is broken, if anything. A
-// stage that two reports call unreachable is left out even if this entry still
-// reaches it: the link that counts is the one between the stages.
-func (r *run) judge(f wire.StageFailed) string {
+// handleStageFailure handles a stage's report and returns a description of the lost
+// stage, or an empty string. A stage reported twice is avoided even if this entry can
+// reach it, because the link between the stages may be down.
+func (r *run) handleStageFailure(f wire.StageFailed) string {
 	if f.Epoch != r.epoch {
 		return ""
 	}
@@ -62,27 +64,28 @@
 	return f.Address + ": " + f.Cause
 }
 
-// lostMember compares the chain with the membership.
-func (r *run) lostMember() string {
+// findLostStage returns a description of a stage that the membership shows as down or
+// replaced, or an empty string.
+func (r *run) findLostStage() string {
 	for _, h := range r.chain {
 		m, ok := r.o.Table.Get(h.Address)
 		if ok && m.Down() {
-			return h.Address + ": does not answer"
+			return h.Address + ": does not respond"
 		}
 		if ok && m.Incarnation != h.Incarnation {
 			r.avoid[h.Address] = false
-			return h.Address + ": was replaced"
+			return h.Address + ": incarnation was replaced"
 		}
 	}
 	return ""
 }
 
-// tellEvery is how often the stages of a long request are told that its owner
-// lives: in a large fleet heartbeats alone come too seldom for them.
-const tellEvery = 5 * time.Second
+// ownerHeartbeatInterval is the interval of heartbeats to the stages of a long request.
+// In a large fleet the usual heartbeats are too rare to keep the stages open.
+const ownerHeartbeatInterval = 5 * time.Second
 
-// tellAlive sends a heartbeat to each stage of a chain.
-func (r *run) tellAlive(ctx context.Context, chain []wire.Stage) {
+// sendHeartbeats sends a heartbeat to each stage of a chain.
+func (r *run) sendHeartbeats(ctx context.Context, chain []wire.Stage) {
 	for _, h := range chain {
 		var rep wire.HelloReply
 		if r.o.call(ctx, h.Address, wire.MethodHello, wire.Hello{Known: h.Incarnation}, &rep) == nil {
@@ -91,35 +94,34 @@
 	}
 }
 
-// stageAt is how far a stage has come.
-type stageAt struct{ accepted, ran int64 }
-
-// maxIdle is how many looks in a row may find a stage with work and no
-// progress before its engine is taken to hang.
-const maxIdle = 10
-
-// look asks the stages how far they are when no token has come for a while, and
-// gives what is broken, if anything. Under load a chain is slow, not lost:
-// raising the epoch then would replay positions and make it slower. Only a
-// stage that does not answer, an engine that hangs, or positions lost on a link
-// call for a repair.
-func (r *run) look(ctx context.Context) string {
-	now := make([]stageAt, len(r.chain))
-	silent := make([]bool, len(r.chain))
+// stageProgress is the number of positions that a stage has accepted and run.
+type stageProgress struct{ accepted, ran int64 }
+
+// maxIdleChecks is the number of consecutive checks without progress after which an
+// engine with pending inputs is considered hung.
+const maxIdleChecks = 10
+
+// checkStages queries the progress of the stages when no token has arrived for some
+// time. It returns a description of what failed, or an empty string. A slow chain needs
+// no repair, which would replay positions and add load. A repair is needed only if a
+// stage does not respond, an engine hangs, or positions were lost on a link.
+func (r *run) checkStages(ctx context.Context) string {
+	now := make([]stageProgress, len(r.chain))
+	unresponsive := make([]bool, len(r.chain))
 	var g errgroup.Group
 	for i, h := range r.chain {
 		g.Go(func() error {
 			var rep wire.OpenReply
-			if err := r.o.callTwice(ctx, h.Address, wire.MethodOpen, r.openMessage(i), &rep); err != nil {
-				silent[i] = true
+			if err := r.o.callWithRetry(ctx, h.Address, wire.MethodOpen, r.openMessage(i), &rep); err != nil {
+				unresponsive[i] = true
 				return errors.Wrap(err, h.Address)
 			}
-			now[i] = stageAt{rep.Next, rep.Ran}
+			now[i] = stageProgress{rep.Next, rep.Ran}
 			return nil
 		})
 	}
 	if err := g.Wait(); err != nil {
-		r.leaveOut(silent)
+		r.excludeUnresponsive(unresponsive)
 		return err.Error()
 	}
 	moved := !slices.Equal(now, r.probed)
@@ -128,54 +130,56 @@
 		r.idle = 0
 		return ""
 	}
-	if i := slices.IndexFunc(now, func(s stageAt) bool { return s.ran < s.accepted }); i >= 0 {
+	if i := slices.IndexFunc(now, func(s stageProgress) bool { return s.ran < s.accepted }); i >= 0 {
 		r.idle++
-		return r.hanging(i)
+		return r.checkHang(i)
 	}
-	return r.lostOnLink(now)
+	return r.findLossOnLink(now)
 }
 
-// leaveOut keeps the next chain from the stages that gave no good answer.
-func (r *run) leaveOut(silent []bool) {
+// excludeUnresponsive avoids the stages that did not respond.
+func (r *run) excludeUnresponsive(unresponsive []bool) {
 	for i, h := range r.chain {
-		if silent[i] {
+		if unresponsive[i] {
 			r.avoid[h.Address] = true
 			r.o.Table.RecordFailure(h.Address)
 		}
 	}
 }
 
-// lostOnLink finds the link on which positions were lost: what a stage ran, the
-// next has not taken, and nobody has work. A lost message is mended by the next
-// epoch. A link that loses again is cut for good, though both ends answer this
-// entry: the end it leads to is replaced, and if that does not help the other.
-func (r *run) lostOnLink(now []stageAt) string {
+// findLossOnLink returns a description of the link on which positions were lost, and
+// avoids an end of it after repeated losses. Positions are lost if a stage ran them,
+// the next did not accept them, and no stage has inputs left. The next epoch sends lost
+// positions again. After repeated losses first the receiver and then the sender is
+// replaced, even if both respond to this entry.
+func (r *run) findLossOnLink(now []stageProgress) string {
 	for i := range now {
 		next := (i + 1) % len(now)
-		if now[next].accepted >= r.wanted(i, now[i].ran) {
+		if now[next].accepted >= r.expectedAccepted(i, now[i].ran) {
 			continue
 		}
 		from, to := r.chain[i].Address, r.chain[next].Address
-		r.cuts[from]++
-		r.cuts[to]++
+		r.losses[from]++
+		r.losses[to]++
 		switch {
-		case r.cuts[from] > suspectSender:
+		case r.losses[from] > maxSenderLosses:
 			r.avoid[from] = true
-		case r.cuts[to] > 1:
+		case r.losses[to] > 1:
 			r.avoid[to] = true
 		}
-		return from + " to " + to + ": positions were lost"
+		return from + " to " + to + ": positions lost on the link"
 	}
-	return "tokens were lost on the way here"
+	return "tokens lost on the link to the owner"
 }
 
-// suspectSender is after how many losses the sending end is replaced.
-const suspectSender = 2
+// maxSenderLosses is the number of losses above which the sender is replaced.
+const maxSenderLosses = 2
 
-// wanted is what the stage after i should have taken when i has run so many
-// positions. The last stage's outputs are the first one's inputs, one position
-// on, from the end of the prompt to the last token but one.
-func (r *run) wanted(i int, ran int64) int64 {
+// expectedAccepted returns the number of positions that the stage after i should have
+// accepted when i has run ran positions. The last stage's output at a position is the
+// first stage's input at the next one, from the end of the prompt to the second to last
+// token.
+func (r *run) expectedAccepted(i int, ran int64) int64 {
 	if i < len(r.chain)-1 {
 		return ran
 	}
@@ -183,12 +187,13 @@
 	if ran < prompt {
 		return 0
 	}
-	return min(ran+1, prompt+int64(r.ask.MaxTokens)-1)
+	return min(ran+1, prompt+int64(r.submission.MaxTokens)-1)
 }
 
-// hanging gives up on a stage whose engine has had work for long and done none.
-func (r *run) hanging(i int) string {
-	if r.idle < maxIdle {
+// checkHang avoids stage i if it has pending inputs but made no progress for
+// maxIdleChecks checks. It returns a description of the failure, or an empty string.
+func (r *run) checkHang(i int) string {
+	if r.idle < maxIdleChecks {
 		return ""
 	}
 	r.idle = 0
