--- a/internal/coordination/membership/membership.go
+++ b/internal/coordination/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership is what a process believes of the others: the platform's
-// instance list, which lags, corrected by direct evidence, which goes first.
+// Package membership keeps a process's view of the other processes. The platform's
+// instance list lags, so direct evidence takes precedence over it.
 package membership
 
 import (
@@ -13,29 +13,29 @@
 )
 
 const (
-	// missesToDown is how many contacts must fail in a row, the later ones
-	// over new connections, before a member is taken to be down.
-	missesToDown = 2
-	// forgetAfter is how long a member that left the list is remembered.
-	forgetAfter = 30 * time.Second
+	// maxFailures is the number of consecutive failed contacts after which a member is
+	// considered down. Contacts after the first use new connections.
+	maxFailures = 2
+	// retention is how long a member is kept after it left the list.
+	retention = 30 * time.Second
 )
 
-// Backend is what a sidecar tells of the backend server beside it.
+// Backend is a sidecar's description of its backend server.
 type Backend struct {
-	Data     string // where its data streams end
+	Data     string // address for its data streams
 	Service  string
 	Kind     model.ServiceKind
 	Range    model.LayerRange
 	Layers   int
 	StepTime time.Duration // per layer and position, unloaded
-	Rate     float64       // positions a second with full batches
+	Rate     float64       // positions per second with full batches
 	Active   int
 	Queued   int
 	Capacity int
 	Leaving  bool
 }
 
-// Load is what a gate says of itself.
+// Load is the load of a gate.
 type Load struct {
 	Active, Queued, Capacity int
 	Leaving                  bool
@@ -46,19 +46,20 @@
 	Instance     model.Instance
 	Incarnation  string
 	Backend      Backend
-	Revision     int64         // of the configuration it applied
-	RTT          time.Duration // smoothed round trip from here
-	Failures     int           // contacts failed in a row
+	Revision     int64         // of the configuration that it applied
+	RTT          time.Duration // smoothed round-trip time from this process
+	Failures     int           // consecutive failed contacts
 	LastContact  time.Time     // last direct contact; zero if never
-	Listed       bool          // in the instance list when it was last read
+	Listed       bool          // whether it was in the instance list when last read
 	LastListed   time.Time
-	BackoffUntil time.Time // the gate asked not to be tried before
+	BackoffUntil time.Time // no new requests before this time
 }
 
-// Down tells whether direct evidence says that the member does not answer.
-func (m *Member) Down() bool { return m.Failures >= missesToDown }
+// Down reports whether the member is considered down because of failed contacts.
+func (m *Member) Down() bool { return m.Failures >= maxFailures }
 
-// Leaving goes by the process's own word or the list, whichever comes first.
+// Leaving reports whether the process or the instance list has announced that the
+// member is leaving.
 func (m *Member) Leaving() bool { return m.Instance.Leaving || m.Backend.Leaving }
 
 // Table holds the members by link address.
@@ -71,13 +72,13 @@
 	readAt  time.Time // when the list was last read
 }
 
-// New makes a table for the process at link address self.
+// New returns a table for the process at link address self.
 func New(self string, now func() time.Time) *Table {
 	return &Table{self: self, now: now, members: map[string]*Member{}}
 }
 
-// UpdateList takes in the platform's list. A member that answers is kept though
-// the list lacks it: the list lags both ways.
+// UpdateList applies the platform's instance list. A member that responds is kept even
+// if the list lacks it, because the list may be out of date.
 func (t *Table) UpdateList(list []model.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,8 +99,8 @@
 		m.LastListed = now
 	}
 	for addr, m := range t.members {
-		silent := m.LastContact.IsZero() || m.Down()
-		if !m.Listed && silent && now.Sub(m.LastListed) > forgetAfter {
+		unresponsive := m.LastContact.IsZero() || m.Down()
+		if !m.Listed && unresponsive && now.Sub(m.LastListed) > retention {
 			delete(t.members, addr)
 		}
 	}
@@ -114,7 +115,7 @@
 	return m
 }
 
-// Observe takes in a process's own word about itself.
+// Observe records a response of a process and its description of itself.
 func (t *Table) Observe(in model.Instance, incarnation string, b Backend, rtt time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,7 +132,7 @@
 	m.LastContact = t.now()
 }
 
-// ObserveLoad takes in the load that came with a gate's reply.
+// ObserveLoad records the load in a gate's reply.
 func (t *Table) ObserveLoad(addr string, l Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -147,8 +148,8 @@
 	m.LastContact = t.now()
 }
 
-// ObserveRevision takes in the configuration revision that rode on a message. The
-// sender may not be in the list yet, which lags.
+// ObserveRevision records the configuration revision in a message. It adds the sender
+// if the instance list lacks it.
 func (t *Table) ObserveRevision(addr string, revision int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -159,7 +160,7 @@
 	m.Revision = max(m.Revision, revision)
 }
 
-// ObserveLeaving takes in a gate's word that it leaves.
+// ObserveLeaving records that a gate announced that it is leaving.
 func (t *Table) ObserveLeaving(addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -168,8 +169,8 @@
 	}
 }
 
-// RecordFailure records a contact that failed; it tells whether the member is now
-// taken to be down.
+// RecordFailure records a failed contact and reports whether the member is now
+// considered down. For an unknown member it returns true.
 func (t *Table) RecordFailure(addr string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -181,7 +182,7 @@
 	return m.Down()
 }
 
-// SetBackoff records that a gate refused and when it may be tried again.
+// SetBackoff records that a gate refused a request and must not be tried for d.
 func (t *Table) SetBackoff(addr string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -190,21 +191,21 @@
 	}
 }
 
-// All copies every member, ordered by address.
+// All returns copies of all members, ordered by address.
 func (t *Table) All() []Member {
 	return t.filter(func(*Member) bool { return true })
 }
 
-// Entries copies the entries that are not known to be down.
+// Entries returns copies of the entries that are not down.
 func (t *Table) Entries() []Member {
 	return t.filter(func(m *Member) bool {
 		return m.Instance.Role == model.RoleEntry && !m.Down()
 	})
 }
 
-// ServiceMembers copies every member known to offer a service, whatever its state.
-// It is complete only if each sidecar of the list was met: one that was not may
-// offer the service too.
+// ServiceMembers returns copies of all members that offer a service, in any state.
+// complete is false if some sidecar has not yet been contacted, since it may offer the
+// service too.
 func (t *Table) ServiceMembers(service string) (members []Member, complete bool) {
 	complete = true
 	members = t.filter(func(m *Member) bool {
@@ -216,14 +217,14 @@
 	return members, complete
 }
 
-// ListAge is how long ago the instance list was last read.
+// ListAge returns the time since the instance list was last read.
 func (t *Table) ListAge() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.now().Sub(t.readAt)
 }
 
-// Get copies one member.
+// Get returns a copy of one member.
 func (t *Table) Get(addr string) (Member, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -234,10 +235,10 @@
 	return *m, true
 }
 
-// Candidates copies the members that may be given work of a service: met, not
-// down, not leaving. Ejecting is bounded: when more than half of a service
-// seems down, the fault is likelier here or in the network between, and the
-// members that seem down are offered too, after the others.
+// Candidates returns copies of the members that may get requests of a service:
+// contacted, not down and not leaving. If more than half of a service seems down, the
+// fault is probably local or in the network. The members that seem down are then
+// returned as doubtful.
 func (t *Table) Candidates(service string) (up, doubtful []Member) {
 	all := t.filter(func(m *Member) bool {
 		return m.Backend.Service == service && !m.LastContact.IsZero() && !m.Leaving()
@@ -269,8 +270,8 @@
 }
 
 // Rendezvous orders addresses for a key by highest random weight (Thaler and
-// Ravishankar, 1998): all processes that know the same addresses agree, and a
-// change of one address moves only what that one held.
+// Ravishankar, 1998). Processes with the same addresses get the same order, and a
+// change of one address moves only the keys of that address.
 func Rendezvous(key string, addrs []string) []string {
 	out := append([]string(nil), addrs...)
 	weight := func(a string) uint64 { return xxhash.Sum64String(a + "\x00" + key) }
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -18,9 +18,8 @@
 	return Backend{Service: service, Kind: model.KindPlain, Capacity: 4}
 }
 
-// A gate says that it leaves; the instance list, which lags, goes on to show it
-// as live. The gate's word stands, and it is no candidate.
-func TestLeavingOutlivesAStaleList(t *testing.T) {
+// A stale list that shows a leaving member as live must not make it a candidate again.
+func TestStaleListDoesNotClearLeaving(t *testing.T) {
 	tb := New("self", time.Now)
 	tb.Observe(sidecar("a"), "1", offers("s"), 0)
 	tb.ObserveLeaving("a")
@@ -29,9 +28,8 @@
 	assert.Equal(t, len(up)+len(doubtful), 0)
 }
 
-// The list has not caught up with a new instance, or has lost one that answers:
-// direct evidence keeps it.
-func TestAnsweringMemberOutlivesTheList(t *testing.T) {
+// A member that responds must be kept even if the list lacks it.
+func TestResponsiveMemberIsKeptWithoutTheList(t *testing.T) {
 	now := time.Now()
 	tb := New("self", func() time.Time { return now })
 	tb.Observe(sidecar("a"), "1", offers("s"), 0)
@@ -43,17 +41,17 @@
 	tb.RecordFailure("a")
 	tb.UpdateList(nil)
 	_, known := tb.Get("a")
-	assert.Assert(t, !known, "a member that neither answers nor is listed is forgotten")
+	assert.Assert(t, !known, "a member that is neither responsive nor listed was kept")
 }
 
-// A stale list still shows an instance that is dead. Two contacts that fail make
-// it no candidate; one answer makes it one again.
-func TestMissesGoBeforeTheList(t *testing.T) {
+// A listed member must stop being a candidate after two failed contacts and become one
+// again after a response.
+func TestFailedContactsOverrideTheList(t *testing.T) {
 	tb := New("self", time.Now)
 	for _, a := range []string{"a", "b", "c"} {
 		tb.Observe(sidecar(a), "1", offers("s"), 0)
 	}
-	assert.Assert(t, !tb.RecordFailure("a"), "one miss may be the connection's fault")
+	assert.Assert(t, !tb.RecordFailure("a"), "down after one failed contact")
 	assert.Assert(t, tb.RecordFailure("a"))
 	tb.UpdateList([]model.Instance{sidecar("a"), sidecar("b"), sidecar("c")})
 	up, _ := tb.Candidates("s")
@@ -63,9 +61,9 @@
 	assert.Equal(t, len(up), 3)
 }
 
-// An entry that has not met every listed sidecar does not know who offers a
-// service, and must not prove anything from it.
-func TestServiceIsIncompleteUntilAllAreMet(t *testing.T) {
+// The members of a service must be incomplete until every listed sidecar has been
+// contacted.
+func TestServiceMembersAreIncompleteUntilAllAreContacted(t *testing.T) {
 	tb := New("self", time.Now)
 	tb.UpdateList([]model.Instance{sidecar("a"), sidecar("b")})
 	tb.Observe(sidecar("a"), "1", offers("s"), 0)
@@ -76,8 +74,8 @@
 	assert.Assert(t, complete && len(members) == 1)
 }
 
-// One address more or less moves only the keys that it wins or held.
-func TestRendezvousMovesLittle(t *testing.T) {
+// Removing an address must move only the keys of that address.
+func TestRendezvousMovesOnlyKeysOfTheRemovedAddress(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		addrs := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,8}`), 2, 8, rapid.ID[string]).Draw(rt, "addrs")
 		key := rapid.String().Draw(rt, "key")
