--- a/internal/state/events/events.go
+++ b/internal/state/events/events.go
@@ -1,5 +1,5 @@
-// Package events keeps what one process did lately: a bounded ring of typed
-// events that an engineer can read per request, merged over all processes.
+// Package events keeps the recent events of one process in a ring buffer. The events of
+// a request can be merged over all processes.
 package events
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// Kind is the closed list of event kinds.
+// Kind is the kind of an event.
 type Kind string
 
-// What can happen to a request, and to the process around it.
+// The kinds of events.
 const (
 	Accepted        Kind = "accepted"
 	Rejected        Kind = "rejected"
@@ -35,7 +35,7 @@
 	DrainStarted    Kind = "drain_started"
 )
 
-// Event is one thing that happened in one process.
+// Event is one event in one process.
 type Event struct {
 	At          hlc.Timestamp    `json:"at"`
 	Instance    string           `json:"inst"`
@@ -46,7 +46,7 @@
 	Detail      string           `json:"detail,omitempty"`
 }
 
-// Log is the ring of one process.
+// Log is the ring buffer of one process. It is safe for concurrent use.
 type Log struct {
 	instance    string
 	role        model.Role
@@ -58,7 +58,7 @@
 	next int
 }
 
-// New makes a ring for at most size events.
+// New returns a log that holds at most size events.
 func New(instance string, role model.Role, incarnation string, clock *hlc.Clock, size int) *Log {
 	return &Log{
 		instance:    instance,
@@ -69,7 +69,7 @@
 	}
 }
 
-// Add records an event; the oldest one makes room when the ring is full.
+// Add records an event. If the log is full, it overwrites the oldest one.
 func (l *Log) Add(req model.RequestKey, kind Kind, detail string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,7 +90,7 @@
 	l.next = (l.next + 1) % len(l.ring)
 }
 
-// ForRequest gives the events of one request in order.
+// ForRequest returns the events of one request in causal order.
 func (l *Log) ForRequest(req model.RequestKey) []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,7 +104,8 @@
 	return out
 }
 
-// Sort puts events of several processes in causal order.
+// Sort orders events of several processes by their clock readings, which respect
+// causality.
 func Sort(events []Event) {
 	sort.SliceStable(events, func(i, j int) bool {
 		a, b := events[i], events[j]
