--- a/internal/state/shard/shard.go
+++ b/internal/state/shard/shard.go
@@ -1,5 +1,5 @@
-// Package shard is a map split over shards, each under its own lock, so that
-// threads working on different keys seldom wait for each other.
+// Package shard provides a map split into shards with a lock each, to reduce lock
+// contention.
 package shard
 
 import (
@@ -7,10 +7,12 @@
 	"sync"
 )
 
-// count is a power of two well above the processors of one instance.
+// count is the number of shards: a power of two greater than the number of CPUs of an
+// instance.
 const count = 32
 
-// Map maps keys to values. The zero value is not usable; see New.
+// Map maps keys to values and is safe for concurrent use. The zero value is not usable;
+// see New.
 type Map[K comparable, V any] struct {
 	seed   maphash.Seed
 	shards [count]bucket[K, V]
@@ -21,7 +23,7 @@
 	m  map[K]V
 }
 
-// New makes an empty map.
+// New returns an empty map.
 func New[K comparable, V any]() *Map[K, V] {
 	s := &Map[K, V]{seed: maphash.MakeSeed()}
 	for i := range s.shards {
@@ -34,7 +36,7 @@
 	return &s.shards[maphash.Comparable(s.seed, key)%count]
 }
 
-// Get finds a value.
+// Get returns the value of a key and whether there is one.
 func (s *Map[K, V]) Get(key K) (V, bool) {
 	b := s.bucket(key)
 	b.mu.Lock()
@@ -43,7 +45,7 @@
 	return v, ok
 }
 
-// Put sets a value.
+// Put sets the value of a key.
 func (s *Map[K, V]) Put(key K, v V) {
 	b := s.bucket(key)
 	b.mu.Lock()
@@ -51,7 +53,8 @@
 	b.m[key] = v
 }
 
-// GetOrPut finds a value or stores the one that build makes, in one step.
+// GetOrPut returns the value of a key. If there is none, it stores the result of build
+// in the same atomic step. build runs under the shard's lock.
 func (s *Map[K, V]) GetOrPut(key K, build func() V) (v V, found bool) {
 	b := s.bucket(key)
 	b.mu.Lock()
@@ -72,7 +75,8 @@
 	delete(b.m, key)
 }
 
-// DeleteIf removes every entry for which drop is true and tells how many.
+// DeleteIf removes every entry for which drop returns true and returns the number
+// removed. drop runs under the shard's lock.
 func (s *Map[K, V]) DeleteIf(drop func(key K, v V) bool) int {
 	n := 0
 	for i := range s.shards {
@@ -94,7 +98,7 @@
 	return n
 }
 
-// Values copies all values out, in no order.
+// Values returns all values in no particular order.
 func (s *Map[K, V]) Values() []V {
 	var out []V
 	for i := range s.shards {
@@ -108,7 +112,7 @@
 	return out
 }
 
-// Len counts the entries.
+// Len returns the number of entries.
 func (s *Map[K, V]) Len() int {
 	n := 0
 	for i := range s.shards {
