--- a/internal/state/requests/requests.go
+++ b/internal/state/requests/requests.go
@@ -1,5 +1,5 @@
-// Package requests holds the requests that one entry owns: the answer so far,
-// kept for callers that come back, and the one final outcome.
+// Package requests stores the requests that an entry owns: the parts of the answer
+// received so far, for callers that reconnect, and the final outcome.
 package requests
 
 import (
@@ -12,21 +12,21 @@
 	"github.com/skylarkwood/skylarkwood/internal/state/shard"
 )
 
-// Request is one request and its answer.
+// Request is one request and its answer. It is safe for concurrent use.
 type Request struct {
 	Key      model.RequestKey
-	Content  uint64 // hash of what was asked
+	Content  uint64 // hash of the request's contents
 	Deadline time.Time
 
 	mu      sync.Mutex
 	answer  [][]byte
 	outcome model.Outcome
-	changed chan struct{} // closed and replaced when answer or outcome change
+	changed chan struct{} // closed and replaced when answer or outcome changes
 }
 
-// Append adds parts of the answer from a position on. Parts held already are
-// dropped, a gap is refused: the caller sees each position once, in order. It
-// tells how many parts were new.
+// Append adds parts of the answer that start at position and returns the number of new
+// parts. Parts that are already held are dropped. It returns false if there is a gap
+// before position or the request is finished.
 func (r *Request) Append(position int64, parts [][]byte) (added int, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,11 +40,12 @@
 		return 0, true
 	}
 	r.answer = append(r.answer, fresh...)
-	r.announce()
+	r.notifyWaiters()
 	return len(fresh), true
 }
 
-// Finish fixes the outcome. A request has exactly one; a second is a bug.
+// Finish sets the final outcome. It panics if o is not final or the request is already
+// finished.
 func (r *Request) Finish(o model.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,37 +56,37 @@
 		panic(fmt.Sprintf("request %s: second outcome %q after %q", r.Key, o.State, r.outcome.State))
 	}
 	r.outcome = o
-	r.announce()
+	r.notifyWaiters()
 }
 
-func (r *Request) announce() {
+func (r *Request) notifyWaiters() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Outcome gives the state of the request now.
+// Outcome returns the current outcome.
 func (r *Request) Outcome() model.Outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.outcome
 }
 
-// Len is how many parts of the answer there are.
+// Len returns the number of parts of the answer.
 func (r *Request) Len() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return int64(len(r.answer))
 }
 
-// Answer copies the parts so far.
+// Answer returns the parts of the answer received so far.
 func (r *Request) Answer() [][]byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([][]byte(nil), r.answer...)
 }
 
-// Next waits for parts from a position on, or for the outcome. The parts come
-// before the outcome: a final outcome is given only with nothing left to read.
+// Next waits for parts from a position on or for the final outcome. It returns a final
+// outcome only if no parts are left. It returns ctx.Err() if ctx is done first.
 func (r *Request) Next(ctx context.Context, from int64) ([][]byte, model.Outcome, error) {
 	for {
 		r.mu.Lock()
@@ -105,32 +106,33 @@
 	}
 }
 
-// Store holds the requests of one entry.
+// Store holds the requests of one entry. It is safe for concurrent use.
 type Store struct {
-	now  func() time.Time
-	keep time.Duration
-	all  *shard.Map[string, *Request]
-	// copies are final outcomes that other entries left here.
-	copies *shard.Map[string, copied]
+	now       func() time.Time
+	retention time.Duration
+	all       *shard.Map[string, *Request]
+	// copies are final outcomes received from other entries.
+	copies *shard.Map[string, outcomeCopy]
 }
 
-type copied struct {
+type outcomeCopy struct {
 	outcome model.Outcome
 	at      time.Time
 }
 
-// NewStore makes a store that keeps finished requests for a while after their
+// NewStore returns a store that keeps finished requests until retention after their
 // deadline.
-func NewStore(now func() time.Time, keep time.Duration) *Store {
+func NewStore(now func() time.Time, retention time.Duration) *Store {
 	return &Store{
-		now:    now,
-		keep:   keep,
-		all:    shard.New[string, *Request](),
-		copies: shard.New[string, copied](),
+		now:       now,
+		retention: retention,
+		all:       shard.New[string, *Request](),
+		copies:    shard.New[string, outcomeCopy](),
 	}
 }
 
-// GetOrCreate finds the request under a key or makes a new one.
+// GetOrCreate returns the request with a key or creates it. joined reports whether it
+// existed.
 func (s *Store) GetOrCreate(key model.RequestKey, content uint64, deadline time.Time) (r *Request, joined bool) {
 	return s.all.GetOrPut(key.String(), func() *Request {
 		return &Request{
@@ -143,27 +145,27 @@
 	})
 }
 
-// Get finds a request.
+// Get returns the request with a key.
 func (s *Store) Get(key model.RequestKey) (*Request, bool) {
 	return s.all.Get(key.String())
 }
 
-// SetOutcomeCopy stores another entry's outcome.
+// SetOutcomeCopy stores a copy of another entry's outcome.
 func (s *Store) SetOutcomeCopy(key model.RequestKey, o model.Outcome) {
-	s.copies.Put(key.String(), copied{o, s.now()})
+	s.copies.Put(key.String(), outcomeCopy{o, s.now()})
 }
 
-// OutcomeCopy finds another entry's outcome.
+// OutcomeCopy returns a stored copy of another entry's outcome.
 func (s *Store) OutcomeCopy(key model.RequestKey) (model.Outcome, bool) {
 	c, ok := s.copies.Get(key.String())
 	return c.outcome, ok
 }
 
-// Sweep forgets what is past its time.
+// Sweep deletes finished requests and outcome copies past their retention.
 func (s *Store) Sweep() {
-	old := s.now().Add(-s.keep)
+	old := s.now().Add(-s.retention)
 	s.all.DeleteIf(func(_ string, r *Request) bool {
 		return r.Outcome().Final() && r.Deadline.Before(old)
 	})
-	s.copies.DeleteIf(func(_ string, c copied) bool { return c.at.Before(old) })
+	s.copies.DeleteIf(func(_ string, c outcomeCopy) bool { return c.at.Before(old) })
 }
--- a/internal/state/requests/requests_test.go
+++ b/internal/state/requests/requests_test.go
@@ -20,9 +20,9 @@
 	return out
 }
 
-// Parts of an answer come late, twice, overlapping or with gaps, from several
-// attempts. Whatever is held is each position's own part, once, in order.
-func TestAppendKeepsPositions(t *testing.T) {
+// Parts of an answer arrive late, twice, overlapping or with gaps. Each position must
+// hold its own part, once and in order.
+func TestAppendKeepsEachPositionOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := NewStore(time.Now, time.Hour)
 		r, _ := s.GetOrCreate(model.RequestKey{Customer: "c", ID: "r"}, 0, time.Now())
@@ -37,8 +37,7 @@
 	})
 }
 
-// A request has one outcome: a second is a fault of the program and ends it
-// rather than a caller being told two things.
+// A second outcome must panic, so that no caller can get two different ones.
 func TestSecondOutcomePanics(t *testing.T) {
 	s := NewStore(time.Now, time.Hour)
 	r, _ := s.GetOrCreate(model.RequestKey{Customer: "c", ID: "r"}, 0, time.Now())
@@ -49,8 +48,8 @@
 	r.Finish(model.Outcome{State: model.NotRun})
 }
 
-// Two customers use the same request id. Neither sees the other's answer.
-func TestSameIDOfTwoCustomers(t *testing.T) {
+// The same request id of two customers must not share an answer.
+func TestRequestIDsAreScopedByCustomer(t *testing.T) {
 	s := NewStore(time.Now, time.Hour)
 	a, _ := s.GetOrCreate(model.RequestKey{Customer: "a", ID: "r"}, 0, time.Now())
 	b, joined := s.GetOrCreate(model.RequestKey{Customer: "b", ID: "r"}, 0, time.Now())
@@ -59,9 +58,8 @@
 	assert.Equal(t, b.Len(), int64(0))
 }
 
-// A caller reads behind a request that is still answered: it gets every part
-// before it is told the outcome.
-func TestOutcomeComesLast(t *testing.T) {
+// A caller must get every part before the final outcome.
+func TestNextReturnsOutcomeAfterAllParts(t *testing.T) {
 	s := NewStore(time.Now, time.Hour)
 	r, _ := s.GetOrCreate(model.RequestKey{Customer: "c", ID: "r"}, 0, time.Now())
 	r.Append(0, parts(0, 2))
