--- a/internal/state/replica/replica.go
+++ b/internal/state/replica/replica.go
@@ -1,5 +1,5 @@
-// Package replica holds what a process knows of the store, with enough of its
-// history that others can be told what changed since a revision.
+// Package replica holds a process's copy of the store and a bounded history of
+// removals, from which other processes get the changes since a revision.
 package replica
 
 import (
@@ -13,19 +13,18 @@
 	"github.com/skylarkwood/skylarkwood/internal/platform"
 )
 
-// mostRemoved is how many removed keys are remembered. Engines and routers that
-// left in some minutes are fewer; whoever asks from before the oldest is told
-// everything.
-const mostRemoved = 2048
+// maxRemoved is the maximum number of removed keys that are kept. A query for changes
+// since an older removal gets the full contents.
+const maxRemoved = 2048
 
-// Item is an item of the store. Omitted says that its value is not known here, as it
-// was too large to be passed on.
+// Item is an item of the store. Omitted is set if the value is not known here because
+// it was too large for an update.
 type Item struct {
 	platform.Item
 	Omitted bool
 }
 
-// ItemsWithValues makes items of those whose values are all there.
+// ItemsWithValues returns items that include their values.
 func ItemsWithValues(items []platform.Item) []Item {
 	out := make([]Item, len(items))
 	for i, it := range items {
@@ -34,28 +33,29 @@
 	return out
 }
 
-// Changes is what changed since a revision: everything that is there if Whole.
+// Changes are the changes since a revision, or the full contents if Full is set.
 type Changes struct {
 	Items []Item
-	// Revision is that of the store up to which the answer is complete.
+	// Revision is the store revision up to which the changes are complete.
 	Revision model.Revision
 	Full     bool
 }
 
-// Replica holds the newest item of each key. The zero value is empty and complete up
-// to nothing; it is safe for concurrent use.
+// Replica holds the newest item of each key. The zero value is empty and ready to use.
+// It is safe for concurrent use.
 type Replica struct {
 	mu       sync.Mutex
-	items    map[string]Item // removed ones too
+	items    map[string]Item // including removed ones
 	removed  int
 	revision model.Revision
-	since    model.Revision // removals up to it may have been forgotten
-	changed  chan struct{}  // closed when the revision grows
+	since    model.Revision // removals up to this revision may be missing
+	changed  chan struct{}  // closed when the revision increases
 }
 
-// Reset takes in the whole range. What was created and removed since the last change is
-// not known from it, so whoever asks from before is told everything: told what is new
-// only, one that had heard of the creation elsewhere would believe in it for good.
+// Reset replaces the contents with the full range. Keys that were created and removed
+// since the last change are not in it, so queries for changes since an earlier revision
+// get the full contents. A process that learned of such a key elsewhere would otherwise
+// never see the removal.
 func (r *Replica) Reset(items []Item, revision model.Revision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,12 +68,13 @@
 	r.advance(revision)
 }
 
-// Apply takes in changes that are complete up to a revision.
+// Apply applies changes that are complete up to a revision. It does nothing before the
+// first Reset.
 func (r *Replica) Apply(items []Item, revision model.Revision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.items == nil {
-		return // nothing is known that it could be a change of
+		return // changes need a base
 	}
 	for _, it := range items {
 		r.put(it)
@@ -81,8 +82,8 @@
 	r.advance(revision)
 }
 
-// put keeps an item unless a newer one of its key is there: the pages of a range are
-// no snapshot, and changes repeat what they held. The caller holds the lock.
+// put stores an item unless a newer one of its key is present. The pages of a range are
+// not a snapshot, and changes may repeat their items. The caller holds r.mu.
 func (r *Replica) put(it Item) {
 	old, known := r.items[it.Key]
 	if known && (old.Revision > it.Revision || old.Revision == it.Revision && (it.Omitted || !old.Omitted)) {
@@ -97,9 +98,9 @@
 	}
 }
 
-// advance moves the revision on and wakes who waits. The caller holds the lock.
+// advance raises the revision and wakes the waiters. The caller holds r.mu.
 func (r *Replica) advance(revision model.Revision) {
-	r.forget()
+	r.pruneRemoved()
 	if revision <= r.revision {
 		return
 	}
@@ -110,10 +111,10 @@
 	}
 }
 
-// forget drops the older half of the removals once they are too many. The caller
-// holds the lock.
-func (r *Replica) forget() {
-	if r.removed <= mostRemoved {
+// pruneRemoved drops the older half of the removals if there are more than maxRemoved.
+// The caller holds r.mu.
+func (r *Replica) pruneRemoved() {
+	if r.removed <= maxRemoved {
 		return
 	}
 	var revisions []model.Revision
@@ -132,23 +133,24 @@
 	}
 }
 
-// Since gives what changed after a revision, in the order of the changes.
+// Since returns the changes after a revision, ordered by revision.
 func (r *Replica) Since(after model.Revision) Changes {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	whole := after < r.since
+	full := after < r.since
 	var items []Item
 	for _, it := range r.items {
-		if whole && !it.Removed || !whole && it.Revision > after {
+		if full && !it.Removed || !full && it.Revision > after {
 			items = append(items, it)
 		}
 	}
 	slices.SortFunc(items, func(a, b Item) int { return cmp.Compare(a.Revision, b.Revision) })
-	return Changes{Items: items, Revision: r.revision, Full: whole}
+	return Changes{Items: items, Revision: r.revision, Full: full}
 }
 
-// Wait waits until something is known beyond a revision, at most for a time.
-func (r *Replica) Wait(ctx context.Context, after model.Revision, most time.Duration) {
+// Wait returns when the replica's revision is higher than after, the timeout has passed
+// or ctx is done.
+func (r *Replica) Wait(ctx context.Context, after model.Revision, timeout time.Duration) {
 	r.mu.Lock()
 	if r.revision > after {
 		r.mu.Unlock()
@@ -159,7 +161,7 @@
 	}
 	changed := r.changed
 	r.mu.Unlock()
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-changed:
--- a/internal/state/replica/replica_test.go
+++ b/internal/state/replica/replica_test.go
@@ -11,8 +11,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/platform"
 )
 
-// take brings what a process knows up to an answer, as a follower does.
-func take(known map[string]model.Revision, a Changes) {
+// apply applies changes as a follower does.
+func apply(known map[string]model.Revision, a Changes) {
 	if a.Full {
 		clear(known)
 	}
@@ -27,10 +27,10 @@
 	}
 }
 
-// A process that was told some time ago asks what changed since. Whatever was written,
-// removed, forgotten or read anew meanwhile: it then knows what the store holds. A
-// removal that is left out would keep it sending work to a server that left.
-func TestAnswersBringEachAskerUpToDate(t *testing.T) {
+// After any sequence of writes, removals and resets, a process that applies the changes
+// since its revision must have the store's contents. A missed removal would keep
+// requests going to a server that left.
+func TestChangesBringAnyRevisionUpToDate(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		store := map[string]model.Revision{}
 		var r Replica
@@ -48,7 +48,7 @@
 				revision++
 				delete(store, key)
 				r.Apply(ItemsWithValues([]platform.Item{{Key: key, Revision: revision, Removed: true}}), revision)
-			case 3: // changes that nobody told of, then the whole range
+			case 3: // changes that the watch missed, followed by a read of the full range
 				revision += 2
 				delete(store, key)
 				var items []Item
@@ -56,48 +56,47 @@
 					items = append(items, Item{Item: platform.Item{Key: k, Revision: rev}})
 				}
 				r.Reset(items, revision)
-			case 4: // late news of something older
+			case 4: // a late update with an older revision
 				r.Apply(ItemsWithValues([]platform.Item{{Key: key, Revision: store[key] - 1}}), revision)
 			case 5:
 				a := r.Since(at)
-				take(known, a)
+				apply(known, a)
 				at = a.Revision
 				assert.DeepEqual(rt, known, store)
 			}
 		}
-		take(known, r.Since(at))
+		apply(known, r.Since(at))
 		assert.DeepEqual(rt, known, store)
 	})
 }
 
-// A watcher is turned away while a server comes and goes; another router hears of its
-// coming elsewhere. The watcher reads the whole range, in which the server never was, and
-// is asked by that router: told what is new only, it would go on sending work there.
-func TestRemovalThatTheWatcherDidNotSee(t *testing.T) {
+// A server is created and removed while the watch is interrupted, so the next full
+// range never shows it. A process that learned of it elsewhere must still drop it.
+func TestResetReportsRemovalsMissedByTheWatch(t *testing.T) {
 	var watcher Replica
 	watcher.Reset(nil, 1)
 	known := map[string]model.Revision{"server": 2}
-	watcher.Reset(ItemsWithValues([]platform.Item{{Key: "other", Revision: 4}}), 5) // it was removed at 3
-	take(known, watcher.Since(2))
+	watcher.Reset(ItemsWithValues([]platform.Item{{Key: "other", Revision: 4}}), 5) // removed at revision 3
+	apply(known, watcher.Since(2))
 	assert.DeepEqual(t, known, map[string]model.Revision{"other": 4})
 }
 
-// Servers come and go for days. What is remembered of those that left stays bounded,
-// and whoever asks from before it is told everything instead of too little.
-func TestRemovalsAreForgottenInTime(t *testing.T) {
+// The history of removals must stay bounded. A query from before it must get the full
+// contents.
+func TestRemovalHistoryIsBounded(t *testing.T) {
 	var r Replica
 	r.Reset(nil, 1)
-	for rev := model.Revision(2); rev < 10*mostRemoved; rev += 2 {
+	for rev := model.Revision(2); rev < 10*maxRemoved; rev += 2 {
 		key := fmt.Sprint(rev)
 		r.Apply(ItemsWithValues([]platform.Item{{Key: key, Revision: rev}, {Key: key, Revision: rev + 1, Removed: true}}), rev+1)
-		assert.Assert(t, len(r.items) <= mostRemoved+1)
+		assert.Assert(t, len(r.items) <= maxRemoved+1)
 	}
 	assert.Assert(t, r.Since(2).Full)
-	assert.Assert(t, !r.Since(10*mostRemoved-20).Full)
+	assert.Assert(t, !r.Since(10*maxRemoved-20).Full)
 }
 
-// A value that was not passed on is told as such, until it was read: then it is there.
-func TestValuesThatAreReadLater(t *testing.T) {
+// An omitted value must be reported as omitted until it has been read.
+func TestOmittedValueIsReplacedWhenRead(t *testing.T) {
 	var r Replica
 	r.Reset([]Item{{Item: platform.Item{Key: "large", Revision: 3}, Omitted: true}}, 3)
 	assert.Assert(t, r.Since(0).Items[0].Omitted)
