--- a/internal/model/fingerprint.go
+++ b/internal/model/fingerprint.go
@@ -8,14 +8,13 @@
 	"github.com/pkg/errors"
 )
 
-// Fingerprint names a request by what it asks for: customer, host, path and body. An
-// attempt's own id tells nothing of what it repeats; two attempts with the same
-// fingerprint are the same work. It is cut from a cryptographic hash, so that no
-// customer can make a request that bears another request's fingerprint.
+// Fingerprint identifies a request by its customer, method, host, target and body.
+// Retries of a request have the same fingerprint but different attempt ids. It is a
+// truncated cryptographic hash, so that a customer cannot forge another request's
+// fingerprint.
 type Fingerprint [16]byte
 
-// Fingerprint gives the fingerprint of a call that a customer makes. It reads the whole
-// body once.
+// Fingerprint returns the fingerprint of a customer's call. It reads the complete body.
 func (c *Call) Fingerprint(customer string) Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{customer, c.Method, c.Host, c.Target} {
@@ -31,7 +30,7 @@
 	return f
 }
 
-// String gives it in hexadecimal, as logs show it.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
--- a/internal/model/fingerprint_test.go
+++ b/internal/model/fingerprint_test.go
@@ -8,10 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// The same customer, method, host, path and body give the same fingerprint whatever else
-// differs; a difference in any of them gives another, also where parts are moved from one
-// to the next.
-func TestFingerprintNamesTheWork(t *testing.T) {
+// Two calls must have the same fingerprint exactly if customer, method, host, target
+// and body are equal. Moving bytes between these parts must change it.
+func TestFingerprintDependsOnTheRequestOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 4, 8)
 		draw := func(label string) (string, Call) {
@@ -27,15 +26,15 @@
 	})
 }
 
-func TestFingerprintAsText(t *testing.T) {
+func TestFingerprintTextEncoding(t *testing.T) {
 	f := (&Call{Method: "POST", Target: "/sheet/1"}).Fingerprint("school")
 	raw, err := json.Marshal(map[Fingerprint]int{f: 1})
 	assert.NilError(t, err)
 	var back map[Fingerprint]int
 	assert.NilError(t, json.Unmarshal(raw, &back))
 	assert.Equal(t, back[f], 1)
-	for _, odd := range []string{`""`, `"00"`, `"zz0102030405060708090a0b0c0d0e0f"`} {
+	for _, invalid := range []string{`""`, `"00"`, `"zz0102030405060708090a0b0c0d0e0f"`} {
 		var g Fingerprint
-		assert.Assert(t, json.Unmarshal([]byte(odd), &g) != nil, odd)
+		assert.Assert(t, json.Unmarshal([]byte(invalid), &g) != nil, invalid)
 	}
 }
--- a/internal/model/incarnation.go
+++ b/internal/model/incarnation.go
@@ -2,18 +2,18 @@
 
 import "strconv"
 
-// Incarnation is one start of a backend server. A server may start again under
-// the id that it had: it then holds nothing and knows nothing of before, so
-// whatever is believed about a server is believed about one incarnation of it.
+// Incarnation is one start of a backend server. A server may restart under the same id
+// and then has no layers and no state, so all knowledge about a server belongs to one
+// incarnation.
 type Incarnation struct {
 	ID string `json:"id"`
-	// Born is when it started, by its own clock, in Unix milliseconds; 0 where
-	// the server does not tell. Clocks jump, so it tells incarnations apart and
-	// is no more than a hint which of them came first.
+	// Born is the start time by the server's own clock in Unix milliseconds, or 0 if the
+	// server does not report it. Clocks may jump, so it identifies an incarnation but
+	// only suggests which one is newer.
 	Born int64 `json:"born,omitempty"`
 }
 
-// String gives the id, and the start where it is known, for logs.
+// String returns the id, followed by the start time if it is known.
 func (i Incarnation) String() string {
 	if i.Born == 0 {
 		return i.ID
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,5 +1,5 @@
-// Package model holds the words that every layer shares: identities, layer
-// ranges, positions and outcomes. It imports nothing of this project.
+// Package model defines the types that all layers share: identities, layer ranges and
+// outcomes. It imports no other package of this project.
 package model
 
 import (
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Role says what a process of the system does.
+// Role is the role of a process of the system.
 type Role string
 
-// The roles of the daemon.
+// The roles of a process.
 const (
 	RoleEntry   Role = "entry"
 	RoleSidecar Role = "sidecar"
-	// RoleRouter serves callers in front of the users' own engines.
+	// RoleRouter forwards callers' requests to the users' own engines.
 	RoleRouter Role = "router"
 )
 
-// ServiceKind says how a service's work is carried out.
+// ServiceKind is the way in which a service executes requests.
 type ServiceKind string
 
-// Kinds of service: a chain of engines, or one call to one backend server.
+// A pipeline service uses a chain of engines; a plain service makes one call to one
+// backend server.
 const (
 	KindPipeline ServiceKind = "pipeline"
 	KindPlain    ServiceKind = "plain"
 )
 
-// RequestKey names a request. Ids are the callers' own, so two customers may
-// use the same one; only the pair is unique.
+// RequestKey identifies a request. Callers choose the ids, so only the pair is unique.
 type RequestKey struct {
 	Customer string `json:"c"`
 	ID       string `json:"r"`
 }
 
-// String gives the key as customer/id, for logs and for engine sessions.
+// String returns customer/id, for logs and engine sessions.
 func (k RequestKey) String() string {
 	return k.Customer + "/" + k.ID
 }
@@ -45,12 +45,11 @@
 	To   int `json:"to"`
 }
 
-// Len is the number of layers in the range.
 func (r LayerRange) Len() int {
 	return r.To - r.From
 }
 
-// Contains tells whether every layer of o is in r.
+// Contains reports whether every layer of o is in r.
 func (r LayerRange) Contains(o LayerRange) bool {
 	return r.From <= o.From && o.To <= r.To
 }
@@ -59,7 +58,7 @@
 	return fmt.Sprintf("[%d,%d)", r.From, r.To)
 }
 
-// Instance is one process of the system as the platform's list gives it.
+// Instance is one process of the system as listed by the platform.
 type Instance struct {
 	ID            string `json:"id"`
 	Role          Role   `json:"role"`
@@ -69,11 +68,11 @@
 	Leaving       bool   `json:"leaving,omitempty"`
 }
 
-// State is the closed set of what can be said of a request.
+// State is the state of a request.
 type State string
 
-// The states of a request. NotRun is said only with proof that the backend
-// server never saw the work; without proof the state is CutOff.
+// The states of a request. NotRun requires proof that the backend server never received
+// the request. Without proof the state is CutOff.
 const (
 	InProgress State = "in_progress"
 	Ran        State = "ran"
@@ -81,7 +80,7 @@
 	CutOff     State = "cut_off"
 )
 
-// Outcome is what became of a request and what that rests on.
+// Outcome is the outcome of a request and the evidence for it.
 type Outcome struct {
 	State      State         `json:"state"`
 	MayHaveRun bool          `json:"may,omitempty"`
@@ -89,10 +88,10 @@
 	Cause      string        `json:"cause,omitempty"`
 	RetryAfter time.Duration `json:"after,omitempty"`
 	Evidence   string        `json:"evidence,omitempty"`
-	Entry      string        `json:"entry,omitempty"` // instance that owned the request
+	Entry      string        `json:"entry,omitempty"` // id of the instance that owned the request
 }
 
-// Final tells whether the outcome can still change.
+// Final reports whether the outcome is final.
 func (o Outcome) Final() bool {
 	return o.State != InProgress && o.State != ""
 }
--- a/internal/model/revision.go
+++ b/internal/model/revision.go
@@ -6,39 +6,39 @@
 	"github.com/pkg/errors"
 )
 
-// Revision names a state of the store: the store's era and, within it, the count of its
-// changes. A store that comes back from an older copy begins a new era and gives counts out
-// again, so a count alone names nothing. Revisions are ordered as numbers, all of one era
-// before those of the next, and equal only if they are of one era.
+// Revision identifies a state of the store by the store's era and the number of changes
+// within it. A store that is restored from an older copy begins a new era and reuses
+// counts, so a count alone is ambiguous. Revisions are ordered as numbers. All
+// revisions of an era are lower than those of the next.
 //
-// It is also the fencing token of whoever won leadership at it. Engines compare tokens as
-// numbers, and remember higher ones through all eras.
+// The revision at which a process won leadership is also its fencing token. Engines
+// compare tokens as numbers and keep the highest one across eras.
 type Revision int64
 
 const (
-	// countBits hold the count; with the era above them a revision stays below 2^53, the
-	// largest number that every reader of JSON keeps exactly.
+	// countBits is the size of the count. With the era above it, a revision is below
+	// 2^53, the largest range of integers that all JSON decoders represent exactly.
 	countBits = 40
-	mostCount = 1<<countBits - 1
-	mostEra   = 1<<(53-countBits) - 1
+	maxCount  = 1<<countBits - 1
+	maxEra    = 1<<(53-countBits) - 1
 )
 
-// NewRevision makes a revision. A store that counts neither eras nor changes beyond these
-// bounds has not been met; its answers are refused.
+// NewRevision returns the revision with an era and a count. It returns an error if
+// either is out of range.
 func NewRevision(era, count int64) (Revision, error) {
-	if era < 0 || era > mostEra || count < 0 || count > mostCount {
+	if era < 0 || era > maxEra || count < 0 || count > maxCount {
 		return 0, errors.Errorf("revision %d of era %d is out of range", count, era)
 	}
 	return Revision(era<<countBits | count), nil
 }
 
-// Era is the store's era; 0 where it tells none.
+// Era returns the store's era, or 0 if the store reports none.
 func (r Revision) Era() int64 { return int64(r >> countBits) }
 
-// Count is the count of changes within the era.
-func (r Revision) Count() int64 { return int64(r & mostCount) }
+// Count returns the number of changes within the era.
+func (r Revision) Count() int64 { return int64(r & maxCount) }
 
-// String gives era and count, as logs show them.
+// String returns "era/count", or only the count in era 0.
 func (r Revision) String() string {
 	count := strconv.FormatInt(r.Count(), 10)
 	if r.Era() == 0 {
--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -2,18 +2,17 @@
 
 import "time"
 
-// RouteKind says what may be repeated of a route's requests.
+// RouteKind determines which requests of a route may be retried.
 type RouteKind string
 
-// The kinds of route.
+// The kinds of routes.
 const (
 	RouteIdempotent    RouteKind = "idempotent"
 	RouteNotRepeatable RouteKind = "not_repeatable"
 	RouteStreaming     RouteKind = "streaming"
 )
 
-// RouteConfig is one version of what the operator publishes. It is replaced as
-// a whole and never changed in place.
+// RouteConfig is one version of the operator's configuration. It is immutable.
 type RouteConfig struct {
 	Version   int64
 	Routes    []Route
@@ -22,25 +21,26 @@
 	Customers []RouteCustomer
 }
 
-// Route says how the requests of one host and path prefix are served.
+// Route configures how the requests of a host and path prefix are served.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   RouteKind
-	// Timeout bounds how long a request may be kept waiting; 0 is no bound.
+	// Timeout is the maximum time that a request may wait for its answer; 0 means no
+	// limit.
 	Timeout time.Duration
-	// TargetLatency is the time within which an answer (a stream's first event)
-	// is worth most to its caller.
+	// TargetLatency is the target time until the answer, or until a stream's first
+	// event.
 	TargetLatency time.Duration
-	// TargetGap is the longest pause between events that is still on time.
+	// TargetGap is the target for the longest pause between events.
 	TargetGap time.Duration
 	Priority  int // 0 is the most urgent
 	Split     []ServiceShare
-	// MaxAttempts is to how many backend servers one request may be sent.
+	// MaxAttempts is the maximum number of backend servers to which one request is sent.
 	MaxAttempts    int
 	AllowAnonymous bool
-	// ResumeStreams allows an interrupted stream to go on at another engine.
+	// ResumeStreams allows an interrupted stream to continue at another engine.
 	ResumeStreams bool
 }
 
@@ -50,57 +50,62 @@
 	Weight  int
 }
 
-// Service is one group of backend servers.
+// Service is a group of backend servers.
 type Service struct {
 	Name           string
 	HealthPath     string
 	MaxConnections int
-	// Engine describes the model engines; nil for a plain service.
+	// Engine describes the engines; nil for a plain service.
 	Engine *EngineSpec
 }
 
-// EngineSpec is what the operator publishes of a service's model engines.
+// EngineSpec is the operator's description of a service's engines.
 type EngineSpec struct {
 	Slots int
-	// Layers and LayerMB give the model: layers in all, megabytes of one.
+	// Layers is the number of layers of the model. LayerMB is the size of one in
+	// megabytes.
 	Layers  int
 	LayerMB float64
-	// KVTokenBytes is the memory of one token over all layers, in bytes.
+	// KVTokenBytes is the KV-cache size of one token over all layers, in bytes.
 	KVTokenBytes float64
-	// StepTime is one token step over all layers, for a card of pace 1.
+	// StepTime is the time of one token step over all layers on an accelerator with
+	// StepTimeFactor 1.
 	StepTime time.Duration
-	// StepTimePerRequest is added to a step for each request that is writing.
+	// StepTimePerRequest is added to the time of a step for each request that is
+	// generating tokens.
 	StepTimePerRequest time.Duration
-	// StepsPerPass is how many steps a pass runs.
+	// StepsPerPass is the number of steps in one pass.
 	StepsPerPass int
-	// PrefillRate is prompt tokens read a second over all layers, for a card of
-	// read factor 1.
+	// PrefillRate is the number of prompt tokens per second over all layers on an
+	// accelerator with PrefillFactor 1.
 	PrefillRate float64
-	// PrefillChunk is how many prompt tokens a pass reads at most; 0 for any number.
+	// PrefillChunk is the maximum number of prompt tokens in one pass; 0 means no limit.
 	PrefillChunk int
-	// MeanPromptTokens and MeanAnswerTokens are mean token counts.
+	// MeanPromptTokens and MeanAnswerTokens are the expected sizes of a request and its
+	// answer.
 	MeanPromptTokens, MeanAnswerTokens int
-	// LoadTime is the time to load all layers, alone.
+	// LoadTime is the time to load all layers with no other load in progress.
 	LoadTime time.Duration
-	// ConcurrentLoads is how many loads run without slowing each other down.
+	// ConcurrentLoads is the number of loads that can run at the same time without
+	// slowing each other down.
 	ConcurrentLoads int
-	// ActivationBytes pass between two engines for each token.
+	// ActivationBytes is the amount of data sent between two engines for each token.
 	ActivationBytes float64
-	// InterconnectMbps is the shared rate between two failure domains, in Mbit/s.
+	// InterconnectMbps is the shared capacity between two failure domains in Mbit/s.
 	InterconnectMbps float64
 	Cards            []Card
 }
 
-// Card is one type of accelerator.
+// Card is a type of accelerator.
 type Card struct {
 	Name string
-	// MB is its memory in megabytes.
+	// MB is the memory in megabytes.
 	MB float64
-	// StepTimeFactor and PrefillFactor multiply the times of steps and of prompt reading.
+	// StepTimeFactor and PrefillFactor multiply the times of steps and of prefill.
 	StepTimeFactor, PrefillFactor float64
 }
 
-// Card finds a type of accelerator by its name.
+// Card returns the type of accelerator with a name.
 func (s *EngineSpec) Card(name string) (Card, bool) {
 	for _, c := range s.Cards {
 		if c.Name == name {
@@ -110,10 +115,10 @@
 	return Card{}, false
 }
 
-// KVTokenMB is the memory of one token over all layers, in megabytes.
+// KVTokenMB returns the KV-cache size of one token over all layers, in megabytes.
 func (s *EngineSpec) KVTokenMB() float64 { return s.KVTokenBytes / 1e6 }
 
-// LayerTokenMB is the memory of one token in one layer, in megabytes.
+// LayerTokenMB returns the KV-cache size of one token in one layer, in megabytes.
 func (s *EngineSpec) LayerTokenMB() float64 {
 	if s.Layers == 0 {
 		return 0
@@ -121,7 +126,7 @@
 	return s.KVTokenBytes / float64(s.Layers) / 1e6
 }
 
-// CallerLimits bound what callers may send; zero means no bound.
+// CallerLimits are limits on callers' requests; zero means no limit.
 type CallerLimits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -129,65 +134,67 @@
 	IdleTimeout   time.Duration
 }
 
-// RouteCustomer is a customer as the operator's configuration knows it.
+// RouteCustomer is a customer in the operator's configuration.
 type RouteCustomer struct {
 	Name    string
 	APIKeys []string
-	// Priority goes before the route's; nil where none is set.
+	// Priority overrides the route's priority; nil if it is not set.
 	Priority *int
 }
 
-// BackendServer is one backend server as it registered itself.
+// BackendServer is a backend server as registered in the store.
 type BackendServer struct {
-	// ID is the server's name in the store. It may start again under it; see
+	// ID is the server's id in the store. It may be reused after a restart; see
 	// Incarnation.
 	ID string
-	// Born is when it started, in Unix milliseconds by its own clock; 0 where it
-	// does not tell.
+	// Born is the start time by the server's own clock in Unix milliseconds, or 0 if it
+	// is not reported.
 	Born          int64
 	Service       string
 	Address       string
 	FailureDomain string
 	Slots         int
 	Draining      bool
-	// Card names the accelerator; empty for a plain service.
+	// Card is the type of accelerator; empty for a plain service.
 	Card string
-	// Holds are the layers loaded; empty where none are.
+	// Holds is the range of loaded layers; empty if none are loaded.
 	Holds LayerRange
-	// HeartbeatCount counts the heartbeats that it had written by then, since its start.
+	// HeartbeatCount is the number of heartbeats written since the start, including this
+	// entry.
 	HeartbeatCount int64 `json:"Beats"`
 	// Revision is the store's revision of the entry.
 	Revision Revision
 }
 
-// Incarnation tells which start of the server this is.
 func (b *BackendServer) Incarnation() Incarnation { return Incarnation{ID: b.ID, Born: b.Born} }
 
-// EngineReport is an engine's own report, some hundred milliseconds old.
+// EngineReport is an engine's report of its own state. It may be some hundred
+// milliseconds old.
 type EngineReport struct {
-	// Born is when the engine started, as in BackendServer.
+	// Born is the engine's start time as in BackendServer.
 	Born  int64
 	Holds LayerRange
-	// Busy says that an order is in progress.
+	// Busy is set while an order is in progress.
 	Busy bool
-	// OrderCount is how many orders it has begun since its start.
+	// OrderCount is the number of orders begun since the start.
 	OrderCount int64
-	// Active and Queued count the requests that it received as the first
-	// engine of a chain.
+	// Active and Queued are the numbers of requests that the engine serves as the first
+	// stage of a chain.
 	Active, Queued int
-	// Slowdown is 1 for a healthy engine, more for a slow one.
+	// Slowdown is 1 for an engine at its expected speed and greater for a slower one.
 	Slowdown float64
-	// UsedTokenLayers and TotalTokenLayers count token memory.
+	// UsedTokenLayers and TotalTokenLayers measure KV-cache memory in tokens times
+	// layers.
 	UsedTokenLayers, TotalTokenLayers float64
 	Stalled                           []Stall
 }
 
-// Stall names an attempt whose chain waits for the engine at Address.
+// Stall identifies an attempt whose chain is waiting for the engine at Address.
 type Stall struct{ Attempt, Address string }
 
-// Call is one caller's request on its way to a backend server.
+// Call is a caller's request to be sent to a backend server.
 type Call struct {
-	Attempt string // unique to this attempt of the caller
+	Attempt string // id of this attempt, unique for each retry
 	Method  string
 	Host    string
 	Target  string // path and query as received
@@ -195,15 +202,17 @@
 	Header  []HeaderField
 	Body    []byte
 	APIKey  string
-	// Deadline is when the caller stops waiting; zero if it did not say.
+	// Deadline is when the caller stops waiting; zero if it is not known.
 	Deadline time.Time
-	// ResumeAfter is the last event that the caller has; empty for none.
+	// ResumeAfter is the id of the last event that the caller received; empty for none.
 	ResumeAfter string
-	// PromptTokens and MaxAnswerTokens are the request's size in tokens.
+	// PromptTokens and MaxAnswerTokens are the sizes of the prompt and the longest
+	// answer in tokens.
 	PromptTokens, MaxAnswerTokens int
-	// AnswerTokensHint is the caller's guess of the answer's tokens; 0 for none.
+	// AnswerTokensHint is the caller's estimate of the answer's size in tokens; 0 for
+	// none.
 	AnswerTokensHint int
-	// Session is the last shared part of the prompt; empty for none.
+	// Session identifies the last shared part of the prompt; empty for none.
 	Session string
 }
 
