--- a/internal/coordination/ledger/ledger.go
+++ b/internal/coordination/ledger/ledger.go
@@ -66,7 +66,7 @@
 	}
 	at := ulid.Time(u.Time())
 	if now.Sub(at) > MaxIDAge {
-		return at, fault.New(fault.ExpiredID, "id is %v old, limit is %v: whether it ran before is unknown", now.Sub(at).Round(time.Second), MaxIDAge)
+		return at, fault.New(fault.ExpiredID, "id is %v old, older than the limit of %v: whether it ran before is unknown", now.Sub(at).Round(time.Second), MaxIDAge)
 	}
 	if at.Sub(now) > MaxClockAhead {
 		return at, fault.New(fault.InvalidRequest, "time of the id is %v in the future", at.Sub(now).Round(time.Second))
