--- a/internal/coordination/ledger/ledger_test.go
+++ b/internal/coordination/ledger/ledger_test.go
@@ -95,9 +95,9 @@
 		kv.SetFaults(standin.KVFaults{Delay: 5 * time.Millisecond})
 		l := New(kv, time.Now, unlimited())
 		var wg sync.WaitGroup
-		const asks = 200
+		const intents = 200
 		key := "c/k"
-		for i := 0; i < asks; i++ {
+		for i := 0; i < intents; i++ {
 			id := idAt(time.Now())
 			wg.Go(func() {
 				_, err := l.Record(context.Background(), Intent{Key: fmt.Sprint(key, i), Grant: fmt.Sprint(i)}, id)
@@ -105,7 +105,7 @@
 			})
 		}
 		wg.Wait()
-		assert.Assert(t, kv.Calls().Swaps <= 2*ShardCount, "%d writes for %d intents", kv.Calls().Swaps, asks)
+		assert.Assert(t, kv.Calls().Swaps <= 2*ShardCount, "%d writes for %d intents", kv.Calls().Swaps, intents)
 	})
 }
 
--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -159,8 +159,8 @@
 	Card string
 	// Holds is the range of loaded layers; empty if none are loaded.
 	Holds LayerRange
-	// HeartbeatCount is the number of heartbeats written since the start, including this
-	// entry.
+	// HeartbeatCount is the number of heartbeats that the server had written since its
+	// start.
 	HeartbeatCount int64 `json:"Beats"`
 	// Revision is the store's revision of the entry.
 	Revision Revision
--- a/internal/protocol/gate/gate.go
+++ b/internal/protocol/gate/gate.go
@@ -45,7 +45,7 @@
 	keepUntil     time.Time
 }
 
-// Request describes a request that asks for admission at a gate.
+// Request describes a request for admission at a gate.
 type Request struct {
 	Key           wire.RunKey
 	Attempt       int64
