--- a/internal/transport/peers/confirm_test.go
+++ b/internal/transport/peers/confirm_test.go
@@ -20,28 +20,28 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/link"
 )
 
-func stampOf(self string) *link.Metadata {
+func metadataOf(self string) *link.Metadata {
 	return &link.Metadata{Clock: hlc.New(time.Now), Revision: func() int64 { return 0 }, ObservePeerRevision: func(string, int64) {}, Self: self}
 }
 
-// fetching is a router with version 1 in force and a peer that answers with a
-// version; while the router asks, its clock moves on by some time.
-func fetching(t *testing.T, version int64, takes time.Duration) (x *Exchange, peer string) {
+// newFetching returns a router with version 1 in force and the address of a peer that
+// answers with another version. The router's clock advances by duration during the request.
+func newFetching(t *testing.T, version int64, duration time.Duration) (x *Exchange, peer string) {
 	var clock atomic.Int64
 	clock.Store(int64(time.Hour))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	serving, stop := context.WithCancel(context.Background())
-	srv := link.NewServer(stampOf(l.Addr().String()))
+	ctx, stop := context.WithCancel(context.Background())
+	srv := link.NewServer(metadataOf(l.Addr().String()))
 	srv.Register(wire.MethodRouterConfig, link.Handle(func(context.Context, string, wire.RouterAsk) (wire.RouterConfig, error) {
-		clock.Add(int64(takes))
+		clock.Add(int64(duration))
 		return wire.RouterConfig{Version: version, Raw: []byte(strconv.FormatInt(version, 10))}, nil
 	}))
-	ended := make(chan error, 1)
-	go func() { ended <- srv.Serve(serving, l) }()
+	done := make(chan error, 1)
+	go func() { done <- srv.Serve(ctx, l) }()
 	x = &Exchange{
 		Self:   "self:1",
-		Pool:   link.NewPool(stampOf("self:1")),
+		Pool:   link.NewPool(metadataOf("self:1")),
 		Config: &routes.ActiveConfig{},
 		Decode: func(raw []byte) (*model.RouteConfig, error) {
 			v, err := strconv.ParseInt(string(raw), 10, 64)
@@ -56,19 +56,20 @@
 		RetryBorrower:       &limits.RetryBorrower{Now: time.Now},
 		HasTraffic:          func() bool { return true },
 	}
-	x.Register(link.NewServer(stampOf("self:1")))
+	x.Register(link.NewServer(metadataOf("self:1")))
 	x.Config.Apply(&model.RouteConfig{Version: 1}, nil)
 	t.Cleanup(func() {
 		x.Pool.Close()
 		stop()
-		assert.Check(t, <-ended)
+		assert.Check(t, <-done)
 	})
 	return x, l.Addr().String()
 }
 
-// beatAndFetch takes in a peer's message and waits until what it names was fetched.
-func (x *Exchange) beatAndFetch(t *testing.T, peer string, b wire.RouterHeartbeat) {
-	assert.NilError(t, x.heartbeat(peer, b.Pack()))
+// heartbeatAndFetch applies a heartbeat and waits until the advertised version was
+// fetched.
+func (x *Exchange) heartbeatAndFetch(t *testing.T, peer string, b wire.RouterHeartbeat) {
+	assert.NilError(t, x.handleHeartbeat(peer, b.Pack()))
 	for busy := true; busy; time.Sleep(time.Millisecond) {
 		x.mu.Lock()
 		busy = x.fetching
@@ -76,26 +77,22 @@
 	}
 }
 
-// A router that is cut off from the store fetches a peer's configuration, long after
-// the peer said how old its word of the store is: it first waits for the store, and
-// a busy peer answers late. Counted from the end, the configuration would be taken
-// for younger than it is, and a caller's request for a route that was added meanwhile
-// be refused for good instead of for now.
-func TestFetchedConfigurationIsAsOldAsThePeerSaid(t *testing.T) {
+// Guards against counting the age of a fetched configuration from the end of the fetch.
+// Requests for routes added meanwhile would then be rejected permanently.
+func TestFetchedConfigurationHasTheAgeAtTheHeartbeat(t *testing.T) {
 	const age, takes = 100 * time.Millisecond, 3 * time.Second
-	x, peer := fetching(t, 2, takes)
-	x.beatAndFetch(t, peer, wire.RouterHeartbeat{Config: 2, ConfigAgeMS: age.Milliseconds(), EveryMS: 250})
+	x, peer := newFetching(t, 2, takes)
+	x.heartbeatAndFetch(t, peer, wire.RouterHeartbeat{Config: 2, ConfigAgeMS: age.Milliseconds(), EveryMS: 250})
 	assert.Equal(t, x.Config.Version(), int64(2))
 	assert.Assert(t, x.Config.Age(x.Clock()) >= age+takes, "age %v", x.Config.Age(x.Clock()))
 }
 
-// A peer says that version 9 is the newest, and is started again before it is asked
-// for it: it gives version 5. That is newer than the one in force here, but known not
-// to be the newest: what it lacks must not be refused for good.
-func TestOlderConfigurationThanToldIsNotConfirmed(t *testing.T) {
-	x, peer := fetching(t, 5, 0)
+// A restarted peer returns an older version than it advertised. That version is applied
+// but does not count as the newest.
+func TestConfigurationOlderThanAdvertisedIsNotConfirmed(t *testing.T) {
+	x, peer := newFetching(t, 5, 0)
 	before := x.Config.LastConfirmed()
-	x.beatAndFetch(t, peer, wire.RouterHeartbeat{Config: 9, ConfigAgeMS: 100, EveryMS: 250})
+	x.heartbeatAndFetch(t, peer, wire.RouterHeartbeat{Config: 9, ConfigAgeMS: 100, EveryMS: 250})
 	assert.Equal(t, x.Config.Version(), int64(5))
 	assert.Equal(t, x.Config.LastConfirmed(), before)
 }
--- a/internal/transport/peers/fetch.go
+++ b/internal/transport/peers/fetch.go
@@ -12,12 +12,13 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/wire"
 )
 
-// startFetch brings the configuration up to what a peer's message told, and then takes
-// the message for what it said when it arrived. Counted from the end of the fetch, which
-// waits for the store and the peer, the configuration would be taken for seconds younger
-// than it is, and what it lacks be refused for good. A peer that was started again may
-// give an older version than it told of; that one is not confirmed.
-func (x *Exchange) startFetch(from string, b wire.RouterHeartbeat, arrived time.Duration) {
+// startFetch fetches the configuration that a peer advertised in a heartbeat, then
+// confirms it as of the arrival of the heartbeat. The time of the fetch would be too late:
+// the fetch waits for the store and the peer, so the configuration would count as seconds
+// newer than it is, and requests for routes that it lacks would be rejected permanently. A
+// restarted peer may return an older version than it advertised. That version is not
+// confirmed.
+func (x *Exchange) startFetch(from string, heartbeat wire.RouterHeartbeat, arrived time.Duration) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.fetching {
@@ -25,9 +26,9 @@
 	}
 	x.fetching = true
 	go func() {
-		err := x.fetchIfBehind(from, b)
-		if x.Config.Version() >= b.Config {
-			x.confirm(b, arrived)
+		err := x.fetchIfBehind(from, heartbeat)
+		if x.Config.Version() >= heartbeat.Config {
+			x.confirmConfig(heartbeat, arrived)
 		}
 		x.mu.Lock()
 		x.fetching = false
@@ -38,14 +39,15 @@
 	}()
 }
 
-// fetchIfBehind fetches a peer's configuration unless the store told of it first.
-func (x *Exchange) fetchIfBehind(from string, b wire.RouterHeartbeat) error {
+// fetchIfBehind fetches a peer's configuration unless the store delivers that version
+// first.
+func (x *Exchange) fetchIfBehind(from string, heartbeat wire.RouterHeartbeat) error {
 	if x.HasTraffic() || x.PeerHasTraffic() {
-		time.Sleep(limits.Jitter(fetchAfter))
+		time.Sleep(limits.Jitter(fetchDelay))
 	} else {
-		time.Sleep(restingFetchAfter)
+		time.Sleep(idleFetchDelay)
 	}
-	if x.Config.Version() >= b.Config {
+	if x.Config.Version() >= heartbeat.Config {
 		return nil
 	}
 	return x.fetch(from)
@@ -54,36 +56,36 @@
 func (x *Exchange) fetch(from string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
-	var rep wire.RouterConfig
-	if err := x.Pool.Call(ctx, from, wire.MethodRouterConfig, wire.RouterAsk{Servers: x.Catalog.Empty()}, &rep); err != nil {
+	var reply wire.RouterConfig
+	if err := x.Pool.Call(ctx, from, wire.MethodRouterConfig, wire.RouterAsk{Servers: x.Catalog.Empty()}, &reply); err != nil {
 		return err
 	}
-	cfg, err := x.Decode(rep.Raw)
+	cfg, err := x.Decode(reply.Raw)
 	if err != nil {
 		return err
 	}
-	if x.Catalog.Seed(rep.Servers) {
-		klog.InfoS("backend servers taken from a peer", "peer", from, "servers", len(rep.Servers))
+	if x.Catalog.Seed(reply.Servers) {
+		klog.InfoS("backend servers copied from a peer", "peer", from, "servers", len(reply.Servers))
 	}
 	before := x.Config.Version()
-	if x.Config.Apply(cfg, rep.Raw) {
+	if x.Config.Apply(cfg, reply.Raw) {
 		klog.InfoS("configuration in force", "version", cfg.Version, "before", before, "source", "peer", "peer", from)
 	}
 	return nil
 }
 
-// config gives a peer the configuration in force.
-func (x *Exchange) config(_ context.Context, _ string, ask wire.RouterAsk) (wire.RouterConfig, error) {
-	p := x.Config.Raw()
-	if p == nil {
+// handleConfigRequest returns the configuration in force to a peer.
+func (x *Exchange) handleConfigRequest(_ context.Context, _ string, req wire.RouterAsk) (wire.RouterConfig, error) {
+	raw := x.Config.Raw()
+	if raw == nil {
 		return wire.RouterConfig{}, errors.WithStack(fault.New(fault.NotReady, "no configuration yet"))
 	}
-	if ask.VersionOnly {
-		return wire.RouterConfig{Version: p.Version}, nil
+	if req.VersionOnly {
+		return wire.RouterConfig{Version: raw.Version}, nil
 	}
-	rep := wire.RouterConfig{Version: p.Version, Raw: p.Raw}
-	if ask.Servers {
-		rep.Servers = x.Catalog.Entries()
+	reply := wire.RouterConfig{Version: raw.Version, Raw: raw.Raw}
+	if req.Servers {
+		reply.Servers = x.Catalog.Entries()
 	}
-	return rep, nil
+	return reply, nil
 }
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -9,95 +9,95 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/wire"
 )
 
-func (x *Exchange) compose() wire.RouterHeartbeat {
-	var uses []wire.RouterUse
+func (x *Exchange) newHeartbeat() wire.RouterHeartbeat {
+	var usage []wire.RouterUse
 	for inc, u := range x.Usage.OwnUsage() {
-		uses = append(uses, wire.RouterUse{Server: inc, TokenLayers: int64(u.TokenLayers), Streams: int64(u.Streams), Firsts: int64(u.FirstStageStreams), Reading: u.PrefillLoad})
+		usage = append(usage, wire.RouterUse{Server: inc, TokenLayers: int64(u.TokenLayers), Streams: int64(u.Streams), Firsts: int64(u.FirstStageStreams), Reading: u.PrefillLoad})
 	}
-	var pipes []wire.RouterPipe
+	var rates []wire.RouterPipe
 	for pair, rate := range x.Interconnect.OwnRates() {
-		pipes = append(pipes, wire.RouterPipe{A: pair.A, B: pair.B, Rate: rate})
+		rates = append(rates, wire.RouterPipe{A: pair.A, B: pair.B, Rate: rate})
 	}
-	spares := x.RetryBorrower.Budget.SpareTokens() // it counts the routers, so before the lock
+	spareTokens := x.RetryBorrower.Budget.SpareTokens() // locks x.mu to count the routers
 	now := x.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	suspects := remaining(x.suspects, now)
-	refusing := remaining(x.refusing, now)
+	suspects := remainingMS(x.suspects, now)
+	refusing := remainingMS(x.refusing, now)
 	return wire.RouterHeartbeat{
 		Config:      x.Config.Version(),
 		ConfigAgeMS: x.Config.Age(x.Clock()).Milliseconds(),
 		Revision:    x.Revision(),
-		Uses:        uses,
-		Pipes:       pipes,
+		Uses:        usage,
+		Pipes:       rates,
 		Slow:        x.Usage.OwnSlowdowns(),
 		Suspects:    suspects,
 		Refusing:    refusing,
-		Spares:      spares,
+		Spares:      spareTokens,
 		Traffic:     x.HasTraffic(),
 	}
 }
 
-// remaining gives the milliseconds left of each time and drops those that are
-// over.
-func remaining(until map[model.Incarnation]time.Time, now time.Time) map[model.Incarnation]int64 {
+// remainingMS returns the remaining milliseconds of each deadline and deletes the expired
+// ones.
+func remainingMS(deadlines map[model.Incarnation]time.Time, now time.Time) map[model.Incarnation]int64 {
 	out := map[model.Incarnation]int64{}
-	for inc, t := range until {
-		if left := t.Sub(now); left > 0 {
-			out[inc] = left.Milliseconds()
+	for inc, t := range deadlines {
+		if remaining := t.Sub(now); remaining > 0 {
+			out[inc] = remaining.Milliseconds()
 		} else {
-			delete(until, inc)
+			delete(deadlines, inc)
 		}
 	}
 	return out
 }
 
-// heartbeat takes in a peer's message.
-func (x *Exchange) heartbeat(from string, body []byte) error {
+// handleHeartbeat applies a heartbeat of a peer.
+func (x *Exchange) handleHeartbeat(from string, body []byte) error {
 	arrived := x.Clock()
 	b, err := wire.UnpackRouterHeartbeat(body)
 	if err != nil {
 		return err
 	}
 	x.mu.Lock()
-	x.seen[from] = x.Now()
-	x.traffic = x.traffic || b.Traffic
+	x.lastHeartbeat[from] = x.Now()
+	x.peerHasTraffic = x.peerHasTraffic || b.Traffic
 	x.mu.Unlock()
-	uses := make(map[model.Incarnation]chains.Usage, len(b.Uses))
+	usage := make(map[model.Incarnation]chains.Usage, len(b.Uses))
 	for _, u := range b.Uses {
-		uses[u.Server] = chains.Usage{TokenLayers: float64(u.TokenLayers), Streams: float64(u.Streams), FirstStageStreams: float64(u.Firsts), PrefillLoad: u.Reading}
+		usage[u.Server] = chains.Usage{TokenLayers: float64(u.TokenLayers), Streams: float64(u.Streams), FirstStageStreams: float64(u.Firsts), PrefillLoad: u.Reading}
 	}
-	good := trustedHeartbeats*time.Duration(b.EveryMS)*time.Millisecond + trustSlack
-	x.Usage.SetPeerUsage(from, uses, good)
-	pipes := make(map[chains.DomainPair]float64, len(b.Pipes))
+	validity := validIntervals*time.Duration(b.EveryMS)*time.Millisecond + validSlack
+	x.Usage.SetPeerUsage(from, usage, validity)
+	rates := make(map[chains.DomainPair]float64, len(b.Pipes))
 	for _, p := range b.Pipes {
-		pipes[chains.DomainPair{A: p.A, B: p.B}] = p.Rate
+		rates[chains.DomainPair{A: p.A, B: p.B}] = p.Rate
 	}
-	x.Interconnect.SetPeerRates(from, pipes, good)
+	x.Interconnect.SetPeerRates(from, rates, validity)
 	for inc, factor := range b.Slow {
 		x.Usage.SetPeerSlowdown(inc, factor)
 	}
 	for inc := range b.Suspects {
 		x.HandlePeerSuspicion(inc)
 	}
-	for inc, left := range b.Refusing {
-		x.HandlePeerRefusal(inc, x.Now().Add(limits.Jitter(time.Duration(left)*time.Millisecond)))
+	for inc, remaining := range b.Refusing {
+		x.HandlePeerRefusal(inc, x.Now().Add(limits.Jitter(time.Duration(remaining)*time.Millisecond)))
 	}
-	x.RetryBorrower.SetPeerTokens(from, b.Spares, good)
+	x.RetryBorrower.SetPeerTokens(from, b.Spares, validity)
 	x.ObservePeerRevision(b.Revision)
-	mine := x.Config.Version()
+	own := x.Config.Version()
 	switch {
-	case b.Config == mine && mine > 0:
-		x.confirm(b, arrived)
-	case b.Config > mine:
+	case b.Config == own && own > 0:
+		x.confirmConfig(b, arrived)
+	case b.Config > own:
 		x.startFetch(from, b, arrived)
 	}
 	return nil
 }
 
-// confirm takes in a peer's word, as of when its message arrived, that the version in
-// force here was not older than the newest.
-func (x *Exchange) confirm(b wire.RouterHeartbeat, arrived time.Duration) {
+// confirmConfig records that the version in force here was still the newest when the peer
+// last heard from the store. arrived is the time at which the heartbeat arrived.
+func (x *Exchange) confirmConfig(b wire.RouterHeartbeat, arrived time.Duration) {
 	age := time.Duration(b.ConfigAgeMS)*time.Millisecond + sendTimeout
 	x.Config.Confirm(arrived - age)
 }
--- a/internal/transport/peers/news.go
+++ b/internal/transport/peers/news.go
@@ -22,74 +22,80 @@
 )
 
 const (
-	// packFrom is the size of a value, in bytes, from which it is compressed: entries
-	// of engines and routers have some hundred bytes.
-	packFrom = 4 << 10
-	// mostValue bounds a value as it is sent, in bytes: to a dozen routers through the
-	// link of a small instance, 20 Mbit/s, it takes a fifth of a second. What is larger
-	// each of them reads from the store.
-	mostValue = 32 << 10
-	// mostUnpacked bounds it once read; the store's values are at most 1 MB.
-	mostUnpacked = 8 << 20
+	// minCompressSize is the size in bytes from which values are compressed. Entries of
+	// engines and routers are smaller.
+	minCompressSize = 4 << 10
+	// maxValueSize limits a value on the wire, in bytes. Each router reads larger values
+	// from the store, because sending them to a dozen routers would saturate the link of a
+	// small instance.
+	maxValueSize = 32 << 10
+	// maxDecompressedSize limits a decompressed value, in bytes. Values in the store have
+	// at most 1 MB.
+	maxDecompressedSize = 8 << 20
 )
 
-// Updates carries what watchers of the store tell the routers that ask them.
+// Updates carries updates from the routers that watch the store to the routers that poll
+// them.
 type Updates struct {
 	Pool *link.Pool
-	// WaitForUpdates answers a question from this router's picture.
-	WaitForUpdates func(ctx context.Context, after model.Revision, most time.Duration) (follow.Updates, error)
+	// WaitForUpdates returns the updates after a revision and waits for them up to a
+	// timeout.
+	WaitForUpdates func(ctx context.Context, after model.Revision, timeout time.Duration) (follow.Updates, error)
 
-	mu   sync.Mutex
-	last encoded
+	mu    sync.Mutex
+	cache encodedItems
 }
 
-// encoded is the list of items between two revisions. A dozen routers ask for the same
-// at one moment, and a small instance takes longer to encode it than to send it.
-type encoded struct {
+// encodedItems caches the encoded items between two revisions. Many routers poll for the
+// same revision at once.
+type encodedItems struct {
 	after, revision model.Revision
-	whole           bool
+	full            bool
 	items           json.RawMessage
 }
 
-// Register adds the method that peers call.
-func (n *Updates) Register(s *link.Server) { s.Register(wire.MethodRouterNews, link.Handle(n.answer)) }
+// Register registers the method that peers call.
+func (n *Updates) Register(s *link.Server) {
+	s.Register(wire.MethodRouterNews, link.Handle(n.handleRequest))
+}
 
-// Poll asks a router for news.
+// Poll long-polls a router for updates after a revision. The router waits up to wait for
+// them.
 func (n *Updates) Poll(ctx context.Context, addr string, after model.Revision, wait time.Duration) (follow.Updates, error) {
-	var rep wire.RouterNews
-	ask := wire.RouterNewsAsk{After: after, WaitMS: wait.Milliseconds()}
-	if err := n.Pool.Call(ctx, addr, wire.MethodRouterNews, ask, &rep); err != nil {
+	var reply wire.RouterNews
+	req := wire.RouterNewsAsk{After: after, WaitMS: wait.Milliseconds()}
+	if err := n.Pool.Call(ctx, addr, wire.MethodRouterNews, req, &reply); err != nil {
 		n.Pool.Reset(addr)
 		return follow.Updates{}, err
 	}
-	items, err := decodeItems(rep.Items, after, rep.Whole)
+	items, err := decodeItems(reply.Items, after, reply.Whole)
 	if err != nil {
 		return follow.Updates{}, err
 	}
 	return follow.Updates{
-		Answer:  replica.Answer{Items: items, Revision: rep.Revision, Whole: rep.Whole},
-		Age:     milliseconds(rep.AgeMS),
-		Elapsed: milliseconds(rep.HeldMS),
-		Grace:   milliseconds(rep.GraceMS),
+		Answer:  replica.Answer{Items: items, Revision: reply.Revision, Whole: reply.Whole},
+		Age:     milliseconds(reply.AgeMS),
+		Elapsed: milliseconds(reply.HeldMS),
+		Grace:   milliseconds(reply.GraceMS),
 	}, nil
 }
 
-// answer answers a peer's Ask.
-func (n *Updates) answer(ctx context.Context, from string, ask wire.RouterNewsAsk) (wire.RouterNews, error) {
-	news, err := n.WaitForUpdates(ctx, ask.After, milliseconds(ask.WaitMS))
+// handleRequest answers a peer's Poll.
+func (n *Updates) handleRequest(ctx context.Context, from string, req wire.RouterNewsAsk) (wire.RouterNews, error) {
+	updates, err := n.WaitForUpdates(ctx, req.After, milliseconds(req.WaitMS))
 	if err != nil {
 		return wire.RouterNews{}, errors.WithStack(fault.New(fault.NotReady, "%v", err))
 	}
-	if news.Whole {
-		klog.InfoS("the whole picture of the store is given to a peer", "peer", from, "after", ask.After, "revision", news.Revision, "items", len(news.Items))
+	if updates.Whole {
+		klog.InfoS("full contents of the store sent to a peer", "peer", from, "after", req.After, "revision", updates.Revision, "items", len(updates.Items))
 	}
-	items, err := n.encode(ask.After, news.Answer)
+	items, err := n.encode(req.After, updates.Answer)
 	return wire.RouterNews{
-		Revision: news.Revision,
-		Whole:    news.Whole,
-		AgeMS:    roundUp(news.Age),
-		HeldMS:   news.Elapsed.Milliseconds(),
-		GraceMS:  news.Grace.Milliseconds(),
+		Revision: updates.Revision,
+		Whole:    updates.Whole,
+		AgeMS:    ceilMilliseconds(updates.Age),
+		HeldMS:   updates.Elapsed.Milliseconds(),
+		GraceMS:  updates.Grace.Milliseconds(),
 		Items:    items,
 	}, err
 }
@@ -97,8 +103,8 @@
 func (n *Updates) encode(after model.Revision, a replica.Answer) (json.RawMessage, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.last.items != nil && n.last.after == after && n.last.revision == a.Revision && n.last.whole == a.Whole {
-		return n.last.items, nil
+	if n.cache.items != nil && n.cache.after == after && n.cache.revision == a.Revision && n.cache.full == a.Whole {
+		return n.cache.items, nil
 	}
 	items := make([]wire.RouterNewsItem, 0, len(a.Items))
 	for _, it := range a.Items {
@@ -110,27 +116,27 @@
 	}
 	raw, err := json.Marshal(items)
 	if err != nil {
-		return nil, errors.Wrap(err, "encode news")
+		return nil, errors.Wrap(err, "encode updates")
 	}
-	n.last = encoded{after: after, revision: a.Revision, whole: a.Whole, items: raw}
+	n.cache = encodedItems{after: after, revision: a.Revision, full: a.Whole, items: raw}
 	return raw, nil
 }
 
-// decodeItems reads a list of items. One that is no news, or names no key, was not told
-// by a router of ours that works.
-func decodeItems(raw json.RawMessage, after model.Revision, whole bool) ([]replica.Item, error) {
+// decodeItems decodes a list of items. It returns an error if an item has no key or is not
+// after the requested revision, because no correct router sends such items.
+func decodeItems(raw json.RawMessage, after model.Revision, full bool) ([]replica.Item, error) {
 	var items []wire.RouterNewsItem
 	if err := json.Unmarshal(raw, &items); err != nil {
-		return nil, errors.Wrap(err, "news cannot be read")
+		return nil, errors.Wrap(err, "decode updates")
 	}
 	out := make([]replica.Item, 0, len(items))
 	for _, it := range items {
-		if it.Key == "" || it.Revision <= 0 || !whole && it.Revision <= after {
-			return nil, errors.Errorf("news of key %.40q at revision %d, asked for after %d", it.Key, it.Revision, after)
+		if it.Key == "" || it.Revision <= 0 || !full && it.Revision <= after {
+			return nil, errors.Errorf("update of key %.40q has revision %d, want one after %d", it.Key, it.Revision, after)
 		}
-		value, err := unpack(it)
+		value, err := decompress(it)
 		if err != nil {
-			return nil, errors.WithMessagef(err, "news of key %.40q", it.Key)
+			return nil, errors.WithMessagef(err, "update of key %.40q", it.Key)
 		}
 		out = append(out, replica.Item{
 			Item:    platform.Item{Key: it.Key, Value: value, Revision: it.Revision, Lease: platform.LeaseID(it.Lease), Removed: it.Removed},
@@ -140,50 +146,51 @@
 	return out, nil
 }
 
-// encodeItem makes the wire's form of an item. A configuration of some hundred routes
-// compresses to a tenth of its size; what is large all the same goes without its value.
+// encodeItem converts an item to its wire format. Large values are compressed. A value
+// that is still too large is omitted.
 func encodeItem(it replica.Item) (wire.RouterNewsItem, error) {
 	w := wire.RouterNewsItem{Key: it.Key, Value: it.Value, Revision: it.Revision, Lease: int64(it.Lease), Removed: it.Removed, Omitted: it.Omitted}
-	if len(it.Value) < packFrom {
+	if len(it.Value) < minCompressSize {
 		return w, nil
 	}
-	var packed bytes.Buffer
-	z, err := flate.NewWriter(&packed, flate.BestSpeed)
+	var compressed bytes.Buffer
+	z, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
-		return w, errors.Wrap(err, "compress news")
+		return w, errors.Wrap(err, "compress update")
 	}
 	if _, err := z.Write(it.Value); err != nil {
-		return w, errors.Wrap(err, "compress news")
+		return w, errors.Wrap(err, "compress update")
 	}
 	if err := z.Close(); err != nil {
-		return w, errors.Wrap(err, "compress news")
+		return w, errors.Wrap(err, "compress update")
 	}
-	w.Value, w.Packed = packed.Bytes(), true
-	if packed.Len() > mostValue {
+	w.Value, w.Packed = compressed.Bytes(), true
+	if compressed.Len() > maxValueSize {
 		w.Value, w.Packed, w.Omitted = nil, false, true
 	}
 	return w, nil
 }
 
-func unpack(it wire.RouterNewsItem) ([]byte, error) {
+func decompress(it wire.RouterNewsItem) ([]byte, error) {
 	if !it.Packed {
 		return it.Value, nil
 	}
 	z := flate.NewReader(bytes.NewReader(it.Value))
 	defer z.Close()
-	value, err := io.ReadAll(io.LimitReader(z, mostUnpacked+1))
+	value, err := io.ReadAll(io.LimitReader(z, maxDecompressedSize+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "value cannot be read")
+		return nil, errors.Wrap(err, "decompress value")
 	}
-	if len(value) > mostUnpacked {
-		return nil, errors.New("value is too long")
+	if len(value) > maxDecompressedSize {
+		return nil, errors.New("decompressed value is too long")
 	}
 	return value, nil
 }
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// roundUp gives whole milliseconds, so that news are not told as younger than they are.
-func roundUp(d time.Duration) int64 {
+// ceilMilliseconds rounds up to whole milliseconds, so that updates never appear newer
+// than they are.
+func ceilMilliseconds(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
--- a/internal/transport/peers/news_test.go
+++ b/internal/transport/peers/news_test.go
@@ -18,34 +18,35 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/link"
 )
 
-// telling is a router that answers each question with the same news.
-func telling(t *testing.T, news follow.Updates, err error) (asker *Updates, addr string) {
+// newUpdatesPair returns a client and the address of a router that answers each poll with
+// the same updates.
+func newUpdatesPair(t *testing.T, updates follow.Updates, err error) (client *Updates, addr string) {
 	l, lerr := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, lerr)
-	serving, stop := context.WithCancel(context.Background())
-	srv := link.NewServer(stampOf(l.Addr().String()))
-	n := &Updates{WaitForUpdates: func(context.Context, model.Revision, time.Duration) (follow.Updates, error) { return news, err }}
+	ctx, stop := context.WithCancel(context.Background())
+	srv := link.NewServer(metadataOf(l.Addr().String()))
+	n := &Updates{WaitForUpdates: func(context.Context, model.Revision, time.Duration) (follow.Updates, error) { return updates, err }}
 	n.Register(srv)
-	ended := make(chan error, 1)
-	go func() { ended <- srv.Serve(serving, l) }()
-	asker = &Updates{Pool: link.NewPool(stampOf("self:1"))}
+	done := make(chan error, 1)
+	go func() { done <- srv.Serve(ctx, l) }()
+	client = &Updates{Pool: link.NewPool(metadataOf("self:1"))}
 	t.Cleanup(func() {
 		stop()
-		asker.Pool.Close()
-		assert.NilError(t, <-ended)
+		client.Pool.Close()
+		assert.NilError(t, <-done)
 	})
-	return asker, l.Addr().String()
+	return client, l.Addr().String()
 }
 
-// What a watcher knows arrives as it is, small and large values, removals and ages; what
-// does not compress well is left to be read from the store.
-func TestNewsArriveAsTold(t *testing.T) {
+// Values, removals and ages arrive as sent. A value that stays too large after compression
+// is omitted.
+func TestUpdatesArriveUnchanged(t *testing.T) {
 	routes := bytes.Repeat([]byte(`{"name":"r-1","prefix":"/a/","timeout_ms":2500},`), 5000)
-	noise := make([]byte, 2*mostValue)
+	noise := make([]byte, 2*maxValueSize)
 	for i := range noise {
 		noise[i] = byte(rand.Uint32())
 	}
-	told := follow.Updates{
+	sent := follow.Updates{
 		Answer: replica.Answer{Revision: 9, Items: []replica.Item{
 			{Item: platform.Item{Key: "servers/a", Value: []byte("entry"), Revision: 5, Lease: 7}},
 			{Item: platform.Item{Key: "servers/b", Revision: 6, Removed: true}},
@@ -54,59 +55,59 @@
 		}},
 		Age: 1500*time.Millisecond + time.Microsecond, Elapsed: 30 * time.Millisecond, Grace: time.Second,
 	}
-	n, addr := telling(t, told, nil)
+	n, addr := newUpdatesPair(t, sent, nil)
 	got, err := n.Poll(t.Context(), addr, 4, time.Second)
 	assert.NilError(t, err)
 	assert.Assert(t, got.Items[3].Omitted && got.Items[3].Value == nil)
-	assert.Equal(t, got.Age, 1501*time.Millisecond, "never younger than it is")
-	told.Items[3].Omitted, told.Items[3].Value = true, nil
-	told.Age = got.Age
-	assert.DeepEqual(t, got, told)
+	assert.Equal(t, got.Age, 1501*time.Millisecond, "ages are rounded up")
+	sent.Items[3].Omitted, sent.Items[3].Value = true, nil
+	sent.Age = got.Age
+	assert.DeepEqual(t, got, sent)
 }
 
-// A router that hears from the store through others says so, and is not believed.
-func TestOnlyWatchersAnswer(t *testing.T) {
-	n, addr := telling(t, follow.Updates{}, follow.ErrNotWatching)
+// A router that itself polls a peer must not be used as a source of updates.
+func TestPollOfARouterThatDoesNotWatchFails(t *testing.T) {
+	n, addr := newUpdatesPair(t, follow.Updates{}, follow.ErrNotWatching)
 	_, err := n.Poll(t.Context(), addr, 4, time.Second)
 	assert.ErrorContains(t, err, follow.ErrNotWatching.Error())
 }
 
-// News that are none (older than asked for, without a key, cut short, or that would fill
-// the memory) are dropped as a whole: taken in part they would hide what is missing.
-func TestNewsThatAreNone(t *testing.T) {
+// Items with an old revision or without a key, truncated lists and values that decompress
+// to too much memory are errors. Applying a part of them would hide what is missing.
+func TestMalformedUpdatesAreRejectedAsAWhole(t *testing.T) {
 	for _, raw := range []string{
 		`[{"k":"a","r":4}]`, `[{"k":"a","r":-1}]`, `[{"r":5}]`, `[{"k":"a","r":5},{"k":"b","r":3}]`, `[{"k":"a","r":5,"z":true,"v":"AAAA"}]`, `[{"k":"a"`, `{}`, ``,
 	} {
 		_, err := decodeItems([]byte(raw), 4, false)
 		assert.Assert(t, err != nil, raw)
 	}
-	bomb, err := encodeItem(replica.Item{Item: platform.Item{Key: "a", Value: make([]byte, mostUnpacked+1), Revision: 5}})
+	oversized, err := encodeItem(replica.Item{Item: platform.Item{Key: "a", Value: make([]byte, maxDecompressedSize+1), Revision: 5}})
 	assert.NilError(t, err)
-	assert.Assert(t, bomb.Packed, "some kilobytes on the wire")
-	_, err = unpack(bomb)
+	assert.Assert(t, oversized.Packed, "small on the wire")
+	_, err = decompress(oversized)
 	assert.ErrorContains(t, err, "too long")
 }
 
-// A dozen routers ask for the same changes at one moment; the list is encoded once.
-func TestNewsAreEncodedOnce(t *testing.T) {
+// Many routers poll for the same revision at once.
+func TestUpdatesAreEncodedOnce(t *testing.T) {
 	n := &Updates{}
-	answer := func(revision model.Revision) replica.Answer {
+	changes := func(revision model.Revision) replica.Answer {
 		return replica.Answer{Revision: revision, Items: []replica.Item{{Item: platform.Item{Key: fmt.Sprint("k", revision), Revision: revision}}}}
 	}
-	first, err := n.encode(4, answer(5))
+	first, err := n.encode(4, changes(5))
 	assert.NilError(t, err)
-	again, err := n.encode(4, answer(5))
+	again, err := n.encode(4, changes(5))
 	assert.NilError(t, err)
 	assert.Assert(t, &first[0] == &again[0])
 	for _, other := range []struct{ after, revision model.Revision }{{3, 5}, {4, 6}} {
-		raw, err := n.encode(other.after, answer(other.revision))
+		raw, err := n.encode(other.after, changes(other.revision))
 		assert.NilError(t, err)
 		assert.Assert(t, &raw[0] != &first[0])
 	}
 }
 
-// Whatever bytes a peer sends, they are news or an error.
-func FuzzNews(f *testing.F) {
+// Arbitrary bytes decode to valid updates or an error.
+func FuzzUpdates(f *testing.F) {
 	f.Add([]byte(`[{"k":"servers/a","v":"e30=","r":5,"l":7},{"k":"b","r":6,"d":true}]`))
 	f.Add([]byte(`[{"k":"op/config","z":true,"v":"AwA=","r":7}]`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/transport/peers/pace.go
+++ b/internal/transport/peers/pace.go
@@ -11,61 +11,62 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/wire"
 )
 
-// Run tells the peers until ctx ends.
+// Run sends heartbeats to the peers until ctx is done.
 func (x *Exchange) Run(ctx context.Context) {
 	for round := 0; ; round++ {
-		p := x.pace()
+		s := x.schedule()
 		select {
-		case <-time.After(p.near):
-			x.tell(ctx, p, round)
+		case <-time.After(s.nearInterval):
+			x.sendRound(ctx, s, round)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// pace is how often peers are told.
-type pace struct {
-	// near is between two messages to a router of the own failure domain. Each other
-	// one is told every rounds-th time.
-	near   time.Duration
-	rounds int
+// schedule determines how often heartbeats are sent. Near peers are in the own failure
+// domain, far peers are in others.
+type schedule struct {
+	// nearInterval is the interval between two heartbeats to a near peer and the duration
+	// of a round. Each far peer gets a heartbeat in every rounds-th round.
+	nearInterval time.Duration
+	rounds       int
 }
 
-func (p pace) far() time.Duration { return time.Duration(p.rounds) * p.near }
+func (s schedule) farInterval() time.Duration { return time.Duration(s.rounds) * s.nearInterval }
 
-// of is the time between two messages to or from a peer.
-func (p pace) of(near bool) time.Duration {
+// interval returns the interval between two heartbeats to or from a peer.
+func (s schedule) interval(near bool) time.Duration {
 	if near {
-		return p.near
+		return s.nearInterval
 	}
-	return p.far()
+	return s.farInterval()
 }
 
-func (x *Exchange) pace() pace {
-	near, far := x.split(x.peers())
-	return paceOf(len(near), len(far))
+func (x *Exchange) schedule() schedule {
+	near, far := x.splitByDomain(x.peers())
+	return newSchedule(len(near), len(far))
 }
 
-func paceOf(near, far int) pace {
-	p := pace{near: heartbeatInterval, rounds: 1}
-	if share := maxHeartbeats * nearShare; float64(near) > share*heartbeatInterval.Seconds() && far > 0 {
-		p.near = time.Duration(float64(near) / share * float64(time.Second))
+func newSchedule(near, far int) schedule {
+	s := schedule{nearInterval: heartbeatInterval, rounds: 1}
+	if nearRate := maxHeartbeats * nearShare; float64(near) > nearRate*heartbeatInterval.Seconds() && far > 0 {
+		s.nearInterval = time.Duration(float64(near) / nearRate * float64(time.Second))
 	} else if far == 0 {
-		p.near = max(heartbeatInterval, time.Duration(near)*time.Second/maxHeartbeats)
+		s.nearInterval = max(heartbeatInterval, time.Duration(near)*time.Second/maxHeartbeats)
 	}
-	left := maxHeartbeats*p.near.Seconds() - float64(near) // messages to others, a round
-	p.rounds = max(int(math.Ceil(float64(far)/left)), 1)
-	return p
+	farPerRound := maxHeartbeats*s.nearInterval.Seconds() - float64(near)
+	s.rounds = max(int(math.Ceil(float64(far)/farPerRound)), 1)
+	return s
 }
 
-// split divides peers into those of the own failure domain and the others. Whose is
-// not known counts as another's.
-func (x *Exchange) split(peers []string) (near, far []string) {
+// splitByDomain divides peers into those of the own failure domain and the others. Peers
+// whose failure domain is unknown count as others.
+func (x *Exchange) splitByDomain(peers []string) (near, far []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, addr := range peers {
-		if x.near[addr] {
+		if x.sameDomain[addr] {
 			near = append(near, addr)
 		} else {
 			far = append(far, addr)
@@ -74,55 +75,56 @@
 	return near, far
 }
 
-// tell sends this round's messages.
-func (x *Exchange) tell(ctx context.Context, p pace, round int) {
-	near, far := x.split(x.peers())
+// sendRound sends the heartbeats of one round.
+func (x *Exchange) sendRound(ctx context.Context, s schedule, round int) {
+	near, far := x.splitByDomain(x.peers())
 	slices.Sort(far)
-	var turn []string
+	var due []string
 	for i, addr := range far {
-		if (i+round)%p.rounds == 0 {
-			turn = append(turn, addr)
+		if (i+round)%s.rounds == 0 {
+			due = append(due, addr)
 		}
 	}
-	heartbeat := x.compose()
-	x.send(ctx, heartbeat, p.near, near)
-	x.send(ctx, heartbeat, p.far(), turn)
+	heartbeat := x.newHeartbeat()
+	x.sendHeartbeats(ctx, heartbeat, s.nearInterval, near)
+	x.sendHeartbeats(ctx, heartbeat, s.farInterval(), due)
 }
 
-// send sends a message to peers that are told every so often.
-func (x *Exchange) send(ctx context.Context, b wire.RouterHeartbeat, every time.Duration, peers []string) {
-	b.EveryMS = every.Milliseconds()
-	notice := x.Pool.NewNotification(wire.MethodRouterHeartbeat, b.Pack())
-	for _, addr := range x.idle(peers) {
+// sendHeartbeats sends a heartbeat to peers without waiting for them. interval is the time
+// between two heartbeats to each of them.
+func (x *Exchange) sendHeartbeats(ctx context.Context, heartbeat wire.RouterHeartbeat, interval time.Duration, peers []string) {
+	heartbeat.EveryMS = interval.Milliseconds()
+	notification := x.Pool.NewNotification(wire.MethodRouterHeartbeat, heartbeat.Pack())
+	for _, addr := range x.startSends(peers) {
 		go func() {
-			defer x.free(addr)
+			defer x.endSend(addr)
 			ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 			defer cancel()
-			if err := x.Pool.Send(ctx, addr, notice); err != nil {
-				klog.V(1).InfoS("peer not told", "peer", addr, "err", err)
+			if err := x.Pool.Send(ctx, addr, notification); err != nil {
+				klog.V(1).InfoS("heartbeat not sent", "peer", addr, "err", err)
 				x.Pool.Reset(addr)
 			}
 		}()
 	}
 }
 
-// idle marks peers as being told and lists them, those left out to whom a message is
-// still under way.
-func (x *Exchange) idle(peers []string) []string {
+// startSends returns the peers to which no message is in flight and marks them as having
+// one.
+func (x *Exchange) startSends(peers []string) []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var out []string
 	for _, addr := range peers {
-		if !x.busy[addr] {
-			x.busy[addr] = true
+		if !x.sending[addr] {
+			x.sending[addr] = true
 			out = append(out, addr)
 		}
 	}
 	return out
 }
 
-func (x *Exchange) free(addr string) {
+func (x *Exchange) endSend(addr string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	delete(x.busy, addr)
+	delete(x.sending, addr)
 }
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -1,7 +1,7 @@
-// Package peers is what routers tell each other a few times a second: which
-// configuration is in force, what memory their streams hold at the engines, and
-// which engines they suspect. A router that cannot reach the store learns from
-// those that can.
+// Package peers exchanges state between routers several times a second: the version of the
+// configuration in force, the memory that their streams hold at the engines, and the
+// engines that they suspect. A router that cannot reach the store learns from those that
+// can.
 package peers
 
 import (
@@ -22,42 +22,41 @@
 )
 
 const (
-	// heartbeatInterval is between two messages to a peer, while they are few. A stream
-	// holds memory for a second or more, so a count is a quarter of that old.
+	// heartbeatInterval is the interval between two heartbeats to a peer while there are
+	// few peers. Streams may last only a second, so older counts would be inaccurate.
 	heartbeatInterval = 250 * time.Millisecond
-	// maxHeartbeats is how many messages a router sends a second at most, and hears on
-	// average, however many there are: four a second to each would be 1,500 at 380.
+	// maxHeartbeats is the maximum number of heartbeats that a router sends per second,
+	// and that it receives on average, at any number of routers.
 	maxHeartbeats = 96
-	// nearShare is the part of them that routers of the own failure domain may take.
-	// They begin streams at the same engines as this one: where counts are a second old,
-	// engines are sent more streams than they have places, and the rest queue there.
+	// nearShare is the largest share of maxHeartbeats for routers of the own failure
+	// domain. They start streams at the same engines as this router. With outdated counts,
+	// too many streams are assigned to an engine and queue there.
 	nearShare = 0.5
-	// trustedHeartbeats and trustSlack give how long a peer's counts are believed.
-	trustedHeartbeats = 4
-	trustSlack        = time.Second
-	// sendTimeout bounds handing a message over; a silent peer costs no more.
+	// validIntervals and validSlack determine how long the counts of a peer are valid
+	// after a heartbeat.
+	validIntervals = 4
+	validSlack     = time.Second
+	// sendTimeout is the timeout for sending one message.
 	sendTimeout = 700 * time.Millisecond
-	// fetchTimeout bounds fetching a configuration from a peer.
+	// fetchTimeout is the timeout for fetching a configuration from a peer.
 	fetchTimeout = time.Second
-	// fetchAfter is how long the store is given to tell of a version that a peer
-	// has in force, where this router has an older one. Watches tell within 0.3 s
-	// when the store is there; fetched as well, each version of a quick succession
-	// is sent and decoded twice, and reading it as JSON takes a small router longer
-	// than the requests of that time. Routers that start together would all fetch
-	// from the first one that has a configuration, with all entries of engines: at
-	// hundreds of routers 200 MB there.
-	fetchAfter = 600 * time.Millisecond
-	// restingFetchAfter is that time before callers come, when watches pause for up
-	// to 1.2 s.
-	restingFetchAfter = 1800 * time.Millisecond
-	// peerAlive is how long a peer is counted after its last message.
-	peerAlive = 20 * time.Second
+	// fetchDelay is how long a router waits for the store to deliver a version that a peer
+	// has in force already. Without the delay, each version would be sent and decoded
+	// twice. Routers that start together would also all fetch from the first one that has
+	// a configuration.
+	fetchDelay = 600 * time.Millisecond
+	// idleFetchDelay replaces fetchDelay until callers' requests arrive. Changes are
+	// applied in larger batches then.
+	idleFetchDelay = 1800 * time.Millisecond
+	// peerTimeout is how long a peer counts as alive after its last heartbeat.
+	peerTimeout = 20 * time.Second
 )
 
-// Exchange keeps routers informed of each other.
+// Exchange exchanges state with the other routers. The exported fields are set before
+// Register.
 type Exchange struct {
 	Self         string // link address
-	Domain       string // own failure domain
+	Domain       string // failure domain of this router
 	Seeds        []string
 	Pool         *link.Pool
 	Config       *routes.ActiveConfig
@@ -65,114 +64,115 @@
 	Catalog      *catalog.Catalog
 	Usage        *chains.UsageTracker
 	Interconnect *chains.Interconnect
-	// Revision is that of the store up to which this router's picture is
-	// complete; PeerAt is told a peer's.
+	// Revision returns the store revision up to which this router's contents are complete.
+	// ObservePeerRevision is called with the revision of a peer.
 	Revision            func() model.Revision
 	ObservePeerRevision func(revision model.Revision)
-	// HandlePeerSuspicion is told of engines that a peer suspects.
+	// HandlePeerSuspicion is called with engines that a peer suspects.
 	HandlePeerSuspicion func(engine model.Incarnation)
 	Clock               func() time.Duration
 	Now                 func() time.Time
-	// RetryBorrower holds this router's part of the budget for repeated sends, and what
-	// it borrows.
+	// RetryBorrower holds this router's share of the retry budget and borrows retry tokens
+	// from peers.
 	RetryBorrower *limits.RetryBorrower
-	// HandlePeerRefusal is told of engines that refused work of a peer, until when they
-	// should get none.
+	// HandlePeerRefusal is called with engines that refused requests of a peer and the
+	// time until which they should get none.
 	HandlePeerRefusal func(engine model.Incarnation, until time.Time)
-	// HandleEngineExit is told of engines whose process a peer saw end.
+	// HandleEngineExit is called with engines whose process exited according to a peer.
 	HandleEngineExit func(engine model.Incarnation)
-	// HasTraffic tells whether this router saw callers' requests.
+	// HasTraffic reports whether this router received requests from callers.
 	HasTraffic func() bool
 
-	mu       sync.Mutex
-	members  map[string]leader.Member // by the store's key
-	near     map[string]bool          // addresses of those in the own failure domain
-	seen     map[string]time.Time
-	busy     map[string]bool // a message to the peer is under way
-	traffic  bool            // a peer saw callers' requests
-	fetching bool
-	running  running
-	suspects map[model.Incarnation]time.Time // own suspicions to pass on
-	refusing map[model.Incarnation]time.Time // engines that refused this router's work
+	mu             sync.Mutex
+	members        map[string]leader.Member // by store key
+	sameDomain     map[string]bool          // addresses of peers in the own failure domain
+	lastHeartbeat  map[string]time.Time
+	sending        map[string]bool // a message to the peer is in flight
+	peerHasTraffic bool            // a peer received requests from callers
+	fetching       bool
+	versionQuery   versionQuery
+	suspects       map[model.Incarnation]time.Time // until when this router suspects them
+	refusing       map[model.Incarnation]time.Time // until when they refuse this router's requests
 }
 
-// Register adds the methods that peers call.
+// Register registers the methods that peers call.
 func (x *Exchange) Register(s *link.Server) {
 	x.members = map[string]leader.Member{}
-	x.seen = map[string]time.Time{}
-	x.busy = map[string]bool{}
+	x.lastHeartbeat = map[string]time.Time{}
+	x.sending = map[string]bool{}
 	x.suspects = map[model.Incarnation]time.Time{}
 	x.refusing = map[model.Incarnation]time.Time{}
-	s.RegisterNotification(wire.MethodRouterHeartbeat, x.heartbeat)
-	s.Register(wire.MethodRouterConfig, link.Handle(x.config))
-	s.Register(wire.MethodRouterLend, link.Handle(x.lend))
-	s.Register(wire.MethodRouterGone, link.Handle(x.gone))
+	s.RegisterNotification(wire.MethodRouterHeartbeat, x.handleHeartbeat)
+	s.Register(wire.MethodRouterConfig, link.Handle(x.handleConfigRequest))
+	s.Register(wire.MethodRouterLend, link.Handle(x.handleBorrow))
+	s.Register(wire.MethodRouterGone, link.Handle(x.handleEngineExit))
 }
 
-// SetMembers takes in the routers that are registered in the store, by its keys.
+// SetMembers sets the routers that are registered in the store, by store key.
 func (x *Exchange) SetMembers(members map[string]leader.Member) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.members = members
-	x.near = map[string]bool{}
+	x.sameDomain = map[string]bool{}
 	for _, m := range members {
 		if m.Domain == x.Domain {
-			x.near[m.Address] = true
+			x.sameDomain[m.Address] = true
 		}
 	}
 }
 
-// AnnounceSuspect passes a suspicion on to the peers.
+// AnnounceSuspect announces with the next heartbeats that this router suspects an engine.
 func (x *Exchange) AnnounceSuspect(engine model.Incarnation, until time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.suspects[engine] = until
 }
 
-// AnnounceRefusal tells the peers that an engine refuses work.
+// AnnounceRefusal announces with the next heartbeats that an engine refuses requests.
 func (x *Exchange) AnnounceRefusal(engine model.Incarnation, until time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.refusing[engine] = until
 }
 
-// AnnounceEngineExit tells the peers at once that an engine's process ended: their streams
-// wait for it, and the next exchange would come too late for them.
+// AnnounceEngineExit notifies the peers at once that an engine process exited, because
+// their streams wait for it. It does not wait for the peers.
 func (x *Exchange) AnnounceEngineExit(engine model.Incarnation) {
 	for _, addr := range x.peers() {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 			defer cancel()
 			if err := x.Pool.Notify(ctx, addr, wire.MethodRouterGone, wire.RouterGone{Server: engine}); err != nil {
-				klog.V(1).InfoS("peer not told of an engine's end", "peer", addr, "server", engine, "err", err)
+				klog.V(1).InfoS("notifying peer of an engine exit failed", "peer", addr, "server", engine, "err", err)
 			}
 		}()
 	}
 }
 
-// gone takes in a peer's TellGone.
-func (x *Exchange) gone(_ context.Context, from string, g wire.RouterGone) (struct{}, error) {
-	klog.InfoS("engine's process ended", "server", g.Server, "evidence", "a peer saw it", "peer", from)
-	x.HandleEngineExit(g.Server)
+// handleEngineExit handles a peer's AnnounceEngineExit.
+func (x *Exchange) handleEngineExit(_ context.Context, from string, exit wire.RouterGone) (struct{}, error) {
+	klog.InfoS("engine process exited", "server", exit.Server, "evidence", "reported by a peer", "peer", from)
+	x.HandleEngineExit(exit.Server)
 	return struct{}{}, nil
 }
 
-// Borrow asks a peer to lend repeated sends.
+// Borrow asks a peer for retry tokens and returns how many it granted.
 func (x *Exchange) Borrow(ctx context.Context, peer, service string, want int) (int, error) {
-	var rep wire.RouterLent
-	err := x.Pool.Call(ctx, peer, wire.MethodRouterLend, wire.RouterLend{Service: service, Want: want}, &rep)
-	return rep.Lent, err
+	var reply wire.RouterLent
+	err := x.Pool.Call(ctx, peer, wire.MethodRouterLend, wire.RouterLend{Service: service, Want: want}, &reply)
+	return reply.Lent, err
 }
 
-// lend answers a peer's Borrow.
-func (x *Exchange) lend(_ context.Context, from string, l wire.RouterLend) (wire.RouterLent, error) {
-	n := x.RetryBorrower.Budget.Lend(l.Service, l.Want)
-	klog.InfoS("repeated sends lent", "service", l.Service, "peer", from, "wanted", l.Want, "lent", n)
-	return wire.RouterLent{Lent: n}, nil
+// handleBorrow answers a peer's Borrow.
+func (x *Exchange) handleBorrow(_ context.Context, from string, req wire.RouterLend) (wire.RouterLent, error) {
+	granted := x.RetryBorrower.Budget.Lend(req.Service, req.Want)
+	klog.InfoS("retry tokens lent to a peer", "service", req.Service, "peer", from, "wanted", req.Want, "lent", granted)
+	return wire.RouterLent{Lent: granted}, nil
 }
 
-// RouterCount counts the routers that share budgets, this one included: whoever is
-// registered, was heard lately, or is named as a seed.
+// RouterCount returns the number of routers that share budgets, including this one:
+// registered routers and those that sent a heartbeat recently, but at least the number of
+// seeds.
 func (x *Exchange) RouterCount() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -180,39 +180,41 @@
 	for _, m := range x.members {
 		all[m.Address] = true
 	}
-	for addr, at := range x.seen {
-		if x.Now().Sub(at) < peerAlive {
+	for addr, at := range x.lastHeartbeat {
+		if x.Now().Sub(at) < peerTimeout {
 			all[addr] = true
 		}
 	}
 	return max(len(all), len(x.Seeds))
 }
 
-// ReachablePeers lists the routers whose word still counts, by their link addresses.
+// ReachablePeers returns the link addresses of the peers whose last heartbeat is still
+// valid.
 func (x *Exchange) ReachablePeers() map[string]bool {
-	p := x.pace()
+	s := x.schedule()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	heard := map[string]bool{}
-	for addr, at := range x.seen {
-		if x.Now().Sub(at) < trustedHeartbeats*p.of(x.near[addr])+trustSlack {
-			heard[addr] = true
+	reachable := map[string]bool{}
+	for addr, at := range x.lastHeartbeat {
+		if x.Now().Sub(at) < validIntervals*s.interval(x.sameDomain[addr])+validSlack {
+			reachable[addr] = true
 		}
 	}
-	return heard
+	return reachable
 }
 
-// PeerHasTraffic tells whether a peer saw callers' requests.
+// PeerHasTraffic reports whether a peer received requests from callers.
 func (x *Exchange) PeerHasTraffic() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.traffic
+	return x.peerHasTraffic
 }
 
-// LiveRouters lists the routers by their link addresses, this one included.
+// LiveRouters returns the link addresses of the routers, including this one.
 func (x *Exchange) LiveRouters() []string { return append(x.peers(), x.Self) }
 
-// peers lists the other routers: without the store, the seeds.
+// peers returns the link addresses of the other routers. While none is registered and none
+// sent a heartbeat, it returns the seeds.
 func (x *Exchange) peers() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -220,8 +222,8 @@
 	for _, m := range x.members {
 		all[m.Address] = true
 	}
-	for addr, at := range x.seen {
-		if x.Now().Sub(at) < peerAlive {
+	for addr, at := range x.lastHeartbeat {
+		if x.Now().Sub(at) < peerTimeout {
 			all[addr] = true
 		}
 	}
--- a/internal/transport/peers/quarantine.go
+++ b/internal/transport/peers/quarantine.go
@@ -18,122 +18,126 @@
 )
 
 const (
-	// trialWait bounds asking the keeper of trials; it takes 2 ms, or 20 at a busy peer.
-	trialWait = 150 * time.Millisecond
-	// trialKeepers is how many routers are asked in turn where the first does not answer.
-	trialKeepers = 2
-	// remindEvery is between two reminders of verdicts, each to one peer: who was away
-	// when one was told hears of it so.
-	remindEvery = time.Second
-	// mostReminded bounds the verdicts of one reminder.
-	mostReminded = 16
+	// trialTimeout is the timeout for asking one trial coordinator.
+	trialTimeout = 150 * time.Millisecond
+	// maxCoordinators is how many routers are asked, one after the other, until one
+	// answers.
+	maxCoordinators = 2
+	// resendInterval is the interval at which verdicts are sent again, each time to one
+	// peer. This reaches routers that missed them.
+	resendInterval = time.Second
+	// maxResentVerdicts limits the verdicts of one such message.
+	maxResentVerdicts = 16
 )
 
-// Quarantine is what routers tell each other of requests under which servers end.
+// Quarantine exchanges reports on requests that crash servers between routers, and
+// coordinates their trials.
 type Quarantine struct {
 	Exchange *Exchange
 	Tracker  *quarantine.Tracker
 	Trials   *quarantine.Trials
 }
 
-// Register adds the methods that peers call.
+// Register registers the methods that peers call.
 func (q *Quarantine) Register(s *link.Server) {
-	s.Register(wire.MethodRouterQuarantine, link.Handle(q.heard))
-	s.Register(wire.MethodRouterTrial, link.Handle(q.trial))
+	s.Register(wire.MethodRouterQuarantine, link.Handle(q.handleReport))
+	s.Register(wire.MethodRouterTrial, link.Handle(q.handleTrialRequest))
 }
 
-// Run tells the peers until ctx ends.
+// Run sends reports to the peers until ctx is done.
 func (q *Quarantine) Run(ctx context.Context) {
 	before, after := quarantine.ReportDelays()
-	remind := time.NewTicker(remindEvery)
-	defer remind.Stop()
+	resend := time.NewTicker(resendInterval)
+	defer resend.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-remind.C:
-			q.remind()
+		case <-resend.C:
+			q.resendVerdicts()
 		case <-q.Tracker.ReportDue():
 			wait.For(ctx, before)
 			if r, ok := q.Tracker.TakeReport(); ok {
-				q.tell(r, q.Exchange.peers()...)
+				q.sendReport(r, q.Exchange.peers()...)
 			}
 			wait.For(ctx, after)
 		}
 	}
 }
 
-// tell sends a report to peers, without waiting for them.
-func (q *Quarantine) tell(r quarantine.Report, peers ...string) {
+// sendReport sends a report to peers without waiting for them.
+func (q *Quarantine) sendReport(r quarantine.Report, peers ...string) {
 	for _, addr := range peers {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 			defer cancel()
 			if err := q.Exchange.Pool.Notify(ctx, addr, wire.MethodRouterQuarantine, r); err != nil {
-				klog.V(1).InfoS("peer not told of requests under which servers end", "peer", addr, "err", err)
+				klog.V(1).InfoS("sending quarantine report to peer failed", "peer", addr, "err", err)
 			}
 		}()
 	}
 }
 
-// remind tells one peer the verdicts, if there are any.
-func (q *Quarantine) remind() {
-	sentences := q.Tracker.Verdicts()
+// resendVerdicts sends verdicts to one random peer, if there are any.
+func (q *Quarantine) resendVerdicts() {
+	verdicts := q.Tracker.Verdicts()
 	peers := q.Exchange.peers()
-	if len(sentences) == 0 || len(peers) == 0 {
+	if len(verdicts) == 0 || len(peers) == 0 {
 		return
 	}
-	rand.Shuffle(len(sentences), func(i, j int) { sentences[i], sentences[j] = sentences[j], sentences[i] })
-	q.tell(quarantine.Report{Verdicts: sentences[:min(len(sentences), mostReminded)]}, peers[rand.IntN(len(peers))])
+	rand.Shuffle(len(verdicts), func(i, j int) { verdicts[i], verdicts[j] = verdicts[j], verdicts[i] })
+	q.sendReport(quarantine.Report{Verdicts: verdicts[:min(len(verdicts), maxResentVerdicts)]}, peers[rand.IntN(len(peers))])
 }
 
-func (q *Quarantine) heard(_ context.Context, from string, r quarantine.Report) (struct{}, error) {
+func (q *Quarantine) handleReport(_ context.Context, from string, r quarantine.Report) (struct{}, error) {
 	q.Tracker.ApplyReport(r, from)
 	return struct{}{}, nil
 }
 
-func (q *Quarantine) trial(_ context.Context, from string, ask wire.RouterTrial) (quarantine.Grant, error) {
-	g := q.Trials.Request(ask.Work, ask.Servers)
-	klog.InfoS("trial of a request", "work", ask.Work, "peer", from, "servers", len(ask.Servers), "granted", g.Granted, "busy", g.BusyServer)
-	return g, nil
+func (q *Quarantine) handleTrialRequest(_ context.Context, from string, req wire.RouterTrial) (quarantine.Grant, error) {
+	grant := q.Trials.Request(req.Work, req.Servers)
+	klog.InfoS("trial requested", "work", req.Work, "peer", from, "servers", len(req.Servers), "granted", grant.Granted, "busy", grant.BusyServer)
+	return grant, nil
 }
 
-// RequestTrial asks for a run of a suspect at servers, of the router that keeps trials. Where none
-// answers there is no trial.
-func (q *Quarantine) RequestTrial(ctx context.Context, work model.Fingerprint, servers []model.Incarnation) quarantine.Grant {
-	for _, addr := range q.keepers() {
+// RequestTrial asks the router that coordinates trials whether a suspect may run at
+// servers. If no coordinator answers, no trial is granted.
+func (q *Quarantine) RequestTrial(ctx context.Context, fingerprint model.Fingerprint, servers []model.Incarnation) quarantine.Grant {
+	for _, addr := range q.trialCoordinators() {
 		if addr == q.Exchange.Self {
-			return q.Trials.Request(work, servers)
+			return q.Trials.Request(fingerprint, servers)
 		}
-		var g quarantine.Grant
-		asking, cancel := context.WithTimeout(ctx, trialWait)
-		err := q.Exchange.Pool.Call(asking, addr, wire.MethodRouterTrial, wire.RouterTrial{Work: work, Servers: servers}, &g)
+		var grant quarantine.Grant
+		callCtx, cancel := context.WithTimeout(ctx, trialTimeout)
+		err := q.Exchange.Pool.Call(callCtx, addr, wire.MethodRouterTrial, wire.RouterTrial{Work: fingerprint, Servers: servers}, &grant)
 		cancel()
 		if err == nil {
-			return g
+			return grant
 		}
-		klog.InfoS("keeper of trials does not answer", "peer", addr, "work", work, "err", err)
+		klog.InfoS("trial coordinator did not answer", "peer", addr, "work", fingerprint, "err", err)
 	}
 	return quarantine.Grant{}
 }
 
-// keepers lists the routers to ask, the first of all that are alive by rendezvous hashing.
-func (q *Quarantine) keepers() []string {
+// trialCoordinators returns the routers to ask for trials, in order. All routers rank the
+// reachable ones alike by rendezvous hashing.
+func (q *Quarantine) trialCoordinators() []string {
 	alive := []string{q.Exchange.Self}
 	for addr := range q.Exchange.ReachablePeers() {
 		alive = append(alive, addr)
 	}
-	const what = "trials"
-	slices.SortFunc(alive, func(a, b string) int { return cmp.Compare(spread.Hash(what, a), spread.Hash(what, b)) })
-	return alive[:min(len(alive), trialKeepers)]
+	const purpose = "trials"
+	slices.SortFunc(alive, func(a, b string) int { return cmp.Compare(spread.Hash(purpose, a), spread.Hash(purpose, b)) })
+	return alive[:min(len(alive), maxCoordinators)]
 }
 
-// PersisterRank is this router's place in the order of those who store verdicts.
+// PersisterRank returns the rank of this router among those that store verdicts. The
+// router with rank 0 is first.
 func (q *Quarantine) PersisterRank() int {
-	const what = "verdicts"
+	const purpose = "verdicts"
 	rank := 0
 	for addr := range q.Exchange.ReachablePeers() {
-		if spread.Hash(what, addr) < spread.Hash(what, q.Exchange.Self) {
+		if spread.Hash(purpose, addr) < spread.Hash(purpose, q.Exchange.Self) {
 			rank++
 		}
 	}
--- a/internal/transport/peers/start.go
+++ b/internal/transport/peers/start.go
@@ -10,66 +10,66 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/wire"
 )
 
-// startAskTimeout bounds how long a router that starts waits for the versions that its
-// peers have in force.
-const startAskTimeout = 150 * time.Millisecond
+// versionQueryTimeout is how long a starting router waits for the configuration versions
+// of its peers.
+const versionQueryTimeout = 150 * time.Millisecond
 
-// running is what a router that starts learns of the configuration from those that run.
-type running struct {
-	// known is closed when all have answered, or their time is over; nil if none was asked.
-	known chan struct{}
+// versionQuery collects the configuration versions of running peers during the start.
+type versionQuery struct {
+	// done is closed when all peers have answered or the timeout has passed. It is nil if
+	// no peer was queried.
+	done chan struct{}
 
 	mu      sync.Mutex
 	version int64
 	from    string
 }
 
-// QueryPeerVersions asks the seeds which version they have in force. The store may be back from
-// an older copy, with a configuration that still holds keys which were taken away.
+// QueryPeerVersions asks the seeds which version they have in force, without waiting for
+// the answers. The store may have been restored from an older copy whose configuration
+// holds revoked keys.
 func (x *Exchange) QueryPeerVersions() {
-	x.running.known = make(chan struct{})
-	ctx, cancel := context.WithTimeout(context.Background(), startAskTimeout)
-	var asked sync.WaitGroup
+	x.versionQuery.done = make(chan struct{})
+	ctx, cancel := context.WithTimeout(context.Background(), versionQueryTimeout)
+	var queries sync.WaitGroup
 	for _, addr := range x.Seeds {
 		if addr == x.Self {
 			continue
 		}
-		asked.Go(func() {
-			var rep wire.RouterConfig
-			err := x.Pool.Call(ctx, addr, wire.MethodRouterConfig, wire.RouterAsk{VersionOnly: true}, &rep)
-			klog.V(1).InfoS("peer asked for its version", "peer", addr, "version", rep.Version, "err", err)
+		queries.Go(func() {
+			var reply wire.RouterConfig
+			err := x.Pool.Call(ctx, addr, wire.MethodRouterConfig, wire.RouterAsk{VersionOnly: true}, &reply)
+			klog.V(1).InfoS("configuration version of peer queried", "peer", addr, "version", reply.Version, "err", err)
 			if err == nil {
-				x.running.note(rep.Version, addr)
+				x.versionQuery.record(reply.Version, addr)
 			}
 		})
 	}
 	go func() {
 		defer cancel()
-		asked.Wait()
-		close(x.running.known)
+		queries.Wait()
+		close(x.versionQuery.done)
 	}()
 }
 
-func (r *running) note(version int64, from string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if version > r.version {
-		r.version, r.from = version, from
+func (q *versionQuery) record(version int64, from string) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if version > q.version {
+		q.version, q.from = version, from
 	}
 }
 
-// FetchNewer puts a peer's configuration in force if AskVersions found one that is newer
-// than a version.
-//
-// Without AskVersions it does nothing.
+// FetchNewer waits for the answers to QueryPeerVersions and applies a peer's configuration
+// if it is newer than version. It does nothing if QueryPeerVersions was not called.
 func (x *Exchange) FetchNewer(version int64) {
-	if x.running.known == nil {
+	if x.versionQuery.done == nil {
 		return
 	}
-	<-x.running.known
-	x.running.mu.Lock()
-	newest, from := x.running.version, x.running.from
-	x.running.mu.Unlock()
+	<-x.versionQuery.done
+	x.versionQuery.mu.Lock()
+	newest, from := x.versionQuery.version, x.versionQuery.from
+	x.versionQuery.mu.Unlock()
 	if newest <= version {
 		return
 	}
