--- a/internal/transport/link/contain.go
+++ b/internal/transport/link/contain.go
@@ -12,31 +12,31 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/wire"
 )
 
-// errPanicked says that the code which handles a message panicked.
-var errPanicked = errors.New("panic in the code")
+var errPanic = errors.New("recovered from panic")
 
-// contained makes a panic of a handler the fault of one message. A peer tells all others
-// the same, and tells it again: a message that ended its reader would end every process
-// that it is sent to.
-func contained(m wire.Method, h Handler) Handler {
+// recoverCall wraps a handler so that a panic fails only the message in progress. A peer
+// may send the same message to all processes and repeat it, so it must not terminate the
+// process.
+func recoverCall(m wire.Method, h Handler) Handler {
 	return func(ctx context.Context, from string, body json.RawMessage) (v any, err error) {
 		defer func() {
 			if cause := recover(); cause != nil {
-				tellPanic(m, from, cause)
-				v, err = nil, fault.New(fault.Internal, "a fault in the code ended the handling of %s", m)
+				logPanic(m, from, cause)
+				v, err = nil, fault.New(fault.Internal, "internal error while handling %s", m)
 			}
 		}()
 		return h(ctx, from, body)
 	}
 }
 
-// containNotice is the same for a notice.
-func containNotice(m wire.Method, from string) {
+// recoverNotification recovers from a panic of a notification handler. It must be
+// deferred.
+func recoverNotification(m wire.Method, from string) {
 	if cause := recover(); cause != nil {
-		tellPanic(m, from, cause)
+		logPanic(m, from, cause)
 	}
 }
 
-func tellPanic(m wire.Method, from string, cause any) {
-	klog.ErrorS(errPanicked, "message passed over", "method", m, "peer", from, "panic", cause, "stack", string(debug.Stack()))
+func logPanic(m wire.Method, from string, cause any) {
+	klog.ErrorS(errPanic, "message handler panicked", "method", m, "peer", from, "panic", cause, "stack", string(debug.Stack()))
 }
--- a/internal/transport/link/frames.go
+++ b/internal/transport/link/frames.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// noticeMark stands where the length of a JSON message would, which is never
-	// empty: a notice follows, with a length of its own.
-	noticeMark = 0
-	// maxFrame bounds a message, in bytes: the largest holds a configuration of
-	// 17,000 customers and the entries of 2,600 engines, some 4 MB.
+	// notificationMarker precedes a notification, in place of the length of a JSON
+	// message, which is never 0. The length of the notification follows.
+	notificationMarker = 0
+	// maxFrame limits a message, in bytes. The largest messages, with a full configuration
+	// and the entries of all engines, have some 4 MB.
 	maxFrame = 32 << 20
-	// frameStep is what is reserved for a message before its bytes have come, so
-	// that a length alone takes no memory.
-	frameStep = 64 << 10
+	// maxPreallocation limits the memory allocated for a message before its bytes arrive,
+	// so that a length alone does not allocate memory.
+	maxPreallocation = 64 << 10
 )
 
-var errLongFrame = errors.New("message is too long")
+var errFrameTooLong = errors.New("message is too long")
 
-// frames carries the JSON-RPC messages of a link, each after its length, and
-// between them notices, which are not JSON. It implements jsonrpc2.ObjectStream.
+// frames reads and writes the length-prefixed JSON-RPC messages of a link and the binary
+// notifications between them. It implements jsonrpc2.ObjectStream.
 type frames struct {
 	conn io.ReadWriteCloser
 	r    *bufio.Reader
-	// noticed takes in each notice that arrives; it must not block, and the bytes
-	// are valid until it returns.
-	noticed func([]byte)
+	// onNotification is called with each notification. It must not block or retain the
+	// bytes.
+	onNotification func([]byte)
 
 	mu sync.Mutex // held while a message is written
 }
 
-func newFrames(conn io.ReadWriteCloser, noticed func([]byte)) *frames {
-	return &frames{conn: conn, r: bufio.NewReader(conn), noticed: noticed}
+func newFrames(conn io.ReadWriteCloser, onNotification func([]byte)) *frames {
+	return &frames{conn: conn, r: bufio.NewReader(conn), onNotification: onNotification}
 }
 
 // WriteObject implements jsonrpc2.ObjectStream.
@@ -50,11 +50,11 @@
 	return f.write(append(head, raw...))
 }
 
-// frameNotice puts a notice into the form that write takes.
-func frameNotice(notice []byte) []byte {
-	framed := append(make([]byte, 0, 1+binary.MaxVarintLen64+len(notice)), noticeMark)
-	framed = binary.AppendUvarint(framed, uint64(len(notice)))
-	return append(framed, notice...)
+// frameNotification returns a notification in the format that write takes.
+func frameNotification(notification []byte) []byte {
+	framed := append(make([]byte, 0, 1+binary.MaxVarintLen64+len(notification)), notificationMarker)
+	framed = binary.AppendUvarint(framed, uint64(len(notification)))
+	return append(framed, notification...)
 }
 
 func (f *frames) write(framed []byte) error {
@@ -64,15 +64,15 @@
 	return errors.Wrap(err, "write to link")
 }
 
-// ReadObject implements jsonrpc2.ObjectStream: it gives the next JSON message,
-// and hands over the notices that come before it.
+// ReadObject implements jsonrpc2.ObjectStream. It decodes the next JSON message and calls
+// onNotification with the notifications before it.
 func (f *frames) ReadObject(v any) error {
 	for {
 		n, err := binary.ReadUvarint(f.r)
 		if err != nil {
 			return err
 		}
-		if n != noticeMark {
+		if n != notificationMarker {
 			raw, err := f.read(n)
 			if err != nil {
 				return err
@@ -82,19 +82,19 @@
 		if n, err = binary.ReadUvarint(f.r); err != nil {
 			return err
 		}
-		notice, err := f.read(n)
+		notification, err := f.read(n)
 		if err != nil {
 			return err
 		}
-		f.noticed(notice)
+		f.onNotification(notification)
 	}
 }
 
 func (f *frames) read(n uint64) ([]byte, error) {
 	if n > maxFrame {
-		return nil, errLongFrame
+		return nil, errFrameTooLong
 	}
-	if n <= frameStep {
+	if n <= maxPreallocation {
 		raw := make([]byte, n)
 		_, err := io.ReadFull(f.r, raw)
 		return raw, err
--- a/internal/transport/link/link.go
+++ b/internal/transport/link/link.go
@@ -1,6 +1,6 @@
-// Package link carries calls and notifications between processes of the
-// system: jsonrpc2 over long-lived TCP connections. It never resends by itself;
-// whether a message may be sent twice is for the layers above to decide.
+// Package link carries calls and notifications between the processes of the system with
+// jsonrpc2 over long-lived TCP connections. It never resends a message. The layers above
+// decide whether a message may be sent twice.
 package link
 
 import (
@@ -20,61 +20,61 @@
 	"github.com/skylarkwood/skylarkwood/internal/tcp"
 )
 
-// faultCode marks a jsonrpc2 error whose data is a wire.Fault.
+// faultCode is the code of a jsonrpc2 error whose data is a wire.Fault.
 const faultCode = 1000
 
-// Handler answers one method. The body is the JSON of the method's message; the
-// result is its reply, ignored for notifications.
+// Handler handles the messages of one method. body is the JSON of the message. The result
+// is the reply and is ignored for notifications.
 type Handler func(ctx context.Context, from string, body json.RawMessage) (any, error)
 
-// Handle makes a Handler of a function on typed messages.
+// Handle returns a Handler that calls a function on typed messages.
 func Handle[Req, Rep any](f func(ctx context.Context, from string, req Req) (Rep, error)) Handler {
 	return func(ctx context.Context, from string, body json.RawMessage) (any, error) {
 		var req Req
 		if err := json.Unmarshal(body, &req); err != nil {
-			return nil, fault.New(fault.InvalidRequest, "message cannot be read: %v", err)
+			return nil, fault.New(fault.InvalidRequest, "decode message: %v", err)
 		}
 		return f(ctx, from, req)
 	}
 }
 
-// Metadata supplies and takes in what rides on every message.
+// Metadata supplies and receives the metadata of each message.
 type Metadata struct {
 	Clock *hlc.Clock
-	// Revision reads the process's configuration revision.
+	// Revision returns the configuration revision of this process.
 	Revision func() int64
-	// ObservePeerRevision is told a peer's revision; it must not block.
+	// ObservePeerRevision is called with the revision of a peer. It must not block.
 	ObservePeerRevision func(from string, revision int64)
-	// Self is this process's link address.
+	// Self is the link address of this process.
 	Self string
 
 	bytes atomic.Int64
 }
 
-// Bytes is how much went over the process's links so far, both ways.
+// Bytes returns the bytes read and written on the links of the process so far.
 func (s *Metadata) Bytes() int64 { return s.bytes.Load() }
 
-// countedConn counts what passes.
-type countedConn struct {
+// countingConn counts the bytes read and written.
+type countingConn struct {
 	net.Conn
 	total *atomic.Int64
 }
 
-func (s *Metadata) counted(c net.Conn) net.Conn { return countedConn{c, &s.bytes} }
+func (s *Metadata) countBytes(c net.Conn) net.Conn { return countingConn{c, &s.bytes} }
 
-func (c countedConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.total.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.total.Add(int64(n))
 	return n, err
 }
 
-func (s *Metadata) wrap(v any) (*wire.Envelope, error) {
+func (s *Metadata) newEnvelope(v any) (*wire.Envelope, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode message")
@@ -87,36 +87,36 @@
 	}, nil
 }
 
-func (s *Metadata) take(raw *json.RawMessage) (wire.Envelope, error) {
+func (s *Metadata) openEnvelope(raw *json.RawMessage) (wire.Envelope, error) {
 	var env wire.Envelope
 	if raw == nil {
-		return env, fault.New(fault.InvalidRequest, "message has no body")
+		return env, fault.New(fault.InvalidRequest, "message has no envelope")
 	}
 	if err := json.Unmarshal(*raw, &env); err != nil {
-		return env, fault.New(fault.InvalidRequest, "envelope cannot be read: %v", err)
+		return env, fault.New(fault.InvalidRequest, "decode envelope: %v", err)
 	}
 	s.Clock.Observe(env.Clock)
 	s.ObservePeerRevision(env.From, env.Revision)
 	return env, nil
 }
 
-// Server answers the methods of one process. Handlers are registered before
-// Serve. Calls run each on its own goroutine; notifications run in the order
-// of arrival on the connection's reader and must not block.
+// Server serves the methods of one process. Handlers are registered before Serve. Each
+// call runs on its own goroutine. Notifications run in the order of arrival on the
+// connection's reader and must not block.
 type Server struct {
-	// VerifySenderHost refuses messages whose sender names another host than the one
-	// that it connects from. Without it any instance could speak for a router,
-	// and a configuration or an engine's end would be believed from it.
+	// VerifySenderHost rejects messages whose sender names another host than the one it
+	// connects from. Otherwise any instance could impersonate a router and send a
+	// configuration or report an engine exit.
 	VerifySenderHost bool
 
-	stamp    *Metadata
-	handlers map[wire.Method]Handler
-	notices  map[wire.Method]NotificationHandler
+	metadata      *Metadata
+	handlers      map[wire.Method]Handler
+	notifications map[wire.Method]NotificationHandler
 }
 
-// NewServer makes a server without methods.
-func NewServer(stamp *Metadata) *Server {
-	return &Server{stamp: stamp, handlers: map[wire.Method]Handler{}, notices: map[wire.Method]NotificationHandler{}}
+// NewServer returns a server without methods.
+func NewServer(metadata *Metadata) *Server {
+	return &Server{metadata: metadata, handlers: map[wire.Method]Handler{}, notifications: map[wire.Method]NotificationHandler{}}
 }
 
 // Register sets the handler of a method.
@@ -124,7 +124,7 @@
 	s.handlers[m] = h
 }
 
-// Serve answers connections until the listener closes or ctx ends.
+// Serve accepts connections until the listener closes or ctx is done.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	l = tcp.RetryAccept(l)
 	stop := context.AfterFunc(ctx, func() { l.Close() })
@@ -137,22 +137,22 @@
 			}
 			return errors.Wrap(err, "accept link")
 		}
-		from := host(c.RemoteAddr().String())
-		f := newFrames(s.stamp.counted(c), func(raw []byte) { s.noticed(raw, from) })
-		// It closes itself when ctx ends. Anything else that waited for ctx would keep
-		// connections that ended long ago.
-		jsonrpc2.NewConn(ctx, f, &connection{Server: s, host: from})
+		from := hostOf(c.RemoteAddr().String())
+		f := newFrames(s.metadata.countBytes(c), func(raw []byte) { s.handleNotification(raw, from) })
+		// The connection closes itself when ctx is done. Anything else that waits for ctx
+		// would keep closed connections in memory.
+		jsonrpc2.NewConn(ctx, f, &serverConn{Server: s, host: from})
 	}
 }
 
-// connection answers what comes over one accepted connection.
-type connection struct {
+// serverConn serves one accepted connection.
+type serverConn struct {
 	*Server
-	host string // where it comes from
+	host string // host of the peer
 }
 
-// host is the host of an address; empty if that cannot be read.
-func host(addr string) string {
+// hostOf returns the host of an address, or an empty string if the address is malformed.
+func hostOf(addr string) string {
 	h, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return ""
@@ -161,27 +161,27 @@
 }
 
 // Handle implements jsonrpc2.Handler.
-func (c *connection) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
+func (c *serverConn) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	c.serve(ctx, conn, req, c.host)
 }
 
-// Handle implements jsonrpc2.Handler for calls of a peer over a connection that
-// was opened here.
+// Handle implements jsonrpc2.Handler for calls that a peer makes over a connection opened
+// by this process.
 func (s *Server) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	s.serve(ctx, conn, req, "")
 }
 
 func (s *Server) serve(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request, from string) {
-	env, err := s.stamp.take(req.Params)
+	env, err := s.metadata.openEnvelope(req.Params)
 	if err == nil {
-		err = s.admit(env.From, from, wire.Method(req.Method))
+		err = s.verifySender(env.From, from, wire.Method(req.Method))
 	}
 	if err != nil {
 		s.reply(ctx, conn, req, nil, err)
 		return
 	}
 	h, ok := s.handlers[wire.Method(req.Method)]
-	h = contained(wire.Method(req.Method), h)
+	h = recoverCall(wire.Method(req.Method), h)
 	if !ok {
 		s.reply(ctx, conn, req, nil, fault.New(fault.NotFound, "no method %q", req.Method))
 		return
@@ -196,13 +196,13 @@
 	}()
 }
 
-// admit refuses a message whose sender names another host than the one that it
-// connects from, where that is checked.
-func (s *Server) admit(sender, from string, m wire.Method) error {
-	if !s.VerifySenderHost || host(sender) == from {
+// verifySender returns an error if VerifySenderHost is set and the sender names another
+// host than the one it connects from.
+func (s *Server) verifySender(sender, from string, m wire.Method) error {
+	if !s.VerifySenderHost || hostOf(sender) == from {
 		return nil
 	}
-	klog.InfoS("message refused: its sender names another host", "sender", sender, "host", from, "method", m)
+	klog.InfoS("message rejected: sender names another host", "sender", sender, "host", from, "method", m)
 	return fault.New(fault.InvalidRequest, "sender %s connects from host %s", sender, from)
 }
 
@@ -214,7 +214,7 @@
 		_ = conn.ReplyWithError(ctx, req.ID, encodeFault(err))
 		return
 	}
-	env, err := s.stamp.wrap(v)
+	env, err := s.metadata.newEnvelope(v)
 	if err != nil {
 		_ = conn.ReplyWithError(ctx, req.ID, encodeFault(err))
 		return
@@ -241,5 +241,5 @@
 	return &fault.Error{Kind: fault.Kind(f.Kind), Msg: f.Msg, RetryAfter: f.RetryAfter}
 }
 
-// dialTimeout bounds a new connection; peers are one region's round trip away.
+// dialTimeout is the timeout for opening a connection. Peers are in the same region.
 const dialTimeout = 500 * time.Millisecond
--- a/internal/transport/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -21,7 +21,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/wire"
 )
 
-func newStamp(self string) *Metadata {
+func newMetadata(self string) *Metadata {
 	return &Metadata{
 		Clock:               hlc.New(time.Now),
 		Revision:            func() int64 { return 7 },
@@ -39,7 +39,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	srv := NewServer(newStamp(l.Addr().String()))
+	srv := NewServer(newMetadata(l.Addr().String()))
 	register(srv)
 	done := make(chan error, 1)
 	go func() { done <- srv.Serve(ctx, l) }()
@@ -50,7 +50,7 @@
 	return l.Addr().String()
 }
 
-func TestCallAndFault(t *testing.T) {
+func TestCallReturnsReplyOrFault(t *testing.T) {
 	addr := serve(t, func(s *Server) {
 		s.Register("echo", Handle(func(_ context.Context, from string, e echo) (echo, error) {
 			if e.Text == "" {
@@ -59,7 +59,7 @@
 			return echo{from + ":" + e.Text}, nil
 		}))
 	})
-	p := NewPool(newStamp("me"))
+	p := NewPool(newMetadata("me"))
 	defer p.Close()
 	var got echo
 	assert.NilError(t, p.Call(context.Background(), addr, "echo", echo{"hello"}, &got))
@@ -70,9 +70,9 @@
 	assert.Assert(t, fault.Is(err, fault.NotFound))
 }
 
-// A peer takes a call and drops the connection without an answer. The link must
-// not send the call again by itself: the caller gets "unreachable" and decides.
-func TestCallIsOnTheWireOnce(t *testing.T) {
+// A peer reads a call and closes the connection without a reply. The call fails with kind
+// Unreachable and is not sent again.
+func TestFailedCallIsNotResent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
@@ -92,7 +92,7 @@
 			closed <- struct{}{}
 		}
 	}()
-	p := NewPool(newStamp("me"))
+	p := NewPool(newMetadata("me"))
 	defer p.Close()
 	err = p.Call(context.Background(), l.Addr().String(), "echo", echo{"once"}, nil)
 	assert.Assert(t, fault.Is(err, fault.Unreachable))
@@ -101,15 +101,14 @@
 	assert.Assert(t, bytes.Load() > 0)
 }
 
-// A peer's connection goes silent: it stays open and nothing answers, as when
-// something between the two has lost track of it. The call ends at its time;
-// after Reset the next one goes over a new connection and works.
-func TestSilentConnectionIsReplaced(t *testing.T) {
+// A connection stays open but carries no data. After Reset, the next call succeeds over a
+// new one.
+func TestResetReplacesAnUnresponsiveConnection(t *testing.T) {
 	addr := serve(t, func(s *Server) {
 		s.Register("echo", Handle(func(_ context.Context, _ string, e echo) (echo, error) { return e, nil }))
 	})
-	proxy, cut := silentProxy(t, addr)
-	p := NewPool(newStamp("me"))
+	proxy, cut := cuttableProxy(t, addr)
+	p := NewPool(newMetadata("me"))
 	defer p.Close()
 	var got echo
 	assert.NilError(t, p.Call(context.Background(), proxy, "echo", echo{"1"}, &got))
@@ -122,11 +121,9 @@
 	assert.Equal(t, got.Text, "3")
 }
 
-// Two calls meet the same silent connection. The first one's owner drops it and
-// calls again over a new one; while that is being answered the second call gives up
-// and drops "the connection" too. It must not be the new one: the call on it would
-// fail a second time though the peer answers, and its request be cut off.
-func TestResetSparesTheConnectionThatReplacedASilentOne(t *testing.T) {
+// Two calls fail on the same unresponsive connection and both reset it. The second Reset
+// must not close the new connection, on which the first call is being retried.
+func TestSecondResetKeepsTheNewConnection(t *testing.T) {
 	reached, answer := make(chan struct{}), make(chan struct{})
 	addr := serve(t, func(s *Server) {
 		s.Register("echo", Handle(func(_ context.Context, _ string, e echo) (echo, error) { return e, nil }))
@@ -136,8 +133,8 @@
 			return e, nil
 		}))
 	})
-	proxy, cut := silentProxy(t, addr)
-	p := NewPool(newStamp("me"))
+	proxy, cut := cuttableProxy(t, addr)
+	p := NewPool(newMetadata("me"))
 	defer p.Close()
 	assert.NilError(t, p.Call(context.Background(), proxy, "echo", echo{"1"}, nil))
 	cut()
@@ -146,23 +143,22 @@
 		assert.Assert(t, fault.Is(p.Call(ctx, proxy, "echo", echo{"2"}, nil), fault.Unreachable))
 		cancel()
 	}
-	p.Reset(proxy) // by the first of the two
+	p.Reset(proxy) // after the first call
 	var got echo
 	again := make(chan error, 1)
 	go func() { again <- p.Call(context.Background(), proxy, "slow", echo{"3"}, &got) }()
 	<-reached
-	p.Reset(proxy) // by the second
+	p.Reset(proxy) // after the second call
 	close(answer)
 	assert.NilError(t, <-again)
 	assert.Equal(t, got.Text, "3")
 }
 
-// A message to a peer could not be sent as nobody listened there yet. When its
-// sender drops "the connection", another sender has reached the peer and waits for
-// its answer: that connection has not failed and stays.
-func TestResetAfterAFailedDialSparesALaterConnection(t *testing.T) {
+// A dial fails and its sender calls Reset after another sender has connected. The working
+// connection stays open.
+func TestResetAfterAFailedDialKeepsALaterConnection(t *testing.T) {
 	addr, listen := refusingAddress(t)
-	p := NewPool(newStamp("me"))
+	p := NewPool(newMetadata("me"))
 	defer p.Close()
 	ctx := context.Background()
 	assert.Assert(t, fault.Is(p.Send(ctx, addr, p.NewNotification("note", nil)), fault.NotConnected))
@@ -170,7 +166,7 @@
 	serving, stop := context.WithCancel(ctx)
 	defer stop()
 	reached, answer := make(chan struct{}), make(chan struct{})
-	srv := NewServer(newStamp(addr))
+	srv := NewServer(newMetadata(addr))
 	srv.Register("slow", Handle(func(_ context.Context, _ string, e echo) (echo, error) {
 		close(reached)
 		<-answer
@@ -185,8 +181,8 @@
 	assert.NilError(t, <-done)
 }
 
-// refusingAddress gives an address that refuses connections until listen is called;
-// nobody else can take it meanwhile.
+// refusingAddress returns an address that refuses connections until listen is called. The
+// port stays reserved meanwhile.
 func refusingAddress(t *testing.T) (addr string, listen func() net.Listener) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	assert.NilError(t, err)
@@ -204,9 +200,9 @@
 	}
 }
 
-// silentProxy passes bytes on until cut; connections open by then stay open and
-// carry nothing more, later ones work.
-func silentProxy(t *testing.T, to string) (addr string, cut func()) {
+// cuttableProxy forwards bytes. After cut, connections open by then stay open but carry no
+// more data. Later ones work.
+func cuttableProxy(t *testing.T, to string) (addr string, cut func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -222,16 +218,16 @@
 				in.Close()
 				return
 			}
-			born := generation.Load()
-			alive := func() bool { return generation.Load() == born }
-			go pass(out, in, alive)
-			go pass(in, out, alive)
+			opened := generation.Load()
+			alive := func() bool { return generation.Load() == opened }
+			go forward(out, in, alive)
+			go forward(in, out, alive)
 		}
 	}()
 	return l.Addr().String(), func() { generation.Add(1) }
 }
 
-func pass(to io.Writer, from io.Reader, alive func() bool) {
+func forward(to io.Writer, from io.Reader, alive func() bool) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := from.Read(buf)
@@ -247,16 +243,15 @@
 	}
 }
 
-// Whatever bytes a peer sends as a message, the server answers or drops it and
-// lives on.
+// Arbitrary bytes are decoded or rejected without a panic.
 func FuzzEnvelope(f *testing.F) {
 	f.Add([]byte(`{"h":{"w":1,"l":2},"v":3,"f":"a","b":{"text":"x"}}`))
 	f.Add([]byte(`{"b":null}`))
 	f.Add([]byte(`[]`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		s := newStamp("me")
+		s := newMetadata("me")
 		msg := json.RawMessage(raw)
-		env, err := s.take(&msg)
+		env, err := s.openEnvelope(&msg)
 		if err != nil {
 			return
 		}
@@ -270,29 +265,29 @@
 	})
 }
 
-// An instance that is no router claims to be one and tells of an engine's end.
-// The message comes from another host than its sender's, and is not believed.
-func TestSenderOfAnotherHostIsRefused(t *testing.T) {
-	var taken atomic.Int64
+// An instance that is not a router sends a message with the address of a router as its
+// sender.
+func TestCallFromAnotherHostIsRejected(t *testing.T) {
+	var handled atomic.Int64
 	addr := serve(t, func(s *Server) {
 		s.VerifySenderHost = true
 		s.Register("echo", Handle(func(_ context.Context, from string, e echo) (echo, error) {
-			taken.Add(1)
+			handled.Add(1)
 			return e, nil
 		}))
 	})
-	for self, believed := range map[string]bool{"127.0.0.1:7": true, "10.1.0.3:7": false, "nobody": false, "": false} {
-		p := NewPool(newStamp(self))
+	for self, accepted := range map[string]bool{"127.0.0.1:7": true, "10.1.0.3:7": false, "nobody": false, "": false} {
+		p := NewPool(newMetadata(self))
 		err := p.Call(context.Background(), addr, "echo", echo{"hello"}, nil)
-		assert.Equal(t, err == nil, believed, "sender %q: %v", self, err)
+		assert.Equal(t, err == nil, accepted, "sender %q: %v", self, err)
 		p.Close()
 	}
-	assert.Equal(t, taken.Load(), int64(1))
+	assert.Equal(t, handled.Load(), int64(1))
 }
 
-// Notices and calls share a connection: each notice arrives once, in order, also
-// those between the parts of a long call.
-func TestNoticesArriveBetweenCalls(t *testing.T) {
+// Calls and notifications share a connection. Each notification arrives once and in order,
+// also beside a long call.
+func TestNotificationsArriveBetweenCalls(t *testing.T) {
 	var got []string
 	addr := serve(t, func(s *Server) {
 		s.RegisterNotification("note", func(from string, body []byte) error {
@@ -301,10 +296,10 @@
 		})
 		s.Register("echo", Handle(func(_ context.Context, _ string, e echo) (echo, error) { return e, nil }))
 	})
-	p := NewPool(newStamp("me"))
+	p := NewPool(newMetadata("me"))
 	defer p.Close()
 	ctx := context.Background()
-	long := strings.Repeat("x", 3*frameStep)
+	long := strings.Repeat("x", 3*maxPreallocation)
 	var want []string
 	for i := range 5 {
 		text := strconv.Itoa(i)
@@ -317,9 +312,9 @@
 	assert.DeepEqual(t, got, want)
 }
 
-// A router whose beats name another host is not believed, nor is one that no
-// handler knows; the connection goes on.
-func TestNoticeOfAnotherHostIsRefused(t *testing.T) {
+// Notifications from another host or without a handler are dropped. The connection keeps
+// working.
+func TestNotificationFromAnotherHostIsRejected(t *testing.T) {
 	var got []string
 	addr := serve(t, func(s *Server) {
 		s.VerifySenderHost = true
@@ -330,10 +325,10 @@
 		s.Register("echo", Handle(func(_ context.Context, _ string, e echo) (echo, error) { return e, nil }))
 	})
 	ctx := context.Background()
-	foreign := NewPool(newStamp("127.0.0.2:7000"))
+	foreign := NewPool(newMetadata("127.0.0.2:7000"))
 	defer foreign.Close()
 	assert.NilError(t, foreign.Send(ctx, addr, foreign.NewNotification("note", []byte("foreign"))))
-	own := NewPool(newStamp("127.0.0.1:7000"))
+	own := NewPool(newMetadata("127.0.0.1:7000"))
 	defer own.Close()
 	assert.NilError(t, own.Send(ctx, addr, own.NewNotification("unknown", nil)))
 	assert.NilError(t, own.Send(ctx, addr, own.NewNotification("note", []byte("own"))))
@@ -343,15 +338,14 @@
 	assert.DeepEqual(t, got, []string{"own"})
 }
 
-// Whatever bytes come over a link, reading them ends, and a length alone does
-// not make the reader reserve what it claims.
+// Reading arbitrary bytes terminates, and a length alone does not allocate memory.
 func FuzzFrames(f *testing.F) {
-	f.Add(frameNotice([]byte("x")))
+	f.Add(frameNotification([]byte("x")))
 	f.Add([]byte("\x02{}"))
 	f.Add([]byte{0xff, 0xff, 0xff, 0x0f, 1})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		s := NewServer(newStamp("me"))
-		in := newFrames(readOnly{bytes.NewReader(raw)}, func(notice []byte) { s.noticed(notice, "127.0.0.1") })
+		s := NewServer(newMetadata("me"))
+		in := newFrames(readOnly{bytes.NewReader(raw)}, func(raw []byte) { s.handleNotification(raw, "127.0.0.1") })
 		for {
 			var v json.RawMessage
 			if in.ReadObject(&v) != nil {
@@ -361,22 +355,21 @@
 	})
 }
 
-// readOnly is a connection that only ever gives what was written.
+// readOnly is a connection that discards writes.
 type readOnly struct{ io.Reader }
 
 func (readOnly) Write(p []byte) (int, error) { return len(p), nil }
 func (readOnly) Close() error                { return nil }
 
-// A peer's message makes the code that handles it panic. The peer sends the like to every
-// process: each would end, and end again with the next one. One message fails, by an
-// answer where one is due, and the connection goes on.
-func TestMessageThatEndsItsReader(t *testing.T) {
+// A handler panics. Only that message fails, with an error reply if one is expected, and
+// the connection keeps working.
+func TestPanickingHandlerFailsOnlyItsMessage(t *testing.T) {
 	addr := serve(t, func(s *Server) {
-		s.RegisterNotification("note", func(string, []byte) error { panic("a fault of the code") })
-		s.Register("call", Handle(func(context.Context, string, echo) (echo, error) { panic("a fault of the code") }))
+		s.RegisterNotification("note", func(string, []byte) error { panic("handler fails") })
+		s.Register("call", Handle(func(context.Context, string, echo) (echo, error) { panic("handler fails") }))
 		s.Register("echo", Handle(func(_ context.Context, _ string, e echo) (echo, error) { return e, nil }))
 	})
-	p := NewPool(newStamp("me"))
+	p := NewPool(newMetadata("me"))
 	defer p.Close()
 	ctx := context.Background()
 	assert.NilError(t, p.Send(ctx, addr, p.NewNotification("note", nil)))
--- a/internal/transport/link/pool.go
+++ b/internal/transport/link/pool.go
@@ -17,51 +17,50 @@
 	"github.com/skylarkwood/skylarkwood/internal/tcp"
 )
 
-// UserTimeout is how long written data may stay unacknowledged by the peer's
-// kernel before the connection is dropped. Without it a peer that vanished
-// keeps a writer waiting for the kernel's retransmissions, many minutes (see
-// docs/design/silence.md).
+// UserTimeout is how long written data may stay unacknowledged by the peer's kernel before
+// the connection is closed. Otherwise a writer to a vanished peer waits many minutes for
+// the kernel's retransmissions (see docs/design/silence.md).
 const UserTimeout = 2 * time.Second
 
-// Pool keeps one connection per peer address, dialled when first needed.
+// Pool keeps one connection per peer address and opens it on first use.
 type Pool struct {
-	stamp *Metadata
-	peers *shard.Map[string, *peer]
+	metadata *Metadata
+	peers    *shard.Map[string, *peer]
 }
 
 type peer struct {
 	addr string
 	mu   sync.Mutex
-	conn *outgoing // nil while there is none
+	conn *clientConn // nil if none is open
 }
 
-// outgoing is a connection that was opened here.
-type outgoing struct {
+// clientConn is a connection opened by this process.
+type clientConn struct {
 	*jsonrpc2.Conn
 	frames *frames
-	// failed says that a message on it was not sent, or not answered in time.
+	// failed is set after a message was not sent or not answered in time.
 	failed atomic.Bool
 }
 
-// NewPool makes an empty pool.
-func NewPool(stamp *Metadata) *Pool {
-	return &Pool{stamp: stamp, peers: shard.New[string, *peer]()}
+// NewPool returns an empty pool.
+func NewPool(metadata *Metadata) *Pool {
+	return &Pool{metadata: metadata, peers: shard.New[string, *peer]()}
 }
 
-// Call sends a message and waits for its reply. An error of kind Unreachable
-// leaves open whether the peer acted on the message.
+// Call sends a message and waits for its reply. After an error of kind Unreachable, the
+// peer may or may not have acted on the message.
 func (p *Pool) Call(ctx context.Context, addr string, m wire.Method, req, rep any) error {
 	conn, err := p.get(ctx, addr)
 	if err != nil {
 		return err
 	}
-	env, err := p.stamp.wrap(req)
+	env, err := p.metadata.newEnvelope(req)
 	if err != nil {
 		return err
 	}
-	var back wire.Envelope
-	if err := conn.Call(ctx, string(m), env, &back); err != nil {
-		if !answered(err) && !left(ctx) {
+	var reply wire.Envelope
+	if err := conn.Call(ctx, string(m), env, &reply); err != nil {
+		if !isReply(err) && !isCancelled(ctx) {
 			conn.failed.Store(true)
 		}
 		if ctx.Err() != nil {
@@ -69,22 +68,22 @@
 		}
 		return decodeFault(err)
 	}
-	p.stamp.Clock.Observe(back.Clock)
-	p.stamp.ObservePeerRevision(addr, back.Revision)
+	p.metadata.Clock.Observe(reply.Clock)
+	p.metadata.ObservePeerRevision(addr, reply.Revision)
 	if rep == nil {
 		return nil
 	}
-	return errors.Wrapf(unmarshal(back.Body, rep), "reply to %s", m)
+	return errors.Wrapf(unmarshal(reply.Body, rep), "reply to %s", m)
 }
 
-// Notify sends a message that has no reply. Success means only that it was
-// handed to the kernel.
+// Notify sends a message that has no reply. Success means only that the kernel accepted
+// it.
 func (p *Pool) Notify(ctx context.Context, addr string, m wire.Method, msg any) error {
 	conn, err := p.get(ctx, addr)
 	if err != nil {
 		return err
 	}
-	env, err := p.stamp.wrap(msg)
+	env, err := p.metadata.newEnvelope(msg)
 	if err != nil {
 		return err
 	}
@@ -95,14 +94,13 @@
 	return nil
 }
 
-// Reset drops the connection to a peer if a message on it failed, so that the next
-// one dials anew. A connection can go silent for good while new ones work; only a
-// new one tells whether the peer itself is gone.
+// Reset closes the connection to a peer if a message on it failed, so that the next
+// message opens a new one. A connection can stay unresponsive while new ones work, so only
+// a new one shows whether the peer is reachable.
 //
-// Several senders may find one connection silent. The first drops it and calls again
-// over a new one; closed by the next, that call would fail a second time though the
-// peer answers, and its request be cut off. The new connection has not failed, which
-// is asked under the lock under which it took the old one's place, so it stays.
+// Several senders may find the same connection unresponsive. The first one closes it and
+// retries over a new one. The others must not close the new one, as that would fail the
+// retry too. Its failed flag is not set, so it stays open.
 func (p *Pool) Reset(addr string) {
 	pr, ok := p.peers.Get(addr)
 	if !ok {
@@ -111,12 +109,12 @@
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	if pr.conn != nil && pr.conn.failed.Load() {
-		pr.drop()
+		pr.closeConn()
 	}
 }
 
-// drop closes the connection. The caller holds the lock.
-func (pr *peer) drop() {
+// closeConn closes the connection. The caller must hold pr.mu.
+func (pr *peer) closeConn() {
 	if pr.conn == nil {
 		return
 	}
@@ -124,16 +122,16 @@
 	pr.conn = nil
 }
 
-// Close drops every connection.
+// Close closes every connection.
 func (p *Pool) Close() {
 	for _, pr := range p.peers.Values() {
 		pr.mu.Lock()
-		pr.drop()
+		pr.closeConn()
 		pr.mu.Unlock()
 	}
 }
 
-func (p *Pool) get(ctx context.Context, addr string) (*outgoing, error) {
+func (p *Pool) get(ctx context.Context, addr string) (*clientConn, error) {
 	pr, _ := p.peers.GetOrPut(addr, func() *peer { return &peer{addr: addr} })
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
@@ -145,22 +143,22 @@
 	if err != nil {
 		return nil, fault.New(fault.NotConnected, "dial %s: %v", addr, err)
 	}
-	// Peers answer calls on it and send nothing of their own.
-	f := newFrames(p.stamp.counted(c), func([]byte) {})
-	pr.conn = &outgoing{Conn: jsonrpc2.NewConn(context.Background(), f, NewServer(p.stamp)), frames: f}
+	// Peers only send replies on this connection.
+	f := newFrames(p.metadata.countBytes(c), func([]byte) {})
+	pr.conn = &clientConn{Conn: jsonrpc2.NewConn(context.Background(), f, NewServer(p.metadata)), frames: f}
 	return pr.conn, nil
 }
 
-// answered tells whether an error is the peer's answer.
-func answered(err error) bool {
+// isReply reports whether an error is a reply of the peer.
+func isReply(err error) bool {
 	var rpc *jsonrpc2.Error
 	return errors.As(err, &rpc)
 }
 
-// left tells whether nobody waits for an answer any more, which says nothing of the
-// connection: marked as failed, it would be closed under the calls of others. One whose
-// time is over does say something.
-func left(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
+// isCancelled reports whether the caller stopped waiting before the deadline. Unlike a
+// timeout, this is no sign of a failed connection, and calls of others may be in progress
+// on it.
+func isCancelled(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
 
 func closed(c *jsonrpc2.Conn) bool {
 	select {
--- a/internal/transport/link/serve_test.go
+++ b/internal/transport/link/serve_test.go
@@ -14,17 +14,17 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/wire"
 )
 
-// scripted is a listener that gives out what a test puts in.
-type scripted struct {
+// scriptedListener is a listener whose Accept returns what a test sends to accepts.
+type scriptedListener struct {
 	accepts chan any // net.Conn or error
 	closed  chan struct{}
 }
 
-func newScripted() *scripted {
-	return &scripted{accepts: make(chan any, 8), closed: make(chan struct{})}
+func newScriptedListener() *scriptedListener {
+	return &scriptedListener{accepts: make(chan any, 8), closed: make(chan struct{})}
 }
 
-func (l *scripted) Accept() (net.Conn, error) {
+func (l *scriptedListener) Accept() (net.Conn, error) {
 	select {
 	case next := <-l.accepts:
 		if err, ok := next.(error); ok {
@@ -36,31 +36,29 @@
 	}
 }
 
-func (l *scripted) Close() error {
+func (l *scriptedListener) Close() error {
 	close(l.closed)
 	return nil
 }
 
-func (l *scripted) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 7} }
+func (l *scriptedListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 7} }
 
-// client calls over one end of a pipe.
+// client returns a pool whose connection to "peer" is one end of a pipe.
 func client(t *testing.T, c net.Conn) *Pool {
-	p := NewPool(newStamp("127.0.0.1:1"))
+	p := NewPool(newMetadata("127.0.0.1:1"))
 	pr, _ := p.peers.GetOrPut("peer", func() *peer { return &peer{addr: "peer"} })
 	f := newFrames(c, func([]byte) {})
-	pr.conn = &outgoing{Conn: jsonrpc2.NewConn(t.Context(), f, NewServer(p.stamp)), frames: f}
+	pr.conn = &clientConn{Conn: jsonrpc2.NewConn(t.Context(), f, NewServer(p.metadata)), frames: f}
 	t.Cleanup(p.Close)
 	return p
 }
 
-// The process has no descriptor left, or the kernel no memory, when a peer
-// connects. The peer is kept waiting, and it and all others are served again once
-// there is some: a server that took one failed accept for its end would be cut off
-// from its peers for good, and would not notice.
-func TestAcceptFailsForAWhile(t *testing.T) {
+// Accept fails for lack of file descriptors or memory. Guards against a server that stops
+// accepting connections.
+func TestServeContinuesAfterTemporaryAcceptErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newScripted()
-		srv := NewServer(newStamp("127.0.0.1:7"))
+		l := newScriptedListener()
+		srv := NewServer(newMetadata("127.0.0.1:7"))
 		srv.Register("echo", Handle(func(_ context.Context, _ string, e echo) (echo, error) { return e, nil }))
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
@@ -78,7 +76,7 @@
 		select {
 		case err := <-done:
 			here.Close()
-			t.Fatalf("no peer is served any more: %v", err)
+			t.Fatalf("server stopped: %v", err)
 		case err := <-answered:
 			assert.NilError(t, err)
 		}
@@ -87,12 +85,11 @@
 	})
 }
 
-// Peers connect again whenever a connection fell silent, for as long as a process
-// runs. What was kept for a connection is given up when it ends, and not at the
-// process's end: else its memory grows until it is killed, with every request.
-func TestEndedConnectionsAreForgotten(t *testing.T) {
-	l := newScripted()
-	srv := NewServer(newStamp("127.0.0.1:7"))
+// Guards against a memory leak: state of a closed connection must not be kept until the
+// server stops.
+func TestClosedConnectionsAreReleased(t *testing.T) {
+	l := newScriptedListener()
+	srv := NewServer(newMetadata("127.0.0.1:7"))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- srv.Serve(ctx, l) }()
@@ -100,10 +97,10 @@
 		cancel()
 		assert.NilError(t, <-done)
 	}()
-	forgotten := make(chan struct{})
+	released := make(chan struct{})
 	here, there := net.Pipe()
 	watched := &watchedConn{there}
-	runtime.AddCleanup(watched, func(int) { close(forgotten) }, 0)
+	runtime.AddCleanup(watched, func(int) { close(released) }, 0)
 	l.accepts <- watched
 	watched = nil
 	assert.NilError(t, here.Close())
@@ -111,16 +108,16 @@
 		runtime.GC()
 		runtime.Gosched()
 		select {
-		case <-forgotten:
+		case <-released:
 			return
 		default:
 		}
 	}
-	t.Fatal("an ended connection is kept")
+	t.Fatal("a closed connection is still referenced")
 }
 
-// collections is how many times the memory is looked through before something
-// counts as kept; the connection's end and the clean-up run beside them.
+// collections is the number of garbage collections before an object counts as leaked.
+// Closing and cleanup run concurrently.
 const collections = 300
 
 type watchedConn struct{ net.Conn }
