--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -16,8 +16,8 @@
 
 type connKey struct{}
 
-// timedListener gives out connections that bound their idle time and the time
-// of each head.
+// timedListener accepts connections that limit their idle time and the time for reading a
+// header.
 type timedListener struct {
 	net.Listener
 	limits func() model.CallerLimits
@@ -25,7 +25,7 @@
 	err    error
 }
 
-// Close closes the listener once: the stop does, and the standard server when it ends.
+// Close closes the listener once. Both the stop and net/http call it.
 func (l *timedListener) Close() error {
 	l.once.Do(func() { l.err = l.Listener.Close() })
 	return l.err
@@ -39,79 +39,77 @@
 	return newTimedConn(c, l.limits), nil
 }
 
-// timedConn bounds how long a caller may be idle and how long a head may take.
-// The standard server's own bounds are fixed when it starts, while the
-// operator's change.
+// timedConn limits how long a connection may be idle and how long reading a header may
+// take. The timeouts of net/http cannot change after the start, but the operator's can.
 //
-// The bounds are deadlines of the read that waits for the caller's bytes, and only
-// that read ends the connection. A timer that closes the connection from outside
-// can fire when the next request has just been read: it would be passed on, its
-// caller would get no answer, and the backend server would drop it for a sender
-// that is gone. Here a read gives either bytes, which are then served, or the end.
+// The limits are deadlines of the read that waits for bytes, and only that read closes the
+// connection. A timer could close it right after the next request was read. That request
+// would be forwarded, its caller would get no response, and the backend server would drop
+// the request because its sender is gone.
 type timedConn struct {
 	net.Conn
 	limits func() model.CallerLimits
 
 	mu      sync.Mutex
-	life    keepalive.ConnState
-	why     EndReason // the first reason to end it; empty while there is none
+	state   keepalive.ConnState
+	reason  EndReason // first reason for its end; empty if there is none
 	cause   error
-	request *model.Call // in progress; nil while there is none
+	request *model.Call // in progress; nil if there is none
 }
 
 func newTimedConn(c net.Conn, limits func() model.CallerLimits) *timedConn {
 	t := &timedConn{Conn: c, limits: limits}
-	t.rest()
+	t.startIdle()
 	return t
 }
 
 // Read implements net.Conn.
 func (c *timedConn) Read(p []byte) (int, error) {
-	if err := c.bound(); err != nil {
+	if err := c.setIdleDeadline(); err != nil {
 		return 0, err
 	}
 	for {
 		n, err := c.Conn.Read(p)
 		if n > 0 {
-			c.heard()
+			c.bytesRead()
 			return n, err
 		}
 		if !isTimeout(err) {
-			c.endsBy(EndCallerClosed, err)
+			c.setEndReason(EndCallerClosed, err)
 			return n, err
 		}
-		if c.over() {
+		if c.handleDeadline() {
 			return n, err
 		}
 	}
 }
 
-// bound sets the deadline of a read that waits for a request. While a request is in
-// progress the deadlines are those of its body.
-func (c *timedConn) bound() error {
+// setIdleDeadline sets the deadline of a read that waits for a request. While a request is
+// in progress, the deadlines are those of its body.
+func (c *timedConn) setIdleDeadline() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.life.Phase() == keepalive.Serving {
+	if c.state.Phase() == keepalive.Serving {
 		return nil
 	}
-	return c.SetReadDeadline(c.life.Deadline(c.limits()))
+	return c.SetReadDeadline(c.state.Deadline(c.limits()))
 }
 
-// over decides what a read that reached its deadline stands for. Where it is not
-// the end the next read has a new deadline: none where bytes have arrived, as it
-// need not wait.
-func (c *timedConn) over() bool {
+// handleDeadline handles a read that reached its deadline and reports whether the
+// connection ends. Otherwise it sets a new deadline for the next read. There is none if
+// bytes have arrived, as that read does not block.
+func (c *timedConn) handleDeadline() bool {
 	c.mu.Lock()
-	phase := c.life.Phase()
+	phase := c.state.Phase()
 	if phase == keepalive.Serving {
 		c.mu.Unlock()
 		return true
 	}
 	limits := c.limits()
 	arrived := tcp.HasUnread(c.Conn)
-	ends := c.life.Expired(time.Now(), limits, arrived)
+	ends := c.state.Expired(time.Now(), limits, arrived)
 	if !ends {
-		next := c.life.Deadline(limits)
+		next := c.state.Deadline(limits)
 		if arrived {
 			next = time.Time{}
 		}
@@ -120,50 +118,52 @@
 	c.mu.Unlock()
 	switch {
 	case ends && phase == keepalive.ReadingHeader:
-		c.headTooSlow()
+		c.rejectSlowHeader()
 	case ends:
-		c.endsBy(EndIdleTimeout, nil)
+		c.setEndReason(EndIdleTimeout, nil)
 	}
 	return ends
 }
 
-// headTooSlow answers a head that does not end; nothing of it was handled.
-func (c *timedConn) headTooSlow() {
-	c.endsBy(EndHeaderTimeout, nil)
+// rejectSlowHeader responds to a header that did not arrive in time. Nothing of the
+// request was handled.
+func (c *timedConn) rejectSlowHeader() {
+	c.setEndReason(EndHeaderTimeout, nil)
 	_ = c.SetWriteDeadline(time.Now().Add(time.Second))
 	_, err := io.WriteString(c.Conn, "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-	klog.InfoS("head of a request took too long", "caller", c.RemoteAddr(), "err", err)
+	klog.InfoS("request header not received in time", "caller", c.RemoteAddr(), "err", err)
 }
 
-func (c *timedConn) heard() {
+func (c *timedConn) bytesRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.BytesRead(time.Now())
+	c.state.BytesRead(time.Now())
 }
 
-// rest begins to wait for a request.
-func (c *timedConn) rest() {
+// startIdle records that the connection waits for a request.
+func (c *timedConn) startIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.StartIdle(time.Now())
+	c.state.StartIdle(time.Now())
 }
 
-// take begins a request: a read that watches for the caller's leaving has no bound.
-func (c *timedConn) take() {
+// startRequest records that a request begins. The read that detects a disconnect of the
+// caller has no deadline.
+func (c *timedConn) startRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.StartRequest()
-	_ = c.SetReadDeadline(time.Time{}) // fails on a closed connection, which the next read tells
+	c.state.StartRequest()
+	_ = c.SetReadDeadline(time.Time{}) // fails if the connection is closed, as the next read does
 }
 
-// retire ends the connection when it rests. The read that waits is woken, and
-// ends it only if nothing has arrived.
-func (c *timedConn) retire() {
+// closeWhenIdle closes the connection once it is idle. A pending read is woken and closes
+// it only if no bytes have arrived.
+func (c *timedConn) closeWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.CloseWhenIdle()
-	if c.life.Phase() == keepalive.Idle {
-		_ = c.SetReadDeadline(c.life.Deadline(c.limits())) // as above
+	c.state.CloseWhenIdle()
+	if c.state.Phase() == keepalive.Idle {
+		_ = c.SetReadDeadline(c.state.Deadline(c.limits())) // fails if the connection is closed
 	}
 }
 
@@ -171,13 +171,13 @@
 func (c *timedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	if err != nil {
-		c.endsBy(EndWriteFailed, err)
+		c.setEndReason(EndWriteFailed, err)
 	}
 	return n, err
 }
 
-// CloseWrite ends the sending side, for an answer to a caller that still sends: closed
-// as a whole, the connection would be reset, and the answer lost with it.
+// CloseWrite closes the sending side after a response to a caller that is still sending.
+// Closing both sides would reset the connection, and the response would be lost.
 func (c *timedConn) CloseWrite() error {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
@@ -191,33 +191,35 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// endsBy notes why the connection ends. What shows later follows from the first
-// reason: a read fails because the connection was closed.
-func (c *timedConn) endsBy(why EndReason, cause error) {
+// setEndReason records why the connection ends. Only the first reason counts, because
+// later ones follow from it.
+func (c *timedConn) setEndReason(reason EndReason, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.why == "" {
-		c.why = why
+	if c.reason == "" {
+		c.reason = reason
 		c.cause = cause
 	}
 }
 
-// end gives why the connection ends, and the request that it ends under.
-func (c *timedConn) end() (why EndReason, request *model.Call, cause error) {
+// endState returns why the connection ends, the request in progress, and the error that
+// caused the end.
+func (c *timedConn) endState() (reason EndReason, request *model.Call, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.why, c.request, c.cause
+	return c.reason, c.request, c.cause
 }
 
-// serving notes the request in progress; nil when it has been answered.
-func (c *timedConn) serving(request *model.Call) {
+// setRequest sets the request in progress. It is nil once the response is complete.
+func (c *timedConn) setRequest(request *model.Call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.request = request
 }
 
-// attempt names the request in progress; empty while there is none.
-func (c *timedConn) attempt() string {
+// attemptID returns the ID of the request in progress, or an empty string if there is
+// none.
+func (c *timedConn) attemptID() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.request == nil {
--- a/internal/transport/front/conns.go
+++ b/internal/transport/front/conns.go
@@ -8,21 +8,21 @@
 	"k8s.io/klog/v2"
 )
 
-// conns are the open connections of callers, and the listener that they come from.
+// conns tracks the open connections of callers and their listener.
 type conns struct {
 	mu        sync.Mutex
 	listener  net.Listener
-	accepting bool // a connection may still come
+	accepting bool // new connections may arrive
 	open      map[*timedConn]struct{}
-	retired   bool
-	none      chan struct{} // closed when none is open and none will come
+	stopping  bool
+	drained   chan struct{} // closed once none is open and none can arrive
 }
 
-// listen takes in the listener; false if the server stops already.
-func (s *conns) listen(l net.Listener) bool {
+// setListener sets the listener. It returns false if the server is stopping already.
+func (s *conns) setListener(l net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.retired {
+	if s.stopping {
 		return false
 	}
 	s.listener = l
@@ -31,23 +31,25 @@
 	return true
 }
 
-// listened takes in that no more connections come, and tells whether that was asked.
-func (s *conns) listened() bool {
+// listenerClosed records that no more connections arrive and reports whether the server is
+// stopping.
+func (s *conns) listenerClosed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.accepting = false
-	s.check()
-	return s.retired
+	s.closeIfDrained()
+	return s.stopping
 }
 
-// add takes in a new connection. One that comes late is retired like the others.
+// add adds a new connection. If the server is stopping, the connection is closed once
+// idle.
 func (s *conns) add(c *timedConn) {
 	s.mu.Lock()
 	s.open[c] = struct{}{}
-	retired := s.retired
+	stopping := s.stopping
 	s.mu.Unlock()
-	if retired {
-		c.retire()
+	if stopping {
+		c.closeWhenIdle()
 	}
 }
 
@@ -55,54 +57,54 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, c)
-	s.check()
+	s.closeIfDrained()
 }
 
-// retire ends each connection as soon as it rests.
+// closeWhenIdle closes the listener, and each connection as soon as it is idle.
 //
-// The standard server's Shutdown is of no use here: for it a connection rests until
-// a request's head has been read whole, and what it reads later it drops, so that
-// requests which arrived before the stop get no answer.
-func (s *conns) retire() {
+// http.Server.Shutdown does not fit: it considers a connection idle until a request header
+// was read completely and then drops what it reads, so requests that arrived before the
+// stop would get no response.
+func (s *conns) closeWhenIdle() {
 	open, err := s.stop()
 	if err != nil {
-		klog.ErrorS(err, "listener not closed")
+		klog.ErrorS(err, "closing listener failed")
 	}
 	for _, c := range open {
-		c.retire()
+		c.closeWhenIdle()
 	}
 }
 
-// wait waits for the last connection's end. Where that has come it says so also when
-// ctx is over.
+// wait waits until the last connection is closed. If it already is, wait returns nil even
+// if ctx is done.
 func (s *conns) wait(ctx context.Context) error {
 	s.mu.Lock()
-	none := s.none
+	drained := s.drained
 	s.mu.Unlock()
 	select {
-	case <-none:
+	case <-drained:
 		return nil
 	case <-ctx.Done():
 	}
 	select {
-	case <-none:
+	case <-drained:
 		return nil
 	default:
 		return ctx.Err()
 	}
 }
 
-// stop closes the listener and gives the connections that are open.
+// stop closes the listener and returns the open connections.
 func (s *conns) stop() (open []*timedConn, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.listener != nil && !s.retired {
+	if s.listener != nil && !s.stopping {
 		err = s.listener.Close()
 	}
-	if !s.retired {
-		s.retired = true
-		s.none = make(chan struct{})
-		s.check()
+	if !s.stopping {
+		s.stopping = true
+		s.drained = make(chan struct{})
+		s.closeIfDrained()
 	}
 	for c := range s.open {
 		open = append(open, c)
@@ -110,10 +112,10 @@
 	return open, err
 }
 
-// check tells that the last one has ended; nothing comes after it, so it does so once.
-// The caller holds the lock.
-func (s *conns) check() {
-	if s.retired && !s.accepting && len(s.open) == 0 {
-		close(s.none)
+// closeIfDrained closes drained if no connection is open and none can arrive. This happens
+// once. The caller must hold s.mu.
+func (s *conns) closeIfDrained() {
+	if s.stopping && !s.accepting && len(s.open) == 0 {
+		close(s.drained)
 	}
 }
--- a/internal/transport/front/conns_test.go
+++ b/internal/transport/front/conns_test.go
@@ -10,22 +10,21 @@
 	"github.com/skylarkwood/skylarkwood/internal/coordination/routes"
 )
 
-// A stop whose time is over begins before, or beside, the first accept. Nobody is
-// connected, so there is nothing to wait for and nothing to end; the process stopped by
-// a fault instead, as what ends the requests was not there yet.
-func TestStopBesideTheStart(t *testing.T) {
-	over, end := context.WithCancel(context.Background())
-	end()
+// A stop whose context is done begins before, or concurrently with, Serve. Guards against
+// a nil cancel function and a wait for connections that cannot exist.
+func TestShutdownBeforeOrDuringServeReturns(t *testing.T) {
+	done, cancel := context.WithCancel(context.Background())
+	cancel()
 	for range 200 {
 		early := &Server{Config: &routes.ActiveConfig{}}
-		assert.NilError(t, early.Shutdown(over))
+		assert.NilError(t, early.Shutdown(done))
 
-		beside := &Server{Config: &routes.ActiveConfig{}}
+		concurrent := &Server{Config: &routes.ActiveConfig{}}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
 		served := make(chan error, 1)
-		go func() { served <- beside.Serve(l) }()
-		_ = beside.Shutdown(over) // its time may end before the listener has
+		go func() { served <- concurrent.Serve(l) }()
+		_ = concurrent.Shutdown(done) // may return before the listener is closed
 		assert.NilError(t, <-served)
 		l.Close()
 	}
--- a/internal/transport/front/end.go
+++ b/internal/transport/front/end.go
@@ -12,8 +12,9 @@
 // EndReason is why a caller's connection ended.
 type EndReason string
 
-// The reasons. An answer that cannot be completed is EndAborted; EndServed is
-// the end after an answer that said so.
+// Reasons for the end of a connection. EndAborted means that a response could not be
+// completed. EndServed means that the connection was closed after a complete response that
+// announced it.
 const (
 	EndCallerClosed  EndReason = "caller left"
 	EndWriteFailed   EndReason = "not writable"
@@ -24,49 +25,49 @@
 	EndServed        EndReason = "served"
 )
 
-// Observer counts the ends of callers' connections. under tells whether a
-// request was in progress on it.
+// Observer counts the ends of callers' connections. under reports whether a request was in
+// progress on the connection.
 type Observer interface {
-	ConnectionEnded(why EndReason, under bool)
+	ConnectionEnded(reason EndReason, under bool)
 }
 
-// ended logs and counts that a connection ended. Where a request was in progress
-// its caller has no whole answer, so the line names it.
-func (s *Server) ended(c *timedConn) {
-	why, request, cause := c.end()
-	if why == "" {
-		why = EndServed
+// recordConnectionEnd logs and counts the end of a connection. If a request was in
+// progress, its caller got no complete response, and the log line names the request.
+func (s *Server) recordConnectionEnd(c *timedConn) {
+	reason, request, cause := c.endState()
+	if reason == "" {
+		reason = EndServed
 	}
 	if s.Observer != nil {
-		s.Observer.ConnectionEnded(why, request != nil)
+		s.Observer.ConnectionEnded(reason, request != nil)
 	}
 	if request != nil {
-		klog.InfoS("connection ended under a request", "request", request.Attempt, "caller", c.RemoteAddr(), "why", why, "err", cause)
+		klog.InfoS("connection ended during a request", "request", request.Attempt, "caller", c.RemoteAddr(), "why", reason, "err", cause)
 		return
 	}
-	klog.V(1).InfoS("connection of a caller ended", "caller", c.RemoteAddr(), "why", why, "err", cause)
+	klog.V(1).InfoS("caller's connection ended", "caller", c.RemoteAddr(), "why", reason, "err", cause)
 }
 
-// recovered answers for a handler that panicked: the standard server would close the
-// connection, and only its own log would tell. Where nothing of an answer has been
-// sent the caller gets one that promises nothing; an answer that had begun is broken
-// off. What the handler held is given back by its deferred calls as in any other end.
-func recovered(c *timedConn, out *caller) {
+// recoverHandler responds after a panic of the handler. It must be deferred. net/http
+// would only close the connection. If no part of a response was sent, the caller gets an
+// error response. Otherwise the connection is aborted. The handler's deferred calls
+// release its resources as usual.
+func recoverHandler(c *timedConn, out *responseWriter) {
 	p := recover()
 	if p == nil {
 		return
 	}
 	if p == http.ErrAbortHandler {
-		c.endsBy(EndAborted, nil)
+		c.setEndReason(EndAborted, nil)
 		panic(p)
 	}
-	c.endsBy(EndPanic, nil)
-	klog.ErrorS(nil, "handling a request panicked", "request", c.attempt(), "caller", c.RemoteAddr(),
-		"answerBegun", out.began.Load(), "panic", p, "stack", string(debug.Stack()))
-	if out.began.Load() {
+	c.setEndReason(EndPanic, nil)
+	klog.ErrorS(nil, "handling a request panicked", "request", c.attemptID(), "caller", c.RemoteAddr(),
+		"answerBegun", out.headerSent.Load(), "panic", p, "stack", string(debug.Stack()))
+	if out.headerSent.Load() {
 		panic(http.ErrAbortHandler)
 	}
 	clear(out.w.Header())
 	f := fault.New(fault.Internal, "the router failed")
-	out.fail(f.Kind.Answer().Status, f.Error())
+	out.writeError(f.Kind.Answer().Status, f.Error())
 }
--- a/internal/transport/front/end_test.go
+++ b/internal/transport/front/end_test.go
@@ -16,20 +16,18 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/relay"
 )
 
-// A connection ends while a request is in progress on it, or while it rests. Its
-// caller sees the same in each case, no whole answer; whoever looks into it later
-// must be able to tell the causes apart.
-func TestWhyAConnectionEnded(t *testing.T) {
+// Each cause of an ended connection is reported with its own reason.
+func TestConnectionEndReportsItsReason(t *testing.T) {
 	const request = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
 	began := make(chan struct{})
 	for name, c := range map[string]struct {
 		u    upstream
 		play func(net.Conn)
-		// panics has the handler panic before it knows the request.
+		// panics makes the handler panic before it knows the request.
 		panics bool
 		want   ended
 	}{
-		"caller leaves under its request": {
+		"caller disconnects during its request": {
 			u: func(ctx context.Context, _ *relay.Request) (*relay.Response, error) {
 				close(began)
 				<-ctx.Done()
@@ -38,12 +36,12 @@
 			play: func(c net.Conn) { <-began; c.Close() },
 			want: ended{EndCallerClosed, true},
 		},
-		"handler panics": {u: echo, panics: true, want: ended{EndPanic, false}},
-		"rests too long": {u: echo, want: ended{EndIdleTimeout, false}},
-		"caller leaves at rest": {
+		"handler panics":              {u: echo, panics: true, want: ended{EndPanic, false}},
+		"connection is idle too long": {u: echo, want: ended{EndIdleTimeout, false}},
+		"caller disconnects while idle": {
 			u: echo,
 			play: func(c net.Conn) {
-				_, err := io.ReadFull(c, make([]byte, 15)) // the answer has come
+				_, err := io.ReadFull(c, make([]byte, 15)) // the response has arrived
 				assert.Check(t, err)
 				c.Close()
 			},
@@ -53,7 +51,7 @@
 		t.Run(name, func(t *testing.T) {
 			s, addr := serve(t, c.u)
 			if c.panics {
-				s.OnRequest = func() { panic("a fault of ours") }
+				s.OnRequest = func() { panic("handler fails") }
 			}
 			conn, err := net.Dial("tcp", addr)
 			assert.NilError(t, err)
@@ -68,46 +66,44 @@
 	}
 }
 
-// A head that does not end is the caller's fault, and told as such.
-func TestSlowHeadIsTold(t *testing.T) {
+// An incomplete header gets status 408 and is reported as a header timeout.
+func TestSlowHeaderIsRejected(t *testing.T) {
 	s, addr := serve(t, echo)
 	got := talk(t, addr, "GET / HTTP/1.1\r\nHost: h\r\nX: ")
 	assert.Assert(t, strings.HasPrefix(got, "HTTP/1.1 408"), got)
 	assert.Equal(t, <-s.Observer.(ends), ended{EndHeaderTimeout, false})
 }
 
-// The handler of a request panics, and its caller's connection is closed without an
-// answer: the caller cannot tell whether to come back. Nothing of an answer had been
-// sent, so there is room for one that promises nothing.
-func TestPanicIsAnswered(t *testing.T) {
+// A handler panics before a response was started. The caller gets status 500, not only a
+// closed connection.
+func TestPanicGetsAnErrorResponse(t *testing.T) {
 	s, addr := serve(t, echo)
-	s.OnRequest = func() { panic("a fault of ours") }
-	got := talk(t, addr, "GET /x HTTP/1.1\r\n"+lastHead+"\r\n")
+	s.OnRequest = func() { panic("handler fails") }
+	got := talk(t, addr, "GET /x HTTP/1.1\r\n"+finalHeader+"\r\n")
 	assert.Assert(t, strings.HasPrefix(got, "HTTP/1.1 500"), got)
 }
 
-// clockedWriter keeps the deadline of what is written.
-type clockedWriter struct {
+// deadlineWriter records the write deadline.
+type deadlineWriter struct {
 	http.ResponseWriter
 	deadline time.Time
 }
 
-func (w *clockedWriter) SetWriteDeadline(t time.Time) error {
+func (w *deadlineWriter) SetWriteDeadline(t time.Time) error {
 	w.deadline = t
 	return nil
 }
 
-func (w *clockedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *deadlineWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// A stream's last event is written, and its end comes later than the time that a caller
-// has to read one part. The answer is whole, yet its last bytes find the deadline of
-// the last event passed, and the caller sees it broken off.
-func TestEndOfAnAnswerHasItsOwnTime(t *testing.T) {
-	w := &clockedWriter{ResponseWriter: httptest.NewRecorder()}
-	out := &caller{w: w, rc: http.NewResponseController(w), draining: &atomic.Bool{}}
+// A stream ends after the write deadline of its last event has passed. Guards against
+// cutting off a complete response.
+func TestEndOfAResponseGetsANewDeadline(t *testing.T) {
+	w := &deadlineWriter{ResponseWriter: httptest.NewRecorder()}
+	out := &responseWriter{w: w, rc: http.NewResponseController(w), draining: &atomic.Bool{}}
 	out.WriteHeader(http.StatusOK, nil, -1)
 	assert.NilError(t, out.Write([]byte("id: 1\n\n")))
 	w.deadline = time.Now().Add(-time.Second)
-	out.ends()
+	out.extendDeadline()
 	assert.Assert(t, w.deadline.After(time.Now()))
 }
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -1,5 +1,5 @@
-// Package front takes callers' requests over HTTP/1.1, within the operator's
-// limits, and gives them their answers whole or visibly broken off.
+// Package front serves callers' requests over HTTP/1.1 within the operator's limits. A
+// response that cannot be completed is visibly aborted.
 package front
 
 import (
@@ -21,45 +21,45 @@
 )
 
 const (
-	// headerCeiling is the most that a head may have before a configuration
-	// says less, in bytes.
-	headerCeiling = 64 << 10
-	// defaultHeaderTime and defaultBody hold until a configuration says more.
-	defaultHeaderTime = 5 * time.Second
-	defaultIdle       = 15 * time.Second
-	defaultBody       = 4 << 20
-	// bodyTime is how long a body may take, beyond the header's time.
-	bodyTime = 10 * time.Second
+	// maxHeaderBytes is the maximum size of a header, in bytes. A configuration may set
+	// less.
+	maxHeaderBytes = 64 << 10
+	// The defaults apply until a configuration sets other values.
+	defaultHeaderTimeout = 5 * time.Second
+	defaultIdleTimeout   = 15 * time.Second
+	defaultMaxBodyBytes  = 4 << 20
+	// bodyTimeout is the time for reading a body, in addition to the header timeout.
+	bodyTimeout = 10 * time.Second
 )
 
-// Server serves callers.
+// Server serves callers. The exported fields are set before Serve.
 type Server struct {
 	Config *routes.ActiveConfig
 	Relay  *relay.Relay
-	// OnRequest is told of each request; nil for nobody.
+	// OnRequest is called for each request. It may be nil.
 	OnRequest func()
-	// Observer counts the ends of connections; nil for nobody.
+	// Observer counts the ends of connections. It may be nil.
 	Observer Observer
 
-	http     http.Server
-	conns    conns
-	ending   context.Context // ends at the last call of a planned stop
-	endNow   context.CancelFunc
-	draining atomic.Bool
-	active   atomic.Int64
+	http          http.Server
+	conns         conns
+	stopContext   context.Context // cancelled shortly before the end of a planned stop
+	cancelPending context.CancelFunc
+	draining      atomic.Bool
+	active        atomic.Int64
 }
 
-// Serve answers connections until Shutdown.
+// Serve serves connections until Shutdown.
 func (s *Server) Serve(callers net.Listener) error {
 	l := &timedListener{Listener: callers, limits: s.limits}
-	// Before the listener is known: a stop that finds it may need this at once.
-	s.ending, s.endNow = context.WithCancel(context.Background())
-	if !s.conns.listen(l) {
+	// Set before the listener, as a stop that finds the listener may use them at once.
+	s.stopContext, s.cancelPending = context.WithCancel(context.Background())
+	if !s.conns.setListener(l) {
 		return nil
 	}
 	s.http.Handler = http.HandlerFunc(s.handle)
-	s.http.DisableGeneralOptionsHandler = true // it would give a success of its own
-	s.http.MaxHeaderBytes = headerCeiling
+	s.http.DisableGeneralOptionsHandler = true // it would respond with success
+	s.http.MaxHeaderBytes = maxHeaderBytes
 	s.http.ErrorLog = klogLogger()
 	s.http.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
 		return context.WithValue(ctx, connKey{}, c)
@@ -73,28 +73,28 @@
 		case http.StateNew:
 			s.conns.add(t)
 		case http.StateActive:
-			t.take()
+			t.startRequest()
 		case http.StateIdle:
-			t.rest()
+			t.startIdle()
 		case http.StateClosed, http.StateHijacked:
 			s.conns.remove(t)
-			s.ended(t)
+			s.recordConnectionEnd(t)
 		}
 	}
 	err := s.http.Serve(l)
-	if s.conns.listened() {
+	if s.conns.listenerClosed() {
 		return nil
 	}
 	return errors.Wrap(err, "serve callers")
 }
 
 func (s *Server) limits() model.CallerLimits {
-	l := model.CallerLimits{HeaderBytes: headerCeiling, BodyBytes: defaultBody, HeaderTime: defaultHeaderTime, IdleTime: defaultIdle}
-	table := s.Config.Load()
-	if table == nil {
+	l := model.CallerLimits{HeaderBytes: maxHeaderBytes, BodyBytes: defaultMaxBodyBytes, HeaderTime: defaultHeaderTimeout, IdleTime: defaultIdleTimeout}
+	active := s.Config.Load()
+	if active == nil {
 		return l
 	}
-	c := table.Config.Limits
+	c := active.Config.Limits
 	if c.HeaderBytes > 0 {
 		l.HeaderBytes = c.HeaderBytes
 	}
@@ -110,7 +110,7 @@
 	return l
 }
 
-// ActiveRequests counts the requests in progress.
+// ActiveRequests returns the number of requests in progress.
 func (s *Server) ActiveRequests() int64 { return s.active.Load() }
 
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
@@ -118,48 +118,47 @@
 	defer s.active.Add(-1)
 	conn, ok := r.Context().Value(connKey{}).(*timedConn)
 	if !ok {
-		klog.ErrorS(nil, "request on a connection that is not the front's", "caller", r.RemoteAddr)
+		klog.ErrorS(nil, "request arrived on a connection of another listener", "caller", r.RemoteAddr)
 		panic(http.ErrAbortHandler)
 	}
 	rc := http.NewResponseController(w)
-	out := &caller{w: w, rc: rc, draining: &s.draining}
-	defer recovered(conn, out)
+	out := &responseWriter{w: w, rc: rc, draining: &s.draining}
+	defer recoverHandler(conn, out)
 	if s.OnRequest != nil {
 		s.OnRequest()
 	}
 	limits := s.limits()
-	if headSize(r) > limits.HeaderBytes {
-		out.fail(http.StatusRequestHeaderFieldsTooLarge, "head of the request is too large")
+	if headerSize(r) > limits.HeaderBytes {
+		out.writeError(http.StatusRequestHeaderFieldsTooLarge, "request header is too large")
 		return
 	}
 	body, status, err := readBody(w, r, rc, limits)
 	if err != nil {
-		klog.InfoS("body not read", "caller", r.RemoteAddr, "status", status, "err", err)
-		out.fail(status, err.Error())
+		klog.InfoS("reading request body failed", "caller", r.RemoteAddr, "status", status, "err", err)
+		out.writeError(status, err.Error())
 		return
 	}
 	call, err := platform.DecodeCall(r, body, time.Now())
 	if err != nil {
-		klog.InfoS("request malformed", "caller", r.RemoteAddr, "err", err)
+		klog.InfoS("malformed request", "caller", r.RemoteAddr, "err", err)
 		f := fault.New(fault.InvalidRequest, "%v", err)
-		out.fail(f.Kind.Answer().Status, f.Error())
+		out.writeError(f.Kind.Answer().Status, f.Error())
 		return
 	}
-	conn.serving(call)
-	ctx, done := s.until(r, out)
+	conn.setRequest(call)
+	ctx, done := s.requestContext(r, out)
 	defer done()
-	if whole := s.Relay.Serve(ctx, call, out); !whole {
-		// Breaks the connection off, so that the caller sees that the answer
-		// is not whole.
+	if complete := s.Relay.Serve(ctx, call, out); !complete {
+		// Aborts the connection, so that the caller detects the incomplete response.
 		panic(http.ErrAbortHandler)
 	}
-	out.ends()
+	out.extendDeadline()
 	if r.Context().Err() == nil {
-		conn.serving(nil)
+		conn.setRequest(nil)
 	}
 }
 
-func headSize(r *http.Request) int {
+func headerSize(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
 		for _, v := range values {
@@ -169,16 +168,16 @@
 	return n
 }
 
-// readBody reads a request's body whole. Nothing is sent on before: a body that
-// stops half-way reaches no backend server.
+// readBody reads the complete body of a request. Nothing is forwarded before, so an
+// incomplete body reaches no backend server.
 func readBody(w http.ResponseWriter, r *http.Request, rc *http.ResponseController, l model.CallerLimits) ([]byte, int, error) {
 	if r.ContentLength == 0 {
 		return nil, 0, nil
 	}
 	if r.ContentLength > l.BodyBytes {
-		return nil, http.StatusRequestEntityTooLarge, errors.New("body is too large")
+		return nil, http.StatusRequestEntityTooLarge, errors.New("request body is too large")
 	}
-	_ = rc.SetReadDeadline(time.Now().Add(l.HeaderTime + bodyTime))
+	_ = rc.SetReadDeadline(time.Now().Add(l.HeaderTime + bodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, l.BodyBytes))
 	_ = rc.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
@@ -186,9 +185,9 @@
 	case err == nil:
 		return body, 0, nil
 	case errors.As(err, &tooLarge):
-		return nil, http.StatusRequestEntityTooLarge, errors.New("body is too large")
+		return nil, http.StatusRequestEntityTooLarge, errors.New("request body is too large")
 	case isTimeout(err):
-		return nil, http.StatusRequestTimeout, errors.New("body took too long")
+		return nil, http.StatusRequestTimeout, errors.New("request body not received in time")
 	}
-	return nil, http.StatusBadRequest, errors.Wrap(err, "body cannot be read")
+	return nil, http.StatusBadRequest, errors.Wrap(err, "read request body")
 }
--- a/internal/transport/front/front_test.go
+++ b/internal/transport/front/front_test.go
@@ -22,13 +22,13 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/relay"
 )
 
-type nobody struct{}
+type nopObserver struct{}
 
-func (nobody) Request(_, _, _, _ string, _ time.Duration) {}
-func (nobody) FirstEvent(string, time.Duration)           {}
-func (nobody) Retry(_, _ string)                          {}
+func (nopObserver) Request(_, _, _, _ string, _ time.Duration) {}
+func (nopObserver) FirstEvent(string, time.Duration)           {}
+func (nopObserver) Retry(_, _ string)                          {}
 
-// upstream answers every request by a script.
+// upstream is a backend client that responds with a function.
 type upstream func(ctx context.Context, r *relay.Request) (*relay.Response, error)
 
 func (u upstream) Do(ctx context.Context, _ string, r *relay.Request) (*relay.Response, error) {
@@ -48,7 +48,7 @@
 	return &relay.Response{Status: 200, Header: h, Body: body{strings.NewReader(text)}}
 }
 
-// config has one route to one plain service.
+// config returns a configuration with one route to one plain service.
 func config(version int64, idle time.Duration) *model.RouteConfig {
 	return &model.RouteConfig{
 		Version:  version,
@@ -58,14 +58,14 @@
 	}
 }
 
-// serve starts a front before one plain service.
+// serve starts a front with one plain service.
 func serve(t *testing.T, u upstream) (*Server, string) {
 	current := &routes.ActiveConfig{}
 	current.Apply(config(1, 300*time.Millisecond), nil)
 	cat := catalog.New(time.Now)
 	cat.Put(model.BackendServer{ID: "b", Service: "s", Address: "1:1"})
 	rel := &relay.Relay{
-		Config: current, Catalog: cat, Health: catalog.NewHealth(time.Now), BackendClient: u, Observer: nobody{}, WaitQueue: admission.NewWaitQueue(), ActiveRuns: relay.NewActiveRuns(),
+		Config: current, Catalog: cat, Health: catalog.NewHealth(time.Now), BackendClient: u, Observer: nopObserver{}, WaitQueue: admission.NewWaitQueue(), ActiveRuns: relay.NewActiveRuns(),
 		RetryBorrower: &limits.RetryBorrower{Budget: limits.NewSharedRetryBudget(0.2, 10, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
 		Clock:         func() time.Duration { return 0 }, Now: time.Now, MaxConfigAge: time.Hour,
 		Quarantine:     quarantine.New(func() time.Duration { return 0 }),
@@ -85,18 +85,18 @@
 	return s, l.Addr().String()
 }
 
-// ends keeps what was told of ended connections.
+// ends collects the ends of connections.
 type ends chan ended
 
 type ended struct {
-	why   EndReason
-	under bool
+	reason EndReason
+	under  bool
 }
 
-func (e ends) ConnectionEnded(why EndReason, under bool) {
+func (e ends) ConnectionEnded(reason EndReason, under bool) {
 	select {
-	case e <- ended{why, under}:
-	default: // a test that asks for fewer
+	case e <- ended{reason, under}:
+	default: // the test does not read all of them
 	}
 }
 
@@ -104,7 +104,7 @@
 	return answer(r.Method + " " + r.Target + " " + string(r.Body)), nil
 }
 
-// talk writes raw bytes and reads what comes until the connection ends.
+// talk writes raw bytes and returns what is read until the connection is closed.
 func talk(t *testing.T, addr, raw string) string {
 	c, err := net.Dial("tcp", addr)
 	assert.NilError(t, err)
@@ -112,17 +112,17 @@
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 	_, err = io.WriteString(c, raw)
 	assert.NilError(t, err)
-	got, _ := io.ReadAll(c) // a reset ends it as well
+	got, _ := io.ReadAll(c) // may also be reset
 	return string(got)
 }
 
-const lastHead = "Host: h\r\nConnection: close\r\n"
+const finalHeader = "Host: h\r\nConnection: close\r\n"
 
-func TestBodiesWithLengthAndInChunks(t *testing.T) {
+func TestBodiesWithLengthAndInChunksAreForwarded(t *testing.T) {
 	_, addr := serve(t, echo)
 	for _, raw := range []string{
-		"POST /a?b=c HTTP/1.1\r\n" + lastHead + "Content-Length: 5\r\n\r\nhello",
-		"POST /a?b=c HTTP/1.1\r\n" + lastHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n",
+		"POST /a?b=c HTTP/1.1\r\n" + finalHeader + "Content-Length: 5\r\n\r\nhello",
+		"POST /a?b=c HTTP/1.1\r\n" + finalHeader + "Transfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n",
 	} {
 		got := talk(t, addr, raw)
 		assert.Assert(t, strings.HasPrefix(got, "HTTP/1.1 200"), got)
@@ -130,25 +130,24 @@
 	}
 }
 
-// What a caller must not send gets its status, reaches no backend server, and
-// disturbs no other caller.
-func TestBadRequests(t *testing.T) {
+// Each bad request gets its status and reaches no backend server.
+func TestBadRequestsAreRejected(t *testing.T) {
 	reached := false
 	_, addr := serve(t, func(context.Context, *relay.Request) (*relay.Response, error) {
 		reached = true
 		return answer(""), nil
 	})
 	for name, want := range map[string]struct{ raw, status string }{
-		"head too large":     {"GET / HTTP/1.1\r\n" + lastHead + "X: " + strings.Repeat("x", 3000) + "\r\n\r\n", "431"},
-		"head far too large": {"GET / HTTP/1.1\r\n" + lastHead + "X: " + strings.Repeat("x", 1<<20) + "\r\n\r\n", "431"},
-		"body too large":     {"POST / HTTP/1.1\r\n" + lastHead + "Content-Length: 101\r\n\r\n" + strings.Repeat("x", 101), "413"},
-		"chunks too large":   {"POST / HTTP/1.1\r\n" + lastHead + "Transfer-Encoding: chunked\r\n\r\n80\r\n" + strings.Repeat("x", 128) + "\r\n0\r\n\r\n", "413"},
-		"two lengths":        {"POST / HTTP/1.1\r\n" + lastHead + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nxx", "400"},
-		"length and chunks":  {"POST / HTTP/1.1\r\n" + lastHead + "Content-Length: nine\r\n\r\n", "400"},
-		"malformed line":     {"GET / HTTP/1.1\r\n" + lastHead + "no colon\r\n\r\n", "400"},
-		"bad chunk":          {"POST / HTTP/1.1\r\n" + lastHead + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", "400"},
-		"head never ends":    {"GET / HTTP/1.1\r\nHost: h\r\nX: ", "408"},
-		"body stops":         {"POST / HTTP/1.1\r\n" + lastHead + "Content-Length: 9\r\n\r\nxx", "408"},
+		"header too large":     {"GET / HTTP/1.1\r\n" + finalHeader + "X: " + strings.Repeat("x", 3000) + "\r\n\r\n", "431"},
+		"header far too large": {"GET / HTTP/1.1\r\n" + finalHeader + "X: " + strings.Repeat("x", 1<<20) + "\r\n\r\n", "431"},
+		"body too large":       {"POST / HTTP/1.1\r\n" + finalHeader + "Content-Length: 101\r\n\r\n" + strings.Repeat("x", 101), "413"},
+		"chunks too large":     {"POST / HTTP/1.1\r\n" + finalHeader + "Transfer-Encoding: chunked\r\n\r\n80\r\n" + strings.Repeat("x", 128) + "\r\n0\r\n\r\n", "413"},
+		"two lengths":          {"POST / HTTP/1.1\r\n" + finalHeader + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nxx", "400"},
+		"length and chunks":    {"POST / HTTP/1.1\r\n" + finalHeader + "Content-Length: nine\r\n\r\n", "400"},
+		"malformed line":       {"GET / HTTP/1.1\r\n" + finalHeader + "no colon\r\n\r\n", "400"},
+		"bad chunk":            {"POST / HTTP/1.1\r\n" + finalHeader + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", "400"},
+		"header never ends":    {"GET / HTTP/1.1\r\nHost: h\r\nX: ", "408"},
+		"body stops":           {"POST / HTTP/1.1\r\n" + finalHeader + "Content-Length: 9\r\n\r\nxx", "408"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -159,8 +158,8 @@
 	assert.Assert(t, !reached)
 }
 
-// A caller uses a connection within the operator's idle time and finds it open.
-func TestConnectionIsKeptForItsIdleTime(t *testing.T) {
+// A connection used within the operator's idle timeout stays open.
+func TestConnectionStaysOpenForTheIdleTimeout(t *testing.T) {
 	_, addr := serve(t, echo)
 	c, err := net.Dial("tcp", addr)
 	assert.NilError(t, err)
@@ -176,14 +175,14 @@
 		assert.Equal(t, string(raw), fmt.Sprintf("GET /%d ", i))
 		time.Sleep(240 * time.Millisecond)
 	}
-	// It is closed some time after the idle time, so that it does not leak.
+	// It is closed after the idle timeout, so that it does not leak.
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	_, err = br.ReadByte()
 	assert.Equal(t, err, io.EOF)
 }
 
-// During a planned stop callers are served, and asked to use another connection.
-func TestDrainAsksForAnotherConnection(t *testing.T) {
+// During a planned stop, responses announce that the connection is closed.
+func TestDrainClosesConnectionsAfterResponses(t *testing.T) {
 	s, addr := serve(t, echo)
 	s.Drain()
 	got := talk(t, addr, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -191,13 +190,12 @@
 	assert.Assert(t, strings.Contains(got, "Connection: close"), got)
 }
 
-// A caller closes its connection while its request is in progress. The relay is
-// told, so that the backend server's work ends.
-func TestCallerThatLeavesIsNoticed(t *testing.T) {
-	left := make(chan struct{})
+// A caller closes its connection during its request. The backend request is cancelled.
+func TestDisconnectCancelsTheRequest(t *testing.T) {
+	cancelled := make(chan struct{})
 	_, addr := serve(t, func(ctx context.Context, _ *relay.Request) (*relay.Response, error) {
 		<-ctx.Done()
-		close(left)
+		close(cancelled)
 		return nil, ctx.Err()
 	})
 	c, err := net.Dial("tcp", addr)
@@ -207,16 +205,15 @@
 	time.Sleep(50 * time.Millisecond)
 	c.Close()
 	select {
-	case <-left:
+	case <-cancelled:
 	case <-time.After(10 * time.Second):
-		t.Fatal("nobody noticed")
+		t.Fatal("the request was not cancelled")
 	}
 }
 
-// A caller asks for the options of the server itself, and gets a success that no backend
-// server gave: the standard server answers it before the router is asked.
-func TestOptionsOfTheServerAreNotAnswered(t *testing.T) {
+// Guards against net/http responding to OPTIONS * with success.
+func TestServerWideOptionsGetsNotFound(t *testing.T) {
 	_, addr := serve(t, echo)
-	got := talk(t, addr, "OPTIONS * HTTP/1.1\r\n"+lastHead+"\r\n")
+	got := talk(t, addr, "OPTIONS * HTTP/1.1\r\n"+finalHeader+"\r\n")
 	assert.Assert(t, strings.HasPrefix(got, "HTTP/1.1 404"), got)
 }
--- a/internal/transport/front/lastcall_test.go
+++ b/internal/transport/front/lastcall_test.go
@@ -11,33 +11,31 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/relay"
 )
 
-// A request's head ends after the last call of a stop. Passed on it would be cut at once,
-// and its caller told that it may have run (502). It is not passed on, and its caller is
-// told so, which is a promise that it may come back on.
-func TestRequestAfterTheLastCallIsNotPassedOn(t *testing.T) {
-	passed := 0
+// A request whose header arrives after cancelPending is not forwarded and gets status 503,
+// so that its caller may retry it.
+func TestRequestAfterCancelPendingIsNotForwarded(t *testing.T) {
+	forwarded := 0
 	s, addr := serve(t, func(ctx context.Context, r *relay.Request) (*relay.Response, error) {
 		if ctx.Err() != nil {
 			return nil, relay.ErrNotSent
 		}
-		passed++
+		forwarded++
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
 	s.Drain()
-	_ = talk(t, addr, "GET /x HTTP/1.1\r\nHost: other\r\n\r\n") // serving has begun
-	s.endNow()
+	_ = talk(t, addr, "GET /x HTTP/1.1\r\nHost: other\r\n\r\n") // Serve has started
+	s.cancelPending()
 	for i := range 100 {
 		got := talk(t, addr, fmt.Sprintf("GET /%d HTTP/1.1\r\nHost: h\r\n\r\n", i))
 		assert.Check(t, strings.HasPrefix(got, "HTTP/1.1 503"), "%.40q", got)
 	}
-	assert.Equal(t, passed, 0)
+	assert.Equal(t, forwarded, 0)
 }
 
-// A router is paused during a planned stop. When it goes on its last call and the end of
-// its time are due together, and the process ended before any answer was written: callers
-// whose requests it had passed on saw their connections close.
-func TestStopWhoseTimeIsOverStillAnswers(t *testing.T) {
+// A router is suspended until the end of its planned stop. Requests in progress still get
+// a response.
+func TestShutdownAfterItsDeadlineStillResponds(t *testing.T) {
 	began := make(chan struct{})
 	s, addr := serve(t, func(ctx context.Context, _ *relay.Request) (*relay.Response, error) {
 		close(began)
@@ -47,9 +45,9 @@
 	answered := make(chan string)
 	go func() { answered <- talk(t, addr, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n") }()
 	<-began
-	over, cancel := context.WithCancel(context.Background())
+	done, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.NilError(t, s.Shutdown(over))
+	assert.NilError(t, s.Shutdown(done))
 	got := <-answered
 	assert.Assert(t, strings.HasPrefix(got, "HTTP/1.1 502"), got)
 }
--- a/internal/transport/front/log.go
+++ b/internal/transport/front/log.go
@@ -8,11 +8,11 @@
 	"k8s.io/klog/v2"
 )
 
-// klogWriter takes the standard server's complaints about single connections.
+// klogWriter logs the messages of net/http about single connections.
 type klogWriter struct{}
 
 func (klogWriter) Write(p []byte) (int, error) {
-	klog.V(1).InfoS("connection of a caller", "msg", strings.TrimSpace(string(p)))
+	klog.V(1).InfoS("net/http reported an error on a caller's connection", "msg", strings.TrimSpace(string(p)))
 	return len(p), nil
 }
 
--- a/internal/transport/front/stalled_test.go
+++ b/internal/transport/front/stalled_test.go
@@ -14,13 +14,13 @@
 	"github.com/skylarkwood/skylarkwood/internal/coordination/routes"
 )
 
-// piped is a listener of one caller whose connection keeps a test's time.
-type piped struct {
+// pipeListener is a listener with one connection, in the virtual time of a test.
+type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 }
 
-func (p *piped) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -29,19 +29,16 @@
 	}
 }
 
-func (p *piped) Close() error {
+func (p *pipeListener) Close() error {
 	close(p.done)
 	return nil
 }
 
-func (p *piped) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A caller stops amid its body, or sends none of one that is too large. It is answered
-// with Connection: close and says nothing more. What is left of the body is read
-// before the connection is closed, without a bound: the connection, its goroutine and
-// its buffers stay for as long as the caller likes, and a planned stop waits for it
-// until its time ends.
-func TestConnectionOfAStalledBodyEnds(t *testing.T) {
+// A caller stops in the middle of its body, or does not send a body that is too large.
+// Guards against waiting for the rest of the body without a limit.
+func TestConnectionWithAStalledBodyIsClosed(t *testing.T) {
 	for name, want := range map[string]struct{ raw, status string }{
 		"stops":     {"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nxx", "408"},
 		"too large": {"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 101\r\n\r\n", "413"},
@@ -52,7 +49,7 @@
 				current.Apply(config(1, 300*time.Millisecond), nil)
 				s := &Server{Config: current}
 				near, far := net.Pipe()
-				l := &piped{conns: make(chan net.Conn, 1), done: make(chan struct{})}
+				l := &pipeListener{conns: make(chan net.Conn, 1), done: make(chan struct{})}
 				l.conns <- far
 				go func() { assert.Check(t, s.Serve(l) == nil) }()
 				_, err := io.WriteString(near, want.raw)
--- a/internal/transport/front/stop.go
+++ b/internal/transport/front/stop.go
@@ -10,57 +10,55 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/relay"
 )
 
-// lastCall is kept of a planned stop's time to answer requests that have no
-// answer yet. An answer of the router's own takes a millisecond to make and a few
-// to its caller; the rest is for a router that is short of processor time.
-const lastCall = 200 * time.Millisecond
+// finalResponseTimeout is the part of a planned stop reserved for responding to requests
+// that have no response yet. It allows for a router that lacks processor time.
+const finalResponseTimeout = 200 * time.Millisecond
 
-// Drain begins a planned stop: callers are still served, and each is asked to
-// use another connection next time.
+// Drain begins a planned stop. Callers are still served but are asked to use another
+// connection for their next request.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Shutdown takes no more connections and waits for what runs. A request that has
-// arrived on a resting connection is still served. Shortly before ctx ends, requests
-// without an answer get one of the router's own, which says whether they may have run:
-// cut off by the process's end, their callers would know nothing. The answers have
-// their time also where ctx has ended by then: a router that was held up would else end
-// at the moment of its last call.
+// Shutdown accepts no more connections and waits for the requests in progress. Requests
+// that have arrived on an idle connection are still served. Shortly before ctx is done,
+// requests without a response are cancelled and get an error response that states whether
+// they may have run. Writing these responses may take finalResponseTimeout even if ctx is
+// done by then, because the router may have been suspended.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.Drain()
-	s.conns.retire()
-	running, cancel := earlier(ctx, lastCall)
+	s.conns.closeWhenIdle()
+	waiting, cancel := withEarlierDeadline(ctx, finalResponseTimeout)
 	defer cancel()
-	if s.conns.wait(running) == nil {
+	if s.conns.wait(waiting) == nil {
 		return nil
 	}
-	klog.InfoS("last call: requests without an answer are ended", "active", s.ActiveRequests())
-	s.endNow()
-	answering, stop := context.WithTimeout(context.WithoutCancel(ctx), lastCall)
+	klog.InfoS("stop timeout is near; cancelling requests without a response", "active", s.ActiveRequests())
+	s.cancelPending()
+	responding, stop := context.WithTimeout(context.WithoutCancel(ctx), finalResponseTimeout)
 	defer stop()
-	return s.conns.wait(answering)
+	return s.conns.wait(responding)
 }
 
-// earlier ends before ctx does.
-func earlier(ctx context.Context, by time.Duration) (context.Context, context.CancelFunc) {
-	until, ok := ctx.Deadline()
+// withEarlierDeadline returns a context whose deadline is earlier than that of ctx.
+func withEarlierDeadline(ctx context.Context, by time.Duration) (context.Context, context.CancelFunc) {
+	deadline, ok := ctx.Deadline()
 	if !ok {
 		return context.WithCancel(ctx)
 	}
-	return context.WithDeadline(ctx, until.Add(-by))
+	return context.WithDeadline(ctx, deadline.Add(-by))
 }
 
-// until gives the context of a request, which ends with its connection, or at the last
-// call where it has no answer by then. One that comes after the last call begins with a
-// context that has ended, so that nothing of it is sent: what ends contexts at the call
-// runs beside the request, and would come after the send.
-func (s *Server) until(r *http.Request, out *caller) (context.Context, func()) {
+// requestContext returns the context of a request and a function that releases it. The
+// context is cancelled with the connection, or by cancelPending if no response has been
+// started by then. After cancelPending it is cancelled from the start, so that the request
+// is not forwarded. AfterFunc alone would run concurrently and might be too late.
+func (s *Server) requestContext(r *http.Request, out *responseWriter) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(r.Context())
-	stop := context.AfterFunc(s.ending, func() {
-		if !out.began.Load() {
+	stop := context.AfterFunc(s.stopContext, func() {
+		if !out.headerSent.Load() {
 			cancel(relay.ErrStopping)
 		}
 	})
-	if s.ending.Err() != nil {
+	if s.stopContext.Err() != nil {
 		cancel(relay.ErrStopping)
 	}
 	return ctx, func() {
