--- a/internal/transport/backend/kept.go
+++ b/internal/transport/backend/kept.go
@@ -13,56 +13,54 @@
 // host keeps the idle connections to one address.
 type host struct {
 	mu   sync.Mutex
-	idle []*conn // the newest last
-	// drops counts how often the address was dropped.
-	drops int
+	idle []*conn // newest last
+	// generation is incremented by each CloseIdle of the address.
+	generation int
 }
 
-// take gives an idle connection that is still good, nil if there is none, and the
-// count of drops that a new one opened in its place belongs to.
-func (h *host) take(now time.Time) (*conn, int) {
+// takeIdle removes and returns a usable idle connection, or nil if there is none, and the
+// generation for a new connection.
+func (h *host) takeIdle(now time.Time) (*conn, int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for len(h.idle) > 0 {
 		c := h.idle[len(h.idle)-1]
 		h.idle = h.idle[:len(h.idle)-1]
-		if now.Before(c.until) && tcp.IsIdle(c.Conn) {
-			c.kept = true
-			return c, h.drops
+		if now.Before(c.idleDeadline) && tcp.IsIdle(c.Conn) {
+			c.reused = true
+			return c, h.generation
 		}
 		c.Close()
 	}
-	return nil, h.drops
+	return nil, h.generation
 }
 
-// dropped is how often the address was dropped.
-func (h *host) dropped() int {
+func (h *host) currentGeneration() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.drops
+	return h.generation
 }
 
-// put keeps a connection for the next request. One that was in use while its
-// address was dropped leads to a process that has ended: it is closed, as the
-// resting ones were.
+// put keeps a connection for the next request. If CloseIdle was called while it was in
+// use, the connection leads to a process that exited and is closed.
 func (h *host) put(c *conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if c.drops != h.drops {
+	if c.generation != h.generation {
 		c.Close()
 		return
 	}
 	h.idle = append(h.idle, c)
 }
 
-// CloseExpired closes idle connections whose time is over.
+// CloseExpired closes idle connections whose idle timeout has passed.
 func (p *Pool) CloseExpired() {
 	now := time.Now()
 	for _, h := range p.hosts.Values() {
 		h.mu.Lock()
 		kept := h.idle[:0]
 		for _, c := range h.idle {
-			if now.Before(c.until) {
+			if now.Before(c.idleDeadline) {
 				kept = append(kept, c)
 			} else {
 				c.Close()
@@ -73,8 +71,8 @@
 	}
 }
 
-// CloseIdle closes the idle connections to an address, and keeps none of those in use:
-// what is known about the server there no longer holds.
+// CloseIdle closes the idle connections to an address. Connections in use are closed after
+// their request.
 func (p *Pool) CloseIdle(addr string) {
 	h := p.host(addr)
 	h.mu.Lock()
@@ -83,19 +81,19 @@
 		c.Close()
 	}
 	h.idle = nil
-	h.drops++
+	h.generation++
 }
 
-// idleTime is how long the connection may idle before the next request.
-func idleTime(h http.Header) time.Duration {
+// idleTimeout returns how long a connection may be idle before its next request.
+func idleTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
-		if s, err := strconv.ParseFloat(value, 64); err == nil && s > 0 {
-			return time.Duration(s * idleShare * float64(time.Second))
+		if seconds, err := strconv.ParseFloat(value, 64); err == nil && seconds > 0 {
+			return time.Duration(seconds * idleTimeoutFraction * float64(time.Second))
 		}
 	}
-	return unknownIdle
+	return defaultIdleTimeout
 }
--- a/internal/transport/backend/pool.go
+++ b/internal/transport/backend/pool.go
@@ -1,6 +1,6 @@
-// Package backend sends requests to backend servers over connections of its
-// own. It never sends anything twice, never follows a redirect, and gives a
-// connection to the next request only if nothing was left on it.
+// Package backend sends requests to backend servers over its own connections. It never
+// resends a request and never follows a redirect. It reuses a connection only if no unread
+// bytes are left on it.
 package backend
 
 import (
@@ -23,22 +23,22 @@
 )
 
 const (
-	// dialTimeout bounds a new connection; engines are under a millisecond away
-	// and accept within one more.
+	// dialTimeout is the timeout for opening a connection. Engines are in the same region.
 	dialTimeout = 400 * time.Millisecond
-	// userTimeout drops a connection whose written data stays unacknowledged.
+	// userTimeout is how long written data may stay unacknowledged before the connection
+	// is closed.
 	userTimeout = 1500 * time.Millisecond
-	// idleShare is the share of the announced idle time for which a connection
-	// is used again: later the peer's close may cross the next request.
-	idleShare = 0.6
-	// unknownIdle is how long an idle connection is kept whose peer announces
-	// no idle time.
-	unknownIdle = 700 * time.Millisecond
-	// inlineBody is the largest body that is written before the answer is read.
-	// Smaller ones fit the socket's buffer; a larger one could wait for a peer
-	// that answers without reading.
-	inlineBody = 16 << 10
-	readBuffer = 4 << 10
+	// idleTimeoutFraction is the fraction of the announced idle timeout for which a
+	// connection is reused. Later, the next request may cross with the peer closing the
+	// connection.
+	idleTimeoutFraction = 0.6
+	// defaultIdleTimeout is the idle timeout of connections whose peer announces none.
+	defaultIdleTimeout = 700 * time.Millisecond
+	// maxInlineBody is the size in bytes of the largest body that is written before the
+	// response is read. Such bodies fit into the socket buffer. Writing a larger one could
+	// block on a peer that responds without reading.
+	maxInlineBody  = 16 << 10
+	readBufferSize = 4 << 10
 )
 
 // Pool keeps idle connections by address.
@@ -49,16 +49,16 @@
 
 type conn struct {
 	net.Conn
-	br    *bufio.Reader
-	until time.Time // may be used again before
-	kept  bool      // it has served a request before
-	drops int       // its host's count when it was opened
+	br           *bufio.Reader
+	idleDeadline time.Time // may be reused before
+	reused       bool      // it has served a request
+	generation   int       // of its host when it was opened
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool() *Pool { return &Pool{hosts: shard.New[string, *host]()} }
 
-// DialCount counts the connections opened so far.
+// DialCount returns the number of connections opened so far.
 func (p *Pool) DialCount() int64 { return p.dialed.Load() }
 
 func (p *Pool) host(addr string) *host {
@@ -67,84 +67,83 @@
 }
 
 func (p *Pool) connect(ctx context.Context, addr string) (*conn, error) {
-	c, drops := p.host(addr).take(time.Now())
+	c, generation := p.host(addr).takeIdle(time.Now())
 	if c != nil {
 		return c, nil
 	}
-	c, err := p.dial(ctx, addr, drops)
+	c, err := p.dial(ctx, addr, generation)
 	if err != nil {
 		return nil, notSent(err)
 	}
 	return c, nil
 }
 
-// dial opens a connection; drops is its host's count of drops before.
-func (p *Pool) dial(ctx context.Context, addr string, drops int) (*conn, error) {
+// dial opens a connection. generation is that of its host before the dial.
+func (p *Pool) dial(ctx context.Context, addr string, generation int) (*conn, error) {
 	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: tcp.UserTimeout(userTimeout)}
 	nc, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	p.dialed.Add(1)
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), drops: drops}, nil
+	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBufferSize), generation: generation}, nil
 }
 
-// CheckListening asks whether a process takes connections at an address. relay.ErrRefused says
-// that none does; any other error leaves it open. The connection is kept for the next
-// request, which would open one itself.
+// CheckListening checks whether a process accepts connections at an address. It returns
+// relay.ErrRefused if none does. After any other error this is unknown. The connection is
+// kept for the next request.
 func (p *Pool) CheckListening(ctx context.Context, addr string) error {
 	h := p.host(addr)
-	c, err := p.dial(ctx, addr, h.dropped())
+	c, err := p.dial(ctx, addr, h.currentGeneration())
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return relay.ErrRefused
 	}
 	if err != nil {
 		return err
 	}
-	c.until = time.Now().Add(unknownIdle)
+	c.idleDeadline = time.Now().Add(defaultIdleTimeout)
 	h.put(c)
 	return nil
 }
 
-// probeEvery and probeCount end a resting connection that has gone silent: its
-// peer's end would never show on it.
+// keepAliveInterval and keepAliveProbes close an idle connection that became
+// unresponsive, because it would never show that its peer exited.
 const (
-	probeEvery = 2 * time.Second
-	probeCount = 2
+	keepAliveInterval = 2 * time.Second
+	keepAliveProbes   = 2
 )
 
-// DialIdle opens a connection that is to rest and show its peer's end.
+// DialIdle opens a connection that stays idle to detect the exit of its peer.
 func DialIdle(ctx context.Context, addr string) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout:         dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeEvery, Interval: probeEvery, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
 	}
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// Body reads an answer's body. Its Read gives io.EOF only where the answer is
-// whole: a length reached, a last chunk, or a clean close where there is no
-// length.
+// Body reads the body of a response. Read returns io.EOF only if the response is complete:
+// after its full length, its last chunk, or a clean close if there is no length.
 type Body struct {
-	pool  *Pool
-	addr  string
-	conn  *conn
-	resp  *http.Response
-	whole bool
-	reuse bool
-	stop  func() bool
-	done  atomic.Bool
+	pool     *Pool
+	addr     string
+	conn     *conn
+	resp     *http.Response
+	complete bool
+	reusable bool
+	stop     func() bool
+	closed   atomic.Bool
 }
 
-// notSent gives the proof that no byte of a request went out, and why.
-func notSent(why error) error { return fmt.Errorf("%w: %w", relay.ErrNotSent, why) }
+// notSent returns an error that wraps relay.ErrNotSent and the reason.
+func notSent(reason error) error { return fmt.Errorf("%w: %w", relay.ErrNotSent, reason) }
 
-// Do sends a request and reads the head of its answer. The connection is
-// closed as soon as ctx ends. relay.ErrNotSent is proof that nothing was sent; after
-// any other error the request may have been carried out.
+// Do sends a request and reads the header of its response. The connection is closed as
+// soon as ctx is done. If the error is relay.ErrNotSent, nothing was sent. After any other
+// error the request may have run. The caller must close the body of the response.
 func (p *Pool) Do(ctx context.Context, addr string, r *relay.Request) (*relay.Response, error) {
 	for {
-		// A request whose caller left while it waited would work for nobody.
+		// The caller may have disconnected while the request was queued.
 		if ctx.Err() != nil {
 			return nil, notSent(context.Cause(ctx))
 		}
@@ -152,52 +151,52 @@
 		if err != nil {
 			return nil, err
 		}
-		ans, err := p.exchange(ctx, c, addr, r)
-		if c.kept && ctx.Err() == nil && errors.Is(err, relay.ErrNotSent) {
-			// The peer closed it after it was looked at. Nothing went out, so the
-			// request may go over another connection.
+		resp, err := p.exchange(ctx, c, addr, r)
+		if c.reused && ctx.Err() == nil && errors.Is(err, relay.ErrNotSent) {
+			// The peer closed the connection after the check in takeIdle. Nothing was
+			// sent, so the request may use another connection.
 			continue
 		}
-		return ans, err
+		return resp, err
 	}
 }
 
-// exchange sends a request over a connection and reads the head of the answer.
+// exchange sends a request over a connection and reads the header of the response.
 func (p *Pool) exchange(ctx context.Context, c *conn, addr string, r *relay.Request) (*relay.Response, error) {
 	stop := context.AfterFunc(ctx, func() { c.Close() })
-	sent := make(chan written, 1)
-	if len(r.Body) > inlineBody {
+	sent := make(chan writeResult, 1)
+	if len(r.Body) > maxInlineBody {
 		go func() { sent <- write(c, r) }()
 	} else {
 		w := write(c, r)
-		if w.nothing() {
+		if w.nothingSent() {
 			stop()
 			c.Close()
 			return nil, w.notSent(ctx)
 		}
 		sent <- w
 	}
-	resp, err := readHead(c.br, r.Method)
+	resp, err := readResponse(c.br, r.Method)
 	if err != nil {
 		stop()
 		c.Close()
-		if w := <-sent; w.nothing() {
+		if w := <-sent; w.nothingSent() {
 			return nil, w.notSent(ctx)
 		}
-		return nil, errors.Wrap(err, "answer of "+addr)
+		return nil, errors.Wrap(err, "read response from "+addr)
 	}
 	b := &Body{pool: p, addr: addr, conn: c, resp: resp, stop: stop}
 	select {
 	case w := <-sent:
-		b.reuse = w.err == nil && !resp.Close && resp.ProtoAtLeast(1, 1)
+		b.reusable = w.err == nil && !resp.Close && resp.ProtoAtLeast(1, 1)
 	default:
-		// The server answered before it has read all of the body.
+		// The server responded before it read the whole body.
 	}
 	return &relay.Response{Status: resp.StatusCode, Header: resp.Header, Body: b}, nil
 }
 
-// readHead skips interim answers.
-func readHead(br *bufio.Reader, method string) (*http.Response, error) {
+// readResponse reads the header of the final response and skips interim responses.
+func readResponse(br *bufio.Reader, method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(br, &http.Request{Method: method})
 		if err != nil {
@@ -209,26 +208,26 @@
 	}
 }
 
-// written is what became of a write. The context may end between the look at it
-// and the write, so neither proves anything of the other; the count of bytes that
-// the kernel took does. None is proof that the peer gets nothing.
-type written struct {
+// writeResult is the result of a write. The context may be cancelled between its check and
+// the write, so only the number of bytes that the kernel accepted shows whether anything
+// was sent.
+type writeResult struct {
 	bytes int
 	err   error
 }
 
-func (w written) nothing() bool { return w.err != nil && w.bytes == 0 }
+func (w writeResult) nothingSent() bool { return w.err != nil && w.bytes == 0 }
 
-// notSent tells why nothing was written: the context that closed the connection,
-// where one did.
-func (w written) notSent(ctx context.Context) error {
+// notSent returns why nothing was written: the cause of the context that closed the
+// connection, or the write error.
+func (w writeResult) notSent(ctx context.Context) error {
 	if ctx.Err() != nil {
 		return notSent(context.Cause(ctx))
 	}
 	return notSent(w.err)
 }
 
-func write(c net.Conn, r *relay.Request) written {
+func write(c net.Conn, r *relay.Request) writeResult {
 	var b []byte
 	b = append(b, r.Method...)
 	b = append(b, ' ')
@@ -252,38 +251,38 @@
 	b = append(b, "\r\n"...)
 	b = append(b, r.Body...)
 	n, err := c.Write(b)
-	return written{bytes: n, err: err}
+	return writeResult{bytes: n, err: err}
 }
 
 // Read implements io.Reader.
 func (b *Body) Read(p []byte) (int, error) {
 	n, err := b.resp.Body.Read(p)
 	if err == io.EOF {
-		b.whole = true
+		b.complete = true
 	}
 	return n, err
 }
 
-// Close ends the use of the answer: the connection is kept where the answer was
-// read to its end and nothing stands behind it, else closed. Only the first call
-// counts: the connection may serve another request by the second one.
+// Close ends the use of the response. The connection is kept if the response was read
+// completely and no bytes follow it, and closed otherwise. Only the first call has an
+// effect, because the connection may serve another request by the second one.
 func (b *Body) Close() {
-	if b.done.Swap(true) {
+	if b.closed.Swap(true) {
 		return
 	}
-	intact := b.stop() && b.whole && b.reuse
+	intact := b.stop() && b.complete && b.reusable
 	if !intact || b.conn.br.Buffered() > 0 {
 		b.conn.Close()
 		return
 	}
-	idle := idleTime(b.resp.Header)
+	idle := idleTimeout(b.resp.Header)
 	if idle <= 0 {
 		b.conn.Close()
 		return
 	}
-	b.conn.until = time.Now().Add(idle)
+	b.conn.idleDeadline = time.Now().Add(idle)
 	b.pool.host(b.addr).put(b.conn)
 }
 
-// Discard marks the connection as unfit for another request.
-func (b *Body) Discard() { b.reuse = false }
+// Discard marks the connection as not reusable.
+func (b *Body) Discard() { b.reusable = false }
--- a/internal/transport/backend/pool_test.go
+++ b/internal/transport/backend/pool_test.go
@@ -17,8 +17,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/relay"
 )
 
-// server answers each request by a script, and counts connections and requests
-// as they arrive on the wire.
+// server responds to each request by a script and counts connections and requests.
 type server struct {
 	l      net.Listener
 	script func(c net.Conn, r *http.Request, n int) (more bool)
@@ -80,13 +79,13 @@
 func get(t *testing.T, p *Pool, s *server) (status int, body string, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	ans, err := p.Do(ctx, s.l.Addr().String(), &relay.Request{Method: http.MethodGet, Target: "/a?b=c", Host: "h", Header: http.Header{"X-A": {"1"}}})
+	resp, err := p.Do(ctx, s.l.Addr().String(), &relay.Request{Method: http.MethodGet, Target: "/a?b=c", Host: "h", Header: http.Header{"X-A": {"1"}}})
 	if err != nil {
 		return 0, "", err
 	}
-	defer ans.Body.Close()
-	raw, err := io.ReadAll(ans.Body)
-	return ans.Status, string(raw), err
+	defer resp.Body.Close()
+	raw, err := io.ReadAll(resp.Body)
+	return resp.Status, string(raw), err
 }
 
 func reply(text string) func(net.Conn, *http.Request, int) bool {
@@ -101,7 +100,7 @@
 	surplus = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate"
 )
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	s := newServer(t, reply(ok))
 	p := NewPool()
 	for range 5 {
@@ -115,15 +114,15 @@
 	assert.Equal(t, requests, 5)
 }
 
-// An answer is ended twice. The connection serves the next request by then, and
-// must not be closed under it.
-func TestSecondDoneDoesNothing(t *testing.T) {
+// A response body is closed twice. The second call must not close the connection under the
+// next request.
+func TestSecondCloseHasNoEffect(t *testing.T) {
 	s := newServer(t, reply(ok))
 	p := NewPool()
 	ask := func() *relay.Response {
-		ans, err := p.Do(context.Background(), s.l.Addr().String(), &relay.Request{Method: http.MethodGet, Target: "/", Host: "h"})
+		resp, err := p.Do(context.Background(), s.l.Addr().String(), &relay.Request{Method: http.MethodGet, Target: "/", Host: "h"})
 		assert.NilError(t, err)
-		return ans
+		return resp
 	}
 	first := ask()
 	_, err := io.ReadAll(first.Body)
@@ -140,9 +139,9 @@
 	assert.Equal(t, conns, 1)
 }
 
-// A server sends a second answer behind the first one. The next request must
-// not get it: it goes over another connection.
-func TestSurplusAnswerIsNotTheNextOnes(t *testing.T) {
+// A server sends a second response after the first one. The next request uses another
+// connection.
+func TestSurplusResponseIsNotReadAsTheNext(t *testing.T) {
 	s := newServer(t, func(c net.Conn, _ *http.Request, n int) bool {
 		text := ok
 		if n == 1 {
@@ -161,8 +160,8 @@
 	assert.Equal(t, conns, 2)
 }
 
-// The surplus answer comes late, while the connection idles.
-func TestLateSurplusAnswerIsNotTheNextOnes(t *testing.T) {
+// The surplus response arrives while the connection is idle.
+func TestLateSurplusResponseIsNotReadAsTheNext(t *testing.T) {
 	written := make(chan struct{})
 	s := newServer(t, func(c net.Conn, _ *http.Request, n int) bool {
 		if _, err := io.WriteString(c, ok); err != nil {
@@ -185,9 +184,8 @@
 	assert.Equal(t, body, "body")
 }
 
-// A server closes an idle connection. The next request goes over a new one: on
-// the old one it would be lost, and a notice must not be sent twice.
-func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
+// A server closes an idle connection. The next request uses a new one.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	s := newServer(t, func(c net.Conn, _ *http.Request, n int) bool {
 		_, err := io.WriteString(c, ok)
 		return err == nil && n > 1
@@ -202,9 +200,9 @@
 	assert.Equal(t, requests, 3)
 }
 
-// A server reads a request and goes away with it. It must not be sent again by
-// itself: whether it ran is not known.
-func TestLostRequestIsNotSentAgain(t *testing.T) {
+// A server reads a request and closes the connection. The request may have run and is not
+// resent.
+func TestLostRequestIsNotResent(t *testing.T) {
 	s := newServer(t, func(c net.Conn, _ *http.Request, n int) bool {
 		if n == 2 {
 			return false
@@ -221,7 +219,7 @@
 	assert.Equal(t, requests, 2)
 }
 
-func TestNoConnectionIsProofOfNotSent(t *testing.T) {
+func TestFailedDialReturnsErrNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	addr := l.Addr().String()
@@ -230,9 +228,9 @@
 	assert.Assert(t, errors.Is(err, relay.ErrNotSent))
 }
 
-// Answers that end early must not look whole, with a length, in chunks, or
-// without either: there only a clean close is the end.
-func TestTruncatedAnswers(t *testing.T) {
+// Truncated responses are errors, with a length, in chunks, or without either. Without a
+// length, only a clean close completes a response.
+func TestTruncatedResponsesAreErrors(t *testing.T) {
 	for name, text := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody",
 		"chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n",
@@ -252,7 +250,7 @@
 		return false
 	})
 	_, _, err := get(t, NewPool(), reset)
-	assert.Assert(t, err != nil, "a reset is no end")
+	assert.Assert(t, err != nil, "a reset does not complete a response")
 	clean := newServer(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nbody")
 		return false
@@ -262,9 +260,9 @@
 	assert.Equal(t, body, "body")
 }
 
-// A server answers before it has read a long body. The answer is passed on, and
-// the connection, on which the rest of the body is due, is not used again.
-func TestEarlyAnswerClosesTheConnection(t *testing.T) {
+// A server responds before it has read a long body. The response is returned, and the
+// connection is not reused.
+func TestEarlyResponseClosesTheConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
@@ -291,35 +289,35 @@
 	p := NewPool()
 	long := &relay.Request{Method: http.MethodPost, Target: "/", Host: "h", Body: make([]byte, 32<<20)}
 	for range 2 {
-		ans, err := p.Do(context.Background(), l.Addr().String(), long)
+		resp, err := p.Do(context.Background(), l.Addr().String(), long)
 		assert.NilError(t, err)
-		assert.Equal(t, ans.Status, 413)
-		_, err = io.ReadAll(ans.Body)
+		assert.Equal(t, resp.Status, 413)
+		_, err = io.ReadAll(resp.Body)
 		assert.NilError(t, err)
-		ans.Body.Close()
+		resp.Body.Close()
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	assert.Equal(t, conns, 2)
 }
 
-// The caller leaves: the connection is closed, which ends the server's work.
+// Cancelling a request closes the connection, which stops the work of the server.
 func TestCancelClosesTheConnection(t *testing.T) {
-	gone := make(chan struct{})
+	closed := make(chan struct{})
 	s := newServer(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n")
 		_, _ = io.Copy(io.Discard, c) // until the peer closes
-		close(gone)
+		close(closed)
 		return false
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	ans, err := NewPool().Do(ctx, s.l.Addr().String(), &relay.Request{Method: http.MethodGet, Target: "/", Host: "h"})
+	resp, err := NewPool().Do(ctx, s.l.Addr().String(), &relay.Request{Method: http.MethodGet, Target: "/", Host: "h"})
 	assert.NilError(t, err)
-	defer ans.Body.Close()
+	defer resp.Body.Close()
 	cancel()
 	select {
-	case <-gone:
+	case <-closed:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the server still works")
+		t.Fatal("the connection was not closed")
 	}
 }
