--- a/internal/transport/data/data.go
+++ b/internal/transport/data/data.go
@@ -1,6 +1,6 @@
-// Package data carries positions and tokens between processes: one long Connect
-// stream for each peer, in order, never sent again by itself. A jsonrpc2
-// notification costs eleven times the processor time (docs/design/transport.md).
+// Package data carries positions and tokens between processes, in order, over one
+// long-lived Connect stream per peer. It never resends a message. Streams need far less
+// processor time than jsonrpc2 notifications (docs/design/transport.md).
 package data
 
 import (
@@ -25,11 +25,11 @@
 
 const dialTimeout = 500 * time.Millisecond
 
-// Pool keeps one stream for each peer, opened when first needed.
+// Pool keeps one stream per peer and opens it on first use.
 type Pool struct {
-	stamp   *link.Metadata
-	client  *http.Client
-	streams *shard.Map[string, *stream]
+	metadata *link.Metadata
+	client   *http.Client
+	streams  *shard.Map[string, *stream]
 }
 
 type stream struct {
@@ -38,33 +38,33 @@
 	cancel context.CancelFunc
 }
 
-// NewPool makes an empty pool.
-func NewPool(stamp *link.Metadata) *Pool {
+// NewPool returns an empty pool.
+func NewPool(metadata *link.Metadata) *Pool {
 	d := net.Dialer{Timeout: dialTimeout, Control: tcp.UserTimeout(link.UserTimeout)}
 	return &Pool{
-		stamp:   stamp,
-		client:  &http.Client{Transport: &http.Transport{DialContext: d.DialContext}},
-		streams: shard.New[string, *stream](),
+		metadata: metadata,
+		client:   &http.Client{Transport: &http.Transport{DialContext: d.DialContext}},
+		streams:  shard.New[string, *stream](),
 	}
 }
 
 // Forward sends inputs to the process at a data address.
 func (p *Pool) Forward(addr string, f wire.Forward) error {
-	return p.send(addr, p.parcel(f.Key, f.Epoch, f.Position, f.Data, false))
+	return p.send(addr, p.newParcel(f.Key, f.Epoch, f.Position, f.Data, false))
 }
 
 // SendTokens sends generated tokens to the entry at a data address.
 func (p *Pool) SendTokens(addr string, t wire.Tokens) error {
-	return p.send(addr, p.parcel(t.Key, t.Epoch, t.Position, t.Data, true))
+	return p.send(addr, p.newParcel(t.Key, t.Epoch, t.Position, t.Data, true))
 }
 
-func (p *Pool) parcel(k wire.RunKey, epoch, position int64, data [][]byte, tokens bool) *meshv1.Parcel {
-	now := p.stamp.Clock.Now()
+func (p *Pool) newParcel(k wire.RunKey, epoch, position int64, data [][]byte, tokens bool) *meshv1.Parcel {
+	now := p.metadata.Clock.Now()
 	return &meshv1.Parcel{
-		From:      p.stamp.Self,
+		From:      p.metadata.Self,
 		Wall:      now.Wall,
 		Logical:   now.Logical,
-		Revision:  p.stamp.Revision(),
+		Revision:  p.metadata.Revision(),
 		Customer:  k.Customer,
 		RequestId: k.ID,
 		Run:       k.Run,
@@ -75,8 +75,8 @@
 	}
 }
 
-// send hands a parcel to the stream. Success means only that it was handed to
-// the kernel. A broken stream is dropped, and the next parcel opens another.
+// send writes a parcel to the stream of a peer. Success means only that the kernel
+// accepted it. After an error the stream is closed, and the next parcel opens a new one.
 func (p *Pool) send(addr string, m *meshv1.Parcel) error {
 	s, _ := p.streams.GetOrPut(addr, func() *stream { return &stream{} })
 	s.mu.Lock()
@@ -87,38 +87,38 @@
 		s.open, s.cancel = c.Carry(ctx), cancel
 	}
 	if err := s.open.Send(m); err != nil {
-		s.drop()
+		s.close()
 		return fault.New(fault.Unreachable, "data stream to %s: %v", addr, err)
 	}
 	return nil
 }
 
-func (s *stream) drop() {
+func (s *stream) close() {
 	if s.open != nil {
 		s.cancel()
 		s.open = nil
 	}
 }
 
-// Close drops every stream.
+// Close closes every stream.
 func (p *Pool) Close() {
 	for _, s := range p.streams.Values() {
 		s.mu.Lock()
-		s.drop()
+		s.close()
 		s.mu.Unlock()
 	}
 	p.client.CloseIdleConnections()
 }
 
-// Server takes parcels in. Its functions are called in the order in which a peer
-// sent, and must not block; nil refuses what it would take.
+// Server receives parcels. Its functions are called in the order in which a peer sent the
+// parcels and must not block. Parcels for a function that is nil are dropped.
 type Server struct {
 	Metadata *link.Metadata
 	Forward  func(ctx context.Context, from string, f wire.Forward)
 	Tokens   func(t wire.Tokens)
 }
 
-// Handler gives the path and handler of the service.
+// Handler returns the path and the handler of the service.
 func (s *Server) Handler() (string, http.Handler) {
 	return meshv1connect.NewDataServiceHandler(s)
 }
@@ -126,12 +126,12 @@
 // Carry implements the DataService.
 func (s *Server) Carry(ctx context.Context, in *connect.ClientStream[meshv1.Parcel]) (*connect.Response[meshv1.CarryResponse], error) {
 	for in.Receive() {
-		s.take(ctx, in.Msg())
+		s.handle(ctx, in.Msg())
 	}
 	return connect.NewResponse(&meshv1.CarryResponse{}), in.Err()
 }
 
-func (s *Server) take(ctx context.Context, m *meshv1.Parcel) {
+func (s *Server) handle(ctx context.Context, m *meshv1.Parcel) {
 	s.Metadata.Clock.Observe(hlc.Timestamp{Wall: m.Wall, Logical: m.Logical})
 	s.Metadata.ObservePeerRevision(m.From, m.Revision)
 	key := wire.RunKey{RequestKey: model.RequestKey{Customer: m.Customer, ID: m.RequestId}, Run: m.Run}
--- a/internal/transport/data/data_test.go
+++ b/internal/transport/data/data_test.go
@@ -19,28 +19,28 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/link"
 )
 
-func newStamp(self string, seen func(string, int64)) *link.Metadata {
-	return &link.Metadata{Clock: hlc.New(time.Now), Revision: func() int64 { return 7 }, ObservePeerRevision: seen, Self: self}
+func newMetadata(self string, observe func(string, int64)) *link.Metadata {
+	return &link.Metadata{Clock: hlc.New(time.Now), Revision: func() int64 { return 7 }, ObservePeerRevision: observe, Self: self}
 }
 
 var key = wire.RunKey{RequestKey: model.RequestKey{Customer: "c", ID: "r"}, Run: "run"}
 
-// What is sent to a peer arrives whole and in the order in which it was sent,
-// with the sender's address and configuration revision.
+// Parcels arrive complete, in order, and with the sender's address and configuration
+// revision.
 func TestParcelsArriveInOrder(t *testing.T) {
 	const sent = 100
 	forwards := make(chan wire.Forward, sent)
 	tokens := make(chan wire.Tokens, sent)
 	revisions := make(chan int64, 2*sent)
 	in := &Server{
-		Metadata: newStamp("server", func(_ string, r int64) { revisions <- r }),
+		Metadata: newMetadata("server", func(_ string, r int64) { revisions <- r }),
 		Forward:  func(_ context.Context, from string, f wire.Forward) { assert.Check(t, from == "client"); forwards <- f },
 		Tokens:   func(tk wire.Tokens) { tokens <- tk },
 	}
 	mux := http.NewServeMux()
 	mux.Handle(in.Handler())
 	srv := httptest.NewServer(mux)
-	p := NewPool(newStamp("client", func(string, int64) {}))
+	p := NewPool(newMetadata("client", func(string, int64) {}))
 	t.Cleanup(func() { p.Close(); srv.Close() })
 	addr := strings.TrimPrefix(srv.URL, "http://")
 	for i := int64(0); i < sent; i++ {
@@ -54,14 +54,13 @@
 	assert.Equal(t, <-revisions, int64(7))
 }
 
-// Nobody listens: the sender is told, so that the owner learns that the next
-// stage is lost.
-func TestNobodyThere(t *testing.T) {
+// The sender gets an error, so that the owner learns that the next stage is lost.
+func TestForwardFailsIfNothingListens(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	addr := l.Addr().String()
 	l.Close()
-	p := NewPool(newStamp("client", func(string, int64) {}))
+	p := NewPool(newMetadata("client", func(string, int64) {}))
 	defer p.Close()
 	for err == nil {
 		err = p.Forward(addr, wire.Forward{Key: key})
@@ -69,10 +68,9 @@
 	assert.Assert(t, fault.Is(err, fault.Unreachable))
 }
 
-// A peer takes a stream and drops it. What was on it is not sent again on
-// another connection: the sender gets an error, and the owner resumes from the
-// positions that stages report.
-func TestBrokenStreamIsNotSentAgain(t *testing.T) {
+// A peer accepts a stream and closes it. The sender gets an error, and nothing is sent
+// again over another connection.
+func TestBrokenStreamIsNotResent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
@@ -88,7 +86,7 @@
 			c.Close()
 		}
 	}()
-	p := NewPool(newStamp("client", func(string, int64) {}))
+	p := NewPool(newMetadata("client", func(string, int64) {}))
 	defer p.Close()
 	for err == nil {
 		err = p.Forward(l.Addr().String(), wire.Forward{Key: key, Data: [][]byte{make([]byte, 1024)}})
