--- a/internal/transport/mesh/config.go
+++ b/internal/transport/mesh/config.go
@@ -19,80 +19,79 @@
 )
 
 const (
-	// watchers is how many entries watch the key-value service; the rest learn
-	// from them. A watch counts as a call, so their number must not grow with
-	// the fleet.
-	watchers = 3
-	// watchWait is how long one watch waits.
-	watchWait = 5 * time.Second
-	// perSidecar is how many entries tell each sidecar of a new revision.
-	perSidecar = 2
-	// fanOut is how many members are asked for a first configuration.
-	fanOut       = 4
-	fetchTimeout = 2 * time.Second
-	loadRetry    = 300 * time.Millisecond
+	// maxWatchers is how many entries watch the key-value service. The others learn of
+	// changes from them. Each watch counts against the call quota, so the number must not
+	// grow with the fleet.
+	maxWatchers = 3
+	// watchTimeout is the timeout of one watch.
+	watchTimeout = 5 * time.Second
+	// pushesPerSidecar is how many entries notify each sidecar of a new revision.
+	pushesPerSidecar = 2
+	// maxFetchPeers is how many members are asked for the first configuration.
+	maxFetchPeers = 4
+	fetchTimeout  = 2 * time.Second
+	retryInterval = 300 * time.Millisecond
 )
 
-// configHave lists the buckets that a process holds.
-type configHave struct {
+// configRequest requests a configuration without the buckets that the process has already.
+type configRequest struct {
 	Keys map[int]string `json:"keys"`
 }
 
-// configDiff is a configuration less the buckets that the asker holds.
+// configDiff is a configuration without the buckets that the requesting process has.
 type configDiff struct {
 	Head    config.Head           `json:"head"`
 	Changed map[int]config.Bucket `json:"changed"`
 }
 
-// notice is empty: the revision that rides on the envelope says it all.
-type notice struct{}
+// configPush is empty. The envelope carries the revision.
+type configPush struct{}
 
-func (n *Node) configFetch(_ context.Context, _ string, have configHave) (configDiff, error) {
+func (n *Node) handleConfigFetch(_ context.Context, _ string, req configRequest) (configDiff, error) {
 	cur := n.Config.Current()
-	return configDiff{Head: cur.Head, Changed: cur.Diff(have.Keys)}, nil
+	return configDiff{Head: cur.Head, Changed: cur.Diff(req.Keys)}, nil
 }
 
-func (n *Node) configPush(context.Context, string, notice) (struct{}, error) {
+func (n *Node) handleConfigPush(context.Context, string, configPush) (struct{}, error) {
 	return struct{}{}, nil
 }
 
-// seen takes in the revision that rode on a message from a peer.
-func (n *Node) seen(from string, revision int64) {
-	n.confirmed.Store(n.now().UnixNano())
+// observeRevision handles the revision in a message of a peer.
+func (n *Node) observeRevision(from string, revision int64) {
+	n.lastContact.Store(n.now().UnixNano())
 	n.Table.SeenRevision(from, revision)
-	for max := n.seenMax.Load(); revision > max; max = n.seenMax.Load() {
-		if n.seenMax.CompareAndSwap(max, revision) {
+	for max := n.maxSeenRevision.Load(); revision > max; max = n.maxSeenRevision.Load() {
+		if n.maxSeenRevision.CompareAndSwap(max, revision) {
 			break
 		}
 	}
 	if revision > n.revision.Load() && from != "" {
 		select {
-		case n.newer <- from:
+		case n.newerPeers <- from:
 		default:
 		}
 	}
 }
 
-// applied passes a new revision on.
-func (n *Node) applied(revision int64) {
+// handleConfigApplied pushes a new revision to other processes.
+func (n *Node) handleConfigApplied(revision int64) {
 	n.revision.Store(revision)
 	n.Events.Add(model.RequestKey{}, events.ConfigApplied, strconv.FormatInt(revision, 10))
-	targets := n.toTell()
+	targets := n.pushTargets()
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), heartbeatWait)
+		ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 		defer cancel()
 		for _, addr := range targets {
-			_ = n.Pool.Notify(ctx, addr, wire.MethodConfigPush, notice{})
+			_ = n.Pool.Notify(ctx, addr, wire.MethodConfigPush, configPush{})
 		}
 	}()
 }
 
-// toTell lists whom this process tells of a new revision. The watchers tell
-// every entry of the region, and each entry its part of the sidecars, two for
-// each. Nobody is left to chance: heartbeats come too seldom in a large fleet
-// to bring a change into force within seconds. What is lost all the same, the
-// next message or heartbeat brings.
-func (n *Node) toTell() []string {
+// pushTargets returns the addresses to which this process pushes a new revision. Watchers
+// push to every entry of the region, and each sidecar gets it from pushesPerSidecar
+// entries. Heartbeats alone would take too long in a large fleet. A lost push is made up
+// for by the next message or heartbeat.
+func (n *Node) pushTargets() []string {
 	if n.Self.Role != model.RoleEntry {
 		return nil
 	}
@@ -107,8 +106,8 @@
 			}
 			continue
 		}
-		tellers := membership.Rendezvous(addr, entries)
-		if slices.Contains(tellers[:min(perSidecar, len(tellers))], n.Self.Address) {
+		pushers := membership.Rendezvous(addr, entries)
+		if slices.Contains(pushers[:min(pushesPerSidecar, len(pushers))], n.Self.Address) {
 			out = append(out, addr)
 		}
 	}
@@ -123,33 +122,33 @@
 	return addrs
 }
 
-// FetchConfig brings the configuration up to that of a peer.
+// FetchConfig fetches and applies the configuration of a peer.
 func (n *Node) FetchConfig(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	var diff configDiff
-	have := configHave{Keys: n.Config.Current().Head.Keys}
-	if err := n.Pool.Call(ctx, addr, wire.MethodConfigFetch, have, &diff); err != nil {
+	req := configRequest{Keys: n.Config.Current().Head.Keys}
+	if err := n.Pool.Call(ctx, addr, wire.MethodConfigFetch, req, &diff); err != nil {
 		return err
 	}
 	_, err := n.Config.Apply(diff.Head, diff.Changed)
 	if err == nil {
-		n.loaded.Store(true)
+		n.configLoaded.Store(true)
 	}
 	return err
 }
 
-// loadConfig reads the first configuration: from a peer, and what the peer may
-// lack from the key-value service. Read from the service alone, the instances of
-// a region that comes back together would use up its rate for a minute.
+// loadConfig reads the first configuration from a peer, and newer parts from the key-value
+// service. If all instances of a restarted region read from the service alone, they would
+// exhaust its call quota.
 func (n *Node) loadConfig(ctx context.Context) {
-	for !n.loaded.Load() && ctx.Err() == nil {
+	for !n.configLoaded.Load() && ctx.Err() == nil {
 		n.readList(ctx)
 		fetched := n.fetchAny(ctx)
 		if n.refresh(ctx) || fetched {
 			return
 		}
-		wait.For(ctx, loadRetry)
+		wait.For(ctx, retryInterval)
 	}
 }
 
@@ -157,25 +156,25 @@
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	if err := n.Config.Refresh(ctx); err != nil {
-		klog.V(1).InfoS("Configuration cannot be read", "err", err)
+		klog.V(1).InfoS("reading the configuration failed", "err", err)
 		return false
 	}
-	n.loaded.Store(true)
-	n.confirmed.Store(n.now().UnixNano())
+	n.configLoaded.Store(true)
+	n.lastContact.Store(n.now().UnixNano())
 	return true
 }
 
-// fetchAny asks a few members; one with a configuration is enough, as revisions
-// ride on every message and a newer one is fetched when it is met.
+// fetchAny fetches the configuration of one of a few random members. Any is enough,
+// because a newer revision is detected by later messages.
 func (n *Node) fetchAny(ctx context.Context) bool {
-	for _, m := range pick(n.Table.All(), fanOut) {
+	for _, m := range pick(n.Table.All(), maxFetchPeers) {
 		err := n.FetchConfig(ctx, m.Instance.Address)
 		if err == nil && n.Config.Revision() > 0 {
 			return true
 		}
 	}
-	n.loaded.Store(n.Config.Revision() > 0)
-	return n.loaded.Load()
+	n.configLoaded.Store(n.Config.Revision() > 0)
+	return n.configLoaded.Load()
 }
 
 func (n *Node) fetchLoop(ctx context.Context) {
@@ -183,32 +182,32 @@
 		select {
 		case <-ctx.Done():
 			return
-		case addr := <-n.newer:
-			if n.seenMax.Load() <= n.Config.Revision() {
+		case addr := <-n.newerPeers:
+			if n.maxSeenRevision.Load() <= n.Config.Revision() {
 				continue
 			}
 			if err := n.FetchConfig(ctx, addr); err != nil && ctx.Err() == nil {
-				klog.V(1).InfoS("Configuration cannot be fetched", "from", addr, "err", err)
+				klog.V(1).InfoS("fetching the configuration from a peer failed", "from", addr, "err", err)
 			}
 		}
 	}
 }
 
-// watchLoop watches the key-value service if this entry is one of the watchers.
+// watchLoop watches the key-value service while this entry is one of the watchers.
 func (n *Node) watchLoop(ctx context.Context) {
 	version := int64(0)
 	for ctx.Err() == nil {
 		if !n.isWatcher() {
-			wait.For(ctx, heartbeatEvery)
+			wait.For(ctx, minHeartbeatInterval)
 			continue
 		}
-		next, err := n.Config.Watch(ctx, version, watchWait)
+		next, err := n.Config.Watch(ctx, version, watchTimeout)
 		if err != nil && !errors.Is(err, context.Canceled) {
-			wait.For(ctx, loadRetry)
+			wait.For(ctx, retryInterval)
 			continue
 		}
 		version = next
-		n.confirmed.Store(n.now().UnixNano())
+		n.lastContact.Store(n.now().UnixNano())
 	}
 }
 
@@ -217,7 +216,7 @@
 		return false
 	}
 	addrs := n.entryAddresses()
-	for _, a := range membership.Rendezvous("config-watch", addrs)[:min(watchers, len(addrs))] {
+	for _, a := range membership.Rendezvous("config-watch", addrs)[:min(maxWatchers, len(addrs))] {
 		if a == n.Self.Address {
 			return true
 		}
@@ -225,33 +224,33 @@
 	return false
 }
 
-// CheckReady tells whether the configuration held here may be acted on: it was
-// read, no peer is known to hold a newer one, and a peer or the key-value
-// service was heard of lately. A process thawed after a long freeze would
-// otherwise go by templates that were replaced meanwhile.
+// CheckReady returns an error unless the configuration may be relied on: it was read, no
+// peer is known to have a newer one, and there was recent contact with a peer or the
+// key-value service. This guards against replaced templates after the process was
+// suspended.
 func (n *Node) CheckReady() error {
-	if !n.loaded.Load() {
-		return fault.New(fault.NotReady, "no configuration was read yet")
+	if !n.configLoaded.Load() {
+		return fault.New(fault.NotReady, "no configuration has been read yet")
 	}
-	if seen := n.seenMax.Load(); seen > n.Config.Revision() {
-		return fault.New(fault.StaleConfig, "configuration %d is in force, this instance still has %d", seen, n.Config.Revision())
+	if seen := n.maxSeenRevision.Load(); seen > n.Config.Revision() {
+		return fault.New(fault.StaleConfig, "configuration %d is in force, this instance has %d", seen, n.Config.Revision())
 	}
-	if n.now().UnixNano()-n.confirmed.Load() > int64(confirmWithin) {
+	if n.now().UnixNano()-n.lastContact.Load() > int64(maxContactAge) {
 		return fault.New(fault.NotReady, "cut off from the other instances and the key-value service")
 	}
 	return nil
 }
 
-// CheckSenderRevision tells a gate whether an entry that sent a message acts on an older
-// configuration than is in force here. admitted is the revision by which the
-// entry let the work in; 0 where the message does not tell.
+// CheckSenderRevision returns an error if the entry that sent a message uses an older
+// configuration than this process. admitted is the revision with which the entry admitted
+// the request, or 0 if the message has none.
 func (n *Node) CheckSenderRevision(from string, admitted int64) error {
-	here := n.Config.Revision()
-	if m, ok := n.Table.Get(from); ok && m.Revision < here {
-		return fault.New(fault.StaleConfig, "entry %s acts on configuration %d, %d is in force", from, m.Revision, here)
+	current := n.Config.Revision()
+	if m, ok := n.Table.Get(from); ok && m.Revision < current {
+		return fault.New(fault.StaleConfig, "entry %s uses configuration %d, %d is in force", from, m.Revision, current)
 	}
-	if admitted > 0 && admitted < here {
-		return fault.New(fault.StaleConfig, "entry %s admitted this by configuration %d, %d is in force", from, admitted, here)
+	if admitted > 0 && admitted < current {
+		return fault.New(fault.StaleConfig, "entry %s admitted the request with configuration %d, %d is in force", from, admitted, current)
 	}
 	return nil
 }
--- a/internal/transport/mesh/mesh.go
+++ b/internal/transport/mesh/mesh.go
@@ -1,6 +1,5 @@
-// Package mesh joins one process to the others: it answers the methods that
-// every process has, keeps the membership table fresh and spreads the
-// configuration.
+// Package mesh connects a process to the others. It serves the methods that every process
+// has, keeps the membership table up to date and distributes the configuration.
 package mesh
 
 import (
@@ -25,28 +24,29 @@
 )
 
 const (
-	listEvery = time.Second
-	// heartbeatTick is how often it is looked who is due; heartbeatEvery is how
-	// often a member is asked in a small fleet.
-	heartbeatTick  = 100 * time.Millisecond
-	heartbeatEvery = 500 * time.Millisecond
-	// helloBytes is what one heartbeat costs on the link, both ways, as measured
-	// (docs/CAPACITY.md); controlBudget is what an entry may spend on them, in
-	// bytes a second.
-	helloBytes    = 380
-	controlBudget = 3000
-	askedSlack    = 64
-	// heartbeatWait bounds one heartbeat. Two misses in a row, the second over
-	// a new connection, are found within about two seconds.
-	heartbeatWait = 700 * time.Millisecond
-	// confirmWithin is how long a process may go without hearing a peer or the
-	// key-value service before it doubts that its configuration is in force.
-	confirmWithin = 3 * time.Second
-	// helloParallel bounds heartbeats under way at once.
-	helloParallel = 32
+	listInterval = time.Second
+	// heartbeatTick is the interval at which due heartbeats are sent. minHeartbeatInterval
+	// is the interval between two heartbeats to a member in a small fleet.
+	heartbeatTick        = 100 * time.Millisecond
+	minHeartbeatInterval = 500 * time.Millisecond
+	// heartbeatBytes is the size of a heartbeat and its reply on the link
+	// (docs/CAPACITY.md). maxHeartbeatRate limits the heartbeats of an entry, in bytes per
+	// second.
+	heartbeatBytes   = 380
+	maxHeartbeatRate = 3000
+	// maxStaleEntries is the slack before the times of removed members are discarded.
+	maxStaleEntries = 64
+	// heartbeatTimeout is the timeout of one heartbeat. Two consecutive failures, the
+	// second over a new connection, are detected within about two seconds.
+	heartbeatTimeout = 700 * time.Millisecond
+	// maxContactAge is how long a process may be without contact to a peer or the
+	// key-value service before it stops relying on its configuration.
+	maxContactAge = 3 * time.Second
+	// maxConcurrentHeartbeats limits the heartbeats in flight.
+	maxConcurrentHeartbeats = 32
 )
 
-// Node is one process among the others.
+// Node connects one process to the others.
 type Node struct {
 	Self        model.Instance
 	Incarnation string
@@ -57,22 +57,22 @@
 	Server      *link.Server
 	Pool        *link.Pool
 
-	instances platform.Instances
-	now       func() time.Time
-	backend   wire.HelloReply
-	load      func() wire.Load
-	heard     func(from string)
-	stamp     *link.Metadata
+	instances   platform.Instances
+	now         func() time.Time
+	backend     wire.HelloReply
+	load        func() wire.Load
+	onHeartbeat func(from string)
+	metadata    *link.Metadata
 
-	revision  atomic.Int64
-	confirmed atomic.Int64         // unix nanoseconds of the last contact
-	loaded    atomic.Bool          // a configuration was read
-	seenMax   atomic.Int64         // highest revision seen on any message
-	newer     chan string          // peers that have a newer configuration
-	asked     map[string]time.Time // by the heartbeat loop only
+	revision        atomic.Int64
+	lastContact     atomic.Int64         // unix nanoseconds of the last contact
+	configLoaded    atomic.Bool          // a configuration has been read
+	maxSeenRevision atomic.Int64         // highest revision seen on any message
+	newerPeers      chan string          // peers that have a newer configuration
+	lastHeartbeat   map[string]time.Time // by address; used by the heartbeat loop only
 }
 
-// Options is what a node is made of.
+// Options configures a Node.
 type Options struct {
 	Self        model.Instance
 	Incarnation string
@@ -83,58 +83,59 @@
 	EventLimit  int
 }
 
-// SetBackend tells the node what it offers to the others: a sidecar's backend server,
-// its load, and who is to be told of a heartbeat. It is called before Run.
-func (n *Node) SetBackend(backend wire.HelloReply, load func() wire.Load, heard func(from string)) {
+// SetBackend sets what the node reports in its heartbeat replies, the backend server of a
+// sidecar and its load, and a function that is called with the sender of each heartbeat.
+// It must be called before Run.
+func (n *Node) SetBackend(backend wire.HelloReply, load func() wire.Load, onHeartbeat func(from string)) {
 	n.backend = backend
 	n.load = load
-	n.heard = heard
+	n.onHeartbeat = onHeartbeat
 }
 
-// Bytes is how much went over the node's links so far, both ways.
-func (n *Node) Bytes() int64 { return n.stamp.Bytes() }
+// Bytes returns the bytes read and written on the links of the node so far.
+func (n *Node) Bytes() int64 { return n.metadata.Bytes() }
 
-// Metadata is what rides on every message of this node.
-func (n *Node) Metadata() *link.Metadata { return n.stamp }
+// Metadata returns the source of the metadata of this node's messages.
+func (n *Node) Metadata() *link.Metadata { return n.metadata }
 
-// New makes a node; Run starts it.
+// New returns a node. Run starts it.
 func New(o Options) *Node {
 	n := &Node{
-		Self:        o.Self,
-		Incarnation: o.Incarnation,
-		Clock:       hlc.New(o.Now),
-		Table:       membership.New(o.Self.Address, o.Now),
-		instances:   o.Instances,
-		now:         o.Now,
-		load:        func() wire.Load { return wire.Load{} },
-		heard:       func(string) {},
-		newer:       make(chan string, 16),
-		asked:       map[string]time.Time{},
+		Self:          o.Self,
+		Incarnation:   o.Incarnation,
+		Clock:         hlc.New(o.Now),
+		Table:         membership.New(o.Self.Address, o.Now),
+		instances:     o.Instances,
+		now:           o.Now,
+		load:          func() wire.Load { return wire.Load{} },
+		onHeartbeat:   func(string) {},
+		newerPeers:    make(chan string, 16),
+		lastHeartbeat: map[string]time.Time{},
 	}
 	n.Events = events.New(o.Self.ID, o.Self.Role, o.Incarnation, n.Clock, o.EventLimit)
-	n.Config = config.NewStore(o.KV, o.Now, o.NewID, n.applied)
-	n.stamp = &link.Metadata{Clock: n.Clock, Revision: n.revision.Load, ObservePeerRevision: n.seen, Self: o.Self.Address}
-	n.Server = link.NewServer(n.stamp)
-	n.Pool = link.NewPool(n.stamp)
+	n.Config = config.NewStore(o.KV, o.Now, o.NewID, n.handleConfigApplied)
+	n.metadata = &link.Metadata{Clock: n.Clock, Revision: n.revision.Load, ObservePeerRevision: n.observeRevision, Self: o.Self.Address}
+	n.Server = link.NewServer(n.metadata)
+	n.Pool = link.NewPool(n.metadata)
 	n.register()
 	return n
 }
 
 func (n *Node) register() {
-	n.Server.Register(wire.MethodHello, link.Handle(n.hello))
-	n.Server.Register(wire.MethodEvents, link.Handle(n.eventsOf))
-	n.Server.Register(wire.MethodConfigFetch, link.Handle(n.configFetch))
-	n.Server.Register(wire.MethodConfigPush, link.Handle(n.configPush))
+	n.Server.Register(wire.MethodHello, link.Handle(n.handleHello))
+	n.Server.Register(wire.MethodEvents, link.Handle(n.handleEventsQuery))
+	n.Server.Register(wire.MethodConfigFetch, link.Handle(n.handleConfigFetch))
+	n.Server.Register(wire.MethodConfigPush, link.Handle(n.handleConfigPush))
 }
 
-// Run joins the others until ctx ends.
+// Run connects the node until ctx is done. It serves calls on l.
 func (n *Node) Run(ctx context.Context, l net.Listener) error {
 	n.Events.Add(model.RequestKey{}, events.ProcessStart, n.Incarnation)
 	var g errgroup.Group
 	g.Go(func() error { return n.Server.Serve(ctx, l) })
-	g.Go(func() error { n.every(ctx, listEvery, n.readList); return nil })
+	g.Go(func() error { n.every(ctx, listInterval, n.readList); return nil })
 	if n.Self.Role == model.RoleEntry {
-		g.Go(func() error { n.every(ctx, heartbeatTick, n.heartbeats); return nil })
+		g.Go(func() error { n.every(ctx, heartbeatTick, n.sendHeartbeats); return nil })
 	}
 	g.Go(func() error { n.loadConfig(ctx); n.fetchLoop(ctx); return nil })
 	g.Go(func() error { n.watchLoop(ctx); return nil })
@@ -156,103 +157,103 @@
 	}
 }
 
-func (n *Node) hello(_ context.Context, from string, h wire.Hello) (wire.HelloReply, error) {
-	n.heard(from)
-	rep := wire.HelloReply{}
+func (n *Node) handleHello(_ context.Context, from string, h wire.Hello) (wire.HelloReply, error) {
+	n.onHeartbeat(from)
+	reply := wire.HelloReply{}
 	if h.Known != n.Incarnation {
-		rep = n.backend
-		rep.Instance = &n.Self
+		reply = n.backend
+		reply.Instance = &n.Self
 	}
-	rep.Incarnation = n.Incarnation
-	rep.Load = n.load()
-	return rep, nil
+	reply.Incarnation = n.Incarnation
+	reply.Load = n.load()
+	return reply, nil
 }
 
-func (n *Node) eventsOf(_ context.Context, _ string, q wire.EventsQuery) (wire.EventsReply, error) {
+func (n *Node) handleEventsQuery(_ context.Context, _ string, q wire.EventsQuery) (wire.EventsReply, error) {
 	return wire.EventsReply{Events: n.Events.Of(q.Key)}, nil
 }
 
 func (n *Node) readList(ctx context.Context) {
 	list, err := n.instances.List(ctx)
 	if err != nil {
-		klog.V(1).InfoS("Instance list gives no answer", "err", err)
+		klog.V(1).InfoS("reading the instance list failed", "err", err)
 		return
 	}
 	n.Table.UpdateList(n.inRegion(list))
 }
 
-// inRegion leaves out what lies in other regions. Each member that is met costs
-// a connection and some 80 KB; the whole target fleet would not fit into an
-// instance, and a chain across regions would be too slow.
+// inRegion removes instances of other regions. Each member costs a connection and its
+// memory, and chains across regions would be too slow.
 func (n *Node) inRegion(list []model.Instance) []model.Instance {
 	return slices.DeleteFunc(list, func(in model.Instance) bool { return in.Region != n.Self.Region })
 }
 
-// heartbeats asks the members that are due. Only entries ask: a sidecar hears
-// of newer configurations by what entries send it.
-func (n *Node) heartbeats(ctx context.Context) {
+// sendHeartbeats sends a heartbeat to the members that are due. Only entries send
+// heartbeats. Sidecars learn of newer configurations from the messages of entries.
+func (n *Node) sendHeartbeats(ctx context.Context) {
 	var g errgroup.Group
-	g.SetLimit(helloParallel)
+	g.SetLimit(maxConcurrentHeartbeats)
 	for _, addr := range n.due(n.Table.All()) {
 		g.Go(func() error { n.Probe(ctx, addr); return nil })
 	}
 	_ = g.Wait()
 }
 
-// due picks whom to ask in this tick: at once who was never met or missed the
-// last time, the others in turn, each as often as the byte budget allows. What
-// a member carries for this entry shows much sooner whether it lives.
+// due returns the addresses of the members that are due. New members and members whose
+// last heartbeat failed are due soon, the others as often as the byte rate allows.
+// Failures of members that carry requests of this entry are detected by those requests.
 func (n *Node) due(all []membership.Member) []string {
 	var out []string
 	interval := heartbeatInterval(len(all))
 	now := n.now()
 	for _, m := range all {
-		since := now.Sub(n.asked[m.Instance.Address])
+		elapsed := now.Sub(n.lastHeartbeat[m.Instance.Address])
 		urgent := m.SeenAt.IsZero() || m.Misses > 0
-		if since >= interval || (urgent && since >= heartbeatEvery) {
+		if elapsed >= interval || (urgent && elapsed >= minHeartbeatInterval) {
 			out = append(out, m.Instance.Address)
-			n.asked[m.Instance.Address] = now
+			n.lastHeartbeat[m.Instance.Address] = now
 		}
 	}
-	if len(n.asked) > 2*len(all)+askedSlack {
-		clear(n.asked)
+	if len(n.lastHeartbeat) > 2*len(all)+maxStaleEntries {
+		clear(n.lastHeartbeat)
 	}
 	return out
 }
 
-// heartbeatInterval is how often each of so many members is asked.
+// heartbeatInterval returns the interval between two heartbeats to a member.
 func heartbeatInterval(members int) time.Duration {
-	spread := time.Duration(float64(members) * helloBytes / controlBudget * float64(time.Second))
-	return max(heartbeatEvery, spread)
+	spread := time.Duration(float64(members) * heartbeatBytes / maxHeartbeatRate * float64(time.Second))
+	return max(minHeartbeatInterval, spread)
 }
 
-// Probe asks one member for its state and takes the answer, or its lack, as
-// evidence. The next contact after a miss goes over a new connection.
+// Probe sends a heartbeat to a member, records the result in the membership table and
+// reports whether the member replied. After a failure the next message uses a new
+// connection.
 func (n *Node) Probe(ctx context.Context, addr string) bool {
-	began := n.now()
-	ctx, cancel := context.WithTimeout(ctx, heartbeatWait)
+	start := n.now()
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	var hello wire.Hello
 	if m, ok := n.Table.Get(addr); ok && !m.SeenAt.IsZero() {
 		hello.Known = m.Incarnation
 	}
-	var rep wire.HelloReply
-	if err := n.Pool.Call(ctx, addr, wire.MethodHello, hello, &rep); err != nil {
+	var reply wire.HelloReply
+	if err := n.Pool.Call(ctx, addr, wire.MethodHello, hello, &reply); err != nil {
 		n.Pool.Reset(addr)
 		if n.Table.Missed(addr) {
-			klog.V(1).InfoS("Member does not answer", "address", addr, "err", err)
+			klog.V(1).InfoS("member did not answer a heartbeat", "address", addr, "err", err)
 		}
 		return false
 	}
-	if rep.Instance == nil {
-		n.Table.SeenLoad(addr, membership.Load(rep.Load))
+	if reply.Instance == nil {
+		n.Table.SeenLoad(addr, membership.Load(reply.Load))
 		return true
 	}
-	n.Table.Seen(*rep.Instance, rep.Incarnation, rep.Backend(), n.now().Sub(began))
+	n.Table.Seen(*reply.Instance, reply.Incarnation, reply.Backend(), n.now().Sub(start))
 	return true
 }
 
-// pick gives up to k members at random.
+// pick returns up to k random members.
 func pick(all []membership.Member, k int) []membership.Member {
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(k, len(all))]
