--- a/internal/transport/api/operators.go
+++ b/internal/transport/api/operators.go
@@ -14,14 +14,14 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/mesh"
 )
 
-// Limits on templates.
+// Limits on templates and on the calls of operators.
 const (
-	maxPriority   = 9
-	maxRules      = 64
-	maxParameters = 64
-	maxWait       = time.Minute
-	setTimeout    = 5 * time.Second
-	confirmPoll   = 50 * time.Millisecond
+	maxPriority       = 9
+	maxRules          = 64
+	maxParameters     = 64
+	maxConfirmTimeout = time.Minute
+	setTimeout        = 5 * time.Second
+	confirmInterval   = 50 * time.Millisecond
 )
 
 // Operators implements the OperatorService.
@@ -66,8 +66,8 @@
 	return connect.NewResponse(out), nil
 }
 
-// SetTemplate implements the OperatorService. Accepted and in force everywhere
-// are two answers: the second names who has not confirmed.
+// SetTemplate implements the OperatorService. The response reports whether the change is
+// in force everywhere and otherwise names the instances that have not confirmed it.
 func (s *Operators) SetTemplate(ctx context.Context, r *connect.Request[v1.SetTemplateRequest]) (*connect.Response[v1.SetTemplateResponse], error) {
 	t, err := templateOf(r.Msg.Template)
 	if err != nil {
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, connectError(err)
 	}
-	wait := min(time.Duration(r.Msg.WaitMs)*time.Millisecond, maxWait)
+	wait := min(time.Duration(r.Msg.WaitMs)*time.Millisecond, maxConfirmTimeout)
 	missing := s.confirm(ctx, change.ConfigRevision, wait)
 	return connect.NewResponse(&v1.SetTemplateResponse{
 		Change:            changeMessage(change),
@@ -91,7 +91,7 @@
 	}), nil
 }
 
-// conflictError shows the racing operator's change in the error's details.
+// conflictError returns an error whose details contain the conflicting change.
 func conflictError(err error, other config.Change) error {
 	out := connectError(err)
 	ce, _ := out.(*connect.Error)
@@ -101,9 +101,9 @@
 	return ce
 }
 
-// confirm waits until every member has applied a revision; it names the others.
-// A member that is down counts as missing while the platform lists it: it may
-// be frozen and come back.
+// confirm waits until every member has applied a revision. It returns the names of those
+// that have not. A member that is down counts while the platform lists it, because it may
+// be suspended and resume.
 func (s *Operators) confirm(ctx context.Context, revision int64, wait time.Duration) []string {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
@@ -123,15 +123,15 @@
 			return missing
 		case <-ctx.Done():
 			return missing
-		case <-time.After(confirmPoll):
-			s.probeLaggards(ctx, revision)
+		case <-time.After(confirmInterval):
+			s.probeOutdated(ctx, revision)
 		}
 	}
 }
 
 func confirmed(m membership.Member, revision int64) bool { return m.Revision >= revision }
 
-func (s *Operators) probeLaggards(ctx context.Context, revision int64) {
+func (s *Operators) probeOutdated(ctx context.Context, revision int64) {
 	for _, m := range s.Node.Table.All() {
 		if !confirmed(m, revision) && !m.Down() {
 			s.Node.Probe(ctx, m.Instance.Address)
--- a/internal/transport/api/requests.go
+++ b/internal/transport/api/requests.go
@@ -1,4 +1,4 @@
-// Package api answers callers, support engineers and operators over Connect.
+// Package api serves callers, support engineers and operators over Connect.
 package api
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/mesh"
 )
 
-// Names of the error metadata that callers may read.
+// Names of error metadata for callers.
 const (
 	MetaKind       = "skylarkwood-kind"
 	MetaRetryAfter = "retry-after-ms"
@@ -30,11 +30,12 @@
 	Owner *owner.Owner
 }
 
-// notAccepted is the outcome of a submission that was refused: nothing of it
-// ran. It says nothing of an earlier submission under the same id.
+// notAccepted is the outcome of a rejected submission, of which nothing ran. It does not
+// concern earlier submissions with the same ID.
 const notAccepted = "not_accepted"
 
-// connectError answers an error by the table of kinds.
+// connectError converts an error to a Connect error with its kind, outcome and retry delay
+// as metadata.
 func connectError(err error) error {
 	f := fault.From(err)
 	out := connect.NewError(f.Kind.Answer().Code, f)
@@ -70,7 +71,7 @@
 	for pos := int64(0); ; {
 		parts, outcome, err := req.Next(ctx, pos)
 		if err != nil {
-			return err // the caller went away; the request goes on
+			return err // the caller disconnected; the request continues
 		}
 		if outcome.Final() {
 			return stream.Send(&v1.SubmitResponse{Position: pos, Outcome: outcomeMessage(outcome)})
@@ -122,8 +123,8 @@
 	return connect.NewResponse(&v1.GetOutcomeResponse{Outcome: outcomeMessage(o), Unreachable: unreachable}), nil
 }
 
-// timelineWait bounds asking one process for its events.
-const timelineWait = time.Second
+// timelineTimeout is the timeout for querying the events of one process.
+const timelineTimeout = time.Second
 
 // GetTimeline implements the RequestService.
 func (s *Requests) GetTimeline(ctx context.Context, r *connect.Request[v1.GetTimelineRequest]) (*connect.Response[v1.GetTimelineResponse], error) {
@@ -132,7 +133,7 @@
 	out := &v1.GetTimelineResponse{}
 	for _, m := range s.Node.Table.All() {
 		var rep wire.EventsReply
-		ctx, cancel := context.WithTimeout(ctx, timelineWait)
+		ctx, cancel := context.WithTimeout(ctx, timelineTimeout)
 		err := s.Node.Pool.Call(ctx, m.Instance.Address, wire.MethodEvents, wire.EventsQuery{Key: key}, &rep)
 		cancel()
 		if err != nil {
