--- a/internal/tcp/steady.go
+++ b/internal/tcp/steady.go
@@ -9,36 +9,34 @@
 	"k8s.io/klog/v2"
 )
 
-// acceptPause is between two tries after an accept that failed: short for a caller
-// that waits in the kernel's queue, and 50 tries a second cost next to nothing.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the delay between two attempts after Accept failed.
+const acceptRetryDelay = 20 * time.Millisecond
 
-// RetryAccept gives a listener that outlasts accepts which fail for want of descriptors
-// or memory, or by the fault of one connection. Servers take an error of Accept for
-// the listener's end; a router's callers then lose their requests in progress, or
-// its peers their links for good. Only an error that says that the socket itself is
-// gone is passed on, which no later try would mend.
-func RetryAccept(l net.Listener) net.Listener { return steady{l} }
+// RetryAccept returns a listener that retries Accept after errors such as a lack of file
+// descriptors or memory. Servers stop at an error of Accept, which would drop callers'
+// requests or the links to peers. Accept returns an error only if the listening socket
+// itself is closed or unusable.
+func RetryAccept(l net.Listener) net.Listener { return retryListener{l} }
 
-type steady struct{ net.Listener }
+type retryListener struct{ net.Listener }
 
-func (l steady) Accept() (net.Conn, error) {
+func (l retryListener) Accept() (net.Conn, error) {
 	for failed := false; ; failed = true {
 		c, err := l.Listener.Accept()
-		if err == nil || isGone(err) {
+		if err == nil || isFatal(err) {
 			return c, err
 		}
 		if !failed {
-			klog.ErrorS(err, "connection not accepted; trying again", "listener", l.Addr())
+			klog.ErrorS(err, "accepting a connection failed; retrying", "listener", l.Addr())
 		}
-		time.Sleep(acceptPause)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-// isGone tells whether an error of Accept is about the listener's own socket.
-func isGone(err error) bool {
-	for _, gone := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK} {
-		if errors.Is(err, gone) {
+// isFatal reports whether an error of Accept concerns the listening socket itself.
+func isFatal(err error) bool {
+	for _, fatal := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK} {
+		if errors.Is(err, fatal) {
 			return true
 		}
 	}
--- a/internal/tcp/steady_test.go
+++ b/internal/tcp/steady_test.go
@@ -9,15 +9,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// failing is a listener whose accepts fail one after the other.
-type failing struct {
+// failingListener returns the errors in errs one after the other, and a connection for
+// nil.
+type failingListener struct {
 	net.Listener
 	errs []error
 }
 
-func (l *failing) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *failingListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (l *failing) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	next := l.errs[0]
 	l.errs = l.errs[1:]
 	if next == nil {
@@ -26,13 +27,12 @@
 	return nil, &net.OpError{Op: "accept", Net: "tcp", Err: next}
 }
 
-// Accepts fail while descriptors and memory lack and for connections that broke
-// meanwhile. The next connection is given out; the listener's own end is told at
-// once, so that a server which is stopped does not try on.
-func TestSteadyAccept(t *testing.T) {
+// Temporary errors are retried. Errors of the listening socket are returned at once, so
+// that a stopped server does not retry.
+func TestAcceptRetriesTemporaryErrors(t *testing.T) {
 	for _, last := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK} {
 		synctest.Test(t, func(t *testing.T) {
-			inner := &failing{errs: []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EHOSTUNREACH, nil, last}}
+			inner := &failingListener{errs: []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EHOSTUNREACH, nil, last}}
 			l := RetryAccept(inner)
 			c, err := l.Accept()
 			assert.NilError(t, err)
--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -1,4 +1,4 @@
-// Package tcp sets and reads what the standard library leaves to the socket.
+// Package tcp sets and reads socket state that package net does not expose.
 package tcp
 
 import (
@@ -10,11 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeout gives a net.Dialer or net.ListenConfig Control that sets
-// TCP_USER_TIMEOUT: how long written data may stay unacknowledged by the peer's
-// kernel before the connection is dropped. Without it a peer that vanished
-// keeps a writer waiting for the kernel's retransmissions, many minutes (see
-// docs/design/silence.md).
+// UserTimeout returns a Control function for a net.Dialer or net.ListenConfig that sets
+// TCP_USER_TIMEOUT: how long written data may stay unacknowledged by the peer's kernel
+// before the connection is closed. Otherwise a writer to a vanished peer waits many
+// minutes for the kernel's retransmissions (see docs/design/silence.md).
 func UserTimeout(d time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var opt error
@@ -25,16 +24,16 @@
 	}
 }
 
-// IsIdle tells whether an idle connection is still open and has nothing to
-// read. A peer that closed it, or sent a second answer, makes it unfit for the
-// next request. It looks without waiting and without reading.
+// IsIdle reports whether a connection is open and has no unread bytes. A connection that
+// the peer closed or sent an unexpected response on must not be reused. IsIdle neither
+// blocks nor consumes bytes.
 func IsIdle(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// HasUnread tells whether bytes of the peer wait to be read. Unlike a read it looks
-// also where the read deadline has passed. A connection without a socket keeps none.
+// HasUnread reports whether bytes of the peer are waiting to be read, also after the read
+// deadline has passed. It returns false if the connection is not a socket.
 func HasUnread(c net.Conn) bool {
 	n, err := peek(c)
 	return err == nil && n > 0
@@ -42,8 +41,9 @@
 
 var errNoSocket = errors.New("not a socket")
 
-// peek looks at what can be read, without waiting and without taking it: 0 without an
-// error is the peer's end, unix.EAGAIN nothing yet.
+// peek returns whether bytes can be read, without blocking or consuming them. 0 without an
+// error means that the peer closed the connection. The error is unix.EAGAIN if nothing has
+// arrived.
 func peek(c net.Conn) (n int, err error) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -53,13 +53,13 @@
 	if err != nil {
 		return 0, err
 	}
-	var looked error
+	var recvErr error
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
-		n, _, looked = unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		n, _, recvErr = unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
 	if err != nil {
 		return 0, err
 	}
-	return n, looked
+	return n, recvErr
 }
