--- a/internal/hlc/hlc.go
+++ b/internal/hlc/hlc.go
@@ -1,6 +1,6 @@
-// Package hlc is a hybrid logical clock (Kulkarni and others, 2014): physical
-// milliseconds with a counter, so that events of processes whose clocks differ
-// still sort in causal order.
+// Package hlc implements a hybrid logical clock (Kulkarni et al., 2014): physical
+// milliseconds with a counter, so that events of processes with different clocks sort in
+// causal order.
 package hlc
 
 import (
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Timestamp is one reading. The zero value is before every reading.
+// Timestamp is one reading of a clock. The zero value is before every reading.
 type Timestamp struct {
 	Wall    int64 `json:"w"` // milliseconds since the epoch
 	Logical int64 `json:"l"`
 }
 
-// Before tells whether t is earlier than o.
+// Before reports whether t is earlier than o.
 func (t Timestamp) Before(o Timestamp) bool {
 	if t.Wall != o.Wall {
 		return t.Wall < o.Wall
@@ -22,31 +22,31 @@
 	return t.Logical < o.Logical
 }
 
-// maxAhead bounds how far a peer's clock may pull ours: a peer whose clock is
-// set to next year would otherwise make every later event here sort wrongly
-// against processes that never heard from it.
+// maxAhead is how far a peer's clock may advance this clock. Otherwise a peer whose clock
+// is far ahead would make later events sort wrongly against those of other processes.
 const maxAhead = time.Minute
 
-// Clock gives readings that never go back.
+// Clock returns strictly increasing timestamps. It is safe for concurrent use.
 type Clock struct {
 	mu   sync.Mutex
 	last Timestamp
 	now  func() time.Time
 }
 
-// New makes a clock on a source of physical time.
+// New returns a clock based on a source of physical time.
 func New(now func() time.Time) *Clock {
 	return &Clock{now: now}
 }
 
-// Now reads the clock for a local event or a message to be sent.
+// Now returns the timestamp of a local event or of a message to be sent.
 func (c *Clock) Now() Timestamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.advance(Timestamp{})
 }
 
-// Observe takes in the reading that came with a message.
+// Observe advances the clock past the timestamp of a received message and returns the new
+// reading. Timestamps that are too far ahead are ignored.
 func (c *Clock) Observe(remote Timestamp) Timestamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses until a time is over or a context ends.
+// Package wait waits for a duration or until a context is done.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d; it tells whether d is over, rather than ctx.
+// For waits for d and reports whether d elapsed before ctx was done.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
