--- a/internal/transport/backend/pool_test.go
+++ b/internal/transport/backend/pool_test.go
@@ -119,22 +119,22 @@
 func TestSecondCloseHasNoEffect(t *testing.T) {
 	s := newServer(t, reply(ok))
 	p := NewPool()
-	ask := func() *relay.Response {
+	send := func() *relay.Response {
 		resp, err := p.Do(context.Background(), s.l.Addr().String(), &relay.Request{Method: http.MethodGet, Target: "/", Host: "h"})
 		assert.NilError(t, err)
 		return resp
 	}
-	first := ask()
+	first := send()
 	_, err := io.ReadAll(first.Body)
 	assert.NilError(t, err)
 	first.Body.Close()
-	second := ask()
+	second := send()
 	first.Body.Close()
 	raw, err := io.ReadAll(second.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, string(raw), "body")
 	second.Body.Close()
-	ask().Body.Close()
+	send().Body.Close()
 	conns, _ := s.counts()
 	assert.Equal(t, conns, 1)
 }
--- a/internal/transport/front/front_test.go
+++ b/internal/transport/front/front_test.go
@@ -42,7 +42,7 @@
 
 func (body) Close() {}
 
-func answer(text string) *relay.Response {
+func textResponse(text string) *relay.Response {
 	h := http.Header{}
 	h.Set("Response-Signature", "sig")
 	return &relay.Response{Status: 200, Header: h, Body: body{strings.NewReader(text)}}
@@ -101,7 +101,7 @@
 }
 
 func echo(_ context.Context, r *relay.Request) (*relay.Response, error) {
-	return answer(r.Method + " " + r.Target + " " + string(r.Body)), nil
+	return textResponse(r.Method + " " + r.Target + " " + string(r.Body)), nil
 }
 
 // talk writes raw bytes and returns what is read until the connection is closed.
@@ -135,7 +135,7 @@
 	reached := false
 	_, addr := serve(t, func(context.Context, *relay.Request) (*relay.Response, error) {
 		reached = true
-		return answer(""), nil
+		return textResponse(""), nil
 	})
 	for name, want := range map[string]struct{ raw, status string }{
 		"header too large":     {"GET / HTTP/1.1\r\n" + finalHeader + "X: " + strings.Repeat("x", 3000) + "\r\n\r\n", "431"},
--- a/internal/transport/front/lastcall_test.go
+++ b/internal/transport/front/lastcall_test.go
@@ -42,12 +42,12 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
-	answered := make(chan string)
-	go func() { answered <- talk(t, addr, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n") }()
+	response := make(chan string)
+	go func() { response <- talk(t, addr, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n") }()
 	<-began
 	done, cancel := context.WithCancel(context.Background())
 	cancel()
 	assert.NilError(t, s.Shutdown(done))
-	got := <-answered
+	got := <-response
 	assert.Assert(t, strings.HasPrefix(got, "HTTP/1.1 502"), got)
 }
--- a/internal/transport/link/left_test.go
+++ b/internal/transport/link/left_test.go
@@ -12,11 +12,11 @@
 // A caller cancels its call while another call waits on the same connection. Guards
 // against closing the connection under the other call.
 func TestCancelledCallDoesNotFailItsConnection(t *testing.T) {
-	reached, answer := make(chan struct{}, 2), make(chan struct{})
+	reached, release := make(chan struct{}, 2), make(chan struct{})
 	addr := serve(t, func(s *Server) {
 		s.Register("slow", Handle(func(_ context.Context, _ string, e echo) (echo, error) {
 			reached <- struct{}{}
-			<-answer
+			<-release
 			return e, nil
 		}))
 	})
@@ -32,7 +32,7 @@
 	cancel()
 	assert.Assert(t, fault.Is(<-cancelled, fault.Unreachable))
 	p.Reset(addr)
-	close(answer)
+	close(release)
 	assert.NilError(t, <-other)
 	assert.Equal(t, got.Text, "1")
 }
--- a/internal/transport/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -124,12 +124,12 @@
 // Two calls fail on the same unresponsive connection and both reset it. The second Reset
 // must not close the new connection, on which the first call is being retried.
 func TestSecondResetKeepsTheNewConnection(t *testing.T) {
-	reached, answer := make(chan struct{}), make(chan struct{})
+	reached, release := make(chan struct{}), make(chan struct{})
 	addr := serve(t, func(s *Server) {
 		s.Register("echo", Handle(func(_ context.Context, _ string, e echo) (echo, error) { return e, nil }))
 		s.Register("slow", Handle(func(_ context.Context, _ string, e echo) (echo, error) {
 			close(reached)
-			<-answer
+			<-release
 			return e, nil
 		}))
 	})
@@ -149,7 +149,7 @@
 	go func() { again <- p.Call(context.Background(), proxy, "slow", echo{"3"}, &got) }()
 	<-reached
 	p.Reset(proxy) // after the second call
-	close(answer)
+	close(release)
 	assert.NilError(t, <-again)
 	assert.Equal(t, got.Text, "3")
 }
@@ -165,11 +165,11 @@
 	l := listen()
 	serving, stop := context.WithCancel(ctx)
 	defer stop()
-	reached, answer := make(chan struct{}), make(chan struct{})
+	reached, release := make(chan struct{}), make(chan struct{})
 	srv := NewServer(newMetadata(addr))
 	srv.Register("slow", Handle(func(_ context.Context, _ string, e echo) (echo, error) {
 		close(reached)
-		<-answer
+		<-release
 		return e, nil
 	}))
 	go func() { _ = srv.Serve(serving, l) }()
@@ -177,7 +177,7 @@
 	go func() { done <- p.Call(ctx, addr, "slow", echo{"x"}, nil) }()
 	<-reached
 	p.Reset(addr)
-	close(answer)
+	close(release)
 	assert.NilError(t, <-done)
 }
 
--- a/internal/transport/link/serve_test.go
+++ b/internal/transport/link/serve_test.go
@@ -68,16 +68,16 @@
 		}
 		here, there := net.Pipe()
 		l.accepts <- there
-		answered := make(chan error, 1)
+		called := make(chan error, 1)
 		go func() {
 			var got echo
-			answered <- client(t, here).Call(t.Context(), "peer", wire.Method("echo"), echo{"served"}, &got)
+			called <- client(t, here).Call(t.Context(), "peer", wire.Method("echo"), echo{"served"}, &got)
 		}()
 		select {
 		case err := <-done:
 			here.Close()
 			t.Fatalf("server stopped: %v", err)
-		case err := <-answered:
+		case err := <-called:
 			assert.NilError(t, err)
 		}
 		cancel()
--- a/internal/transport/peers/peers_test.go
+++ b/internal/transport/peers/peers_test.go
@@ -49,16 +49,16 @@
 	const near, far = 20, 82
 	p := newSchedule(near, far)
 	assert.Assert(t, p.rounds > 1)
-	told := map[int]int{}
+	heartbeats := map[int]int{}
 	for round := range p.rounds {
 		for i := range far {
 			if (i+round)%p.rounds == 0 {
-				told[i]++
+				heartbeats[i]++
 			}
 		}
 	}
-	assert.Equal(t, len(told), far)
-	for i, n := range told {
+	assert.Equal(t, len(heartbeats), far)
+	for i, n := range heartbeats {
 		assert.Equal(t, n, 1, "peer %d", i)
 	}
 }
