--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -9,95 +9,95 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/wire"
 )
 
-func (x *Exchange) compose() wire.RouterHeartbeat {
-	var uses []wire.EngineUsage
+func (x *Exchange) newHeartbeat() wire.RouterHeartbeat {
+	var usage []wire.EngineUsage
 	for inc, u := range x.Usage.OwnUsage() {
-		uses = append(uses, wire.EngineUsage{Server: inc, TokenLayers: int64(u.TokenLayers), Streams: int64(u.Streams), FirstStageStreams: int64(u.FirstStageStreams), PrefillLoad: u.PrefillLoad})
+		usage = append(usage, wire.EngineUsage{Server: inc, TokenLayers: int64(u.TokenLayers), Streams: int64(u.Streams), FirstStageStreams: int64(u.FirstStageStreams), PrefillLoad: u.PrefillLoad})
 	}
-	var pipes []wire.InterconnectRate
+	var rates []wire.InterconnectRate
 	for pair, rate := range x.Interconnect.OwnRates() {
-		pipes = append(pipes, wire.InterconnectRate{A: pair.A, B: pair.B, Rate: rate})
+		rates = append(rates, wire.InterconnectRate{A: pair.A, B: pair.B, Rate: rate})
 	}
-	spares := x.RetryBorrower.Budget.SpareTokens() // it counts the routers, so before the lock
+	spareTokens := x.RetryBorrower.Budget.SpareTokens() // locks x.mu to count the routers
 	now := x.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	suspects := remaining(x.suspects, now)
-	refusing := remaining(x.refusing, now)
+	suspects := remainingMS(x.suspects, now)
+	refusing := remainingMS(x.refusing, now)
 	return wire.RouterHeartbeat{
 		Config:        x.Config.Version(),
 		ConfigAgeMS:   x.Config.Age(x.Clock()).Milliseconds(),
 		Revision:      x.Revision(),
-		Usage:         uses,
-		Interconnects: pipes,
+		Usage:         usage,
+		Interconnects: rates,
 		Slow:          x.Usage.OwnSlowdowns(),
 		Suspects:      suspects,
 		Refusing:      refusing,
-		SpareTokens:   spares,
+		SpareTokens:   spareTokens,
 		HasTraffic:    x.HasTraffic(),
 	}
 }
 
-// remaining gives the milliseconds left of each time and drops those that are
-// over.
-func remaining(until map[model.Incarnation]time.Time, now time.Time) map[model.Incarnation]int64 {
+// remainingMS returns the remaining milliseconds of each deadline and deletes the expired
+// ones.
+func remainingMS(deadlines map[model.Incarnation]time.Time, now time.Time) map[model.Incarnation]int64 {
 	out := map[model.Incarnation]int64{}
-	for inc, t := range until {
-		if left := t.Sub(now); left > 0 {
-			out[inc] = left.Milliseconds()
+	for inc, t := range deadlines {
+		if remaining := t.Sub(now); remaining > 0 {
+			out[inc] = remaining.Milliseconds()
 		} else {
-			delete(until, inc)
+			delete(deadlines, inc)
 		}
 	}
 	return out
 }
 
-// heartbeat takes in a peer's message.
-func (x *Exchange) heartbeat(from string, body []byte) error {
+// handleHeartbeat applies a heartbeat of a peer.
+func (x *Exchange) handleHeartbeat(from string, body []byte) error {
 	arrived := x.Clock()
 	b, err := wire.UnpackRouterHeartbeat(body)
 	if err != nil {
 		return err
 	}
 	x.mu.Lock()
-	x.seen[from] = x.Now()
-	x.traffic = x.traffic || b.HasTraffic
+	x.lastHeartbeat[from] = x.Now()
+	x.peerHasTraffic = x.peerHasTraffic || b.HasTraffic
 	x.mu.Unlock()
-	uses := make(map[model.Incarnation]chains.Usage, len(b.Usage))
+	usage := make(map[model.Incarnation]chains.Usage, len(b.Usage))
 	for _, u := range b.Usage {
-		uses[u.Server] = chains.Usage{TokenLayers: float64(u.TokenLayers), Streams: float64(u.Streams), FirstStageStreams: float64(u.FirstStageStreams), PrefillLoad: u.PrefillLoad}
+		usage[u.Server] = chains.Usage{TokenLayers: float64(u.TokenLayers), Streams: float64(u.Streams), FirstStageStreams: float64(u.FirstStageStreams), PrefillLoad: u.PrefillLoad}
 	}
-	good := trustedHeartbeats*time.Duration(b.IntervalMS)*time.Millisecond + trustSlack
-	x.Usage.SetPeerUsage(from, uses, good)
-	pipes := make(map[chains.DomainPair]float64, len(b.Interconnects))
+	validity := validIntervals*time.Duration(b.IntervalMS)*time.Millisecond + validSlack
+	x.Usage.SetPeerUsage(from, usage, validity)
+	rates := make(map[chains.DomainPair]float64, len(b.Interconnects))
 	for _, p := range b.Interconnects {
-		pipes[chains.DomainPair{A: p.A, B: p.B}] = p.Rate
+		rates[chains.DomainPair{A: p.A, B: p.B}] = p.Rate
 	}
-	x.Interconnect.SetPeerRates(from, pipes, good)
+	x.Interconnect.SetPeerRates(from, rates, validity)
 	for inc, factor := range b.Slow {
 		x.Usage.SetPeerSlowdown(inc, factor)
 	}
 	for inc := range b.Suspects {
 		x.HandlePeerSuspicion(inc)
 	}
-	for inc, left := range b.Refusing {
-		x.HandlePeerRefusal(inc, x.Now().Add(limits.Jitter(time.Duration(left)*time.Millisecond)))
+	for inc, remaining := range b.Refusing {
+		x.HandlePeerRefusal(inc, x.Now().Add(limits.Jitter(time.Duration(remaining)*time.Millisecond)))
 	}
-	x.RetryBorrower.SetPeerTokens(from, b.SpareTokens, good)
+	x.RetryBorrower.SetPeerTokens(from, b.SpareTokens, validity)
 	x.ObservePeerRevision(b.Revision)
-	mine := x.Config.Version()
+	own := x.Config.Version()
 	switch {
-	case b.Config == mine && mine > 0:
-		x.confirm(b, arrived)
-	case b.Config > mine:
+	case b.Config == own && own > 0:
+		x.confirmConfig(b, arrived)
+	case b.Config > own:
 		x.startFetch(from, b, arrived)
 	}
 	return nil
 }
 
-// confirm takes in a peer's word, as of when its message arrived, that the version in
-// force here was not older than the newest.
-func (x *Exchange) confirm(b wire.RouterHeartbeat, arrived time.Duration) {
+// confirmConfig records that the version in force here was still the newest when the peer
+// last heard from the store. arrived is the time at which the heartbeat arrived.
+func (x *Exchange) confirmConfig(b wire.RouterHeartbeat, arrived time.Duration) {
 	age := time.Duration(b.ConfigAgeMS)*time.Millisecond + sendTimeout
 	x.Config.Confirm(arrived - age)
 }
