--- a/internal/coordination/keepalive/keepalive_test.go
+++ b/internal/coordination/keepalive/keepalive_test.go
@@ -11,77 +11,75 @@
 )
 
 var (
-	start  = time.Unix(1000, 0)
-	limits = model.CallerLimits{HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}
+	startTime = time.Unix(1000, 0)
+	limits    = model.CallerLimits{HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}
 )
 
-func TestRestEndsAfterTheIdleTimeAndAMargin(t *testing.T) {
+func TestIdleConnectionExpiresAfterTimeoutAndMargin(t *testing.T) {
 	var l ConnState
-	l.StartIdle(start)
-	until := start.Add(limits.IdleTime + IdleMargin(limits.IdleTime))
+	l.StartIdle(startTime)
+	until := startTime.Add(limits.IdleTime + IdleMargin(limits.IdleTime))
 	assert.Assert(t, !l.Expired(until.Add(-1), limits, false))
 	assert.Assert(t, l.Expired(until, limits, false))
 }
 
-// Callers rest up to a third longer than the idle time that they were told, and find
-// their connections open; short times have a second at least.
-func TestMarginCoversCallersThatRestLonger(t *testing.T) {
+// Callers that use a connection up to a third beyond the idle timeout find it open. The
+// margin has a minimum.
+func TestMarginCoversCallersThatIdleLonger(t *testing.T) {
 	var l ConnState
-	l.StartIdle(start)
-	assert.Assert(t, !l.Expired(start.Add(limits.IdleTime*4/3), limits, false))
+	l.StartIdle(startTime)
+	assert.Assert(t, !l.Expired(startTime.Add(limits.IdleTime*4/3), limits, false))
 	assert.Equal(t, IdleMargin(100*time.Millisecond), time.Second)
 }
 
-// A router was short of processor time: the caller's request arrived before the idle
-// time ended, and is looked at after it. Closed now, the caller would have no answer.
-func TestBytesThatHaveArrivedKeepAConnection(t *testing.T) {
+// A router that lacks CPU time reads a request only after the deadline. It must not close
+// the connection on it.
+func TestUnreadBytesKeepAConnectionOpen(t *testing.T) {
 	var l ConnState
-	l.StartIdle(start)
-	assert.Assert(t, !l.Expired(start.Add(time.Hour), limits, true))
-	l.BytesRead(start)
-	assert.Assert(t, !l.Expired(start.Add(time.Hour), limits, true))
+	l.StartIdle(startTime)
+	assert.Assert(t, !l.Expired(startTime.Add(time.Hour), limits, true))
+	l.BytesRead(startTime)
+	assert.Assert(t, !l.Expired(startTime.Add(time.Hour), limits, true))
 }
 
-// The operator lengthens the idle time while a connection rests, and its caller uses it
-// within the new one.
-func TestLimitsInForceNowCount(t *testing.T) {
+// The idle timeout changes while a connection is idle. The new one applies.
+func TestCurrentLimitsApply(t *testing.T) {
 	var l ConnState
-	l.StartIdle(start)
+	l.StartIdle(startTime)
 	longer := limits
 	longer.IdleTime = time.Hour
-	assert.Assert(t, !l.Expired(start.Add(time.Minute), longer, false))
-	assert.Assert(t, l.Expired(start.Add(time.Minute), limits, false))
+	assert.Assert(t, !l.Expired(startTime.Add(time.Minute), longer, false))
+	assert.Assert(t, l.Expired(startTime.Add(time.Minute), limits, false))
 }
 
-// A caller sends a head byte by byte.
-func TestHeadIsBoundedFromItsFirstByte(t *testing.T) {
+// A caller that sends a header byte by byte must not extend its deadline.
+func TestHeaderTimeoutStartsAtTheFirstByte(t *testing.T) {
 	var l ConnState
-	l.StartIdle(start)
-	l.BytesRead(start.Add(time.Second))
-	l.BytesRead(start.Add(2 * time.Second))
-	assert.Equal(t, l.Deadline(limits), start.Add(time.Second+limits.HeaderTime))
+	l.StartIdle(startTime)
+	l.BytesRead(startTime.Add(time.Second))
+	l.BytesRead(startTime.Add(2 * time.Second))
+	assert.Equal(t, l.Deadline(limits), startTime.Add(time.Second+limits.HeaderTime))
 }
 
-// A router stops: connections at rest end at once, those with a head under way don't,
-// those with a request end when it has been answered.
-func TestRetiredConnectionsEndAtRest(t *testing.T) {
+// On shutdown idle connections expire at once, others after their header or request.
+func TestCloseWhenIdleExpiresOnlyIdleConnections(t *testing.T) {
 	var l ConnState
-	l.StartIdle(start)
-	l.BytesRead(start)
+	l.StartIdle(startTime)
+	l.BytesRead(startTime)
 	l.CloseWhenIdle()
-	assert.Assert(t, !l.Expired(start, limits, false))
+	assert.Assert(t, !l.Expired(startTime, limits, false))
 	l.StartRequest()
-	assert.Assert(t, !l.Expired(start.Add(time.Hour), limits, false))
-	l.StartIdle(start.Add(time.Hour))
-	assert.Assert(t, l.Expired(start.Add(time.Hour), limits, false))
+	assert.Assert(t, !l.Expired(startTime.Add(time.Hour), limits, false))
+	l.StartIdle(startTime.Add(time.Hour))
+	assert.Assert(t, l.Expired(startTime.Add(time.Hour), limits, false))
 }
 
-// Whatever happens in whatever order: a connection with a request in progress, or with
-// bytes that have arrived, is never ended here.
-func TestNoRequestIsEnded(t *testing.T) {
+// In any sequence of events, a connection with a request in progress or with unread bytes
+// never expires.
+func TestConnectionWithARequestNeverExpires(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l ConnState
-		now := start
+		now := startTime
 		l.StartIdle(now)
 		t.Repeat(map[string]func(*rapid.T){
 			"rest":   func(*rapid.T) { l.StartIdle(now) },
@@ -94,7 +92,7 @@
 			"": func(t *rapid.T) {
 				arrived := rapid.Bool().Draw(t, "arrived")
 				if l.Expired(now, limits, arrived) && (arrived || l.Phase() == Serving) {
-					t.Fatal("ended with a request in it")
+					t.Fatal("expired with a request")
 				}
 			},
 		})
--- a/internal/coordination/placement/backoff.go
+++ b/internal/coordination/placement/backoff.go
@@ -9,55 +9,53 @@
 )
 
 const (
-	// freeEnds is how many processes may end at an address while they load a range before
-	// the next one there waits for its order.
-	freeEnds = 3
-	// firstBackoff and longestBackoff bound that wait, which doubles with each end.
-	firstBackoff   = 10 * time.Second
-	longestBackoff = 5 * time.Minute
+	// backoffThreshold is how many processes may exit at an address while they load a
+	// range before further orders there are delayed.
+	backoffThreshold = 3
+	// initialBackoff and maxBackoff bound the delay, which doubles with each further exit.
+	initialBackoff = 10 * time.Second
+	maxBackoff     = 5 * time.Minute
 )
 
-// loadEnds counts the processes at one address that ended while they loaded a range.
-type loadEnds struct {
-	layers model.LayerRange
-	count  int
-	until  time.Time // no order before
+// loadExits counts the processes at one address that exited while they loaded a range.
+type loadExits struct {
+	layers  model.LayerRange
+	count   int
+	retryAt time.Time // no order is sent earlier
 }
 
-// endedLoading takes in that an engine's process ended with an order of its own not
-// carried out. An order that ends the engine which it is given to would else be given to
-// each process that comes after it at the address: the layers would never be held, each
-// load would slow the others down, and streams that are moved there would be lost with it.
-// The caller holds the lock.
-func (c *Controller) endedLoading(o order) {
-	if !o.given {
+// recordLoadExit records that an engine process exited before it carried out its order.
+// Without a backoff, an order that crashes its engine would be sent to every process that
+// restarts at the address. The layers would never be held, and each load would slow down
+// the others. The caller holds c.mu.
+func (c *Controller) recordLoadExit(o order) {
+	if !o.sent {
 		return
 	}
-	e := c.loadEnds[o.address]
+	e := c.loadExits[o.address]
 	if e == nil || e.layers != o.want {
-		e = &loadEnds{layers: o.want}
-		c.loadEnds[o.address] = e
+		e = &loadExits{layers: o.want}
+		c.loadExits[o.address] = e
 	}
 	e.count++
-	if e.count < freeEnds {
+	if e.count < backoffThreshold {
 		return
 	}
-	backoff := min(firstBackoff<<min(e.count-freeEnds, 10), longestBackoff)
-	e.until = c.Now().Add(backoff)
-	klog.InfoS("orders withheld: engines end under them", "address", o.address, "layers", o.want.String(), "ends", e.count, "for", backoff)
+	backoff := min(initialBackoff<<min(e.count-backoffThreshold, 10), maxBackoff)
+	e.retryAt = c.Now().Add(backoff)
+	klog.InfoS("orders withheld: engine processes exit while they load these layers", "address", o.address, "layers", o.want.String(), "ends", e.count, "for", backoff)
 }
 
-// mayLoad tells whether an engine at an address may be ordered to hold a range. The caller
-// holds the lock.
+// mayLoad reports whether an engine at an address may be ordered to hold a range. The
+// caller holds c.mu.
 func (c *Controller) mayLoad(address string, want model.LayerRange) bool {
-	e := c.loadEnds[address]
-	return e == nil || e.layers != want || !c.Now().Before(e.until)
+	e := c.loadExits[address]
+	return e == nil || e.layers != want || !c.Now().Before(e.retryAt)
 }
 
-// carriedOut takes in that an engine holds what it was ordered to. The caller holds the
-// lock.
-func (c *Controller) carriedOut(b *model.BackendServer) {
+// clearLoadExits resets the backoff of an engine that holds layers. The caller holds c.mu.
+func (c *Controller) clearLoadExits(b *model.BackendServer) {
 	if b.Holds.Len() > 0 {
-		delete(c.loadEnds, b.Address)
+		delete(c.loadExits, b.Address)
 	}
 }
