--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -59,8 +59,8 @@
 	Internal Kind = "internal"
 )
 
-// Answer is a row of the table from kind to answer.
-type Answer struct {
+// Response is a row of the table from kind to answer.
+type Response struct {
 	Code connect.Code
 	// Status answers callers of plain HTTP. 408, 421, 429 and 503 promise that
 	// the request did not run and never will; 502 and 504 promise nothing.
@@ -73,7 +73,7 @@
 	Retryable bool
 }
 
-var table = map[Kind]Answer{
+var table = map[Kind]Response{
 	InvalidRequest:   {Code: connect.CodeInvalidArgument, Status: 400},
 	TooLarge:         {Code: connect.CodeInvalidArgument, Status: 413},
 	ConflictingID:    {Code: connect.CodeAlreadyExists, Status: 409},
@@ -116,7 +116,7 @@
 }
 
 // Answer gives the row for a kind; an unknown kind is answered as Internal.
-func (k Kind) Answer() Answer {
+func (k Kind) Answer() Response {
 	row, ok := table[k]
 	if !ok {
 		return table[Internal]
