--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -115,8 +115,8 @@
 	return kinds
 }
 
-// Answer gives the row for a kind; an unknown kind is answered as Internal.
-func (k Kind) Answer() Response {
+// Response gives the row for a kind; an unknown kind is answered as Internal.
+func (k Kind) Response() Response {
 	row, ok := table[k]
 	if !ok {
 		return table[Internal]
@@ -142,7 +142,7 @@
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
 	}
-	return e.Kind.Answer().RetryAfter
+	return e.Kind.Response().RetryAfter
 }
 
 // WithKind gives the same message under another kind.
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -39,7 +39,7 @@
 // What may be tried again says when to come back.
 func TestRetryableSaysWhen(t *testing.T) {
 	for _, k := range Kinds() {
-		a := k.Answer()
+		a := k.Response()
 		assert.Check(t, !a.Retryable || a.RetryAfter > 0 || k == BackendFailed, "%s", k)
 	}
 }
@@ -49,5 +49,5 @@
 	assert.Equal(t, From(errors.Wrap(e, "outer")), e)
 	assert.Equal(t, From(errors.New("plain")).Kind, Internal)
 	assert.Equal(t, e.After(), time.Minute)
-	assert.Equal(t, New(Overloaded, "full").After(), Overloaded.Answer().RetryAfter)
+	assert.Equal(t, New(Overloaded, "full").After(), Overloaded.Response().RetryAfter)
 }
--- a/internal/protocol/owner/once.go
+++ b/internal/protocol/owner/once.go
@@ -100,7 +100,7 @@
 		if ran {
 			return fault.CutOff(last, "gate "+gate.Address+" may have handed it over")
 		}
-		if ctx.Err() != nil || !last.Kind.Answer().Retryable {
+		if ctx.Err() != nil || !last.Kind.Response().Retryable {
 			break
 		}
 	}
--- a/internal/protocol/owner/pipeline.go
+++ b/internal/protocol/owner/pipeline.go
@@ -107,7 +107,7 @@
 		if e.Kind == fault.Overloaded && try >= fullAfter {
 			r.o.Room.Overloaded()
 		}
-		if r.notRepeatable || try == maxOpenTries || !e.Kind.Answer().Retryable {
+		if r.notRepeatable || try == maxOpenTries || !e.Kind.Response().Retryable {
 			return err
 		}
 		if !wait.For(ctx, limits.Jitter(pause)) {
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -54,7 +54,7 @@
 // work that may have run is bounded by the budget.
 func (o *Owner) mayRetry(e *fault.Error, ran bool, attempt int64) bool {
 	if !ran {
-		return e.Kind.Answer().Retryable && attempt < maxRefusals
+		return e.Kind.Response().Retryable && attempt < maxRefusals
 	}
 	return o.Retries.Take()
 }
--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -26,10 +26,10 @@
 
 // refuse gives the final answer of the system's own.
 func (q *request) refuse(f *fault.Error) bool {
-	status := f.Kind.Answer().Status
+	status := f.Kind.Response().Status
 	if q.runs > 0 && promisesNotRun(status) {
 		f = f.WithKind(fault.BackendLost)
-		status = f.Kind.Answer().Status
+		status = f.Kind.Response().Status
 	}
 	after := time.Duration(0)
 	if promisesNotRun(status) {
--- a/internal/transport/api/requests.go
+++ b/internal/transport/api/requests.go
@@ -37,7 +37,7 @@
 // connectError answers an error by the table of kinds.
 func connectError(err error) error {
 	f := fault.From(err)
-	out := connect.NewError(f.Kind.Answer().Code, f)
+	out := connect.NewError(f.Kind.Response().Code, f)
 	out.Meta().Set(MetaKind, string(f.Kind))
 	out.Meta().Set(MetaOutcome, notAccepted)
 	if after := f.After(); after > 0 {
--- a/internal/transport/front/end.go
+++ b/internal/transport/front/end.go
@@ -68,5 +68,5 @@
 	}
 	clear(out.w.Header())
 	f := fault.New(fault.Internal, "the router failed")
-	out.fail(f.Kind.Answer().Status, f.Error())
+	out.fail(f.Kind.Response().Status, f.Error())
 }
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -142,7 +142,7 @@
 	if err != nil {
 		klog.InfoS("request malformed", "caller", r.RemoteAddr, "err", err)
 		f := fault.New(fault.InvalidRequest, "%v", err)
-		out.fail(f.Kind.Answer().Status, f.Error())
+		out.fail(f.Kind.Response().Status, f.Error())
 		return
 	}
 	conn.serving(call)
