--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -137,8 +137,8 @@
 	return string(e.Kind) + ": " + e.Msg
 }
 
-// After gives the time after which the caller may come back; zero means never.
-func (e *Error) After() time.Duration {
+// RetryDelay gives the time after which the caller may come back; zero means never.
+func (e *Error) RetryDelay() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
 	}
@@ -186,7 +186,7 @@
 		State:      s,
 		Kind:       string(e.Kind),
 		Cause:      e.Msg,
-		RetryAfter: e.After(),
+		RetryAfter: e.RetryDelay(),
 		Evidence:   evidence,
 	}
 }
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -48,6 +48,6 @@
 	e := &Error{Kind: Overloaded, Msg: "full", RetryAfter: time.Minute}
 	assert.Equal(t, From(errors.Wrap(e, "outer")), e)
 	assert.Equal(t, From(errors.New("plain")).Kind, Internal)
-	assert.Equal(t, e.After(), time.Minute)
-	assert.Equal(t, New(Overloaded, "full").After(), Overloaded.Response().RetryAfter)
+	assert.Equal(t, e.RetryDelay(), time.Minute)
+	assert.Equal(t, New(Overloaded, "full").RetryDelay(), Overloaded.Response().RetryAfter)
 }
--- a/internal/protocol/owner/pipeline.go
+++ b/internal/protocol/owner/pipeline.go
@@ -180,8 +180,8 @@
 // run before the first stage was fed.
 func (r *run) ended(err error) model.Outcome {
 	e := fault.From(err)
-	if e.After() > 0 {
-		e = &fault.Error{Kind: e.Kind, Msg: e.Msg, RetryAfter: limits.Jitter(e.After())}
+	if e.RetryDelay() > 0 {
+		e = &fault.Error{Kind: e.Kind, Msg: e.Msg, RetryAfter: limits.Jitter(e.RetryDelay())}
 	}
 	if !r.started {
 		return fault.NotRun(e, "never handed over: the first stage was not fed")
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -133,7 +133,7 @@
 	o.Events.Add(j.key(), events.GateRefused, gate.Address+" "+e.Error())
 	switch e.Kind {
 	case fault.Overloaded, fault.NoCapacity, fault.WrongIncarnation, fault.NotReady:
-		o.Table.Backoff(gate.Address, e.After())
+		o.Table.Backoff(gate.Address, e.RetryDelay())
 	case fault.Leaving:
 		o.Table.SeenLeaving(gate.Address)
 	case fault.NotConnected:
--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -33,7 +33,7 @@
 	}
 	after := time.Duration(0)
 	if promisesNotRun(status) {
-		after = f.After()
+		after = f.RetryDelay()
 	}
 	q.finish("refused", f, status)
 	if q.out.head {
--- a/internal/transport/api/requests.go
+++ b/internal/transport/api/requests.go
@@ -40,7 +40,7 @@
 	out := connect.NewError(f.Kind.Response().Code, f)
 	out.Meta().Set(MetaKind, string(f.Kind))
 	out.Meta().Set(MetaOutcome, notAccepted)
-	if after := f.After(); after > 0 {
+	if after := f.RetryDelay(); after > 0 {
 		out.Meta().Set(MetaRetryAfter, strconv.FormatInt(after.Milliseconds(), 10))
 	}
 	return out
