--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -31,7 +31,7 @@
 type whole struct {
 	status  int
 	header  http.Header
-	verdict platform.Verdict
+	verdict platform.ResponseInfo
 	body    []byte
 }
 
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -265,7 +265,7 @@
 }
 
 // refused takes in which engine would not run its part.
-func (s *stream) refused(parts []chains.Stage, v platform.Verdict, status int) {
+func (s *stream) refused(parts []chains.Stage, v platform.ResponseInfo, status int) {
 	culprit := parts[0].Server
 	for _, p := range parts {
 		if p.Server.Address == v.Culprit {
