--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -237,7 +237,7 @@
 // belongs to another request, is an error.
 func (q *request) readWhole(ans *Response) (*whole, error) {
 	defer ans.Body.Close()
-	v := platform.DecodeVerdict(ans.Status, ans.Header)
+	v := platform.DecodeResponseInfo(ans.Status, ans.Header)
 	if v.Attempt != "" && v.Attempt != q.call.Attempt {
 		ans.Body.Discard()
 		return nil, errors.Errorf("answer to another request, %s", v.Attempt)
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -133,7 +133,7 @@
 		return false, false, s.missed(run, w, first, err)
 	}
 	defer ans.Body.Close()
-	v := platform.DecodeVerdict(ans.Status, ans.Header)
+	v := platform.DecodeResponseInfo(ans.Status, ans.Header)
 	if v.Attempt != "" && v.Attempt != q.call.Attempt {
 		ans.Body.Discard()
 		q.runs++
