--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -268,7 +268,7 @@
 func (s *stream) refused(parts []chains.Stage, v platform.ResponseInfo, status int) {
 	culprit := parts[0].Server
 	for _, p := range parts {
-		if p.Server.Address == v.Culprit {
+		if p.Server.Address == v.FailedEngine {
 			culprit = p.Server
 		}
 	}
