--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -148,7 +148,7 @@
 			q.Health.Cancel(b.Incarnation())
 		}
 	}()
-	ans, err := q.BackendClient.Do(run, b.Address, q.outbound(platform.Send{Instance: b.ID}))
+	ans, err := q.BackendClient.Do(run, b.Address, q.outbound(platform.ForwardOptions{Instance: b.ID}))
 	if err == nil {
 		read, err = q.readWhole(ans)
 	}
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -221,7 +221,7 @@
 	return max(q.ticket.Deadline.Sub(q.Now()), time.Millisecond)
 }
 
-func (q *request) outbound(s platform.Send) *Request {
+func (q *request) outbound(s platform.ForwardOptions) *Request {
 	s.Customer = q.ticket.Customer
 	s.Left = q.left()
 	s.Urgency = min(q.ticket.Priority, 9)
