--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -224,7 +224,7 @@
 func (q *request) outbound(s platform.ForwardOptions) *Request {
 	s.Customer = q.ticket.Customer
 	s.Timeout = q.left()
-	s.Urgency = min(q.ticket.Priority, 9)
+	s.Priority = min(q.ticket.Priority, 9)
 	return &Request{
 		Method: q.call.Method,
 		Target: q.call.Target,
