--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -115,7 +115,7 @@
 	first := parts[0].Server
 	path := hops(parts)
 	q.chain = describe(parts)
-	send := platform.ForwardOptions{Instance: first.ID, Path: path}
+	send := platform.ForwardOptions{Instance: first.ID, Chain: path}
 	if s.hasLast {
 		send.ResumeAfter = strconv.FormatInt(s.lastID, 10)
 	}
