--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -326,10 +326,10 @@
 	}
 }
 
-func hops(parts []chains.Stage) []platform.Hop {
-	out := make([]platform.Hop, len(parts))
+func hops(parts []chains.Stage) []platform.Stage {
+	out := make([]platform.Stage, len(parts))
 	for i, p := range parts {
-		out[i] = platform.Hop{Address: p.Server.Address, Layers: p.Layers}
+		out[i] = platform.Stage{Address: p.Server.Address, Layers: p.Layers}
 	}
 	return out
 }
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -126,7 +126,7 @@
 // Reroute orders the first engine of a running stream to send it over another
 // path with the same first part. The error is a conflict where an engine of the path
 // does not take its part.
-func (r *Relay) Reroute(ctx context.Context, first *model.BackendServer, attempt string, path []platform.Hop) error {
+func (r *Relay) Reroute(ctx context.Context, first *model.BackendServer, attempt string, path []platform.Stage) error {
 	body, err := platform.EncodeRepath(attempt, path)
 	if err != nil {
 		return err
