--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -259,7 +259,7 @@
 // deliver passes a backend server's answer on unchanged.
 func (q *request) deliver(ans *whole) bool {
 	h := http.Header{}
-	platform.AnswerHeaders(h, ans.header)
+	platform.CopyResponseHeaders(h, ans.header)
 	q.out.Begin(ans.status, h, int64(len(ans.body)))
 	err := q.out.Write(ans.body)
 	outcome := "ran"
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -251,7 +251,7 @@
 // keep it, its signature included.
 func (s *stream) begin(ans *Response) {
 	h := http.Header{}
-	platform.AnswerHeaders(h, ans.Header)
+	platform.CopyResponseHeaders(h, ans.Header)
 	s.out.Begin(ans.Status, h, -1)
 }
 
