--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -41,7 +41,7 @@
 	}
 	h := http.Header{}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	platform.EncodeRefusal(h, q.call.Attempt, after)
+	platform.SetErrorHeaders(h, q.call.Attempt, after)
 	body := []byte(f.Error() + "\n")
 	q.out.Begin(status, h, int64(len(body)))
 	if err := q.out.Write(body); err != nil {
