--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -178,7 +178,7 @@
 
 // Place implements placement.Engines.
 func (e EngineClient) Place(ctx context.Context, b *model.BackendServer, held model.LayerRange, fence, expected int64) (placement.OrderResult, error) {
-	body, err := platform.EncodePlace(held, fence, expected)
+	body, err := platform.EncodePlaceOrder(held, fence, expected)
 	if err != nil {
 		return placement.OrderUnknown, err
 	}
