--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -127,7 +127,7 @@
 // path with the same first part. The error is a conflict where an engine of the path
 // does not take its part.
 func (r *Relay) Reroute(ctx context.Context, first *model.BackendServer, attempt string, path []platform.Stage) error {
-	body, err := platform.EncodeRepath(attempt, path)
+	body, err := platform.EncodeRerouteOrder(attempt, path)
 	if err != nil {
 		return err
 	}
