--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -138,7 +138,7 @@
 	case status == http.StatusOK || status == http.StatusAccepted:
 		return nil
 	case status == http.StatusConflict:
-		return conflict{address: platform.DecodeConflict(answer)}
+		return conflict{address: platform.DecodeRerouteConflict(answer)}
 	}
 	return errors.Errorf("repath answered with status %d", status)
 }
