--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -89,7 +89,7 @@
 			return ctx.Err()
 		}
 	}
-	b.Pace = limits.NewConcurrencyLimiter(d.load.Batch, d.settings.Sidecar.Capacity, d.load.BatchTime(), time.Now)
+	b.Pace = limits.NewConcurrencyLimiter(d.load.MaxBatch, d.settings.Sidecar.Capacity, d.load.BatchTime(), time.Now)
 	if b.Engine != nil {
 		d.gate.SetPace(b.Pace)
 	}
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -178,7 +178,7 @@
 		Range:    model.LayerRange{From: int(rep.Msg.FromLayer), To: int(rep.Msg.ToLayer)},
 		StepTime: time.Duration(rep.Msg.StepMicros) * time.Microsecond,
 		Rate:     rep.Msg.PositionsPerSecond,
-		Batch:    int(rep.Msg.Batch),
+		MaxBatch: int(rep.Msg.Batch),
 	}, nil
 }
 
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -67,8 +67,8 @@
 	// Rate is how many positions a second the engine runs through all its
 	// layers with full batches.
 	Rate float64
-	// Batch is how many positions run together at most.
-	Batch int
+	// MaxBatch is how many positions run together at most.
+	MaxBatch int
 }
 
 // BatchTime is how long one full batch takes through the engine's layers.
@@ -76,7 +76,7 @@
 	if l.Rate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(l.Batch) / l.Rate * float64(time.Second))
+	return time.Duration(float64(l.MaxBatch) / l.Rate * float64(time.Second))
 }
 
 // Engine is one model engine.
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -294,7 +294,7 @@
 			Range:    e.cfg.Range,
 			StepTime: e.cfg.StepTime,
 			Rate:     e.cfg.Rate(),
-			Batch:    e.cfg.Batch,
+			MaxBatch: e.cfg.Batch,
 		}
 	}
 	return e.reported, nil
@@ -346,6 +346,6 @@
 		StepMicros: l.StepTime.Microseconds(),
 
 		PositionsPerSecond: l.Rate,
-		Batch:              int32(l.Batch),
+		Batch:              int32(l.MaxBatch),
 	}), nil
 }
