--- a/internal/coordination/config/store.go
+++ b/internal/coordination/config/store.go
@@ -186,7 +186,7 @@
 	if err != nil {
 		return errors.Wrap(err, "encode bucket")
 	}
-	if len(data) > platform.MaxValue {
+	if len(data) > platform.MaxValueBytes {
 		return fault.New(fault.TooLarge, "bucket %d would exceed the key-value service's value limit", i)
 	}
 	key := fmt.Sprintf("config/bucket/%d/%s", i, s.newID())
--- a/internal/coordination/ledger/ledger.go
+++ b/internal/coordination/ledger/ledger.go
@@ -207,7 +207,7 @@
 	if err != nil {
 		return false, errors.Wrap(err, "encode page")
 	}
-	if len(data) > platform.MaxValue {
+	if len(data) > platform.MaxValueBytes {
 		return false, fault.New(fault.Overloaded, "ledger page is full")
 	}
 	version, err := l.kv.Swap(ctx, p.key, data, p.version)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -23,8 +23,8 @@
 	ErrUnknown = errors.New("no answer from the key-value service")
 )
 
-// MaxValue is the largest value that the key-value service holds, in bytes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the largest value that the key-value service holds, in bytes.
+const MaxValueBytes = 1 << 20
 
 // Value is a value and its version; versions of a key only grow.
 type Value struct {
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -110,7 +110,7 @@
 	if err := k.begin(ctx, func(c *KVCalls) { c.Swaps++ }); err != nil {
 		return 0, err
 	}
-	if len(data) > platform.MaxValue {
+	if len(data) > platform.MaxValueBytes {
 		return 0, connect.NewError(connect.CodeInvalidArgument, nil)
 	}
 	k.mu.Lock()
