--- a/internal/coordination/leader/lease.go
+++ b/internal/coordination/leader/lease.go
@@ -77,7 +77,7 @@
 	switch {
 	case err == nil:
 		return granted(l.id, began, ttl)
-	case errors.Is(err, platform.ErrLeaseEnded):
+	case errors.Is(err, platform.ErrLeaseNotFound):
 		klog.InfoS("lease ended", "lease", l.id)
 		return lease{}
 	}
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -118,7 +118,7 @@
 func (c *countedStore) KeepAlive(ctx context.Context, id outside.LeaseID) error {
 	err := c.Store.KeepAlive(ctx, id)
 	c.count(callKeepAlive, err)
-	if err != nil && !errors.Is(err, outside.ErrLeaseEnded) && c.unanswered != nil {
+	if err != nil && !errors.Is(err, outside.ErrLeaseNotFound) && c.unanswered != nil {
 		c.unanswered()
 	}
 	return err
--- a/internal/platform/store.go
+++ b/internal/platform/store.go
@@ -17,8 +17,8 @@
 	// ErrConflict says that a transaction's condition did not hold; nothing
 	// was written.
 	ErrConflict = errors.New("condition of the transaction does not hold")
-	// ErrLeaseEnded says that the lease no longer exists.
-	ErrLeaseEnded = errors.New("lease has ended")
+	// ErrLeaseNotFound says that the lease no longer exists.
+	ErrLeaseNotFound = errors.New("lease has ended")
 	// ErrUnavailable says that the store refused the call; nothing was done.
 	ErrUnavailable = errors.New("store unavailable")
 	// ErrMalformed says that the store's answer could not be read.
