--- a/internal/coordination/follow/restore_test.go
+++ b/internal/coordination/follow/restore_test.go
@@ -45,7 +45,7 @@
 }
 
 // restore restores the store from a copy after an outage.
-func (f *fleet) restore(c standin.Copy, outage time.Duration) {
+func (f *fleet) restore(c standin.Snapshot, outage time.Duration) {
 	f.store.SetFaults(standin.StoreFaults{Silent: true})
 	time.Sleep(outage)
 	f.store.Restore(c)
@@ -119,7 +119,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		domains, each := rapid.IntRange(1, 3).Draw(rt, "domains"), rapid.IntRange(1, 4).Draw(rt, "each")
 		var steps []func(f *fleet)
-		var latestCopy *standin.Copy
+		var latestCopy *standin.Snapshot
 		for range rapid.IntRange(5, 40).Draw(rt, "steps") {
 			step := drawStep(rt, domains*each)
 			outage := time.Duration(rapid.IntRange(0, 600).Draw(rt, "away")) * time.Millisecond
--- a/test/faultsoak/site_test.go
+++ b/test/faultsoak/site_test.go
@@ -81,7 +81,7 @@
 	key     int // number of the extra key in force
 	idle    time.Duration
 	later   sync.WaitGroup
-	copied  *standin.Copy // the store as it was; nil for none
+	copied  *standin.Snapshot // the store as it was; nil for none
 
 	mu        sync.Mutex
 	published []published
