--- a/internal/coordination/follow/restore_test.go
+++ b/internal/coordination/follow/restore_test.go
@@ -67,7 +67,7 @@
 						f.store.Put(fmt.Sprint("servers/", i), []byte("before"))
 					}
 					defer f.simulateLeader(f.nodes[0])()
-					c := f.store.Copy()
+					c := f.store.Snapshot()
 					for i := range 8 {
 						f.store.Put(fmt.Sprint("servers/new-", i), []byte("since"))
 					}
@@ -99,7 +99,7 @@
 	inFleet(t, 2, 5, func(t *testing.T, f *fleet) {
 		f.store.Put("servers/0", []byte("1"))
 		defer f.simulateLeader(f.nodes[0])()
-		c := f.store.Copy()
+		c := f.store.Snapshot()
 		f.store.Put("servers/x", []byte("1"))
 		time.Sleep(time.Second)
 		f.restore(c, 300*time.Millisecond)
@@ -125,7 +125,7 @@
 			outage := time.Duration(rapid.IntRange(0, 600).Draw(rt, "away")) * time.Millisecond
 			switch rapid.IntRange(0, 5).Draw(rt, "restore") {
 			case 0:
-				step = func(f *fleet) { c := f.store.Copy(); latestCopy = &c }
+				step = func(f *fleet) { c := f.store.Snapshot(); latestCopy = &c }
 			case 1:
 				step = func(f *fleet) {
 					if latestCopy != nil {
--- a/internal/coordination/leader/restore_test.go
+++ b/internal/coordination/leader/restore_test.go
@@ -146,33 +146,33 @@
 func TestLeadershipOverRestores(t *testing.T) {
 	for name, play := range map[string]func(tr *trial){
 		"from before the claim": func(tr *trial) {
-			c := tr.store.Copy()
+			c := tr.store.Snapshot()
 			tr.led(5 * time.Second)
 			tr.store.Restore(c)
 		},
 		"under the same leader": func(tr *trial) {
 			tr.led(5 * time.Second)
-			c := tr.store.Copy()
+			c := tr.store.Snapshot()
 			tr.pass(2 * time.Second)
 			tr.store.Restore(c)
 		},
 		"under a leader that ended": func(tr *trial) {
 			tr.led(5 * time.Second)
-			c := tr.store.Copy()
+			c := tr.store.Snapshot()
 			i := tr.leader()
 			tr.all[i].end()
 			tr.led(5 * time.Second)
 			tr.store.Restore(c)
 		},
 		"the old leader is cut off": func(tr *trial) {
-			c := tr.store.Copy()
+			c := tr.store.Snapshot()
 			tr.led(5 * time.Second)
 			tr.stores[tr.leader()].cut.Store(true)
 			tr.store.Restore(c)
 		},
 		"three in series": func(tr *trial) {
 			tr.led(5 * time.Second)
-			c := tr.store.Copy()
+			c := tr.store.Snapshot()
 			for range 3 {
 				tr.pass(700 * time.Millisecond)
 				tr.store.Restore(c)
@@ -198,7 +198,7 @@
 func TestNumbersOfLeasesAreGivenOutAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
-		c := store.Copy()
+		c := store.Snapshot()
 		s := &cuttable{Store: store}
 		a := startOver(s, "a")
 		time.Sleep(3 * time.Second)
@@ -221,7 +221,7 @@
 func TestClaimInAnUnknownEraIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
-		c := store.Copy()
+		c := store.Snapshot()
 		a := start(store, "a")
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, leaders(a), 1)
--- a/internal/coordination/placement/restore_test.go
+++ b/internal/coordination/placement/restore_test.go
@@ -22,7 +22,7 @@
 				s := newTestCluster(t)
 				all := mixedEngines()
 				s.add(all)
-				early := s.store.Copy()
+				early := s.store.Snapshot()
 				s.run(12 * time.Second)
 				s.traffic.Store(true)
 				before := s.totalOrders()
@@ -36,7 +36,7 @@
 					raw, err := json.Marshal(older)
 					assert.NilError(t, err)
 					s.store.Put(leader.PlanPrefix+"s", raw)
-					early = s.store.Copy()
+					early = s.store.Snapshot()
 				}
 				s.store.Restore(early)
 				s.c.HandleStoreRestore()
--- a/test/faultsoak/site_test.go
+++ b/test/faultsoak/site_test.go
@@ -267,7 +267,7 @@
 func (s *site) compact(time.Duration) { s.store.Compact() }
 
 func (s *site) copyStore(time.Duration) {
-	c := s.store.Copy()
+	c := s.store.Snapshot()
 	s.copied = &c
 }
 
--- a/test/fleet/restore_test.go
+++ b/test/fleet/restore_test.go
@@ -22,7 +22,7 @@
 // Afterwards routers are registered, and engines are ordered again.
 func TestStoreComesBackFromAnOlderCopy(t *testing.T) {
 	s := newSite(t, 3)
-	early := s.store.Copy()
+	early := s.store.Snapshot()
 	s.configure(func(cfg map[string]any) { cfg["tenants"] = cfg["tenants"].([]any)[:1] })
 	for _, r := range s.routers {
 		s.eventually("the key is taken away", func() bool { return s.call(r, ask{path: "/sheet/1", key: "key-2"}).status == http.StatusUnauthorized })
@@ -92,7 +92,7 @@
 // that moment. It serves by what the running routers know, and the key is not taken there.
 func TestRouterStartsWhileTheStoreIsOlder(t *testing.T) {
 	s := newSite(t, 3)
-	early := s.store.Copy()
+	early := s.store.Snapshot()
 	s.configure(func(cfg map[string]any) { cfg["tenants"] = cfg["tenants"].([]any)[:1] })
 	for _, r := range s.routers {
 		s.eventually("the key is taken away", func() bool { return s.call(r, ask{path: "/sheet/1", key: "key-2"}).status == http.StatusUnauthorized })
