--- a/internal/coordination/leader/restore_test.go
+++ b/internal/coordination/leader/restore_test.go
@@ -122,11 +122,11 @@
 // led waits until somebody leads with a token of the present era.
 func (tr *trial) led(within time.Duration) {
 	for end := time.Now().Add(within); time.Now().Before(end); tr.pass(50 * time.Millisecond) {
-		if i := tr.leader(); i >= 0 && tr.all[i].e.FencingToken().Era() == tr.store.Now(0).Era() {
+		if i := tr.leader(); i >= 0 && tr.all[i].e.FencingToken().Era() == tr.store.RevisionInEra(0).Era() {
 			return
 		}
 	}
-	tr.t.Fatalf("nobody leads in era %d", tr.store.Now(0).Era())
+	tr.t.Fatalf("nobody leads in era %d", tr.store.RevisionInEra(0).Era())
 }
 
 func (tr *trial) end() {
