--- a/internal/coordination/follow/follow_test.go
+++ b/internal/coordination/follow/follow_test.go
@@ -175,7 +175,7 @@
 func TestFollowerReconnectsWhenAPeerStaysAhead(t *testing.T) {
 	runFollower(t, func(store *standin.Store, sink *recordingSink, fl *Follower) {
 		time.Sleep(2 * time.Second)
-		revision := store.PutUnseen("k", []byte("1"))
+		revision := store.PutWithoutNotify("k", []byte("1"))
 		fl.ObservePeerRevision(revision)
 		time.Sleep(lagTimeout / 2)
 		fl.ObservePeerRevision(revision)
