--- a/internal/coordination/follow/fleet_test.go
+++ b/internal/coordination/follow/fleet_test.go
@@ -403,7 +403,7 @@
 	inFleet(t, 2, 5, func(t *testing.T, f *fleet) {
 		f.store.Put("servers/x", []byte("1"))
 		time.Sleep(time.Second)
-		f.store.SetFaults(standin.StoreFaults{Silent: true})
+		f.store.SetFaults(standin.StoreFaults{Unresponsive: true})
 		time.Sleep(4 * time.Second)
 		f.store.Remove("servers/x")
 		f.store.SetFaults(standin.StoreFaults{})
@@ -527,7 +527,7 @@
 		case 8:
 			f.store.Compact()
 		case 9:
-			f.store.SetFaults(standin.StoreFaults{Refuse: on && a%2 == 0, Silent: on && a%2 == 1, StalePeeks: b%2 == 0})
+			f.store.SetFaults(standin.StoreFaults{Refuse: on && a%2 == 0, Unresponsive: on && a%2 == 1, StalePeeks: b%2 == 0})
 		}
 		time.Sleep(pause)
 	}
--- a/internal/coordination/follow/follow_test.go
+++ b/internal/coordination/follow/follow_test.go
@@ -138,7 +138,7 @@
 	runFollower(t, func(store *standin.Store, sink *recordingSink, _ *Follower) {
 		store.Put("server", []byte("1"))
 		time.Sleep(300 * time.Millisecond)
-		store.SetFaults(standin.StoreFaults{Silent: true})
+		store.SetFaults(standin.StoreFaults{Unresponsive: true})
 		time.Sleep(5 * time.Second)
 		store.Remove("server")
 		store.SetFaults(standin.StoreFaults{})
--- a/internal/coordination/follow/restore_test.go
+++ b/internal/coordination/follow/restore_test.go
@@ -46,7 +46,7 @@
 
 // restore restores the store from a copy after an outage.
 func (f *fleet) restore(c standin.Snapshot, outage time.Duration) {
-	f.store.SetFaults(standin.StoreFaults{Silent: true})
+	f.store.SetFaults(standin.StoreFaults{Unresponsive: true})
 	time.Sleep(outage)
 	f.store.Restore(c)
 	f.store.SetFaults(standin.StoreFaults{})
--- a/internal/coordination/leader/leader_test.go
+++ b/internal/coordination/leader/leader_test.go
@@ -116,7 +116,7 @@
 		a := start(mem, "a")
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, leaders(a), 1)
-		mem.SetFaults(standin.StoreFaults{Silent: true})
+		mem.SetFaults(standin.StoreFaults{Unresponsive: true})
 		time.Sleep(leaderTTL + callTimeout)
 		assert.Equal(t, leaders(a), 0)
 		mem.SetFaults(standin.StoreFaults{})
--- a/test/faultsoak/site_test.go
+++ b/test/faultsoak/site_test.go
@@ -255,7 +255,7 @@
 func (s *site) resetLink(time.Duration) { s.anyLink().reset() }
 
 func (s *site) breakStore(d time.Duration) {
-	faults := []standin.StoreFaults{{Refuse: true}, {Silent: true}, {Delay: 150 * time.Millisecond}}
+	faults := []standin.StoreFaults{{Refuse: true}, {Unresponsive: true}, {Delay: 150 * time.Millisecond}}
 	s.store.SetFaults(faults[s.rnd.IntN(len(faults))])
 	s.after(d, func() { s.store.SetFaults(standin.StoreFaults{}) })
 }
@@ -278,7 +278,7 @@
 		return
 	}
 	c := *s.copied
-	s.store.SetFaults(standin.StoreFaults{Silent: true})
+	s.store.SetFaults(standin.StoreFaults{Unresponsive: true})
 	s.after(d/8, func() {
 		s.store.Restore(c)
 		s.store.SetFaults(standin.StoreFaults{})
--- a/test/fleet/path_test.go
+++ b/test/fleet/path_test.go
@@ -201,7 +201,7 @@
 func TestStoreOutage(t *testing.T) {
 	s := newSite(t, 1)
 	r := s.routers[0]
-	s.store.SetFaults(standin.StoreFaults{Silent: true})
+	s.store.SetFaults(standin.StoreFaults{Unresponsive: true})
 	s.eventually("unknown route refused for now", func() bool {
 		return s.call(r, ask{path: "/none/1"}).status == http.StatusServiceUnavailable
 	})
@@ -215,7 +215,7 @@
 // engines from a peer named as its seed, and serves.
 func TestRouterStartsDuringOutage(t *testing.T) {
 	s := newSite(t, 1)
-	s.store.SetFaults(standin.StoreFaults{Silent: true})
+	s.store.SetFaults(standin.StoreFaults{Unresponsive: true})
 	late := s.start("late", "b")
 	s.eventually("ready", late.r.Ready)
 	s.whole(s.call(late, ask{path: "/sheet/1"}))
--- a/test/fleet/restore_test.go
+++ b/test/fleet/restore_test.go
@@ -69,7 +69,7 @@
 // restore brings the store back from a copy, and has the operator and the servers write a
 // second later.
 func (s *site) restore(c standin.Snapshot) {
-	s.store.SetFaults(standin.StoreFaults{Silent: true})
+	s.store.SetFaults(standin.StoreFaults{Unresponsive: true})
 	time.Sleep(300 * time.Millisecond)
 	s.store.Restore(c)
 	s.store.SetFaults(standin.StoreFaults{})
