--- a/test/faultsoak/site_test.go
+++ b/test/faultsoak/site_test.go
@@ -261,7 +261,7 @@
 }
 
 func (s *site) loseWrites(time.Duration) {
-	s.store.SetFaults(standin.StoreFaults{DropWriteResponses: s.rnd.IntN(3), DelayedWrites: s.rnd.IntN(3), LateBy: time.Second})
+	s.store.SetFaults(standin.StoreFaults{DropWriteResponses: s.rnd.IntN(3), DelayedWrites: s.rnd.IntN(3), WriteDelay: time.Second})
 }
 
 func (s *site) compact(time.Duration) { s.store.Compact() }
