--- a/test/fleet/crash_test.go
+++ b/test/fleet/crash_test.go
@@ -101,7 +101,7 @@
 	s := newSite(t, 2)
 	for round := range 4 {
 		for _, e := range s.plain {
-			e.SetFaults(standin.EngineFaults{LoseAnswers: 2})
+			e.SetFaults(standin.EngineFaults{DropResponses: 2})
 		}
 		for i := range 6 {
 			s.call(s.routers[(round+i)%2], ask{path: "/lookup/1", body: "draft"})
--- a/test/fleet/path_test.go
+++ b/test/fleet/path_test.go
@@ -93,7 +93,7 @@
 func TestNoticeWhoseAnswerIsLost(t *testing.T) {
 	s := newSite(t, 1)
 	for _, e := range s.plain {
-		e.SetFaults(standin.EngineFaults{LoseAnswers: 1, Truncate: 1, WrongAttempt: 1})
+		e.SetFaults(standin.EngineFaults{DropResponses: 1, Truncate: 1, WrongAttempt: 1})
 	}
 	lost := 0
 	for range 30 {
@@ -112,7 +112,7 @@
 // The same faults at a lookup, which may run again: the caller notices nothing.
 func TestLookupIsSentAgain(t *testing.T) {
 	s := newSite(t, 1)
-	s.plain[0].SetFaults(standin.EngineFaults{LoseAnswers: 1, Truncate: 1, WrongAttempt: 1, Fail: 1})
+	s.plain[0].SetFaults(standin.EngineFaults{DropResponses: 1, Truncate: 1, WrongAttempt: 1, Fail: 1})
 	for range 12 {
 		rep := s.call(s.routers[0], ask{path: "/lookup/1", method: http.MethodGet})
 		assert.Equal(t, rep.status, http.StatusOK)
