--- a/test/faultsoak/site_test.go
+++ b/test/faultsoak/site_test.go
@@ -336,7 +336,7 @@
 func (s *site) confuse(e *standin.Engine, d time.Duration) {
 	n := s.rnd.IntN(4)
 	e.SetFaults(standin.EngineFaults{
-		Fail: s.rnd.IntN(4), Truncate: s.rnd.IntN(3), DropResponses: s.rnd.IntN(3), Surplus: s.rnd.IntN(3), WrongAttempt: s.rnd.IntN(2),
+		Fail: s.rnd.IntN(4), Truncate: s.rnd.IntN(3), DropResponses: s.rnd.IntN(3), ExtraResponses: s.rnd.IntN(3), WrongAttempt: s.rnd.IntN(2),
 		Refuse: n == 0, Hang: n == 1, FailReports: n == 2,
 	})
 	s.after(d, func() { e.SetFaults(standin.EngineFaults{}) })
--- a/test/fleet/path_test.go
+++ b/test/fleet/path_test.go
@@ -125,7 +125,7 @@
 func TestSurplusAnswerReachesNobody(t *testing.T) {
 	s := newSite(t, 1)
 	for _, e := range s.plain {
-		e.SetFaults(standin.EngineFaults{Surplus: 3})
+		e.SetFaults(standin.EngineFaults{ExtraResponses: 3})
 	}
 	for range 12 {
 		rep := s.call(s.routers[0], ask{path: "/lookup/1", method: http.MethodGet})
