--- a/test/faultsoak/site_test.go
+++ b/test/faultsoak/site_test.go
@@ -295,7 +295,7 @@
 
 func (s *site) killEngine(d time.Duration) {
 	e := s.engines[s.rnd.IntN(len(s.engines))]
-	e.Die()
+	e.StopResponding()
 	s.after(d, e.Restart)
 }
 
--- a/test/fleet/churn_test.go
+++ b/test/fleet/churn_test.go
@@ -84,7 +84,7 @@
 		case 0, 1:
 			s.configure(func(cfg map[string]any) { addIdleRoutes(cfg, n) })
 		case 2:
-			e.Die()
+			e.StopResponding()
 		case 3:
 			e.Restart()
 		case 4:
--- a/test/fleet/incarnation_test.go
+++ b/test/fleet/incarnation_test.go
@@ -95,7 +95,7 @@
 	}
 	for _, e := range s.engines {
 		if e != victim && e.Holds() == victim.Holds() {
-			e.Die()
+			e.StopResponding()
 		}
 	}
 	victim.Write(key, own)
--- a/test/fleet/path_test.go
+++ b/test/fleet/path_test.go
@@ -57,7 +57,7 @@
 		all.Go(func() { s.whole(s.call(s.routers[0], ask{path: "/sheet/1"})) })
 	}
 	time.Sleep(200 * time.Millisecond)
-	dying.Die()
+	dying.StopResponding()
 	all.Wait()
 }
 
@@ -72,7 +72,7 @@
 		all.Go(func() { s.whole(s.call(s.routers[0], ask{path: "/sheet/1"})) })
 	}
 	time.Sleep(200 * time.Millisecond)
-	dying.Die()
+	dying.StopResponding()
 	all.Wait()
 }
 
