--- a/test/faultsoak/site_test.go
+++ b/test/faultsoak/site_test.go
@@ -306,7 +306,7 @@
 	e := all[s.rnd.IntN(len(all))]
 	key, before := e.Entry()
 	late := s.rnd.IntN(2) == 0
-	e.Return()
+	e.RestartSameID()
 	s.after(d/4, func() {
 		e.Register()
 		if late {
--- a/test/fleet/churn_test.go
+++ b/test/fleet/churn_test.go
@@ -88,7 +88,7 @@
 		case 3:
 			e.Restart()
 		case 4:
-			e.Return()
+			e.RestartSameID()
 			e.Register()
 		case 5:
 			i := rnd.IntN(len(s.routers))
--- a/test/fleet/incarnation_test.go
+++ b/test/fleet/incarnation_test.go
@@ -24,7 +24,7 @@
 		all.Go(func() { s.whole(s.call(s.routers[0], ask{path: "/sheet/1"})) })
 	}
 	time.Sleep(200 * time.Millisecond)
-	back.Return()
+	back.RestartSameID()
 	back.Register()
 	all.Wait()
 	s.eventually("it is loaded again", func() bool { return back.Holds() == held })
@@ -39,7 +39,7 @@
 	s := newSite(t, 1)
 	back := s.partOf(1)
 	held := back.Holds()
-	back.Return()
+	back.RestartSameID()
 	s.eventually("it is loaded again", func() bool {
 		// A stream through it is refused; whoever looks into that learns of the start.
 		s.call(s.routers[0], ask{path: "/sheet/1"})
@@ -64,7 +64,7 @@
 	}()
 	s.eventually("it runs", func() bool { return len(s.fleet.Runs(attempt)) == 1 })
 	for _, e := range s.plain {
-		e.Return()
+		e.RestartSameID()
 		e.Register()
 	}
 	rep := <-answered
