--- a/test/faultsoak/site_test.go
+++ b/test/faultsoak/site_test.go
@@ -310,7 +310,7 @@
 	s.after(d/4, func() {
 		e.Register()
 		if late {
-			e.Write(key, before)
+			e.PutEntry(key, before)
 		}
 	})
 	s.after(d, e.Register)
@@ -322,8 +322,8 @@
 	odd := [][]byte{{}, []byte("\x00\xff"), []byte(`{"state":7}`), []byte(`{"service":"sheets","address":"127.0.0.1:1","zone":"a","state":"resting"}`)}
 	value := odd[s.rnd.IntN(len(odd))]
 	key, _ := e.Entry()
-	e.Write(key, value)
-	e.Write(key+"-odd", value)
+	e.PutEntry(key, value)
+	e.PutEntry(key+"-odd", value)
 	s.after(d, e.Register)
 }
 
--- a/test/fleet/incarnation_test.go
+++ b/test/fleet/incarnation_test.go
@@ -87,8 +87,8 @@
 		`{"service":"sheets","address":"127.0.0.1:1","zone":"a","state":"ready","type":"fast","slots":9,"layers":{"from":0,"to":"all"}}`,
 	}
 	for i, value := range odd {
-		victim.Write("servers/odd-"+string(rune('a'+i)), []byte(value))
-		victim.Write(key, []byte(value))
+		victim.PutEntry("servers/odd-"+string(rune('a'+i)), []byte(value))
+		victim.PutEntry(key, []byte(value))
 		for _, r := range s.routers {
 			s.whole(s.call(r, ask{path: "/sheet/1"}))
 		}
@@ -98,6 +98,6 @@
 			e.StopResponding()
 		}
 	}
-	victim.Write(key, own)
+	victim.PutEntry(key, own)
 	s.eventually("it serves again", func() bool { return s.call(s.routers[0], ask{path: "/sheet/1"}).status == http.StatusOK })
 }
