--- a/test/fleet/crash_test.go
+++ b/test/fleet/crash_test.go
@@ -25,7 +25,7 @@
 // twenty engines and more ended, each under the streams of other callers.
 func TestRequestThatEndsEngines(t *testing.T) {
 	s := newSite(t, 3)
-	s.fleet.SetCrash(standin.Crash{Customer: "school", Body: poison, Delay: 30 * time.Millisecond, Back: 400 * time.Millisecond})
+	s.fleet.SetCrash(standin.Crash{Customer: "school", Body: poison, Delay: 30 * time.Millisecond, RestartDelay: 400 * time.Millisecond})
 	stop := make(chan struct{})
 	var innocents sync.WaitGroup
 	var refused atomic.Int64
@@ -77,7 +77,7 @@
 	for _, path := range []string{"/notice/1", "/lookup/1"} {
 		t.Run(path, func(t *testing.T) {
 			s := newSite(t, 2)
-			s.fleet.SetCrash(standin.Crash{Customer: "school", Body: poison, Delay: 10 * time.Millisecond, Back: 300 * time.Millisecond})
+			s.fleet.SetCrash(standin.Crash{Customer: "school", Body: poison, Delay: 10 * time.Millisecond, RestartDelay: 300 * time.Millisecond})
 			for i := range 20 {
 				rep := s.call(s.routers[i%2], ask{path: path, body: poison})
 				assert.Assert(t, rep.status != http.StatusOK)
