--- a/test/fleet/crash_test.go
+++ b/test/fleet/crash_test.go
@@ -39,7 +39,7 @@
 	}
 	close(stop)
 	innocents.Wait()
-	assert.Equal(t, s.fleet.Crashed(), mostCrashes)
+	assert.Equal(t, s.fleet.CrashCount(), mostCrashes)
 	assert.Equal(t, refused.Load(), int64(0), "others were taken for it")
 	for _, r := range s.routers {
 		r.stop()
@@ -53,7 +53,7 @@
 		assert.Equal(t, s.fleet.Arrivals(rep.attempt), 0)
 		s.whole(s.call(r, ask{path: "/sheet/1", body: poison, key: "key-2"}))
 	}
-	assert.Equal(t, s.fleet.Crashed(), mostCrashes)
+	assert.Equal(t, s.fleet.CrashCount(), mostCrashes)
 }
 
 // beside sends other requests of the same customer and path until stop, and counts
@@ -86,7 +86,7 @@
 				}
 				time.Sleep(200 * time.Millisecond)
 			}
-			assert.Equal(t, s.fleet.Crashed(), mostCrashes)
+			assert.Equal(t, s.fleet.CrashCount(), mostCrashes)
 			assert.Equal(t, s.call(s.routers[0], ask{path: path, body: poison}).status, http.StatusBadRequest)
 			for _, r := range s.routers {
 				s.eventually("others are served", func() bool { return s.call(r, ask{path: path, body: "arrived"}).status == http.StatusOK })
