--- a/test/faultsoak/client_test.go
+++ b/test/faultsoak/client_test.go
@@ -184,7 +184,7 @@
 	s.mu.Unlock()
 	want := standin.PlainBody(attempt)
 	if kind == "sheet" {
-		want = standin.Answer(attempt, s.fleet.Events)
+		want = standin.ResponseBody(attempt, s.fleet.Events)
 	}
 	switch {
 	case rep.status == http.StatusOK && rep.err == nil && rep.body != want:
--- a/test/fleet/harness_test.go
+++ b/test/fleet/harness_test.go
@@ -327,6 +327,6 @@
 	s.t.Helper()
 	assert.NilError(s.t, rep.err)
 	assert.Equal(s.t, rep.status, http.StatusOK)
-	assert.Equal(s.t, rep.body, standin.Answer(rep.attempt, s.fleet.Events))
+	assert.Equal(s.t, rep.body, standin.ResponseBody(rep.attempt, s.fleet.Events))
 	assert.Equal(s.t, rep.signature, "sig-"+rep.attempt)
 }
