--- a/bench/recovery_test.go
+++ b/bench/recovery_test.go
@@ -132,7 +132,7 @@
 	chain := make([]*world.Sidecar, 0, 3)
 	for from := 0; from < layers; from += 4 {
 		for _, u := range w.Sidecars {
-			if u.Engine.Range().From == from && u.Engine.RunsOf(key.String()+"#") > 0 {
+			if u.Engine.Range().From == from && u.Engine.PositionsRun(key.String()+"#") > 0 {
 				chain = append(chain, u)
 			}
 		}
@@ -149,7 +149,7 @@
 			if u.Engine.Range().From != from {
 				continue
 			}
-			n := u.Engine.RunsOf(key.String() + "#")
+			n := u.Engine.PositionsRun(key.String() + "#")
 			total += n
 			most = max(most, n)
 		}
--- a/bench/throughput_test.go
+++ b/bench/throughput_test.go
@@ -207,7 +207,7 @@
 	runs := func() []int64 {
 		var out []int64
 		for _, u := range w.Sidecars {
-			out = append(out, u.Engine.RunsOf(""))
+			out = append(out, u.Engine.PositionsRun(""))
 		}
 		return out
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -94,9 +94,9 @@
 // Close stops the engine; steps that wait are never answered.
 func (e *Engine) Close() { e.stop() }
 
-// RunsOf sums the positions that the engine has run for all sessions whose name
+// PositionsRun sums the positions that the engine has run for all sessions whose name
 // has a prefix, by its own count: the judge from outside.
-func (e *Engine) RunsOf(prefix string) int64 {
+func (e *Engine) PositionsRun(prefix string) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := int64(0)
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -46,7 +46,7 @@
 	mux := http.NewServeMux()
 	mux.Handle(platformv1connect.NewEngineServiceHandler(engineServer{e}))
 	mux.HandleFunc("GET /control", func(w http.ResponseWriter, r *http.Request) {
-		writeJSON(w, e.RunsOf(r.URL.Query().Get("prefix")))
+		writeJSON(w, e.PositionsRun(r.URL.Query().Get("prefix")))
 	})
 	return mux
 }
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -254,7 +254,7 @@
 	n := int64(0)
 	for _, u := range w.Sidecars {
 		if u.Engine != nil {
-			n += u.Engine.RunsOf(key.String() + "#")
+			n += u.Engine.PositionsRun(key.String() + "#")
 		} else {
 			n += int64(u.Plain.Count(key.String()))
 		}
