--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -102,7 +102,7 @@
 		Range:    model.LayerRange{From: i * per, To: (i + 1) * per},
 		Layers:   DevLayers,
 		StepTime: devStep,
-		Batch:    64,
+		MaxBatch: 64,
 		Capacity: devCapacity,
 	})
 	d.Engines = append(d.Engines, e)
--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -71,7 +71,7 @@
 	f.IntVar(&cfg.Layers, "layers", 1, "layers of the whole model")
 	f.DurationVar(&cfg.StepTime, "step", time.Millisecond, "time of one layer for one batch")
 	f.DurationVar(&cfg.PositionTime, "position", 0, "time added per layer for each position of a batch")
-	f.IntVar(&cfg.Batch, "batch", 64, "positions that run together")
+	f.IntVar(&cfg.MaxBatch, "batch", 64, "positions that run together")
 	f.IntVar(&cfg.Capacity, "capacity", 16, "sessions the engine reports to hold")
 	f.BoolVar(&cfg.IgnoreFence, "ignore-fence", false, "take orders with an old fencing number")
 	f.DurationVar(&cfg.LoadLag, "load-lag", 0, "how old the load report is")
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -23,8 +23,8 @@
 	StepTime time.Duration
 	// PositionTime is added per layer for each position in the batch.
 	PositionTime time.Duration
-	// Batch is how many positions run together.
-	Batch    int
+	// MaxBatch is how many positions run together.
+	MaxBatch int
 	Capacity int
 	// IgnoreFence lets orders with an old fencing number through, as the
 	// engines of some deployments do.
@@ -35,8 +35,8 @@
 
 // Rate is how many positions a second the engine runs with full batches.
 func (c EngineConfig) Rate() float64 {
-	step := c.StepTime + time.Duration(c.Batch)*c.PositionTime
-	return float64(c.Batch) / (step.Seconds() * float64(c.Range.Len()))
+	step := c.StepTime + time.Duration(c.MaxBatch)*c.PositionTime
+	return float64(c.MaxBatch) / (step.Seconds() * float64(c.Range.Len()))
 }
 
 // Errors of the engine.
@@ -197,7 +197,7 @@
 	var batch, rest []*engineStep
 	positions, layers := 0, 0
 	for _, st := range e.waiting {
-		if len(batch) > 0 && positions+len(st.Inputs) > e.cfg.Batch {
+		if len(batch) > 0 && positions+len(st.Inputs) > e.cfg.MaxBatch {
 			rest = append(rest, st)
 			continue
 		}
@@ -294,7 +294,7 @@
 			Range:    e.cfg.Range,
 			StepTime: e.cfg.StepTime,
 			Rate:     e.cfg.Rate(),
-			MaxBatch: e.cfg.Batch,
+			MaxBatch: e.cfg.MaxBatch,
 		}
 	}
 	return e.reported, nil
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -103,7 +103,7 @@
 				Layers:       cfg.Layers,
 				StepTime:     spec.StepTime,
 				PositionTime: spec.PositionTime,
-				Batch:        spec.Batch,
+				MaxBatch:     spec.Batch,
 				Capacity:     spec.Sessions,
 			}),
 		})
