--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -16,8 +16,8 @@
 // Plain is a plain service that does each call as often as it is told to, and
 // keeps count: the judge of what ran.
 type Plain struct {
-	// Time that one call takes.
-	Time time.Duration
+	// CallDuration that one call takes.
+	CallDuration time.Duration
 
 	mu    sync.Mutex
 	calls map[string]int
@@ -25,7 +25,7 @@
 
 // NewPlain makes a plain service.
 func NewPlain(t time.Duration) *Plain {
-	return &Plain{Time: t, calls: map[string]int{}}
+	return &Plain{CallDuration: t, calls: map[string]int{}}
 }
 
 // Call implements platform.Plain.
@@ -34,7 +34,7 @@
 	p.calls[id]++
 	p.mu.Unlock()
 	select {
-	case <-time.After(p.Time):
+	case <-time.After(p.CallDuration):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
