--- a/internal/standin/model.go
+++ b/internal/standin/model.go
@@ -50,9 +50,9 @@
 	return fmt.Appendf(nil, "%s ", words[a%uint64(len(words))])
 }
 
-// ReferenceAnswer computes the answer that a model of so many layers gives when
+// ReferenceOutput computes the answer that a model of so many layers gives when
 // every layer runs exactly once and in order.
-func ReferenceAnswer(prompt [][]byte, layers, tokens int) [][]byte {
+func ReferenceOutput(prompt [][]byte, layers, tokens int) [][]byte {
 	states := make([]layerState, layers)
 	var out [][]byte
 	input := prompt
--- a/test/integration/harness_test.go
+++ b/test/integration/harness_test.go
@@ -309,7 +309,7 @@
 	for _, w := range words {
 		in = append(in, []byte(w))
 	}
-	return string(bytes.Join(standin.ReferenceAnswer(in, layers, tokens), nil))
+	return string(bytes.Join(standin.ReferenceOutput(in, layers, tokens), nil))
 }
 
 // onWrite calls a function once, after so many bytes of the answer came.
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -264,7 +264,7 @@
 
 func (r *record) check(t *testing.T, w *world.World) {
 	in := bytes.SplitAfter([]byte(prompt), []byte(" "))
-	want := bytes.Join(standin.ReferenceAnswer(in[:promptParts], layers, tokensWant), nil)
+	want := bytes.Join(standin.ReferenceOutput(in[:promptParts], layers, tokensWant), nil)
 	counts := map[model.State]int{}
 	for _, c := range r.all {
 		n := ran(w, c.key)
