--- a/internal/coordination/config/config_test.go
+++ b/internal/coordination/config/config_test.go
@@ -127,8 +127,8 @@
 	then func()
 }
 
-func (k *lossyHeadKV) Swap(ctx context.Context, key string, data []byte, expected int64) (int64, error) {
-	version, err := k.KV.Swap(ctx, key, data, expected)
+func (k *lossyHeadKV) CompareAndSwap(ctx context.Context, key string, data []byte, expected int64) (int64, error) {
+	version, err := k.KV.CompareAndSwap(ctx, key, data, expected)
 	if key == headKey && k.lose && err == nil {
 		k.lose = false
 		k.then()
--- a/internal/coordination/config/store.go
+++ b/internal/coordination/config/store.go
@@ -190,7 +190,7 @@
 		return fault.New(fault.TooLarge, "bucket %d would exceed the key-value service's value limit", i)
 	}
 	key := fmt.Sprintf("config/bucket/%d/%s", i, s.newID())
-	if _, err := s.kv.Swap(ctx, key, data, 0); err != nil {
+	if _, err := s.kv.CompareAndSwap(ctx, key, data, 0); err != nil {
 		return err
 	}
 	replaced := head.Keys[i]
@@ -199,7 +199,7 @@
 	if err != nil {
 		return errors.Wrap(err, "encode head")
 	}
-	if _, err := s.kv.Swap(ctx, headKey, raw, version); err != nil {
+	if _, err := s.kv.CompareAndSwap(ctx, headKey, raw, version); err != nil {
 		if errors.Is(err, platform.ErrSwapFailed) {
 			_ = s.kv.Delete(ctx, key)
 		}
--- a/internal/coordination/ledger/ledger.go
+++ b/internal/coordination/ledger/ledger.go
@@ -210,7 +210,7 @@
 	if len(data) > platform.MaxValueBytes {
 		return false, fault.New(fault.Overloaded, "ledger page is full")
 	}
-	version, err := l.kv.Swap(ctx, p.key, data, p.version)
+	version, err := l.kv.CompareAndSwap(ctx, p.key, data, p.version)
 	if err != nil {
 		// Another entry was first, or the answer was lost. What is stored
 		// decides: it is read again, and a swap of ours that took effect is
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -129,7 +129,7 @@
 		}
 		last, _ := strconv.ParseInt(string(v.Data), 10, 64)
 		next := max(last+1, now)
-		if _, err = kv.Swap(ctx, "fence/"+backend, strconv.AppendInt(nil, next, 10), v.Version); err == nil {
+		if _, err = kv.CompareAndSwap(ctx, "fence/"+backend, strconv.AppendInt(nil, next, 10), v.Version); err == nil {
 			return next
 		}
 	}
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -59,7 +59,7 @@
 	return Value{rep.Msg.Value, rep.Msg.Version}, nil
 }
 
-func (k kvClient) Swap(ctx context.Context, key string, data []byte, expected int64) (int64, error) {
+func (k kvClient) CompareAndSwap(ctx context.Context, key string, data []byte, expected int64) (int64, error) {
 	rep, err := k.c.CompareAndSwap(ctx, connect.NewRequest(&platformv1.CompareAndSwapRequest{
 		Key:             key,
 		Value:           data,
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -35,8 +35,8 @@
 // KV is the platform's key-value service. Every call counts against its rates.
 type KV interface {
 	Get(ctx context.Context, key string) (Value, error)
-	// Swap writes data if the key's version is still expected; 0 creates it.
-	Swap(ctx context.Context, key string, data []byte, expected int64) (version int64, err error)
+	// CompareAndSwap writes data if the key's version is still expected; 0 creates it.
+	CompareAndSwap(ctx context.Context, key string, data []byte, expected int64) (version int64, err error)
 	Delete(ctx context.Context, key string) error
 	// Watch waits until the key's version exceeds after, at most wait.
 	Watch(ctx context.Context, key string, after int64, wait time.Duration) (Value, error)
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -105,8 +105,8 @@
 	return v, nil
 }
 
-// Swap implements platform.KV.
-func (k *KV) Swap(ctx context.Context, key string, data []byte, expected int64) (int64, error) {
+// CompareAndSwap implements platform.KV.
+func (k *KV) CompareAndSwap(ctx context.Context, key string, data []byte, expected int64) (int64, error) {
 	if err := k.begin(ctx, func(c *KVCalls) { c.Swaps++ }); err != nil {
 		return 0, err
 	}
@@ -176,7 +176,7 @@
 }
 
 func (s kvServer) CompareAndSwap(ctx context.Context, r *connect.Request[platformv1.CompareAndSwapRequest]) (*connect.Response[platformv1.CompareAndSwapResponse], error) {
-	version, err := s.kv.Swap(ctx, r.Msg.Key, r.Msg.Value, r.Msg.ExpectedVersion)
+	version, err := s.kv.CompareAndSwap(ctx, r.Msg.Key, r.Msg.Value, r.Msg.ExpectedVersion)
 	if err == platform.ErrSwapFailed {
 		return connect.NewResponse(&platformv1.CompareAndSwapResponse{Version: version}), nil
 	}
