--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -149,8 +149,8 @@
 		Idle:             func() bool { return !r.callersCame() && r.elector.FencingToken() == 0 },
 	}
 	r.store.unanswered = r.follower.CallFailed
-	if store, ok := r.store.Store.(interface{ TellEra(func(era int64)) }); ok {
-		store.TellEra(r.follower.ObserveEra)
+	if store, ok := r.store.Store.(interface{ OnNewEra(func(era int64)) }); ok {
+		store.OnNewEra(r.follower.ObserveEra)
 	}
 	news.Tell = r.follower.WaitForUpdates
 	news.Register(r.links)
