--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -18,7 +18,7 @@
 // idle is how many idle connections are kept per host.
 func NewHTTPClient(idle int) *http.Client {
 	d := &net.Dialer{Timeout: time.Second}
-	return &http.Client{Transport: onceTransport{&http.Transport{
+	return &http.Client{Transport: noRetryTransport{&http.Transport{
 		DialContext:         d.DialContext,
 		MaxIdleConns:        idle,
 		MaxIdleConnsPerHost: idle,
@@ -30,16 +30,16 @@
 // finds a kept connection stale sends the request again if it can rewind the
 // body, which would run a call that is not repeatable a second time. Without
 // GetBody it cannot rewind, and returns the error instead.
-type onceTransport struct {
+type noRetryTransport struct {
 	next http.RoundTripper
 }
 
-func (t onceTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	once := r.Clone(r.Context())
-	once.GetBody = nil
-	once.Header.Del("Idempotency-Key")
-	once.Header.Del("X-Idempotency-Key")
-	return t.next.RoundTrip(once)
+func (t noRetryTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	req := r.Clone(r.Context())
+	req.GetBody = nil
+	req.Header.Del("Idempotency-Key")
+	req.Header.Del("X-Idempotency-Key")
+	return t.next.RoundTrip(req)
 }
 
 type kvClient struct {
@@ -52,15 +52,15 @@
 }
 
 func (k kvClient) Get(ctx context.Context, key string) (Value, error) {
-	rep, err := k.c.Get(ctx, connect.NewRequest(&platformv1.GetRequest{Key: key}))
+	resp, err := k.c.Get(ctx, connect.NewRequest(&platformv1.GetRequest{Key: key}))
 	if err != nil {
 		return Value{}, kvError(err)
 	}
-	return Value{rep.Msg.Value, rep.Msg.Version}, nil
+	return Value{resp.Msg.Value, resp.Msg.Version}, nil
 }
 
 func (k kvClient) CompareAndSwap(ctx context.Context, key string, data []byte, expected int64) (int64, error) {
-	rep, err := k.c.CompareAndSwap(ctx, connect.NewRequest(&platformv1.CompareAndSwapRequest{
+	resp, err := k.c.CompareAndSwap(ctx, connect.NewRequest(&platformv1.CompareAndSwapRequest{
 		Key:             key,
 		Value:           data,
 		ExpectedVersion: expected,
@@ -68,10 +68,10 @@
 	if err != nil {
 		return 0, kvError(err)
 	}
-	if !rep.Msg.Swapped {
-		return rep.Msg.Version, ErrSwapFailed
+	if !resp.Msg.Swapped {
+		return resp.Msg.Version, ErrSwapFailed
 	}
-	return rep.Msg.Version, nil
+	return resp.Msg.Version, nil
 }
 
 func (k kvClient) Delete(ctx context.Context, key string) error {
@@ -80,7 +80,7 @@
 }
 
 func (k kvClient) Watch(ctx context.Context, key string, after int64, wait time.Duration) (Value, error) {
-	rep, err := k.c.Watch(ctx, connect.NewRequest(&platformv1.WatchRequest{
+	resp, err := k.c.Watch(ctx, connect.NewRequest(&platformv1.WatchRequest{
 		Key:          key,
 		AfterVersion: after,
 		WaitMs:       wait.Milliseconds(),
@@ -88,7 +88,7 @@
 	if err != nil {
 		return Value{}, kvError(err)
 	}
-	return Value{rep.Msg.Value, rep.Msg.Version}, nil
+	return Value{resp.Msg.Value, resp.Msg.Version}, nil
 }
 
 func kvError(err error) error {
@@ -111,12 +111,12 @@
 }
 
 func (i instancesClient) List(ctx context.Context) ([]model.Instance, error) {
-	rep, err := i.c.List(ctx, connect.NewRequest(&platformv1.ListRequest{}))
+	resp, err := i.c.List(ctx, connect.NewRequest(&platformv1.ListRequest{}))
 	if err != nil {
 		return nil, errors.Wrap(err, "instance list")
 	}
-	out := make([]model.Instance, 0, len(rep.Msg.Instances))
-	for _, in := range rep.Msg.Instances {
+	out := make([]model.Instance, 0, len(resp.Msg.Instances))
+	for _, in := range resp.Msg.Instances {
 		out = append(out, model.Instance{
 			ID:            in.Id,
 			Role:          model.Role(in.Role),
@@ -139,7 +139,7 @@
 }
 
 func (e engineClient) Step(ctx context.Context, s Step) ([][]byte, error) {
-	rep, err := e.c.Step(ctx, connect.NewRequest(&platformv1.StepRequest{
+	resp, err := e.c.Step(ctx, connect.NewRequest(&platformv1.StepRequest{
 		Session:   s.Session,
 		FromLayer: int32(s.Range.From),
 		ToLayer:   int32(s.Range.To),
@@ -151,7 +151,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "engine step")
 	}
-	return rep.Msg.Outputs, nil
+	return resp.Msg.Outputs, nil
 }
 
 func (e engineClient) EndSession(ctx context.Context, session string, fence int64) error {
@@ -160,25 +160,25 @@
 }
 
 func (e engineClient) EndAll(ctx context.Context, fence int64) (int, error) {
-	rep, err := e.c.EndAll(ctx, connect.NewRequest(&platformv1.EndAllRequest{Fence: fence}))
+	resp, err := e.c.EndAll(ctx, connect.NewRequest(&platformv1.EndAllRequest{Fence: fence}))
 	if err != nil {
 		return 0, errors.Wrap(err, "end all engine sessions")
 	}
-	return int(rep.Msg.Ended), nil
+	return int(resp.Msg.Ended), nil
 }
 
 func (e engineClient) Load(ctx context.Context) (EngineLoad, error) {
-	rep, err := e.c.GetLoad(ctx, connect.NewRequest(&platformv1.GetLoadRequest{}))
+	resp, err := e.c.GetLoad(ctx, connect.NewRequest(&platformv1.GetLoadRequest{}))
 	if err != nil {
 		return EngineLoad{}, errors.Wrap(err, "engine load")
 	}
 	return EngineLoad{
-		Active:   int(rep.Msg.Active),
-		Capacity: int(rep.Msg.Capacity),
-		Range:    model.LayerRange{From: int(rep.Msg.FromLayer), To: int(rep.Msg.ToLayer)},
-		StepTime: time.Duration(rep.Msg.StepMicros) * time.Microsecond,
-		Rate:     rep.Msg.PositionsPerSecond,
-		MaxBatch: int(rep.Msg.Batch),
+		Active:   int(resp.Msg.Active),
+		Capacity: int(resp.Msg.Capacity),
+		Range:    model.LayerRange{From: int(resp.Msg.FromLayer), To: int(resp.Msg.ToLayer)},
+		StepTime: time.Duration(resp.Msg.StepMicros) * time.Microsecond,
+		Rate:     resp.Msg.PositionsPerSecond,
+		MaxBatch: int(resp.Msg.Batch),
 	}, nil
 }
 
@@ -192,9 +192,9 @@
 }
 
 func (p plainClient) Call(ctx context.Context, id string, body []byte) ([]byte, error) {
-	rep, err := p.c.Call(ctx, connect.NewRequest(&platformv1.CallRequest{CallId: id, Body: body}))
+	resp, err := p.c.Call(ctx, connect.NewRequest(&platformv1.CallRequest{CallId: id, Body: body}))
 	if err != nil {
 		return nil, errors.Wrap(err, "plain call")
 	}
-	return rep.Msg.Body, nil
+	return resp.Msg.Body, nil
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -16,17 +16,17 @@
 // wireServer counts the requests that arrive on the wire. It answers the first
 // of each connection and drops the connection after reading the next one, as a
 // server does that goes away with a request in its hands.
-type wireServer struct {
+type countingServer struct {
 	l        net.Listener
 	mu       sync.Mutex
 	requests int
 	conns    sync.WaitGroup
 }
 
-func newWireServer(t *testing.T, answer string) *wireServer {
+func newCountingServer(t *testing.T, answer string) *countingServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s := &wireServer{l: l}
+	s := &countingServer{l: l}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -43,7 +43,7 @@
 	return s
 }
 
-func (s *wireServer) serve(c net.Conn, answer string) {
+func (s *countingServer) serve(c net.Conn, answer string) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for n := 0; n < 2; n++ {
@@ -61,7 +61,7 @@
 	}
 }
 
-func (s *wireServer) count() int {
+func (s *countingServer) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests
@@ -74,7 +74,7 @@
 // again on a new connection if it thinks it idempotent; the backend server must
 // see it once, and the caller an error.
 func TestCallIsOnTheWireOnce(t *testing.T) {
-	s := newWireServer(t, emptyProto)
+	s := newCountingServer(t, emptyProto)
 	p := DialPlain(NewHTTPClient(4), "http://"+s.l.Addr().String())
 	_, err := p.Call(context.Background(), "first", nil)
 	assert.NilError(t, err)
@@ -85,18 +85,18 @@
 
 // The same for requests that net/http takes for idempotent by their header.
 func TestIdempotencyKeyDoesNotResend(t *testing.T) {
-	s := newWireServer(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	s := newCountingServer(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	hc := NewHTTPClient(4)
 	post := func() error {
 		req, err := http.NewRequest(http.MethodPost, "http://"+s.l.Addr().String(), strings.NewReader("body"))
 		assert.NilError(t, err)
 		req.Header.Set("Idempotency-Key", "k")
-		rep, err := hc.Do(req)
+		resp, err := hc.Do(req)
 		if err != nil {
 			return err
 		}
-		_, err = io.Copy(io.Discard, rep.Body)
-		rep.Body.Close()
+		_, err = io.Copy(io.Discard, resp.Body)
+		resp.Body.Close()
 		return err
 	}
 	assert.NilError(t, post())
