--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -41,18 +41,18 @@
 
 // Errors of the engine.
 var (
-	errFenced   = errors.New("fencing number is old")
-	errSequence = errors.New("position is not the session's next")
-	errRange    = errors.New("layers are not held")
-	errEnded    = errors.New("session ended")
+	errStaleFence = errors.New("fencing number is old")
+	errSequence   = errors.New("position is not the session's next")
+	errRange      = errors.New("layers are not held")
+	errEnded      = errors.New("session ended")
 )
 
 // Engine is a model engine that batches continuously: steps that arrive while a
 // batch runs go into the next one together.
 type Engine struct {
-	cfg  EngineConfig
-	work chan struct{} // signals that steps wait; buffered by one
-	stop context.CancelFunc
+	cfg    EngineConfig
+	wakeup chan struct{} // signals that steps wait; buffered by one
+	stop   context.CancelFunc
 
 	mu       sync.Mutex
 	waiting  []*engineStep
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &Engine{
 		cfg:      cfg,
-		work:     make(chan struct{}, 1),
+		wakeup:   make(chan struct{}, 1),
 		stop:     cancel,
 		sessions: map[string]*engineSession{},
 		runs:     map[string]int64{},
@@ -135,7 +135,7 @@
 	e.waiting = append(e.waiting, st)
 	e.mu.Unlock()
 	select {
-	case e.work <- struct{}{}:
+	case e.wakeup <- struct{}{}:
 	default:
 	}
 	select {
@@ -151,7 +151,7 @@
 		e.fence = fence
 	}
 	if fence < e.fence && !e.cfg.IgnoreFence {
-		return errFenced
+		return errStaleFence
 	}
 	return nil
 }
@@ -161,23 +161,23 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.work:
+		case <-e.wakeup:
 		}
 		for {
-			batch, cost := e.take()
+			batch, cost := e.nextBatch()
 			if len(batch) == 0 {
 				break
 			}
-			if !pause(ctx, cost) {
+			if !sleep(ctx, cost) {
 				return
 			}
-			e.run(batch)
+			e.runBatch(batch)
 		}
 	}
 }
 
-// pause waits and tells whether the engine still runs.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits and tells whether the engine still runs.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -186,9 +186,9 @@
 	}
 }
 
-// take forms a batch of the waiting steps, higher priority first; steps that do
+// nextBatch forms a batch of the waiting steps, higher priority first; steps that do
 // not fit are passed over for smaller ones.
-func (e *Engine) take() ([]*engineStep, time.Duration) {
+func (e *Engine) nextBatch() ([]*engineStep, time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	sort.SliceStable(e.waiting, func(i, j int) bool {
@@ -210,7 +210,7 @@
 	return batch, cost * time.Duration(layers)
 }
 
-func (e *Engine) run(batch []*engineStep) {
+func (e *Engine) runBatch(batch []*engineStep) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, st := range batch {
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -72,8 +72,8 @@
 	return out
 }
 
-// begin counts a call and applies delay and outage.
-func (k *KV) begin(ctx context.Context, count func(*KVCalls)) error {
+// applyFaults counts a call and applies delay and outage.
+func (k *KV) applyFaults(ctx context.Context, count func(*KVCalls)) error {
 	k.mu.Lock()
 	count(&k.calls)
 	f := k.faults
@@ -93,7 +93,7 @@
 
 // Get implements platform.KV.
 func (k *KV) Get(ctx context.Context, key string) (platform.Value, error) {
-	if err := k.begin(ctx, func(c *KVCalls) { c.Gets++ }); err != nil {
+	if err := k.applyFaults(ctx, func(c *KVCalls) { c.Gets++ }); err != nil {
 		return platform.Value{}, err
 	}
 	k.mu.Lock()
@@ -107,7 +107,7 @@
 
 // CompareAndSwap implements platform.KV.
 func (k *KV) CompareAndSwap(ctx context.Context, key string, data []byte, expected int64) (int64, error) {
-	if err := k.begin(ctx, func(c *KVCalls) { c.Swaps++ }); err != nil {
+	if err := k.applyFaults(ctx, func(c *KVCalls) { c.Swaps++ }); err != nil {
 		return 0, err
 	}
 	if len(data) > platform.MaxValueBytes {
@@ -131,7 +131,7 @@
 
 // Delete implements platform.KV.
 func (k *KV) Delete(ctx context.Context, key string) error {
-	if err := k.begin(ctx, func(c *KVCalls) { c.Deletes++ }); err != nil {
+	if err := k.applyFaults(ctx, func(c *KVCalls) { c.Deletes++ }); err != nil {
 		return err
 	}
 	k.mu.Lock()
@@ -142,7 +142,7 @@
 
 // Watch implements platform.KV.
 func (k *KV) Watch(ctx context.Context, key string, after int64, wait time.Duration) (platform.Value, error) {
-	if err := k.begin(ctx, func(c *KVCalls) { c.Watches++ }); err != nil {
+	if err := k.applyFaults(ctx, func(c *KVCalls) { c.Watches++ }); err != nil {
 		return platform.Value{}, err
 	}
 	timeout := time.NewTimer(wait)
@@ -170,7 +170,7 @@
 func (s kvServer) Get(ctx context.Context, r *connect.Request[platformv1.GetRequest]) (*connect.Response[platformv1.GetResponse], error) {
 	v, err := s.kv.Get(ctx, r.Msg.Key)
 	if err != nil {
-		return nil, kvCode(err)
+		return nil, connectError(err)
 	}
 	return connect.NewResponse(&platformv1.GetResponse{Value: v.Data, Version: v.Version}), nil
 }
@@ -181,14 +181,14 @@
 		return connect.NewResponse(&platformv1.CompareAndSwapResponse{Version: version}), nil
 	}
 	if err != nil {
-		return nil, kvCode(err)
+		return nil, connectError(err)
 	}
 	return connect.NewResponse(&platformv1.CompareAndSwapResponse{Swapped: true, Version: version}), nil
 }
 
 func (s kvServer) Delete(ctx context.Context, r *connect.Request[platformv1.DeleteRequest]) (*connect.Response[platformv1.DeleteResponse], error) {
 	if err := s.kv.Delete(ctx, r.Msg.Key); err != nil {
-		return nil, kvCode(err)
+		return nil, connectError(err)
 	}
 	return connect.NewResponse(&platformv1.DeleteResponse{}), nil
 }
@@ -196,12 +196,12 @@
 func (s kvServer) Watch(ctx context.Context, r *connect.Request[platformv1.WatchRequest]) (*connect.Response[platformv1.GetResponse], error) {
 	v, err := s.kv.Watch(ctx, r.Msg.Key, r.Msg.AfterVersion, time.Duration(r.Msg.WaitMs)*time.Millisecond)
 	if err != nil {
-		return nil, kvCode(err)
+		return nil, connectError(err)
 	}
 	return connect.NewResponse(&platformv1.GetResponse{Value: v.Data, Version: v.Version}), nil
 }
 
-func kvCode(err error) error {
+func connectError(err error) error {
 	if err == platform.ErrNotFound {
 		return connect.NewError(connect.CodeNotFound, err)
 	}
--- a/internal/standin/model.go
+++ b/internal/standin/model.go
@@ -13,7 +13,7 @@
 // answer itself proves the promise.
 
 // words are what the stand-in model says.
-var words = []string{
+var vocabulary = []string{
 	"ladder", "north", "façade", "school", "morning", "crew", "window", "clinic",
 	"sluice", "pump", "two", "before", "basin", "check", "gate", "hall",
 	"library", "rinse", "aerate", "shift", "noon", "roof", "key", "handover",
@@ -47,7 +47,7 @@
 }
 
 func tokenOf(a uint64) []byte {
-	return fmt.Appendf(nil, "%s ", words[a%uint64(len(words))])
+	return fmt.Appendf(nil, "%s ", vocabulary[a%uint64(len(vocabulary))])
 }
 
 // ReferenceOutput computes the answer that a model of so many layers gives when
