--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -14,8 +14,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// NewHTTPClient makes the client through which all backend servers are met.
-// idle is how many idle connections are kept per host.
+// NewHTTPClient returns the client for requests to backend servers. It keeps at most idle
+// idle connections, in total and per host, and never sends a request twice.
 func NewHTTPClient(idle int) *http.Client {
 	d := &net.Dialer{Timeout: time.Second}
 	return &http.Client{Transport: noRetryTransport{&http.Transport{
@@ -26,10 +26,10 @@
 	}}}
 }
 
-// onceTransport keeps net/http from sending a request twice. A transport that
-// finds a kept connection stale sends the request again if it can rewind the
-// body, which would run a call that is not repeatable a second time. Without
-// GetBody it cannot rewind, and returns the error instead.
+// noRetryTransport prevents http.Transport from sending a request again. If an idle
+// connection turns out to be closed, http.Transport retries requests that it considers
+// idempotent and whose body it can rewind. A call that is not repeatable could run twice.
+// Without GetBody and idempotency keys, the transport returns an error instead.
 type noRetryTransport struct {
 	next http.RoundTripper
 }
@@ -46,7 +46,7 @@
 	c platformv1connect.KeyValueServiceClient
 }
 
-// DialKV gives the key-value service at a base URL.
+// DialKV returns a client of the key-value service at a base URL.
 func DialKV(hc *http.Client, url string) KV {
 	return kvClient{platformv1connect.NewKeyValueServiceClient(hc, url)}
 }
@@ -105,7 +105,7 @@
 	c platformv1connect.InstanceListServiceClient
 }
 
-// DialInstances gives the instance list at a base URL.
+// DialInstances returns a client of the instance list at a base URL.
 func DialInstances(hc *http.Client, url string) Instances {
 	return instancesClient{platformv1connect.NewInstanceListServiceClient(hc, url)}
 }
@@ -133,7 +133,7 @@
 	c platformv1connect.EngineServiceClient
 }
 
-// DialEngine gives the model engine at a base URL.
+// DialEngine returns a client of the model engine at a base URL.
 func DialEngine(hc *http.Client, url string) Engine {
 	return engineClient{platformv1connect.NewEngineServiceClient(hc, url)}
 }
@@ -186,7 +186,7 @@
 	c platformv1connect.PlainServiceClient
 }
 
-// DialPlain gives the plain service at a base URL.
+// DialPlain returns a client of the plain service at a base URL.
 func DialPlain(hc *http.Client, url string) Plain {
 	return plainClient{platformv1connect.NewPlainServiceClient(hc, url)}
 }
