--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -13,9 +13,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// wireServer counts the requests that arrive on the wire. It answers the first
-// of each connection and drops the connection after reading the next one, as a
-// server does that goes away with a request in its hands.
+// countingServer counts the requests that it reads. It responds to the first request of each
+// connection and closes the connection after it has read the second, like a server that
+// exits while it handles a request.
 type countingServer struct {
 	l        net.Listener
 	mu       sync.Mutex
@@ -69,11 +69,9 @@
 
 const emptyProto = "HTTP/1.1 200 OK\r\nContent-Type: application/proto\r\nContent-Length: 0\r\n\r\n"
 
-// A call that must not be repeated goes out on a kept connection, and the
-// backend server closes it without an answer. net/http would send the request
-// again on a new connection if it thinks it idempotent; the backend server must
-// see it once, and the caller an error.
-func TestCallIsOnTheWireOnce(t *testing.T) {
+// A backend server closes a reused connection after it has read a call. The call must fail
+// and must not be sent again on a new connection.
+func TestCallIsSentOnce(t *testing.T) {
 	s := newCountingServer(t, emptyProto)
 	p := DialPlain(NewHTTPClient(4), "http://"+s.l.Addr().String())
 	_, err := p.Call(context.Background(), "first", nil)
@@ -83,7 +81,8 @@
 	assert.Equal(t, s.count(), 2)
 }
 
-// The same for requests that net/http takes for idempotent by their header.
+// Requests with an idempotency key, which net/http considers idempotent, must not be sent
+// again either.
 func TestIdempotencyKeyDoesNotResend(t *testing.T) {
 	s := newCountingServer(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	hc := NewHTTPClient(4)
