--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -15,25 +15,25 @@
 	"github.com/skylarkwood/skylarkwood/internal/platform"
 )
 
-// EngineConfig describes one stand-in engine.
+// EngineConfig is the configuration of an Engine.
 type EngineConfig struct {
 	Range  model.LayerRange
 	Layers int // of the whole model
-	// StepTime is the time one layer takes for one batch.
+	// StepTime is the time to run one layer on a batch.
 	StepTime time.Duration
-	// PositionTime is added per layer for each position in the batch.
+	// PositionTime is added for each layer and each position of the batch.
 	PositionTime time.Duration
-	// MaxBatch is how many positions run together.
+	// MaxBatch is the maximum number of positions in a batch.
 	MaxBatch int
 	Capacity int
-	// IgnoreFence lets orders with an old fencing number through, as the
-	// engines of some deployments do.
+	// IgnoreFence accepts requests with a stale fencing token, as the engines of some
+	// deployments do.
 	IgnoreFence bool
-	// LoadLag is how old the load report is.
+	// LoadLag is the interval at which the load report is updated.
 	LoadLag time.Duration
 }
 
-// Rate is how many positions a second the engine runs with full batches.
+// Rate returns the number of positions per second that the engine runs with full batches.
 func (c EngineConfig) Rate() float64 {
 	step := c.StepTime + time.Duration(c.MaxBatch)*c.PositionTime
 	return float64(c.MaxBatch) / (step.Seconds() * float64(c.Range.Len()))
@@ -41,24 +41,24 @@
 
 // Errors of the engine.
 var (
-	errStaleFence = errors.New("fencing number is old")
-	errSequence   = errors.New("position is not the session's next")
-	errRange      = errors.New("layers are not held")
+	errStaleFence = errors.New("stale fencing token")
+	errSequence   = errors.New("unexpected position")
+	errRange      = errors.New("engine does not hold the layers")
 	errEnded      = errors.New("session ended")
 )
 
-// Engine is a model engine that batches continuously: steps that arrive while a
-// batch runs go into the next one together.
+// Engine is a model engine with continuous batching. Steps that arrive while a batch runs
+// are combined into the next one.
 type Engine struct {
 	cfg    EngineConfig
-	wakeup chan struct{} // signals that steps wait; buffered by one
+	wakeup chan struct{} // signals waiting steps; capacity 1
 	stop   context.CancelFunc
 
 	mu       sync.Mutex
 	waiting  []*engineStep
 	sessions map[string]*engineSession
 	fence    int64
-	runs     map[string]int64 // positions run, by session, all layers of the range
+	runs     map[string]int64 // positions that ran through all held layers, by session
 	reported platform.EngineLoad
 	reportAt time.Time
 }
@@ -77,7 +77,7 @@
 	done chan struct{}
 }
 
-// NewEngine starts an engine; Close stops it.
+// NewEngine starts an engine. The caller must call Close to stop it.
 func NewEngine(cfg EngineConfig) *Engine {
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &Engine{
@@ -91,11 +91,11 @@
 	return e
 }
 
-// Close stops the engine; steps that wait are never answered.
+// Close stops the engine. Waiting steps only return when their context is done.
 func (e *Engine) Close() { e.stop() }
 
-// PositionsRun sums the positions that the engine has run for all sessions whose name
-// has a prefix, by its own count: the judge from outside.
+// PositionsRun returns the number of positions that the engine has run for sessions whose
+// names begin with prefix. Tests use it to verify what ran.
 func (e *Engine) PositionsRun(prefix string) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -108,13 +108,13 @@
 	return n
 }
 
-// Rate is what the engine can carry; see EngineConfig.Rate.
+// Rate returns the engine's capacity, as EngineConfig.Rate does.
 func (e *Engine) Rate() float64 { return e.cfg.Rate() }
 
-// Range tells which layers the engine holds.
+// Range returns the layers that the engine holds.
 func (e *Engine) Range() model.LayerRange { return e.cfg.Range }
 
-// Sessions counts the sessions that are not ended.
+// Sessions returns the number of sessions that have not ended.
 func (e *Engine) Sessions() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -176,7 +176,7 @@
 	}
 }
 
-// sleep waits and tells whether the engine still runs.
+// sleep waits for d and reports whether the engine is still running.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -186,8 +186,8 @@
 	}
 }
 
-// nextBatch forms a batch of the waiting steps, higher priority first; steps that do
-// not fit are passed over for smaller ones.
+// nextBatch removes a batch from the waiting steps, in the order of their priority, and
+// returns it with the time to run it. Steps that do not fit keep waiting.
 func (e *Engine) nextBatch() ([]*engineStep, time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -282,7 +282,7 @@
 	return n, nil
 }
 
-// Load implements platform.Engine; the report lags.
+// Load implements platform.Engine. The report is up to LoadLag old.
 func (e *Engine) Load(context.Context) (platform.EngineLoad, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -300,7 +300,7 @@
 	return e.reported, nil
 }
 
-// engineServer speaks the platform's protocol for an Engine.
+// engineServer serves an Engine over the platform's protocol.
 type engineServer struct{ e *Engine }
 
 func (s engineServer) Step(ctx context.Context, r *connect.Request[platformv1.StepRequest]) (*connect.Response[platformv1.StepResponse], error) {
