--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -1,6 +1,5 @@
-// Package standin holds small stand-ins for the outside systems: the platform's
-// key-value service and instance list, model engines and plain services. What a
-// decision of the product depends on is real here; the rest is left out.
+// Package standin provides test doubles of the external systems: the platform's key-value
+// service and instance list, model engines and plain services.
 package standin
 
 import (
@@ -14,23 +13,23 @@
 	"github.com/skylarkwood/skylarkwood/internal/platform"
 )
 
-// KVFaults is what the key-value service does wrong for now.
+// KVFaults contains the faults that a KV simulates.
 type KVFaults struct {
-	// Outage refuses every call.
+	// Outage makes every call fail.
 	Outage bool
-	// Delay is added to every call.
+	// Delay is added to the duration of every call.
 	Delay time.Duration
-	// LoseAnswers makes that many writes take effect and answer an error.
+	// LoseAnswers is the number of writes that take effect but return an error.
 	LoseAnswers int
 }
 
-// KVCalls counts calls by kind. A waiting watch counts as one.
+// KVCalls contains the number of calls by kind. A watch counts once.
 type KVCalls struct {
 	Gets, Swaps, Deletes, Watches int
 }
 
-// KV is the key-value service in memory. It implements platform.KV for tests
-// and dev mode, and the platform's protocol through Server.
+// KV is an in-memory key-value service for tests and the dev mode. It implements
+// platform.KV. KVHandler serves it over the platform's protocol.
 type KV struct {
 	mu      sync.Mutex
 	values  map[string]platform.Value
@@ -40,26 +39,26 @@
 	calls   KVCalls
 }
 
-// NewKV makes an empty service.
+// NewKV returns an empty key-value service.
 func NewKV() *KV {
 	return &KV{values: map[string]platform.Value{}, changed: make(chan struct{})}
 }
 
-// SetFaults replaces what goes wrong.
+// SetFaults replaces the simulated faults.
 func (k *KV) SetFaults(f KVFaults) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.faults = f
 }
 
-// Calls gives the counts so far.
+// Calls returns the number of calls so far.
 func (k *KV) Calls() KVCalls {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.calls
 }
 
-// Keys lists the keys with a prefix.
+// Keys returns the keys that begin with prefix, in no particular order.
 func (k *KV) Keys(prefix string) []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -72,7 +71,7 @@
 	return out
 }
 
-// applyFaults counts a call and applies delay and outage.
+// applyFaults counts a call and simulates delay and outage.
 func (k *KV) applyFaults(ctx context.Context, count func(*KVCalls)) error {
 	k.mu.Lock()
 	count(&k.calls)
@@ -164,7 +163,7 @@
 	}
 }
 
-// kvServer speaks the platform's protocol for a KV.
+// kvServer serves a KV over the platform's protocol.
 type kvServer struct{ kv *KV }
 
 func (s kvServer) Get(ctx context.Context, r *connect.Request[platformv1.GetRequest]) (*connect.Response[platformv1.GetResponse], error) {
