--- a/internal/standin/model.go
+++ b/internal/standin/model.go
@@ -7,22 +7,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The stand-in model: an activation is eight bytes, and each layer mixes its
-// input with everything that the layer has seen before. A layer skipped, run
-// twice or run out of order therefore changes every later token, so that the
-// answer itself proves the promise.
+// The model is simulated. An activation has eight bytes, and each layer hashes its input
+// together with all its previous inputs. If a layer is skipped, repeated or run out of
+// order, all later tokens change. Tests therefore verify a run by its output.
 
-// words are what the stand-in model says.
+// vocabulary contains the tokens of the simulated model.
 var vocabulary = []string{
 	"ladder", "north", "façade", "school", "morning", "crew", "window", "clinic",
 	"sluice", "pump", "two", "before", "basin", "check", "gate", "hall",
 	"library", "rinse", "aerate", "shift", "noon", "roof", "key", "handover",
 }
 
-// layerState is what one layer remembers of one session.
+// layerState is the state of one layer in one session.
 type layerState uint64
 
-// step runs one layer on one input.
+// step runs a layer on an input and returns its output.
 func (s *layerState) step(layer int, in uint64) uint64 {
 	var buf [24]byte
 	binary.LittleEndian.PutUint64(buf[0:], uint64(*s))
@@ -33,8 +32,8 @@
 	return out
 }
 
-// activation reads what a stage was given: a token of any length at the first
-// layer, eight bytes after it.
+// activation decodes the input of a stage. The first layer gets a token of any length, later
+// layers get eight bytes.
 func activation(layer int, in []byte) uint64 {
 	if layer > 0 && len(in) == 8 {
 		return binary.LittleEndian.Uint64(in)
@@ -50,8 +49,8 @@
 	return fmt.Appendf(nil, "%s ", vocabulary[a%uint64(len(vocabulary))])
 }
 
-// ReferenceOutput computes the answer that a model of so many layers gives when
-// every layer runs exactly once and in order.
+// ReferenceOutput returns the tokens that a model generates if every layer runs exactly once
+// and in order.
 func ReferenceOutput(prompt [][]byte, layers, tokens int) [][]byte {
 	states := make([]layerState, layers)
 	var out [][]byte
