--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -13,17 +13,17 @@
 	"github.com/skylarkwood/skylarkwood/internal/platform"
 )
 
-// Plain is a plain service that does each call as often as it is told to, and
-// keeps count: the judge of what ran.
+// Plain is a plain service that counts how often each call runs. It does not deduplicate
+// calls.
 type Plain struct {
-	// CallDuration that one call takes.
+	// CallDuration is the duration of a call.
 	CallDuration time.Duration
 
 	mu    sync.Mutex
 	calls map[string]int
 }
 
-// NewPlain makes a plain service.
+// NewPlain returns a plain service whose calls take t.
 func NewPlain(t time.Duration) *Plain {
 	return &Plain{CallDuration: t, calls: map[string]int{}}
 }
@@ -41,14 +41,14 @@
 	return fmt.Appendf(nil, "confirmed: %s", body), nil
 }
 
-// Count tells how often a call was carried out.
+// Count returns how often a call was executed.
 func (p *Plain) Count(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls[id]
 }
 
-// Counts copies the counts of all calls.
+// Counts returns how often each call was executed, by id.
 func (p *Plain) Counts() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,7 +69,7 @@
 	return connect.NewResponse(&platformv1.CallResponse{Body: body}), nil
 }
 
-// Instances is the platform's instance list; what it shows lags behind.
+// Instances is an instance list that shows changes with a delay.
 type Instances struct {
 	mu      sync.Mutex
 	lag     time.Duration
@@ -81,7 +81,7 @@
 	list []model.Instance
 }
 
-// NewInstances makes a list that shows changes only after lag.
+// NewInstances returns an empty list that shows changes after lag.
 func NewInstances(lag time.Duration) *Instances {
 	return &Instances{lag: lag, history: []listing{{}}}
 }
