--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -8,8 +8,8 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// KVHandler serves the key-value service, with /control for its faults and
-// counts: POST a KVFaults, GET a KVCalls.
+// KVHandler returns a handler that serves the key-value service. POST /control sets its
+// KVFaults and GET /control returns its KVCalls, both as JSON.
 func KVHandler(kv *KV) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(platformv1connect.NewKeyValueServiceHandler(kvServer{kv}))
@@ -26,7 +26,8 @@
 	return mux
 }
 
-// InstancesHandler serves the instance list; POST /control replaces it.
+// InstancesHandler returns a handler that serves the instance list. POST /control replaces
+// the list.
 func InstancesHandler(i *Instances) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(platformv1connect.NewInstanceListServiceHandler(instancesServer{i}))
@@ -40,8 +41,8 @@
 	return mux
 }
 
-// EngineHandler serves an engine; GET /control?prefix=P gives its own count of
-// the sessions whose names begin so.
+// EngineHandler returns a handler that serves an engine. GET /control?prefix=P returns the
+// number of positions that ran for sessions whose names begin with P.
 func EngineHandler(e *Engine) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(platformv1connect.NewEngineServiceHandler(engineServer{e}))
@@ -51,7 +52,8 @@
 	return mux
 }
 
-// PlainHandler serves a plain service; GET /control gives its counts.
+// PlainHandler returns a handler that serves a plain service. GET /control returns how often
+// each call was executed.
 func PlainHandler(p *Plain) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(platformv1connect.NewPlainServiceHandler(plainServer{p}))
