--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault is the closed list of error kinds and the one table that says
-// how each is answered. No layer makes up an answer of its own.
+// Package fault defines the kinds of errors and the response to each kind. Every error
+// response is built from its table.
 package fault
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// Kind names one way in which a request can fail.
+// Kind identifies a way in which a request can fail.
 type Kind string
 
-// The error kinds. A new one needs a row in the table below.
+// The error kinds. Each kind needs an entry in table.
 const (
 	InvalidRequest   Kind = "invalid_request"
 	TooLarge         Kind = "too_large"
@@ -34,42 +34,42 @@
 	BackendLost      Kind = "backend_lost"
 	BackendFailed    Kind = "backend_failed"
 	Cancelled        Kind = "cancelled"
-	// CancelledUnsent says that the caller left before anything was sent.
+	// CancelledUnsent means that the caller disconnected before anything was sent.
 	CancelledUnsent Kind = "cancelled_unsent"
-	// CancelledSent says that the caller left after its request was sent. One that
-	// only closed its sending side still reads the answer.
+	// CancelledSent means that the caller disconnected after its request was sent. A
+	// caller that only closed its sending side still reads the response.
 	CancelledSent    Kind = "cancelled_sent"
 	WrongIncarnation Kind = "wrong_incarnation"
 	AlreadyHandedOff Kind = "already_handed_over"
 	RevisionConflict Kind = "revision_conflict"
 	NotFound         Kind = "not_found"
-	// Unreachable leaves open whether the peer acted on a message.
+	// Unreachable means that the peer may or may not have acted on a message.
 	Unreachable Kind = "unreachable"
-	// NotConnected is proof that nothing was sent: there was no connection.
+	// NotConnected means that nothing was sent because there was no connection.
 	NotConnected Kind = "not_connected"
-	// TimedOutUnsent says that the time was over before anything was sent.
+	// TimedOutUnsent means that the deadline passed before anything was sent.
 	TimedOutUnsent Kind = "timed_out_unsent"
 	StaleConfig    Kind = "stale_configuration"
-	// Quarantined says that servers end under this very request, whoever sends it on:
-	// it goes to none any more, and coming back unchanged will not help.
+	// Quarantined means that servers exited while they ran this request. It is not sent
+	// to any server, and a retry without changes does not help.
 	Quarantined Kind = "quarantined"
-	// OnTrial says that servers ended under the request and that it runs alone for now,
-	// which it cannot at this moment. It was not sent.
+	// OnTrial means that servers exited while they ran this request. It may only run in
+	// a trial, which is not possible at the moment. It was not sent.
 	OnTrial  Kind = "on_trial"
 	Internal Kind = "internal"
 )
 
-// Response is a row of the table from kind to answer.
+// Response describes how an error of a kind is reported to the caller.
 type Response struct {
 	Code connect.Code
-	// Status answers callers of plain HTTP. 408, 421, 429 and 503 promise that
-	// the request did not run and never will; 502 and 504 promise nothing.
+	// Status is the HTTP status. 408, 421, 429 and 503 guarantee that the request did
+	// not run and will not run. 502 and 504 guarantee nothing.
 	Status int
-	// RetryAfter is the usual time after which coming back is worth it; zero
-	// means coming back unchanged will not help.
+	// RetryAfter is the usual delay after which a retry may succeed. Zero means that a
+	// retry without changes does not help.
 	RetryAfter time.Duration
-	// Retryable says that another backend server may be tried, provided the
-	// gate proved that nothing ran or the request is repeatable.
+	// Retryable reports whether another backend server may be tried. This also requires
+	// that the gate proved that nothing ran or that the request is repeatable.
 	Retryable bool
 }
 
@@ -106,7 +106,7 @@
 	Internal:         {Code: connect.CodeInternal, Status: 500},
 }
 
-// Kinds lists every kind that has an answer.
+// Kinds returns all kinds that have a response, in no particular order.
 func Kinds() []Kind {
 	kinds := make([]Kind, 0, len(table))
 	for k := range table {
@@ -115,7 +115,8 @@
 	return kinds
 }
 
-// Response gives the row for a kind; an unknown kind is answered as Internal.
+// Response returns the response to errors of kind k. An unknown kind is treated as
+// Internal.
 func (k Kind) Response() Response {
 	row, ok := table[k]
 	if !ok {
@@ -124,12 +125,12 @@
 	return row
 }
 
-// Error is a failure of a known kind.
+// Error is an error of a known kind.
 type Error struct {
 	Kind Kind
-	// Msg is written for the caller.
+	// Msg is shown to the caller.
 	Msg string
-	// RetryAfter overrides the table's time when not zero.
+	// RetryAfter replaces the delay of the kind's response unless it is zero.
 	RetryAfter time.Duration
 }
 
@@ -137,7 +138,8 @@
 	return string(e.Kind) + ": " + e.Msg
 }
 
-// RetryDelay gives the time after which the caller may come back; zero means never.
+// RetryDelay returns the delay after which the caller may retry. Zero means that a retry
+// does not help.
 func (e *Error) RetryDelay() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
@@ -145,17 +147,18 @@
 	return e.Kind.Response().RetryAfter
 }
 
-// WithKind gives the same message under another kind.
+// WithKind returns a copy of e with another kind.
 func (e *Error) WithKind(k Kind) *Error {
 	return &Error{Kind: k, Msg: e.Msg, RetryAfter: e.RetryAfter}
 }
 
-// New makes an error of a kind.
+// New returns an error of a kind with a formatted message.
 func New(k Kind, format string, args ...any) *Error {
 	return &Error{Kind: k, Msg: fmt.Sprintf(format, args...)}
 }
 
-// From finds the Error in err's chain; an error of no known kind is Internal.
+// From returns the Error that err wraps. If there is none, it returns an error of kind
+// Internal with the text of err.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -164,17 +167,17 @@
 	return &Error{Kind: Internal, Msg: err.Error()}
 }
 
-// Is tells whether err is of kind k.
+// Is reports whether err is of kind k.
 func Is(err error, k Kind) bool {
 	return err != nil && From(err).Kind == k
 }
 
-// NotRun is the outcome of a request that provably never ran.
+// NotRun returns the outcome of a request that provably did not run.
 func NotRun(e *Error, evidence string) model.Outcome {
 	return outcome(model.NotRun, e, evidence)
 }
 
-// CutOff is the outcome of a request that may have run.
+// CutOff returns the outcome of a request that may have run.
 func CutOff(e *Error, evidence string) model.Outcome {
 	o := outcome(model.CutOff, e, evidence)
 	o.MayHaveRun = true
