--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -12,9 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Each kind that the list names has its row in the table: without one it would
-// be answered as an internal error.
-func TestEveryKindHasAnAnswer(t *testing.T) {
+// A kind without an entry in the table would be reported as an internal error.
+func TestEveryKindHasAResponse(t *testing.T) {
 	f, err := parser.ParseFile(token.NewFileSet(), "fault.go", nil, 0)
 	assert.NilError(t, err)
 	named := 0
@@ -29,22 +28,22 @@
 		kind, err := strconv.Unquote(v.Values[0].(*ast.BasicLit).Value)
 		assert.NilError(t, err)
 		_, ok = table[Kind(kind)]
-		assert.Check(t, ok, "%s has no row", kind)
+		assert.Check(t, ok, "%s has no response", kind)
 		named++
 		return true
 	})
 	assert.Equal(t, named, len(Kinds()))
 }
 
-// What may be tried again says when to come back.
-func TestRetryableSaysWhen(t *testing.T) {
+// A response that permits a retry must have a retry delay.
+func TestRetryableKindsHaveRetryDelay(t *testing.T) {
 	for _, k := range Kinds() {
 		a := k.Response()
 		assert.Check(t, !a.Retryable || a.RetryAfter > 0 || k == BackendFailed, "%s", k)
 	}
 }
 
-func TestFromKeepsTheKind(t *testing.T) {
+func TestFromPreservesKind(t *testing.T) {
 	e := &Error{Kind: Overloaded, Msg: "full", RetryAfter: time.Minute}
 	assert.Equal(t, From(errors.Wrap(e, "outer")), e)
 	assert.Equal(t, From(errors.New("plain")).Kind, Internal)
