--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -23,7 +23,7 @@
 	conns    sync.WaitGroup
 }
 
-func newCountingServer(t *testing.T, answer string) *countingServer {
+func newCountingServer(t *testing.T, response string) *countingServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	s := &countingServer{l: l}
@@ -33,7 +33,7 @@
 			if err != nil {
 				return
 			}
-			s.conns.Go(func() { s.serve(c, answer) })
+			s.conns.Go(func() { s.serve(c, response) })
 		}
 	}()
 	t.Cleanup(func() {
@@ -43,7 +43,7 @@
 	return s
 }
 
-func (s *countingServer) serve(c net.Conn, answer string) {
+func (s *countingServer) serve(c net.Conn, response string) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for n := 0; n < 2; n++ {
@@ -56,7 +56,7 @@
 		s.requests++
 		s.mu.Unlock()
 		if n == 0 {
-			_, _ = io.WriteString(c, answer)
+			_, _ = io.WriteString(c, response)
 		}
 	}
 }
