--- a/internal/coordination/follow/follow_test.go
+++ b/internal/coordination/follow/follow_test.go
@@ -138,7 +138,7 @@
 	runFollower(t, func(store *standin.Store, sink *recordingSink, _ *Follower) {
 		store.Put("server", []byte("1"))
 		time.Sleep(300 * time.Millisecond)
-		store.SetFaults(standin.StoreFaults{Silent: true})
+		store.SetFaults(standin.StoreFaults{Unresponsive: true})
 		time.Sleep(5 * time.Second)
 		store.Remove("server")
 		store.SetFaults(standin.StoreFaults{})
@@ -175,7 +175,7 @@
 func TestFollowerReconnectsWhenAPeerStaysAhead(t *testing.T) {
 	runFollower(t, func(store *standin.Store, sink *recordingSink, fl *Follower) {
 		time.Sleep(2 * time.Second)
-		revision := store.PutUnseen("k", []byte("1"))
+		revision := store.PutWithoutNotify("k", []byte("1"))
 		fl.ObservePeerRevision(revision)
 		time.Sleep(lagTimeout / 2)
 		fl.ObservePeerRevision(revision)
--- a/internal/coordination/follow/restore_test.go
+++ b/internal/coordination/follow/restore_test.go
@@ -45,8 +45,8 @@
 }
 
 // restore restores the store from a copy after an outage.
-func (f *fleet) restore(c standin.Copy, outage time.Duration) {
-	f.store.SetFaults(standin.StoreFaults{Silent: true})
+func (f *fleet) restore(c standin.Snapshot, outage time.Duration) {
+	f.store.SetFaults(standin.StoreFaults{Unresponsive: true})
 	time.Sleep(outage)
 	f.store.Restore(c)
 	f.store.SetFaults(standin.StoreFaults{})
@@ -67,7 +67,7 @@
 						f.store.Put(fmt.Sprint("servers/", i), []byte("before"))
 					}
 					defer f.simulateLeader(f.nodes[0])()
-					c := f.store.Copy()
+					c := f.store.Snapshot()
 					for i := range 8 {
 						f.store.Put(fmt.Sprint("servers/new-", i), []byte("since"))
 					}
@@ -99,7 +99,7 @@
 	inFleet(t, 2, 5, func(t *testing.T, f *fleet) {
 		f.store.Put("servers/0", []byte("1"))
 		defer f.simulateLeader(f.nodes[0])()
-		c := f.store.Copy()
+		c := f.store.Snapshot()
 		f.store.Put("servers/x", []byte("1"))
 		time.Sleep(time.Second)
 		f.restore(c, 300*time.Millisecond)
@@ -119,13 +119,13 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		domains, each := rapid.IntRange(1, 3).Draw(rt, "domains"), rapid.IntRange(1, 4).Draw(rt, "each")
 		var steps []func(f *fleet)
-		var latestCopy *standin.Copy
+		var latestCopy *standin.Snapshot
 		for range rapid.IntRange(5, 40).Draw(rt, "steps") {
 			step := drawStep(rt, domains*each)
 			outage := time.Duration(rapid.IntRange(0, 600).Draw(rt, "away")) * time.Millisecond
 			switch rapid.IntRange(0, 5).Draw(rt, "restore") {
 			case 0:
-				step = func(f *fleet) { c := f.store.Copy(); latestCopy = &c }
+				step = func(f *fleet) { c := f.store.Snapshot(); latestCopy = &c }
 			case 1:
 				step = func(f *fleet) {
 					if latestCopy != nil {
--- a/internal/coordination/leader/restore_test.go
+++ b/internal/coordination/leader/restore_test.go
@@ -121,11 +121,11 @@
 // awaitLeader waits for a leader with a token of the current era.
 func (cl *cluster) awaitLeader(within time.Duration) {
 	for end := time.Now().Add(within); time.Now().Before(end); cl.checkFor(50 * time.Millisecond) {
-		if i := cl.leader(); i >= 0 && cl.electors[i].e.FencingToken().Era() == cl.store.Now(0).Era() {
+		if i := cl.leader(); i >= 0 && cl.electors[i].e.FencingToken().Era() == cl.store.RevisionInEra(0).Era() {
 			return
 		}
 	}
-	cl.t.Fatalf("no leader in era %d", cl.store.Now(0).Era())
+	cl.t.Fatalf("no leader in era %d", cl.store.RevisionInEra(0).Era())
 }
 
 func (cl *cluster) shutDown() {
@@ -143,33 +143,33 @@
 func TestOneLeaderAcrossRestores(t *testing.T) {
 	for name, play := range map[string]func(cl *cluster){
 		"copy without a leader": func(cl *cluster) {
-			c := cl.store.Copy()
+			c := cl.store.Snapshot()
 			cl.awaitLeader(5 * time.Second)
 			cl.store.Restore(c)
 		},
 		"copy with the same leader": func(cl *cluster) {
 			cl.awaitLeader(5 * time.Second)
-			c := cl.store.Copy()
+			c := cl.store.Snapshot()
 			cl.checkFor(2 * time.Second)
 			cl.store.Restore(c)
 		},
 		"copy with a stopped leader": func(cl *cluster) {
 			cl.awaitLeader(5 * time.Second)
-			c := cl.store.Copy()
+			c := cl.store.Snapshot()
 			i := cl.leader()
 			cl.electors[i].shutDown()
 			cl.awaitLeader(5 * time.Second)
 			cl.store.Restore(c)
 		},
 		"old leader is disconnected": func(cl *cluster) {
-			c := cl.store.Copy()
+			c := cl.store.Snapshot()
 			cl.awaitLeader(5 * time.Second)
 			cl.stores[cl.leader()].disconnected.Store(true)
 			cl.store.Restore(c)
 		},
 		"three restores in a row": func(cl *cluster) {
 			cl.awaitLeader(5 * time.Second)
-			c := cl.store.Copy()
+			c := cl.store.Snapshot()
 			for range 3 {
 				cl.checkFor(700 * time.Millisecond)
 				cl.store.Restore(c)
@@ -195,7 +195,7 @@
 func TestReassignedLeaseIsNotRevoked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
-		c := store.Copy()
+		c := store.Snapshot()
 		s := &disconnectableStore{Store: store}
 		a := startFollowing(s, "a")
 		time.Sleep(3 * time.Second)
@@ -217,7 +217,7 @@
 func TestCampaignInUnknownEraIsAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewStore()
-		c := store.Copy()
+		c := store.Snapshot()
 		a := start(store, "a")
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, leaders(a), 1)
--- a/internal/coordination/ledger/ledger.go
+++ b/internal/coordination/ledger/ledger.go
@@ -211,10 +211,10 @@
 	if err != nil {
 		return false, errors.Wrap(err, "encode ledger page")
 	}
-	if len(data) > platform.MaxValue {
+	if len(data) > platform.MaxValueBytes {
 		return false, fault.New(fault.Overloaded, "ledger page is full")
 	}
-	version, err := l.kv.Swap(ctx, p.key, data, p.version)
+	version, err := l.kv.CompareAndSwap(ctx, p.key, data, p.version)
 	if err != nil {
 		// Another entry wrote first, or the answer was lost. The page is read again. If
 		// this swap took effect, its grants are found there.
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -89,7 +89,7 @@
 			return ctx.Err()
 		}
 	}
-	b.Limiter = limits.NewConcurrencyLimiter(d.load.Batch, d.settings.Sidecar.Capacity, d.load.BatchTime(), time.Now)
+	b.Limiter = limits.NewConcurrencyLimiter(d.load.MaxBatch, d.settings.Sidecar.Capacity, d.load.BatchTime(), time.Now)
 	if b.Engine != nil {
 		d.gate.SetConcurrencyLimiter(b.Limiter)
 	}
@@ -129,7 +129,7 @@
 		}
 		last, _ := strconv.ParseInt(string(v.Data), 10, 64)
 		next := max(last+1, now)
-		if _, err = kv.Swap(ctx, "fence/"+backend, strconv.AppendInt(nil, next, 10), v.Version); err == nil {
+		if _, err = kv.CompareAndSwap(ctx, "fence/"+backend, strconv.AppendInt(nil, next, 10), v.Version); err == nil {
 			return next
 		}
 	}
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -13,27 +13,27 @@
 	"gotest.tools/v3/assert"
 )
 
-// wireServer counts the requests that arrive on the wire. It answers the first
-// of each connection and drops the connection after reading the next one, as a
-// server does that goes away with a request in its hands.
-type wireServer struct {
+// countingServer counts the requests that it reads. It responds to the first request of each
+// connection and closes the connection after it has read the second, like a server that
+// exits while it handles a request.
+type countingServer struct {
 	l        net.Listener
 	mu       sync.Mutex
 	requests int
 	conns    sync.WaitGroup
 }
 
-func newWireServer(t *testing.T, answer string) *wireServer {
+func newCountingServer(t *testing.T, response string) *countingServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s := &wireServer{l: l}
+	s := &countingServer{l: l}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			s.conns.Go(func() { s.serve(c, answer) })
+			s.conns.Go(func() { s.serve(c, response) })
 		}
 	}()
 	t.Cleanup(func() {
@@ -43,7 +43,7 @@
 	return s
 }
 
-func (s *wireServer) serve(c net.Conn, answer string) {
+func (s *countingServer) serve(c net.Conn, response string) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for n := 0; n < 2; n++ {
@@ -56,12 +56,12 @@
 		s.requests++
 		s.mu.Unlock()
 		if n == 0 {
-			_, _ = io.WriteString(c, answer)
+			_, _ = io.WriteString(c, response)
 		}
 	}
 }
 
-func (s *wireServer) count() int {
+func (s *countingServer) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests
@@ -69,12 +69,10 @@
 
 const emptyProto = "HTTP/1.1 200 OK\r\nContent-Type: application/proto\r\nContent-Length: 0\r\n\r\n"
 
-// A call that must not be repeated goes out on a kept connection, and the
-// backend server closes it without an answer. net/http would send the request
-// again on a new connection if it thinks it idempotent; the backend server must
-// see it once, and the caller an error.
-func TestCallIsOnTheWireOnce(t *testing.T) {
-	s := newWireServer(t, emptyProto)
+// A backend server closes a reused connection after it has read a call. The call must fail
+// and must not be sent again on a new connection.
+func TestCallIsSentOnce(t *testing.T) {
+	s := newCountingServer(t, emptyProto)
 	p := DialPlain(NewHTTPClient(4), "http://"+s.l.Addr().String())
 	_, err := p.Call(context.Background(), "first", nil)
 	assert.NilError(t, err)
@@ -83,20 +81,21 @@
 	assert.Equal(t, s.count(), 2)
 }
 
-// The same for requests that net/http takes for idempotent by their header.
+// Requests with an idempotency key, which net/http considers idempotent, must not be sent
+// again either.
 func TestIdempotencyKeyDoesNotResend(t *testing.T) {
-	s := newWireServer(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	s := newCountingServer(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	hc := NewHTTPClient(4)
 	post := func() error {
 		req, err := http.NewRequest(http.MethodPost, "http://"+s.l.Addr().String(), strings.NewReader("body"))
 		assert.NilError(t, err)
 		req.Header.Set("Idempotency-Key", "k")
-		rep, err := hc.Do(req)
+		resp, err := hc.Do(req)
 		if err != nil {
 			return err
 		}
-		_, err = io.Copy(io.Discard, rep.Body)
-		rep.Body.Close()
+		_, err = io.Copy(io.Discard, resp.Body)
+		resp.Body.Close()
 		return err
 	}
 	assert.NilError(t, post())
--- a/internal/protocol/owner/once.go
+++ b/internal/protocol/owner/once.go
@@ -100,7 +100,7 @@
 		if ran {
 			return fault.CutOff(last, "gate "+gate.Address+" may have handed it over")
 		}
-		if ctx.Err() != nil || !last.Kind.Answer().Retryable {
+		if ctx.Err() != nil || !last.Kind.Response().Retryable {
 			break
 		}
 	}
--- a/internal/protocol/owner/pipeline.go
+++ b/internal/protocol/owner/pipeline.go
@@ -110,7 +110,7 @@
 		if e.Kind == fault.Overloaded && try >= overloadAfter {
 			r.o.AdmissionLimiter.Overloaded()
 		}
-		if r.notRepeatable || try == maxOpenTries || !e.Kind.Answer().Retryable {
+		if r.notRepeatable || try == maxOpenTries || !e.Kind.Response().Retryable {
 			return err
 		}
 		if !wait.For(ctx, limits.Jitter(delay)) {
@@ -183,8 +183,8 @@
 // run before the first stage got inputs.
 func (r *run) failedOutcome(err error) model.Outcome {
 	e := fault.From(err)
-	if e.After() > 0 {
-		e = &fault.Error{Kind: e.Kind, Msg: e.Msg, RetryAfter: limits.Jitter(e.After())}
+	if e.RetryDelay() > 0 {
+		e = &fault.Error{Kind: e.Kind, Msg: e.Msg, RetryAfter: limits.Jitter(e.RetryDelay())}
 	}
 	if !r.started {
 		return fault.NotRun(e, "never handed over: the first stage was not fed")
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -55,7 +55,7 @@
 // that may have run need a token of the retry budget.
 func (o *Owner) mayRetry(e *fault.Error, ran bool, attempt int64) bool {
 	if !ran {
-		return e.Kind.Answer().Retryable && attempt < maxRefusals
+		return e.Kind.Response().Retryable && attempt < maxRefusals
 	}
 	return o.RetryBudget.Take()
 }
@@ -135,7 +135,7 @@
 	o.Events.Add(j.key(), events.GateRefused, gate.Address+" "+e.Error())
 	switch e.Kind {
 	case fault.Overloaded, fault.NoCapacity, fault.WrongIncarnation, fault.NotReady:
-		o.Table.SetBackoff(gate.Address, e.After())
+		o.Table.SetBackoff(gate.Address, e.RetryDelay())
 	case fault.Leaving:
 		o.Table.ObserveLeaving(gate.Address)
 	case fault.NotConnected:
--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -27,14 +27,14 @@
 // respondError ends the request with an error response of the router. It returns false
 // if a response has already begun.
 func (q *request) respondError(f *fault.Error) bool {
-	status := f.Kind.Answer().Status
+	status := f.Kind.Response().Status
 	if q.runs > 0 && promisesNotRun(status) {
 		f = f.WithKind(fault.BackendLost)
-		status = f.Kind.Answer().Status
+		status = f.Kind.Response().Status
 	}
 	retryAfter := time.Duration(0)
 	if promisesNotRun(status) {
-		retryAfter = f.After()
+		retryAfter = f.RetryDelay()
 	}
 	q.finish("refused", f, status)
 	if q.out.headerWritten {
@@ -42,7 +42,7 @@
 	}
 	h := http.Header{}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	platform.EncodeRefusal(h, q.call.Attempt, retryAfter)
+	platform.SetErrorHeaders(h, q.call.Attempt, retryAfter)
 	body := []byte(f.Error() + "\n")
 	q.out.WriteHeader(status, h, int64(len(body)))
 	if err := q.out.Write(body); err != nil {
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -32,7 +32,7 @@
 type bufferedResponse struct {
 	status  int
 	header  http.Header
-	verdict platform.Verdict
+	verdict platform.ResponseInfo
 	body    []byte
 }
 
@@ -151,7 +151,7 @@
 			q.Health.Cancel(b.Incarnation())
 		}
 	}()
-	resp, err := q.BackendClient.Do(run, b.Address, q.newRequest(platform.Send{Instance: b.ID}))
+	resp, err := q.BackendClient.Do(run, b.Address, q.newRequest(platform.ForwardOptions{Instance: b.ID}))
 	if err == nil {
 		read, err = q.readResponse(resp)
 	}
@@ -239,7 +239,7 @@
 // truncated, too large, unsigned or belongs to another request.
 func (q *request) readResponse(resp *Response) (*bufferedResponse, error) {
 	defer resp.Body.Close()
-	v := platform.DecodeVerdict(resp.Status, resp.Header)
+	v := platform.DecodeResponseInfo(resp.Status, resp.Header)
 	if v.Attempt != "" && v.Attempt != q.call.Attempt {
 		resp.Body.Discard()
 		return nil, errors.Errorf("response belongs to another request %s", v.Attempt)
@@ -262,7 +262,7 @@
 // response could not be written.
 func (q *request) forward(resp *bufferedResponse) bool {
 	h := http.Header{}
-	platform.AnswerHeaders(h, resp.header)
+	platform.CopyResponseHeaders(h, resp.header)
 	q.out.WriteHeader(resp.status, h, int64(len(resp.body)))
 	err := q.out.Write(resp.body)
 	outcome := "ran"
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -113,7 +113,7 @@
 	first := stages[0].Server
 	path := hops(stages)
 	q.chain = chainString(stages)
-	send := platform.Send{Instance: first.ID, Path: path}
+	send := platform.ForwardOptions{Instance: first.ID, Chain: path}
 	if s.hasLastEventID {
 		send.ResumeAfter = strconv.FormatInt(s.lastEventID, 10)
 	}
@@ -131,7 +131,7 @@
 		return false, false, s.handleSendError(run, w, first, err)
 	}
 	defer resp.Body.Close()
-	v := platform.DecodeVerdict(resp.Status, resp.Header)
+	v := platform.DecodeResponseInfo(resp.Status, resp.Header)
 	if v.Attempt != "" && v.Attempt != q.call.Attempt {
 		resp.Body.Discard()
 		q.runs++
@@ -250,7 +250,7 @@
 // including its signature.
 func (s *stream) writeHeader(resp *Response) {
 	h := http.Header{}
-	platform.AnswerHeaders(h, resp.Header)
+	platform.CopyResponseHeaders(h, resp.Header)
 	s.out.WriteHeader(resp.Status, h, -1)
 }
 
@@ -264,10 +264,10 @@
 }
 
 // handleRefusal records which engine refused to run its stage.
-func (s *stream) handleRefusal(stages []chains.Stage, v platform.Verdict, status int) {
+func (s *stream) handleRefusal(stages []chains.Stage, v platform.ResponseInfo, status int) {
 	refusing := stages[0].Server
 	for _, stage := range stages {
-		if stage.Server.Address == v.Culprit {
+		if stage.Server.Address == v.FailedEngine {
 			refusing = stage.Server
 		}
 	}
@@ -324,10 +324,10 @@
 	}
 }
 
-func hops(stages []chains.Stage) []platform.Hop {
-	out := make([]platform.Hop, len(stages))
+func hops(stages []chains.Stage) []platform.Stage {
+	out := make([]platform.Stage, len(stages))
 	for i, stage := range stages {
-		out[i] = platform.Hop{Address: stage.Server.Address, Layers: stage.Layers}
+		out[i] = platform.Stage{Address: stage.Server.Address, Layers: stage.Layers}
 	}
 	return out
 }
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -220,10 +220,10 @@
 	return max(q.admitted.Deadline.Sub(q.Now()), time.Millisecond)
 }
 
-func (q *request) newRequest(s platform.Send) *Request {
+func (q *request) newRequest(s platform.ForwardOptions) *Request {
 	s.Customer = q.admitted.Customer
-	s.Left = q.remaining()
-	s.Urgency = min(q.admitted.Priority, 9)
+	s.Timeout = q.remaining()
+	s.Priority = min(q.admitted.Priority, 9)
 	return &Request{
 		Method: q.call.Method,
 		Target: q.call.Target,
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -127,8 +127,8 @@
 // Reroute orders the first engine of a running stream to route it over another path with
 // the same first stage. It returns a pathConflict if an engine of the path does not run
 // its stage.
-func (r *Relay) Reroute(ctx context.Context, first *model.BackendServer, attempt string, path []platform.Hop) error {
-	body, err := platform.EncodeRepath(attempt, path)
+func (r *Relay) Reroute(ctx context.Context, first *model.BackendServer, attempt string, path []platform.Stage) error {
+	body, err := platform.EncodeRerouteOrder(attempt, path)
 	if err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 	case status == http.StatusOK || status == http.StatusAccepted:
 		return nil
 	case status == http.StatusConflict:
-		return pathConflict{address: platform.DecodeConflict(respBody)}
+		return pathConflict{address: platform.DecodeRerouteConflict(respBody)}
 	}
 	return errors.Errorf("reroute order returned status %d", status)
 }
@@ -179,7 +179,7 @@
 
 // Place implements placement.EngineClient.
 func (e EngineClient) Place(ctx context.Context, b *model.BackendServer, held model.LayerRange, fence, expected int64) (placement.OrderResult, error) {
-	body, err := platform.EncodePlace(held, fence, expected)
+	body, err := platform.EncodePlaceOrder(held, fence, expected)
 	if err != nil {
 		return placement.OrderUnknown, err
 	}
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -1,6 +1,5 @@
-// Package standin holds small stand-ins for the outside systems: the platform's
-// key-value service and instance list, model engines and plain services. What a
-// decision of the product depends on is real here; the rest is left out.
+// Package standin provides test doubles of the external systems: the platform's key-value
+// service and instance list, model engines and plain services.
 package standin
 
 import (
@@ -14,23 +13,23 @@
 	"github.com/skylarkwood/skylarkwood/internal/platform"
 )
 
-// KVFaults is what the key-value service does wrong for now.
+// KVFaults contains the faults that a KV simulates.
 type KVFaults struct {
-	// Outage refuses every call.
+	// Outage makes every call fail.
 	Outage bool
-	// Delay is added to every call.
+	// Delay is added to the duration of every call.
 	Delay time.Duration
-	// LoseAnswers makes that many writes take effect and answer an error.
+	// LoseAnswers is the number of writes that take effect but return an error.
 	LoseAnswers int
 }
 
-// KVCalls counts calls by kind. A waiting watch counts as one.
+// KVCalls contains the number of calls by kind. A watch counts once.
 type KVCalls struct {
 	Gets, Swaps, Deletes, Watches int
 }
 
-// KV is the key-value service in memory. It implements platform.KV for tests
-// and dev mode, and the platform's protocol through Server.
+// KV is an in-memory key-value service for tests and the dev mode. It implements
+// platform.KV. KVHandler serves it over the platform's protocol.
 type KV struct {
 	mu      sync.Mutex
 	values  map[string]platform.Value
@@ -40,26 +39,26 @@
 	calls   KVCalls
 }
 
-// NewKV makes an empty service.
+// NewKV returns an empty key-value service.
 func NewKV() *KV {
 	return &KV{values: map[string]platform.Value{}, changed: make(chan struct{})}
 }
 
-// SetFaults replaces what goes wrong.
+// SetFaults replaces the simulated faults.
 func (k *KV) SetFaults(f KVFaults) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.faults = f
 }
 
-// Calls gives the counts so far.
+// Calls returns the number of calls so far.
 func (k *KV) Calls() KVCalls {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.calls
 }
 
-// Keys lists the keys with a prefix.
+// Keys returns the keys that begin with prefix, in no particular order.
 func (k *KV) Keys(prefix string) []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -72,8 +71,8 @@
 	return out
 }
 
-// begin counts a call and applies delay and outage.
-func (k *KV) begin(ctx context.Context, count func(*KVCalls)) error {
+// applyFaults counts a call and simulates delay and outage.
+func (k *KV) applyFaults(ctx context.Context, count func(*KVCalls)) error {
 	k.mu.Lock()
 	count(&k.calls)
 	f := k.faults
@@ -93,7 +92,7 @@
 
 // Get implements platform.KV.
 func (k *KV) Get(ctx context.Context, key string) (platform.Value, error) {
-	if err := k.begin(ctx, func(c *KVCalls) { c.Gets++ }); err != nil {
+	if err := k.applyFaults(ctx, func(c *KVCalls) { c.Gets++ }); err != nil {
 		return platform.Value{}, err
 	}
 	k.mu.Lock()
@@ -105,12 +104,12 @@
 	return v, nil
 }
 
-// Swap implements platform.KV.
-func (k *KV) Swap(ctx context.Context, key string, data []byte, expected int64) (int64, error) {
-	if err := k.begin(ctx, func(c *KVCalls) { c.Swaps++ }); err != nil {
+// CompareAndSwap implements platform.KV.
+func (k *KV) CompareAndSwap(ctx context.Context, key string, data []byte, expected int64) (int64, error) {
+	if err := k.applyFaults(ctx, func(c *KVCalls) { c.Swaps++ }); err != nil {
 		return 0, err
 	}
-	if len(data) > platform.MaxValue {
+	if len(data) > platform.MaxValueBytes {
 		return 0, connect.NewError(connect.CodeInvalidArgument, nil)
 	}
 	k.mu.Lock()
@@ -131,7 +130,7 @@
 
 // Delete implements platform.KV.
 func (k *KV) Delete(ctx context.Context, key string) error {
-	if err := k.begin(ctx, func(c *KVCalls) { c.Deletes++ }); err != nil {
+	if err := k.applyFaults(ctx, func(c *KVCalls) { c.Deletes++ }); err != nil {
 		return err
 	}
 	k.mu.Lock()
@@ -142,7 +141,7 @@
 
 // Watch implements platform.KV.
 func (k *KV) Watch(ctx context.Context, key string, after int64, wait time.Duration) (platform.Value, error) {
-	if err := k.begin(ctx, func(c *KVCalls) { c.Watches++ }); err != nil {
+	if err := k.applyFaults(ctx, func(c *KVCalls) { c.Watches++ }); err != nil {
 		return platform.Value{}, err
 	}
 	timeout := time.NewTimer(wait)
@@ -164,31 +163,31 @@
 	}
 }
 
-// kvServer speaks the platform's protocol for a KV.
+// kvServer serves a KV over the platform's protocol.
 type kvServer struct{ kv *KV }
 
 func (s kvServer) Get(ctx context.Context, r *connect.Request[platformv1.GetRequest]) (*connect.Response[platformv1.GetResponse], error) {
 	v, err := s.kv.Get(ctx, r.Msg.Key)
 	if err != nil {
-		return nil, kvCode(err)
+		return nil, connectError(err)
 	}
 	return connect.NewResponse(&platformv1.GetResponse{Value: v.Data, Version: v.Version}), nil
 }
 
 func (s kvServer) CompareAndSwap(ctx context.Context, r *connect.Request[platformv1.CompareAndSwapRequest]) (*connect.Response[platformv1.CompareAndSwapResponse], error) {
-	version, err := s.kv.Swap(ctx, r.Msg.Key, r.Msg.Value, r.Msg.ExpectedVersion)
+	version, err := s.kv.CompareAndSwap(ctx, r.Msg.Key, r.Msg.Value, r.Msg.ExpectedVersion)
 	if err == platform.ErrSwapFailed {
 		return connect.NewResponse(&platformv1.CompareAndSwapResponse{Version: version}), nil
 	}
 	if err != nil {
-		return nil, kvCode(err)
+		return nil, connectError(err)
 	}
 	return connect.NewResponse(&platformv1.CompareAndSwapResponse{Swapped: true, Version: version}), nil
 }
 
 func (s kvServer) Delete(ctx context.Context, r *connect.Request[platformv1.DeleteRequest]) (*connect.Response[platformv1.DeleteResponse], error) {
 	if err := s.kv.Delete(ctx, r.Msg.Key); err != nil {
-		return nil, kvCode(err)
+		return nil, connectError(err)
 	}
 	return connect.NewResponse(&platformv1.DeleteResponse{}), nil
 }
@@ -196,12 +195,12 @@
 func (s kvServer) Watch(ctx context.Context, r *connect.Request[platformv1.WatchRequest]) (*connect.Response[platformv1.GetResponse], error) {
 	v, err := s.kv.Watch(ctx, r.Msg.Key, r.Msg.AfterVersion, time.Duration(r.Msg.WaitMs)*time.Millisecond)
 	if err != nil {
-		return nil, kvCode(err)
+		return nil, connectError(err)
 	}
 	return connect.NewResponse(&platformv1.GetResponse{Value: v.Data, Version: v.Version}), nil
 }
 
-func kvCode(err error) error {
+func connectError(err error) error {
 	if err == platform.ErrNotFound {
 		return connect.NewError(connect.CodeNotFound, err)
 	}
--- a/internal/transport/api/requests.go
+++ b/internal/transport/api/requests.go
@@ -38,10 +38,10 @@
 // as metadata.
 func connectError(err error) error {
 	f := fault.From(err)
-	out := connect.NewError(f.Kind.Answer().Code, f)
+	out := connect.NewError(f.Kind.Response().Code, f)
 	out.Meta().Set(MetaKind, string(f.Kind))
 	out.Meta().Set(MetaOutcome, notAccepted)
-	if after := f.After(); after > 0 {
+	if after := f.RetryDelay(); after > 0 {
 		out.Meta().Set(MetaRetryAfter, strconv.FormatInt(after.Milliseconds(), 10))
 	}
 	return out
--- a/internal/transport/front/end.go
+++ b/internal/transport/front/end.go
@@ -69,5 +69,5 @@
 	}
 	clear(out.w.Header())
 	f := fault.New(fault.Internal, "the router failed")
-	out.writeError(f.Kind.Answer().Status, f.Error())
+	out.writeError(f.Kind.Response().Status, f.Error())
 }
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -142,7 +142,7 @@
 	if err != nil {
 		klog.InfoS("malformed request", "caller", r.RemoteAddr, "err", err)
 		f := fault.New(fault.InvalidRequest, "%v", err)
-		out.writeError(f.Kind.Answer().Status, f.Error())
+		out.writeError(f.Kind.Response().Status, f.Error())
 		return
 	}
 	conn.setRequest(call)
--- a/test/faultsoak/site_test.go
+++ b/test/faultsoak/site_test.go
@@ -81,7 +81,7 @@
 	key     int // number of the extra key in force
 	idle    time.Duration
 	later   sync.WaitGroup
-	copied  *standin.Copy // the store as it was; nil for none
+	copied  *standin.Snapshot // the store as it was; nil for none
 
 	mu        sync.Mutex
 	published []published
@@ -255,19 +255,19 @@
 func (s *site) resetLink(time.Duration) { s.anyLink().reset() }
 
 func (s *site) breakStore(d time.Duration) {
-	faults := []standin.StoreFaults{{Refuse: true}, {Silent: true}, {Delay: 150 * time.Millisecond}}
+	faults := []standin.StoreFaults{{Refuse: true}, {Unresponsive: true}, {Delay: 150 * time.Millisecond}}
 	s.store.SetFaults(faults[s.rnd.IntN(len(faults))])
 	s.after(d, func() { s.store.SetFaults(standin.StoreFaults{}) })
 }
 
 func (s *site) loseWrites(time.Duration) {
-	s.store.SetFaults(standin.StoreFaults{LoseWrites: s.rnd.IntN(3), LateWrites: s.rnd.IntN(3), LateBy: time.Second})
+	s.store.SetFaults(standin.StoreFaults{DropWriteResponses: s.rnd.IntN(3), DelayedWrites: s.rnd.IntN(3), WriteDelay: time.Second})
 }
 
 func (s *site) compact(time.Duration) { s.store.Compact() }
 
 func (s *site) copyStore(time.Duration) {
-	c := s.store.Copy()
+	c := s.store.Snapshot()
 	s.copied = &c
 }
 
@@ -278,7 +278,7 @@
 		return
 	}
 	c := *s.copied
-	s.store.SetFaults(standin.StoreFaults{Silent: true})
+	s.store.SetFaults(standin.StoreFaults{Unresponsive: true})
 	s.after(d/8, func() {
 		s.store.Restore(c)
 		s.store.SetFaults(standin.StoreFaults{})
@@ -295,7 +295,7 @@
 
 func (s *site) killEngine(d time.Duration) {
 	e := s.engines[s.rnd.IntN(len(s.engines))]
-	e.Die()
+	e.StopResponding()
 	s.after(d, e.Restart)
 }
 
@@ -306,11 +306,11 @@
 	e := all[s.rnd.IntN(len(all))]
 	key, before := e.Entry()
 	late := s.rnd.IntN(2) == 0
-	e.Return()
+	e.RestartSameID()
 	s.after(d/4, func() {
 		e.Register()
 		if late {
-			e.Write(key, before)
+			e.PutEntry(key, before)
 		}
 	})
 	s.after(d, e.Register)
@@ -322,8 +322,8 @@
 	odd := [][]byte{{}, []byte("\x00\xff"), []byte(`{"state":7}`), []byte(`{"service":"sheets","address":"127.0.0.1:1","zone":"a","state":"resting"}`)}
 	value := odd[s.rnd.IntN(len(odd))]
 	key, _ := e.Entry()
-	e.Write(key, value)
-	e.Write(key+"-odd", value)
+	e.PutEntry(key, value)
+	e.PutEntry(key+"-odd", value)
 	s.after(d, e.Register)
 }
 
@@ -336,7 +336,7 @@
 func (s *site) confuse(e *standin.Engine, d time.Duration) {
 	n := s.rnd.IntN(4)
 	e.SetFaults(standin.EngineFaults{
-		Fail: s.rnd.IntN(4), Truncate: s.rnd.IntN(3), LoseAnswers: s.rnd.IntN(3), Surplus: s.rnd.IntN(3), WrongAttempt: s.rnd.IntN(2),
+		Fail: s.rnd.IntN(4), Truncate: s.rnd.IntN(3), DropResponses: s.rnd.IntN(3), ExtraResponses: s.rnd.IntN(3), WrongAttempt: s.rnd.IntN(2),
 		Refuse: n == 0, Hang: n == 1, FailReports: n == 2,
 	})
 	s.after(d, func() { e.SetFaults(standin.EngineFaults{}) })
--- a/test/fleet/crash_test.go
+++ b/test/fleet/crash_test.go
@@ -25,7 +25,7 @@
 // twenty engines and more ended, each under the streams of other callers.
 func TestRequestThatEndsEngines(t *testing.T) {
 	s := newSite(t, 3)
-	s.fleet.SetCrash(standin.Crash{Customer: "school", Body: poison, After: 30 * time.Millisecond, Back: 400 * time.Millisecond})
+	s.fleet.SetCrash(standin.Crash{Customer: "school", Body: poison, Delay: 30 * time.Millisecond, RestartDelay: 400 * time.Millisecond})
 	stop := make(chan struct{})
 	var innocents sync.WaitGroup
 	var refused atomic.Int64
@@ -39,7 +39,7 @@
 	}
 	close(stop)
 	innocents.Wait()
-	assert.Equal(t, s.fleet.Crashed(), mostCrashes)
+	assert.Equal(t, s.fleet.CrashCount(), mostCrashes)
 	assert.Equal(t, refused.Load(), int64(0), "others were taken for it")
 	for _, r := range s.routers {
 		r.stop()
@@ -53,7 +53,7 @@
 		assert.Equal(t, s.fleet.Arrivals(rep.attempt), 0)
 		s.whole(s.call(r, ask{path: "/sheet/1", body: poison, key: "key-2"}))
 	}
-	assert.Equal(t, s.fleet.Crashed(), mostCrashes)
+	assert.Equal(t, s.fleet.CrashCount(), mostCrashes)
 }
 
 // beside sends other requests of the same customer and path until stop, and counts
@@ -77,7 +77,7 @@
 	for _, path := range []string{"/notice/1", "/lookup/1"} {
 		t.Run(path, func(t *testing.T) {
 			s := newSite(t, 2)
-			s.fleet.SetCrash(standin.Crash{Customer: "school", Body: poison, After: 10 * time.Millisecond, Back: 300 * time.Millisecond})
+			s.fleet.SetCrash(standin.Crash{Customer: "school", Body: poison, Delay: 10 * time.Millisecond, RestartDelay: 300 * time.Millisecond})
 			for i := range 20 {
 				rep := s.call(s.routers[i%2], ask{path: path, body: poison})
 				assert.Assert(t, rep.status != http.StatusOK)
@@ -86,7 +86,7 @@
 				}
 				time.Sleep(200 * time.Millisecond)
 			}
-			assert.Equal(t, s.fleet.Crashed(), mostCrashes)
+			assert.Equal(t, s.fleet.CrashCount(), mostCrashes)
 			assert.Equal(t, s.call(s.routers[0], ask{path: path, body: poison}).status, http.StatusBadRequest)
 			for _, r := range s.routers {
 				s.eventually("others are served", func() bool { return s.call(r, ask{path: path, body: "arrived"}).status == http.StatusOK })
@@ -101,7 +101,7 @@
 	s := newSite(t, 2)
 	for round := range 4 {
 		for _, e := range s.plain {
-			e.SetFaults(standin.EngineFaults{LoseAnswers: 2})
+			e.SetFaults(standin.EngineFaults{DropResponses: 2})
 		}
 		for i := range 6 {
 			s.call(s.routers[(round+i)%2], ask{path: "/lookup/1", body: "draft"})
--- a/test/fleet/incarnation_test.go
+++ b/test/fleet/incarnation_test.go
@@ -24,7 +24,7 @@
 		all.Go(func() { s.whole(s.call(s.routers[0], ask{path: "/sheet/1"})) })
 	}
 	time.Sleep(200 * time.Millisecond)
-	back.Return()
+	back.RestartSameID()
 	back.Register()
 	all.Wait()
 	s.eventually("it is loaded again", func() bool { return back.Holds() == held })
@@ -39,7 +39,7 @@
 	s := newSite(t, 1)
 	back := s.partOf(1)
 	held := back.Holds()
-	back.Return()
+	back.RestartSameID()
 	s.eventually("it is loaded again", func() bool {
 		// A stream through it is refused; whoever looks into that learns of the start.
 		s.call(s.routers[0], ask{path: "/sheet/1"})
@@ -64,7 +64,7 @@
 	}()
 	s.eventually("it runs", func() bool { return len(s.fleet.Runs(attempt)) == 1 })
 	for _, e := range s.plain {
-		e.Return()
+		e.RestartSameID()
 		e.Register()
 	}
 	rep := <-answered
@@ -87,17 +87,17 @@
 		`{"service":"sheets","address":"127.0.0.1:1","zone":"a","state":"ready","type":"fast","slots":9,"layers":{"from":0,"to":"all"}}`,
 	}
 	for i, value := range odd {
-		victim.Write("servers/odd-"+string(rune('a'+i)), []byte(value))
-		victim.Write(key, []byte(value))
+		victim.PutEntry("servers/odd-"+string(rune('a'+i)), []byte(value))
+		victim.PutEntry(key, []byte(value))
 		for _, r := range s.routers {
 			s.whole(s.call(r, ask{path: "/sheet/1"}))
 		}
 	}
 	for _, e := range s.engines {
 		if e != victim && e.Holds() == victim.Holds() {
-			e.Die()
+			e.StopResponding()
 		}
 	}
-	victim.Write(key, own)
+	victim.PutEntry(key, own)
 	s.eventually("it serves again", func() bool { return s.call(s.routers[0], ask{path: "/sheet/1"}).status == http.StatusOK })
 }
--- a/test/fleet/path_test.go
+++ b/test/fleet/path_test.go
@@ -57,7 +57,7 @@
 		all.Go(func() { s.whole(s.call(s.routers[0], ask{path: "/sheet/1"})) })
 	}
 	time.Sleep(200 * time.Millisecond)
-	dying.Die()
+	dying.StopResponding()
 	all.Wait()
 }
 
@@ -72,7 +72,7 @@
 		all.Go(func() { s.whole(s.call(s.routers[0], ask{path: "/sheet/1"})) })
 	}
 	time.Sleep(200 * time.Millisecond)
-	dying.Die()
+	dying.StopResponding()
 	all.Wait()
 }
 
@@ -93,7 +93,7 @@
 func TestNoticeWhoseAnswerIsLost(t *testing.T) {
 	s := newSite(t, 1)
 	for _, e := range s.plain {
-		e.SetFaults(standin.EngineFaults{LoseAnswers: 1, Truncate: 1, WrongAttempt: 1})
+		e.SetFaults(standin.EngineFaults{DropResponses: 1, Truncate: 1, WrongAttempt: 1})
 	}
 	lost := 0
 	for range 30 {
@@ -112,7 +112,7 @@
 // The same faults at a lookup, which may run again: the caller notices nothing.
 func TestLookupIsSentAgain(t *testing.T) {
 	s := newSite(t, 1)
-	s.plain[0].SetFaults(standin.EngineFaults{LoseAnswers: 1, Truncate: 1, WrongAttempt: 1, Fail: 1})
+	s.plain[0].SetFaults(standin.EngineFaults{DropResponses: 1, Truncate: 1, WrongAttempt: 1, Fail: 1})
 	for range 12 {
 		rep := s.call(s.routers[0], ask{path: "/lookup/1", method: http.MethodGet})
 		assert.Equal(t, rep.status, http.StatusOK)
@@ -125,7 +125,7 @@
 func TestSurplusAnswerReachesNobody(t *testing.T) {
 	s := newSite(t, 1)
 	for _, e := range s.plain {
-		e.SetFaults(standin.EngineFaults{Surplus: 3})
+		e.SetFaults(standin.EngineFaults{ExtraResponses: 3})
 	}
 	for range 12 {
 		rep := s.call(s.routers[0], ask{path: "/lookup/1", method: http.MethodGet})
@@ -201,7 +201,7 @@
 func TestStoreOutage(t *testing.T) {
 	s := newSite(t, 1)
 	r := s.routers[0]
-	s.store.SetFaults(standin.StoreFaults{Silent: true})
+	s.store.SetFaults(standin.StoreFaults{Unresponsive: true})
 	s.eventually("unknown route refused for now", func() bool {
 		return s.call(r, ask{path: "/none/1"}).status == http.StatusServiceUnavailable
 	})
@@ -215,7 +215,7 @@
 // engines from a peer named as its seed, and serves.
 func TestRouterStartsDuringOutage(t *testing.T) {
 	s := newSite(t, 1)
-	s.store.SetFaults(standin.StoreFaults{Silent: true})
+	s.store.SetFaults(standin.StoreFaults{Unresponsive: true})
 	late := s.start("late", "b")
 	s.eventually("ready", late.r.Ready)
 	s.whole(s.call(late, ask{path: "/sheet/1"}))
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -254,7 +254,7 @@
 	n := int64(0)
 	for _, u := range w.Sidecars {
 		if u.Engine != nil {
-			n += u.Engine.RunsOf(key.String() + "#")
+			n += u.Engine.PositionsRun(key.String() + "#")
 		} else {
 			n += int64(u.Plain.Count(key.String()))
 		}
@@ -264,7 +264,7 @@
 
 func (r *record) check(t *testing.T, w *world.World) {
 	in := bytes.SplitAfter([]byte(prompt), []byte(" "))
-	want := bytes.Join(standin.ReferenceAnswer(in[:promptParts], layers, tokensWant), nil)
+	want := bytes.Join(standin.ReferenceOutput(in[:promptParts], layers, tokensWant), nil)
 	counts := map[model.State]int{}
 	for _, c := range r.all {
 		n := ran(w, c.key)
