--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -163,7 +163,7 @@
 			return nil
 		}
 		select {
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		case <-ctx.Done():
 			return errors.New("the parts did not find each other in time")
 		}
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -38,13 +38,13 @@
 )
 
 const (
-	sweepEvery  = 5 * time.Second
-	grantWait   = 3 * time.Second
+	sweepInterval  = 5 * time.Second
+	intentTimeout   = 3 * time.Second
 	ledgerBurst = 5
-	// readyPoll is how often dev mode looks whether its parts have met.
-	readyPoll = 20 * time.Millisecond
-	// compressFrom is the size in bytes from which answers are compressed.
-	compressFrom = 4096
+	// readyPollInterval is how often dev mode looks whether its parts have met.
+	readyPollInterval = 20 * time.Millisecond
+	// minCompressBytes is the size in bytes from which answers are compressed.
+	minCompressBytes = 4096
 )
 
 // Dependencies is what a process meets beyond the system.
@@ -118,10 +118,10 @@
 		Table:       e.node.Table,
 		Router:      routing.New(e.node.Table, e.links(), time.Now, nil),
 		Config:      e.node.Config,
-		Rates:       limits.NewRateLimiter(e.sharers),
+		Rates:       limits.NewRateLimiter(e.entryCount),
 		Retries:     limits.NewRetryBudget(),
 		Room:        admission.NewLimiter(time.Now),
-		Grant:       e.grant,
+		Grant:       e.recordIntent,
 		Requests:    e.store,
 		Events:      e.node.Events,
 		Now:         time.Now,
@@ -133,8 +133,8 @@
 	return e
 }
 
-// sharers counts the entries that share what has no counter of its own.
-func (e *Entry) sharers() int { return 1 + len(e.node.Table.Entries()) }
+// entryCount counts the entries that share what has no counter of its own.
+func (e *Entry) entryCount() int { return 1 + len(e.node.Table.Entries()) }
 
 func instanceOf(s settings.Settings) model.Instance {
 	return model.Instance{
@@ -163,7 +163,7 @@
 		e.store.KeepCopy(c.Key, c.Outcome)
 		return struct{}{}, nil
 	}))
-	srv.Register(wire.MethodIntent, link.Handle(e.recordIntent))
+	srv.Register(wire.MethodIntent, link.Handle(e.handleIntent))
 }
 
 // intentMessage carries an intent to the entry that acts for its shard.
@@ -172,17 +172,17 @@
 	ID     string        `json:"id"`
 }
 
-func (e *Entry) recordIntent(ctx context.Context, _ string, m intentMessage) (ledger.Intent, error) {
-	ctx, cancel := context.WithTimeout(ctx, grantWait)
+func (e *Entry) handleIntent(ctx context.Context, _ string, m intentMessage) (ledger.Intent, error) {
+	ctx, cancel := context.WithTimeout(ctx, intentTimeout)
 	defer cancel()
 	return e.ledger.Record(ctx, m.Intent, m.ID)
 }
 
-// grant asks the entry that acts for the intent's shard. If that one cannot be
+// recordIntent asks the entry that acts for the intent's shard. If that one cannot be
 // reached this entry acts itself: the swap in the key-value service decides,
-// and the intent's own grant id tells whether the first try took effect.
-func (e *Entry) grant(ctx context.Context, in ledger.Intent, id string) (ledger.Intent, error) {
-	ctx, cancel := context.WithTimeout(ctx, grantWait)
+// and the intent's own recordIntent id tells whether the first try took effect.
+func (e *Entry) recordIntent(ctx context.Context, in ledger.Intent, id string) (ledger.Intent, error) {
+	ctx, cancel := context.WithTimeout(ctx, intentTimeout)
 	defer cancel()
 	addrs := []string{e.node.Self.Address}
 	for _, m := range e.node.Table.Entries() {
@@ -194,7 +194,7 @@
 		return e.ledger.Record(ctx, in, id)
 	}
 	var stored ledger.Intent
-	call, stop := context.WithTimeout(ctx, grantWait/2)
+	call, stop := context.WithTimeout(ctx, intentTimeout/2)
 	defer stop()
 	err := e.node.Pool.Call(call, actor, wire.MethodIntent, intentMessage{in, id}, &stored)
 	if fault.Is(err, fault.Unreachable) {
@@ -206,17 +206,17 @@
 // Run serves until ctx ends, then drains: it fails its readiness, lets the
 // balancer go elsewhere, and answers what it took in.
 func (e *Entry) Run(ctx context.Context) error {
-	linkL, httpL, err := listen(e.settings.Listen)
+	linkListener, httpListener, err := listen(e.settings.Listen)
 	if err != nil {
 		return err
 	}
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
 	done := make(chan error, 2)
-	go func() { done <- e.node.Run(running, linkL) }()
+	go func() { done <- e.node.Run(running, linkListener) }()
 	srv := &http.Server{Handler: e.handler(), ReadHeaderTimeout: 10 * time.Second}
-	go func() { done <- srv.Serve(httpL) }()
-	go every(running, sweepEvery, func() {
+	go func() { done <- srv.Serve(httpListener) }()
+	go runPeriodically(running, sweepInterval, func() {
 		e.store.Sweep()
 		e.ledger.Sweep(running)
 		e.metrics.links(e.node.Bytes())
@@ -236,8 +236,8 @@
 // end by themselves, so the wait is bounded; nothing of a request is on them any
 // more.
 func (e *Entry) closeHTTP(srv *http.Server) error {
-	const lastAnswers = 2 * time.Second
-	ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
+	const shutdownTimeout = 2 * time.Second
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := srv.Shutdown(ctx); err != nil {
 		return srv.Close()
@@ -257,11 +257,11 @@
 	mux := http.NewServeMux()
 	// Compressing a token costs an eighth of a request's processor time and
 	// makes it longer.
-	small := connect.WithCompressMinBytes(compressFrom)
-	mux.Handle(skylarkwoodv1connect.NewRequestServiceHandler(&api.Requests{Node: e.node, Owner: e.owner}, small))
-	mux.Handle(skylarkwoodv1connect.NewOperatorServiceHandler(&api.Operators{Node: e.node}, small))
-	in := &data.Server{Stamp: e.node.Stamp(), Tokens: e.owner.Tokens}
-	mux.Handle(in.Handler())
+	compression := connect.WithCompressMinBytes(minCompressBytes)
+	mux.Handle(skylarkwoodv1connect.NewRequestServiceHandler(&api.Requests{Node: e.node, Owner: e.owner}, compression))
+	mux.Handle(skylarkwoodv1connect.NewOperatorServiceHandler(&api.Operators{Node: e.node}, compression))
+	dataServer := &data.Server{Stamp: e.node.Stamp(), Tokens: e.owner.Tokens}
+	mux.Handle(dataServer.Handler())
 	mux.Handle("GET /metrics", e.metrics.handler())
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
@@ -281,18 +281,18 @@
 	}
 }
 
-func listen(l settings.Listen) (linkL, httpL net.Listener, err error) {
-	if linkL, err = net.Listen("tcp", l.Link); err != nil {
+func listen(l settings.Listen) (linkListener, httpListener net.Listener, err error) {
+	if linkListener, err = net.Listen("tcp", l.Link); err != nil {
 		return nil, nil, errors.Wrap(err, "listen.link")
 	}
-	if httpL, err = net.Listen("tcp", l.HTTP); err != nil {
-		linkL.Close()
+	if httpListener, err = net.Listen("tcp", l.HTTP); err != nil {
+		linkListener.Close()
 		return nil, nil, errors.Wrap(err, "listen.http")
 	}
-	return linkL, httpL, nil
+	return linkListener, httpListener, nil
 }
 
-func every(ctx context.Context, d time.Duration, f func()) {
+func runPeriodically(ctx context.Context, d time.Duration, f func()) {
 	t := time.NewTicker(d)
 	defer t.Stop()
 	for {
@@ -305,31 +305,31 @@
 	}
 }
 
-// defaultLink is the one-way time between failure domains that no link names.
-const defaultLink = 500 * time.Microsecond
+// defaultLinkDelay is the one-way time between failure domains that no link names.
+const defaultLinkDelay = 500 * time.Microsecond
 
 // links reads the links of the settings.
 func (e *Entry) links() routing.Links {
 	links := e.settings.Links
-	known := map[[2]string]settings.Link{}
+	byDomains := map[[2]string]settings.Link{}
 	for _, l := range links {
 		a, b := l.Between[0], l.Between[1]
-		known[[2]string{a, b}] = l
-		known[[2]string{b, a}] = l
+		byDomains[[2]string{a, b}] = l
+		byDomains[[2]string{b, a}] = l
 	}
 	return routing.Links{
-		RouterCount: e.sharers,
+		RouterCount: e.entryCount,
 		Time: func(a, b model.Instance) time.Duration {
-			if l, ok := known[[2]string{a.FailureDomain, b.FailureDomain}]; ok {
+			if l, ok := byDomains[[2]string{a.FailureDomain, b.FailureDomain}]; ok {
 				return time.Duration(l.OneWay)
 			}
 			if a.FailureDomain == b.FailureDomain {
-				return defaultLink / 5
+				return defaultLinkDelay / 5
 			}
-			return defaultLink
+			return defaultLinkDelay
 		},
 		Rate: func(from, to string) float64 {
-			if l, ok := known[[2]string{from, to}]; ok && l.Positions > 0 {
+			if l, ok := byDomains[[2]string{from, to}]; ok && l.Positions > 0 {
 				return l.Positions
 			}
 			return math.Inf(1)
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -202,7 +202,7 @@
 	go func() { done <- d.node.Run(running, linkL) }()
 	srv := &http.Server{Handler: d.handler(), ReadHeaderTimeout: 10 * time.Second}
 	go func() { done <- srv.Serve(httpL) }()
-	go every(running, sweepEvery/5, func() {
+	go runPeriodically(running, sweepInterval/5, func() {
 		d.sidecar.Sweep()
 		d.metrics.links(d.node.Bytes())
 		d.metrics.gate(d.gate.Load())
