--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -23,17 +23,17 @@
 )
 
 const (
-	fenceTimeout  = time.Second
-	prepareRetry  = 200 * time.Millisecond
+	fencingTokenTimeout  = time.Second
+	prepareRetryInterval  = 200 * time.Millisecond
 	engineTimeout = 2 * time.Second
-	// leaveGrace lets entries learn from heartbeats that the sidecar leaves.
-	leaveGrace = time.Second
+	// leaveDelay lets entries learn from heartbeats that the sidecar leaves.
+	leaveDelay = time.Second
 )
 
 // Sidecar is one running sidecar.
 type Sidecar struct {
 	settings settings.Settings
-	out      Dependencies
+	deps      Dependencies
 	node     *mesh.Node
 	data     *data.Pool
 	sidecar  *sidecar.Sidecar
@@ -44,7 +44,7 @@
 
 // NewSidecar puts a sidecar together.
 func NewSidecar(s settings.Settings, out Dependencies) *Sidecar {
-	d := &Sidecar{settings: s, out: out, metrics: newMetrics(s)}
+	d := &Sidecar{settings: s, deps: out, metrics: newMetrics(s)}
 	incarnation := NewID()
 	d.gate = gate.New(incarnation, s.Sidecar.Capacity, s.Sidecar.Queue, time.Now)
 	d.node = mesh.New(mesh.Options{
@@ -60,8 +60,8 @@
 	return d
 }
 
-// describe is what entries are told of the backend server.
-func (d *Sidecar) describe() wire.HelloReply {
+// helloReply is what entries are told of the backend server.
+func (d *Sidecar) helloReply() wire.HelloReply {
 	return wire.HelloReply{
 		Data:       d.settings.Listen.HTTP,
 		Service:    d.settings.Sidecar.Service,
@@ -76,15 +76,15 @@
 // prepare ends what a predecessor left at the engine and learns what it holds.
 // Until then nothing is accepted.
 func (d *Sidecar) prepare(ctx context.Context) error {
-	b := sidecar.Backend{Engine: d.out.Engine, Plain: d.out.Plain}
+	b := sidecar.Backend{Engine: d.deps.Engine, Plain: d.deps.Plain}
 	for b.Engine != nil {
-		err := d.takeEngine(ctx, &b)
+		err := d.takeOverEngine(ctx, &b)
 		if err == nil {
 			break
 		}
 		klog.InfoS("Engine cannot be taken over yet", "instance", d.settings.Instance, "err", err)
 		select {
-		case <-time.After(prepareRetry):
+		case <-time.After(prepareRetryInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -94,32 +94,32 @@
 		d.gate.SetPace(b.Pace)
 	}
 	d.sidecar = sidecar.New(d.settings.Listen.Link, d.gate, b, sender{d.node.Pool, d.data}, d.node.Events, time.Now)
-	d.node.Serve(d.describe(), d.gate.Load, d.sidecar.Heard)
+	d.node.Serve(d.helloReply(), d.gate.Load, d.sidecar.Heard)
 	d.register()
 	return nil
 }
 
-func (d *Sidecar) takeEngine(ctx context.Context, b *sidecar.Backend) error {
-	b.Fence = takeFence(ctx, d.out.KV, d.settings.Sidecar.Backend)
+func (d *Sidecar) takeOverEngine(ctx context.Context, b *sidecar.Backend) error {
+	b.Fence = nextFencingToken(ctx, d.deps.KV, d.settings.Sidecar.Backend)
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
-	ended, err := b.Engine.EndAll(ctx, b.Fence)
+	endedSessions, err := b.Engine.EndAll(ctx, b.Fence)
 	if err != nil {
 		return err
 	}
 	if d.load, err = b.Engine.Load(ctx); err != nil {
 		return err
 	}
-	klog.InfoS("Engine taken over", "instance", d.settings.Instance, "fence", b.Fence, "ended", ended, "layers", d.load.Range)
+	klog.InfoS("Engine taken over", "instance", d.settings.Instance, "fence", b.Fence, "ended", endedSessions, "layers", d.load.Range)
 	return nil
 }
 
-// takeFence takes the next fencing number for an engine. The number is at least
+// nextFencingToken takes the next fencing number for an engine. The number is at least
 // the time in milliseconds; in an outage of the key-value service the time
 // alone serves, which holds while clocks do not go back further than a restart
 // takes.
-func takeFence(ctx context.Context, kv platform.KV, backend string) int64 {
-	ctx, cancel := context.WithTimeout(ctx, fenceTimeout)
+func nextFencingToken(ctx context.Context, kv platform.KV, backend string) int64 {
+	ctx, cancel := context.WithTimeout(ctx, fencingTokenTimeout)
 	defer cancel()
 	now := time.Now().UnixMilli()
 	for ctx.Err() == nil {
@@ -140,24 +140,24 @@
 // unknown, which entries take as an instance that is not up.
 func (d *Sidecar) register() {
 	srv, s := d.node.Server, d.sidecar
-	srv.Register(wire.MethodOpen, link.Handle(checked(d, s.Open)))
-	srv.Register(wire.MethodCall, link.Handle(checked(d, s.Call)))
+	srv.Register(wire.MethodOpen, link.Handle(checkRevision(d, s.Open)))
+	srv.Register(wire.MethodCall, link.Handle(checkRevision(d, s.Call)))
 	srv.Register(wire.MethodResume, link.Handle(s.Resume))
 	srv.Register(wire.MethodNoStage, link.Handle(s.NoStage))
 	srv.Register(wire.MethodClose, link.Handle(s.Close))
 	srv.Register(wire.MethodCancel, link.Handle(s.Cancel))
 }
 
-// checked refuses work from an entry that acts on an older configuration.
-func checked[Req, Rep any](d *Sidecar, f func(context.Context, string, Req) (Rep, error)) func(context.Context, string, Req) (Rep, error) {
+// checkRevision refuses work from an entry that acts on an older configuration.
+func checkRevision[Req, Rep any](d *Sidecar, f func(context.Context, string, Req) (Rep, error)) func(context.Context, string, Req) (Rep, error) {
 	return func(ctx context.Context, from string, req Req) (Rep, error) {
 		admitted := int64(0)
 		if a, ok := any(req).(interface{ AdmittedBy() int64 }); ok {
 			admitted = a.AdmittedBy()
 		}
 		if err := d.node.Refuse(from, admitted); err != nil {
-			var none Rep
-			return none, err
+			var zero Rep
+			return zero, err
 		}
 		return f(ctx, from, req)
 	}
@@ -189,7 +189,7 @@
 // Run serves until ctx ends, then drains: the gate refuses new work at once,
 // what runs finishes, then the process ends.
 func (d *Sidecar) Run(ctx context.Context) error {
-	linkL, httpL, err := listen(d.settings.Listen)
+	linkListener, httpListener, err := listen(d.settings.Listen)
 	if err != nil {
 		return err
 	}
@@ -199,9 +199,9 @@
 		return nil // told to stop before it had begun
 	}
 	done := make(chan error, 2)
-	go func() { done <- d.node.Run(running, linkL) }()
+	go func() { done <- d.node.Run(running, linkListener) }()
 	srv := &http.Server{Handler: d.handler(), ReadHeaderTimeout: 10 * time.Second}
-	go func() { done <- srv.Serve(httpL) }()
+	go func() { done <- srv.Serve(httpListener) }()
 	go runPeriodically(running, sweepInterval/5, func() {
 		d.sidecar.Sweep()
 		d.metrics.links(d.node.Bytes())
@@ -217,15 +217,15 @@
 	d.node.Events.Add(model.RequestKey{}, events.DrainStarted, "")
 	klog.InfoS("Sidecar drains", "instance", d.settings.Instance, "active", d.gate.Load().Active)
 	<-d.gate.Drain()
-	time.Sleep(leaveGrace)
+	time.Sleep(leaveDelay)
 	d.data.Close()
 	return srv.Close()
 }
 
 func (d *Sidecar) handler() http.Handler {
 	mux := http.NewServeMux()
-	in := &data.Server{Stamp: d.node.Stamp(), Forward: d.sidecar.Forward}
-	mux.Handle(in.Handler())
+	dataServer := &data.Server{Stamp: d.node.Stamp(), Forward: d.sidecar.Forward}
+	mux.Handle(dataServer.Handler())
 	mux.Handle("GET /metrics", d.metrics.handler())
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
