--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		kind += callFailed
 	}
-	c.metrics.storeCall(kind)
+	c.metrics.countStoreCall(kind)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[kind]++
--- a/internal/daemon/contain.go
+++ b/internal/daemon/contain.go
@@ -19,7 +19,7 @@
 func (s *routerSink) contain(it outside.Item) {
 	if cause := recover(); cause != nil {
 		klog.ErrorS(errPanicked, "entry passed over", "key", it.Key, "revision", it.Revision, "panic", cause, "stack", string(debug.Stack()))
-		s.metrics.panicked("entry")
+		s.metrics.countPanic("entry")
 	}
 }
 
@@ -28,7 +28,7 @@
 	defer func() {
 		if cause := recover(); cause != nil {
 			klog.ErrorS(errPanicked, "configuration cannot be read", "panic", cause, "stack", string(debug.Stack()))
-			r.metrics.panicked("configuration")
+			r.metrics.countPanic("configuration")
 			cfg, err = nil, errors.Wrapf(errPanicked, "%v", cause)
 		}
 	}()
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -126,7 +126,7 @@
 		Events:      e.node.Events,
 		Now:         time.Now,
 		Refresh:     e.node.FetchConfig,
-		Observe:     e.metrics.outcome,
+		Observe:     e.metrics.recordOutcome,
 		Timing:      owner.DefaultTiming(),
 	})
 	e.register()
@@ -219,7 +219,7 @@
 	go runPeriodically(running, sweepInterval, func() {
 		e.store.Sweep()
 		e.ledger.Sweep(running)
-		e.metrics.links(e.node.Bytes())
+		e.metrics.setLinkBytes(e.node.Bytes())
 	})
 	klog.InfoS("Entry serves", "instance", e.settings.Instance, "incarnation", e.node.Incarnation,
 		"http", e.settings.Listen.HTTP, "link", e.settings.Listen.Link)
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -21,7 +21,7 @@
 	reporter promreporter.Reporter
 }
 
-const reportEvery = time.Second
+const reportInterval = time.Second
 
 // latencyBuckets go from 5 ms, an idle plain service, to 20 s, the longest
 // deadline of the users' callers, each twice the one before.
@@ -37,32 +37,32 @@
 		Separator:              promreporter.DefaultSeparator,
 		SanitizeOptions:        &promreporter.DefaultSanitizerOpts,
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
+	}, reportInterval)
 	return &metrics{scope: scope, reporter: reporter}
 }
 
-// outcome counts a request that ended.
-func (m *metrics) outcome(service string, o model.Outcome, took time.Duration) {
+// recordOutcome counts a request that ended.
+func (m *metrics) recordOutcome(service string, o model.Outcome, elapsed time.Duration) {
 	tagged := m.scope.Tagged(map[string]string{"service": service, "outcome": string(o.State), "kind": o.Kind})
 	tagged.Counter("requests").Inc(1)
-	tagged.Timer("request_time").Record(took)
+	tagged.Timer("request_time").Record(elapsed)
 }
 
-// links tells how many bytes went over the process's links.
-func (m *metrics) links(total int64) {
+// setLinkBytes tells how many bytes went over the process's setLinkBytes.
+func (m *metrics) setLinkBytes(total int64) {
 	m.scope.Gauge("link_bytes").Update(float64(total))
 }
 
-// gate tells how full a sidecar's gate is.
-func (m *metrics) gate(l wire.Load) {
+// setGate tells how full a sidecar's setGate is.
+func (m *metrics) setGate(l wire.Load) {
 	m.scope.Gauge("gate_active").Update(float64(l.Active))
 	m.scope.Gauge("gate_queued").Update(float64(l.Queued))
 	m.scope.Gauge("gate_places").Update(float64(l.Capacity))
 }
 
-// router tells how a router stands: requests in progress, requests that wait for
+// setRouter tells how a setRouter stands: requests in progress, requests that wait for
 // room, connections opened to backend servers so far, and the version in force.
-func (m *metrics) router(active int64, waiting int, opened, version int64) {
+func (m *metrics) setRouter(active int64, waiting int, opened, version int64) {
 	m.scope.Gauge("requests_active").Update(float64(active))
 	m.scope.Gauge("requests_waiting").Update(float64(waiting))
 	m.scope.Gauge("backend_connections_opened").Update(float64(opened))
@@ -72,15 +72,15 @@
 func (m *metrics) handler() http.Handler { return m.reporter.HTTPHandler() }
 
 // Request implements relay.Observer.
-func (m *metrics) Request(route, service, outcome, kind string, took time.Duration) {
+func (m *metrics) Request(route, service, outcome, kind string, elapsed time.Duration) {
 	tagged := m.scope.Tagged(map[string]string{"route": route, "service": service, "outcome": outcome, "kind": kind})
 	tagged.Counter("requests").Inc(1)
-	m.scope.Tagged(map[string]string{"service": service, "outcome": outcome}).Histogram("request_seconds", latencyBuckets).RecordDuration(took)
+	m.scope.Tagged(map[string]string{"service": service, "outcome": outcome}).Histogram("request_seconds", latencyBuckets).RecordDuration(elapsed)
 }
 
 // FirstEvent implements relay.Observer.
-func (m *metrics) FirstEvent(service string, took time.Duration) {
-	m.scope.Tagged(map[string]string{"service": service}).Histogram("first_event_seconds", latencyBuckets).RecordDuration(took)
+func (m *metrics) FirstEvent(service string, elapsed time.Duration) {
+	m.scope.Tagged(map[string]string{"service": service}).Histogram("first_event_seconds", latencyBuckets).RecordDuration(elapsed)
 }
 
 // Retry implements relay.Observer.
@@ -89,18 +89,18 @@
 }
 
 // ConnectionEnded implements front.Observer.
-func (m *metrics) ConnectionEnded(why front.End, under bool) {
-	m.scope.Tagged(map[string]string{"why": string(why), "under_request": strconv.FormatBool(under)}).Counter("caller_connections_ended").Inc(1)
+func (m *metrics) ConnectionEnded(reason front.End, duringRequest bool) {
+	m.scope.Tagged(map[string]string{"why": string(reason), "under_request": strconv.FormatBool(duringRequest)}).Counter("caller_connections_ended").Inc(1)
 }
 
-// storeCall counts a call to the store.
-func (m *metrics) storeCall(kind string) {
+// countStoreCall counts a call to the store.
+func (m *metrics) countStoreCall(kind string) {
 	m.scope.Tagged(map[string]string{"kind": kind}).Counter("store_calls").Inc(1)
 }
 
-// newsSource tells whether this router hears from the store itself, and how long ago
+// setStoreContact tells whether this router hears from the store itself, and how long ago
 // it, or the router that it asks, last did.
-func (m *metrics) newsSource(watching bool, age time.Duration) {
+func (m *metrics) setStoreContact(watching bool, age time.Duration) {
 	value := 0.0
 	if watching {
 		value = 1
@@ -109,14 +109,14 @@
 	m.scope.Gauge("store_news_age_seconds").Update(age.Seconds())
 }
 
-// quarantine tells how many requests are under suspicion of ending servers, and how many
+// setQuarantine tells how many requests are under suspicion of ending servers, and how many
 // are known to.
-func (m *metrics) quarantine(suspects, quarantined int) {
+func (m *metrics) setQuarantine(suspects, quarantined int) {
 	m.scope.Gauge("requests_suspected").Update(float64(suspects))
 	m.scope.Gauge("requests_quarantined").Update(float64(quarantined))
 }
 
-// panicked counts faults of the code that ended a request or one run of it.
-func (m *metrics) panicked(where string) {
-	m.scope.Tagged(map[string]string{"where": where}).Counter("panics").Inc(1)
+// countPanic counts faults of the code that ended a request or one run of it.
+func (m *metrics) countPanic(location string) {
+	m.scope.Tagged(map[string]string{"where": location}).Counter("panics").Inc(1)
 }
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -233,7 +233,7 @@
 		WaitQueue:      admission.NewWaitQueue(),
 		BackendClient:  r.backends,
 		Observer:       r.metrics,
-		OnPanic:        r.metrics.panicked,
+		OnPanic:        r.metrics.countPanic,
 		ActiveRuns:     relay.NewActiveRuns(),
 		Detector:       detector.New(time.Now),
 		Suspects:       r.prober,
@@ -404,7 +404,7 @@
 func (r *Router) trim() {
 	r.backends.Trim()
 	r.suspects.Tracker.Expire()
-	r.metrics.quarantine(r.suspects.Tracker.Counts())
+	r.metrics.setQuarantine(r.suspects.Tracker.Counts())
 	r.memory.ExpirePeers()
 	r.catalog.PruneExited()
 	known := r.catalog.Load()
@@ -414,8 +414,8 @@
 	for _, b := range r.engines() {
 		r.memory.Observe(b.Incarnation(), b.Holds)
 	}
-	r.metrics.router(r.front.Active(), r.front.Relay.WaitQueue.Len(), r.backends.Dialed(), r.config.Version())
-	r.metrics.newsSource(r.follower.Watching(), r.follower.SinceLastContact())
+	r.metrics.setRouter(r.front.Active(), r.front.Relay.WaitQueue.Len(), r.backends.Dialed(), r.config.Version())
+	r.metrics.setStoreContact(r.follower.Watching(), r.follower.SinceLastContact())
 }
 
 // expire drops backend servers whose entries did not come back in time.
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -204,8 +204,8 @@
 	go func() { done <- srv.Serve(httpListener) }()
 	go runPeriodically(running, sweepInterval/5, func() {
 		d.sidecar.Sweep()
-		d.metrics.links(d.node.Bytes())
-		d.metrics.gate(d.gate.Load())
+		d.metrics.setLinkBytes(d.node.Bytes())
+		d.metrics.setGate(d.gate.Load())
 	})
 	klog.InfoS("Sidecar serves", "instance", d.settings.Instance, "incarnation", d.node.Incarnation,
 		"service", d.settings.Sidecar.Service, "link", d.settings.Listen.Link)
