--- a/internal/daemon/contain.go
+++ b/internal/daemon/contain.go
@@ -10,15 +10,15 @@
 	outside "github.com/skylarkwood/skylarkwood/internal/platform"
 )
 
-// errPanicked says that the code which reads something panicked.
-var errPanicked = errors.New("panic in the code")
+// errPanic says that the code which reads something panicked.
+var errPanic = errors.New("panic in the code")
 
-// contain, deferred, passes an entry over whose reading panicked. Every router reads the
+// recoverPanic, deferred, passes an entry over whose reading panicked. Every router reads the
 // same entries, and reads them again when it starts: one that ended its reader would end
 // all routers, for as long as it stands. What was in force before it stays.
-func (s *routerSink) contain(it outside.Item) {
+func (s *routerSink) recoverPanic(it outside.Item) {
 	if cause := recover(); cause != nil {
-		klog.ErrorS(errPanicked, "entry passed over", "key", it.Key, "revision", it.Revision, "panic", cause, "stack", string(debug.Stack()))
+		klog.ErrorS(errPanic, "entry passed over", "key", it.Key, "revision", it.Revision, "panic", cause, "stack", string(debug.Stack()))
 		s.metrics.countPanic("entry")
 	}
 }
@@ -27,9 +27,9 @@
 func (r *Router) decodeConfig(raw []byte) (cfg *model.RouteConfig, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			klog.ErrorS(errPanicked, "configuration cannot be read", "panic", cause, "stack", string(debug.Stack()))
+			klog.ErrorS(errPanic, "configuration cannot be read", "panic", cause, "stack", string(debug.Stack()))
 			r.metrics.countPanic("configuration")
-			cfg, err = nil, errors.Wrapf(errPanicked, "%v", cause)
+			cfg, err = nil, errors.Wrapf(errPanic, "%v", cause)
 		}
 	}()
 	return r.decode(raw)
--- a/internal/daemon/contain_test.go
+++ b/internal/daemon/contain_test.go
@@ -30,7 +30,7 @@
 		assert.Equal(t, r.config.Version(), int64(1))
 	}
 	_, err := r.exchange.Decode([]byte("2"))
-	assert.ErrorIs(t, err, errPanicked)
+	assert.ErrorIs(t, err, errPanic)
 	sink.Reset(outside.Page{Revision: 7, Items: []outside.Item{
 		{Key: platform.ConfigKey, Value: []byte("2"), Revision: 6},
 		{Key: platform.ConfigKey, Value: []byte("3"), Revision: 7},
--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -98,7 +98,7 @@
 
 // Change implements follow.Sink.
 func (s *routerSink) Change(it outside.Item, grace time.Duration) {
-	defer s.contain(it)
+	defer s.recoverPanic(it)
 	switch {
 	case it.Key == platform.ConfigKey:
 		s.applyConfig(it)
