--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -82,7 +82,7 @@
 // logMalformed logs an entry that names no server: where it has just replaced a good one, and
 // else once in a while for each.
 func (s *routerSink) logMalformed(id string, revision model.Revision, replaced bool, err error) {
-	if s.malformed.first(id, time.Now()) || replaced {
+	if s.malformed.shouldLog(id, time.Now()) || replaced {
 		known := s.catalog.Load().ByID(id) != nil
 		klog.InfoS("backend server's entry names no server", "server", id, "known", known, "err", err, "revision", revision)
 	}
