--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -26,8 +26,8 @@
 	DevLayers   = 12
 	devStages   = 3
 	devCapacity = 32
-	devStep     = 50 * time.Microsecond
-	devReady    = 20 * time.Second
+	devStepTime     = 50 * time.Microsecond
+	devReadyTimeout    = 20 * time.Second
 )
 
 // Dev is a whole system in one process, on loopback.
@@ -39,8 +39,8 @@
 
 	kv        *standin.KV
 	instances *standin.Instances
-	list      []model.Instance
-	runs      []func(context.Context) error
+	members      []model.Instance
+	processes      []func(context.Context) error
 	closers   []func()
 }
 
@@ -58,12 +58,12 @@
 	if err := d.addEntry(httpAddr); err != nil {
 		return nil, err
 	}
-	d.instances.Set(d.list)
-	return d, d.seed()
+	d.instances.Set(d.members)
+	return d, d.storeTemplate()
 }
 
-// seed stores the template of the one customer.
-func (d *Dev) seed() error {
+// storeTemplate stores the template of the one customer.
+func (d *Dev) storeTemplate() error {
 	store := config.NewStore(d.kv, time.Now, NewID, func(int64) {})
 	_, err := store.Set(context.Background(), config.Template{
 		Customer: DevCustomer,
@@ -76,7 +76,7 @@
 	return errors.Wrap(err, "dev template")
 }
 
-func (d *Dev) base(name string, role model.Role, httpAddr string) (settings.Settings, error) {
+func (d *Dev) baseSettings(name string, role model.Role, httpAddr string) (settings.Settings, error) {
 	s := settings.Default()
 	s.Role = role
 	s.Instance = name
@@ -92,22 +92,22 @@
 			return s, err
 		}
 	}
-	d.list = append(d.list, instanceOf(s))
+	d.members = append(d.members, instanceOf(s))
 	return s, nil
 }
 
 func (d *Dev) addEngine(i int) error {
-	per := DevLayers / devStages
+	layersPerEngine := DevLayers / devStages
 	e := standin.NewEngine(standin.EngineConfig{
-		Range:    model.LayerRange{From: i * per, To: (i + 1) * per},
+		Range:    model.LayerRange{From: i * layersPerEngine, To: (i + 1) * layersPerEngine},
 		Layers:   DevLayers,
-		StepTime: devStep,
+		StepTime: devStepTime,
 		Batch:    64,
 		Capacity: devCapacity,
 	})
 	d.Engines = append(d.Engines, e)
 	d.closers = append(d.closers, e.Close)
-	s, err := d.base(fmt.Sprintf("sidecar-%d", i+1), model.RoleSidecar, "")
+	s, err := d.baseSettings(fmt.Sprintf("sidecar-%d", i+1), model.RoleSidecar, "")
 	if err != nil {
 		return err
 	}
@@ -115,36 +115,36 @@
 	s.Sidecar.Layers = DevLayers
 	s.Sidecar.Capacity = devCapacity
 	s.Sidecar.Backend = fmt.Sprintf("embedded:%d", i)
-	d.runs = append(d.runs, NewSidecar(s, Dependencies{KV: d.kv, Instances: d.instances, Engine: e}).Run)
+	d.processes = append(d.processes, NewSidecar(s, Dependencies{KV: d.kv, Instances: d.instances, Engine: e}).Run)
 	return nil
 }
 
 func (d *Dev) addPlain() error {
-	s, err := d.base("sidecar-plain", model.RoleSidecar, "")
+	s, err := d.baseSettings("sidecar-plain", model.RoleSidecar, "")
 	if err != nil {
 		return err
 	}
 	s.Sidecar.Service = DevPlainService
 	s.Sidecar.Kind = model.KindPlain
 	plain := standin.NewPlain(time.Millisecond)
-	d.runs = append(d.runs, NewSidecar(s, Dependencies{KV: d.kv, Instances: d.instances, Plain: plain}).Run)
+	d.processes = append(d.processes, NewSidecar(s, Dependencies{KV: d.kv, Instances: d.instances, Plain: plain}).Run)
 	return nil
 }
 
 func (d *Dev) addEntry(httpAddr string) error {
-	s, err := d.base("entry-1", model.RoleEntry, httpAddr)
+	s, err := d.baseSettings("entry-1", model.RoleEntry, httpAddr)
 	if err != nil {
 		return err
 	}
 	d.URL = "http://" + s.Listen.HTTP
-	d.runs = append(d.runs, NewEntry(s, Dependencies{KV: d.kv, Instances: d.instances}).Run)
+	d.processes = append(d.processes, NewEntry(s, Dependencies{KV: d.kv, Instances: d.instances}).Run)
 	return nil
 }
 
 // Run runs the system until ctx ends.
 func (d *Dev) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	for _, run := range d.runs {
+	for _, run := range d.processes {
 		g.Go(func() error { return run(ctx) })
 	}
 	err := g.Wait()
@@ -155,11 +155,11 @@
 }
 
 // WaitReady waits until every part was met by the entry.
-func (d *Dev) WaitReady(ctx context.Context, met func(context.Context) int) error {
-	ctx, cancel := context.WithTimeout(ctx, devReady)
+func (d *Dev) WaitReady(ctx context.Context, reachableInstances func(context.Context) int) error {
+	ctx, cancel := context.WithTimeout(ctx, devReadyTimeout)
 	defer cancel()
 	for {
-		if isReady(ctx, d.URL) && met(ctx) == len(d.list) {
+		if isReady(ctx, d.URL) && reachableInstances(ctx) == len(d.members) {
 			return nil
 		}
 		select {
@@ -183,15 +183,15 @@
 	return rep.StatusCode == http.StatusOK
 }
 
-// addressTries bounds the search for a free address.
-const addressTries = 100
+// maxAddressAttempts bounds the search for a free address.
+const maxAddressAttempts = 100
 
 // FreeAddress finds a loopback address that nothing listens on. It takes a host
 // number of its own: connections take their source ports on 127.0.0.1, and one
 // of those would now and then be taken before it is listened on.
 func FreeAddress() (string, error) {
 	const firstPort, ports = 10_000, 20_000
-	for try := 0; try < addressTries; try++ {
+	for attempt := 0; attempt < maxAddressAttempts; attempt++ {
 		host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 		addr := fmt.Sprintf("%s:%d", host, firstPort+rand.IntN(ports))
 		l, err := net.Listen("tcp", addr)
