--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -30,19 +30,19 @@
 // wait for the first configuration are sent as soon as it is in force.
 func (s *routerSink) Reset(page outside.Page, grace time.Duration) {
 	servers, malformed := s.decodeServers(page.Items)
-	s.follow(s.catalog.Replace(servers, malformed, grace))
+	s.applyConflicts(s.catalog.Replace(servers, malformed, grace))
 	s.mu.Lock()
 	clear(s.members)
 	s.mu.Unlock()
 	s.archive.Observe(valueOf(page.Items, leader.QuarantineKey))
-	leaderSeen := false
+	leaderFound := false
 	for _, it := range page.Items {
 		if !strings.HasPrefix(it.Key, platform.ServersPrefix) && it.Key != leader.QuarantineKey {
-			leaderSeen = leaderSeen || it.Key == leader.Key
+			leaderFound = leaderFound || it.Key == leader.Key
 			s.Change(it, 0)
 		}
 	}
-	if !leaderSeen {
+	if !leaderFound {
 		s.elector.Observe(nil, page.Revision)
 	}
 	s.publishMembers()
@@ -88,10 +88,10 @@
 	}
 }
 
-// follow carries out what follows from entries.
-func (s *routerSink) follow(news catalog.Conflicts) {
-	s.front.Relay.HandleExits(news.Exited, "its successor's entry")
-	for _, claim := range news.Disputed {
+// applyConflicts carries out what follows from entries.
+func (s *routerSink) applyConflicts(conflicts catalog.Conflicts) {
+	s.front.Relay.HandleExits(conflicts.Exited, "its successor's entry")
+	for _, claim := range conflicts.Disputed {
 		go s.front.Relay.VerifyIncarnation(claim)
 	}
 }
@@ -103,7 +103,7 @@
 	case it.Key == platform.ConfigKey:
 		s.applyConfig(it)
 	case strings.HasPrefix(it.Key, platform.ServersPrefix):
-		s.server(it, grace)
+		s.applyServer(it, grace)
 	case it.Key == leader.Key:
 		s.elector.Observe(it.Value, it.Revision)
 	case it.Key == leader.QuarantineKey && it.Removed:
@@ -111,7 +111,7 @@
 	case it.Key == leader.QuarantineKey:
 		s.archive.Observe(it.Value, it.Revision)
 	case strings.HasPrefix(it.Key, leader.MemberPrefix):
-		s.member(it)
+		s.applyMember(it)
 	case strings.HasPrefix(it.Key, leader.PlanPrefix) && !it.Removed:
 		s.control.ObservePlan(strings.TrimPrefix(it.Key, leader.PlanPrefix), it.Value, it.Revision)
 	}
@@ -146,7 +146,7 @@
 		"routes", len(cfg.Routes), "customers", len(cfg.Customers))
 }
 
-func (s *routerSink) server(it outside.Item, grace time.Duration) {
+func (s *routerSink) applyServer(it outside.Item, grace time.Duration) {
 	id := platform.ServerID(it.Key)
 	if it.Removed {
 		klog.InfoS("backend server's entry removed", "server", id, "revision", it.Revision, "grace", grace)
@@ -161,10 +161,10 @@
 	}
 	klog.InfoS("backend server's entry", "server", b.Incarnation(), "address", b.Address, "failureDomain", b.FailureDomain, "draining", b.Draining,
 		"card", b.Card, "holds", b.Holds.String(), "revision", it.Revision)
-	s.follow(s.catalog.Put(b))
+	s.applyConflicts(s.catalog.Put(b))
 }
 
-func (s *routerSink) member(it outside.Item) {
+func (s *routerSink) applyMember(it outside.Item) {
 	s.mu.Lock()
 	if it.Removed {
 		delete(s.members, it.Key)
