--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -17,8 +17,8 @@
 type countedStore struct {
 	outside.Store
 	metrics *metrics
-	// unanswered is told of renewals without an answer; nil for nobody.
-	unanswered func()
+	// onNoResponse is told of renewals without an answer; nil for nobody.
+	onNoResponse func()
 
 	mu     sync.Mutex
 	counts map[string]int
@@ -35,7 +35,7 @@
 	callGrant        = "lease_grant"
 	callKeepAlive    = "lease_keep_alive"
 	callRevoke       = "lease_revoke"
-	callFailed       = "_failed" // after the kind
+	failedSuffix       = "_failed" // after the kind
 )
 
 func newCountedStore(store outside.Store, m *metrics) *countedStore {
@@ -45,7 +45,7 @@
 // count notes a call that has ended.
 func (c *countedStore) count(kind string, err error) {
 	if err != nil {
-		kind += callFailed
+		kind += failedSuffix
 	}
 	c.metrics.countStoreCall(kind)
 	c.mu.Lock()
@@ -53,19 +53,19 @@
 	c.counts[kind]++
 }
 
-// log tells the calls since the last time, if there were any.
-func (c *countedStore) log() {
+// logCounts tells the calls since the last time, if there were any.
+func (c *countedStore) logCounts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.counts) == 0 {
 		return
 	}
-	var row []any
+	var keysAndValues []any
 	for kind, n := range c.counts {
-		row = append(row, kind, n)
+		keysAndValues = append(keysAndValues, kind, n)
 	}
 	clear(c.counts)
-	klog.InfoS("calls to the store", row...)
+	klog.InfoS("calls to the store", keysAndValues...)
 }
 
 // Range implements Store.
@@ -109,17 +109,17 @@
 
 // Grant implements Store.
 func (c *countedStore) Grant(ctx context.Context, ttl time.Duration) (outside.LeaseID, time.Duration, error) {
-	id, given, err := c.Store.Grant(ctx, ttl)
+	id, granted, err := c.Store.Grant(ctx, ttl)
 	c.count(callGrant, err)
-	return id, given, err
+	return id, granted, err
 }
 
 // KeepAlive implements Store.
 func (c *countedStore) KeepAlive(ctx context.Context, id outside.LeaseID) error {
 	err := c.Store.KeepAlive(ctx, id)
 	c.count(callKeepAlive, err)
-	if err != nil && !errors.Is(err, outside.ErrLeaseEnded) && c.unanswered != nil {
-		c.unanswered()
+	if err != nil && !errors.Is(err, outside.ErrLeaseEnded) && c.onNoResponse != nil {
+		c.onNoResponse()
 	}
 	return err
 }
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -148,7 +148,7 @@
 		PeersLastContact: r.config.LastConfirmed,
 		Idle:             func() bool { return !r.callersCame() && r.elector.FencingToken() == 0 },
 	}
-	r.store.unanswered = r.follower.CallFailed
+	r.store.onNoResponse = r.follower.CallFailed
 	if store, ok := r.store.Store.(interface{ TellEra(func(era int64)) }); ok {
 		store.TellEra(r.follower.ObserveEra)
 	}
@@ -359,7 +359,7 @@
 	go r.every(background, judgeEvery, r.suspects.Tracker.EvaluateSuspects)
 	go r.every(background, archiveEvery, func() { r.archive.Tick(background) })
 	go r.every(background, trimEvery, r.trim)
-	go r.every(background, callsEvery, r.store.log)
+	go r.every(background, callsEvery, r.store.logCounts)
 	served := make(chan error, 1)
 	go func() { served <- r.front.Serve(callers) }()
 	var failure error
@@ -384,7 +384,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-graceMargin))
 	defer cancel()
 	err := r.front.Shutdown(ctx)
-	r.store.log()
+	r.store.logCounts()
 	klog.InfoS("stopped", "active", r.front.Active(), "took", time.Since(began), "err", err)
 }
 
