--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -37,26 +37,26 @@
 )
 
 const (
-	// controlEvery is how often the leader compares plan and engines.
-	controlEvery = 200 * time.Millisecond
-	// judgeEvery is how often it is looked whether a request is to blame for servers' ends.
-	judgeEvery = 50 * time.Millisecond
-	// archiveEvery is how often it is looked whether the store knows them.
-	archiveEvery = 200 * time.Millisecond
-	// yieldTime is how long reading a configuration pauses at a time.
-	yieldTime = time.Millisecond
-	// trimEvery is how often idle connections and old beliefs are dropped.
-	trimEvery = time.Second
-	// callsEvery is how often the calls to the store are told in the log.
-	callsEvery = 10 * time.Second
+	// controlInterval is how often the leader compares plan and engines.
+	controlInterval = 200 * time.Millisecond
+	// evaluateInterval is how often it is looked whether a request is to blame for servers' ends.
+	evaluateInterval = 50 * time.Millisecond
+	// persistInterval is how often it is looked whether the store knows them.
+	persistInterval = 200 * time.Millisecond
+	// yieldDelay is how long reading a configuration pauses at a time.
+	yieldDelay = time.Millisecond
+	// cleanUpInterval is how often idle connections and old beliefs are dropped.
+	cleanUpInterval = time.Second
+	// callLogInterval is how often the calls to the store are told in the log.
+	callLogInterval = 10 * time.Second
 	// balancerDelay is how long the balancer may go on sending new callers
 	// after readiness failed: two checks, a second apart, and their time.
 	balancerDelay = 2500 * time.Millisecond
 	// graceMargin is kept of the grace time for the process to end.
 	graceMargin = 500 * time.Millisecond
-	// memoryShare is the share of the memory limit that the garbage collector
+	// memoryLimitShare is the share of the memory limit that the garbage collector
 	// aims for; buffers of the kernel count too.
-	memoryShare = 0.6
+	memoryLimitShare = 0.6
 )
 
 // Router is one running router on the users' platform.
@@ -66,16 +66,16 @@
 	config   *routes.ActiveConfig
 	catalog  *catalog.Catalog
 	health   *catalog.Health
-	memory   *chains.UsageTracker
-	pipes    *chains.Interconnect
+	usage   *chains.UsageTracker
+	interconnect    *chains.Interconnect
 	elector  *leader.Elector
-	control  *placement.Controller
+	controller  *placement.Controller
 	exchange *peers.Exchange
 	follower *follow.Follower
 	prober   *relay.Prober
 	liveness *liveness.Watcher
-	suspects *peers.Quarantine
-	archive  *quarantine.Persister
+	quarantine *peers.Quarantine
+	persister  *quarantine.Persister
 	links    *link.Server
 	backends *backend.Pool
 	front    *front.Server
@@ -84,7 +84,7 @@
 	listen func(addr string) (net.Listener, error)      // tests give listeners that fail
 	decode func(raw []byte) (*model.RouteConfig, error) // tests give one that panics
 
-	traffic  atomic.Bool
+	requestSeen  atomic.Bool
 	draining atomic.Bool
 
 	malformed malformedEntries // used by the follower alone
@@ -96,7 +96,7 @@
 // memoryLimit is what the garbage collector aims for, in bytes, where a process may
 // take that many megabytes. A figure beyond all machines is no limit.
 func memoryLimit(megabytes float64) int64 {
-	return int64(min(megabytes*memoryShare*(1<<20), math.MaxInt64/2))
+	return int64(min(megabytes*memoryLimitShare*(1<<20), math.MaxInt64/2))
 }
 
 // NewRouter puts a router together.
@@ -108,8 +108,8 @@
 		config:    &routes.ActiveConfig{},
 		catalog:   catalog.New(time.Now),
 		health:    catalog.NewHealth(time.Now),
-		memory:    chains.NewUsageTracker(time.Now),
-		pipes:     chains.NewInterconnect(time.Now),
+		usage:    chains.NewUsageTracker(time.Now),
+		interconnect:     chains.NewInterconnect(time.Now),
 		prober:    relay.NewProber(),
 		backends:  backend.NewPool(),
 		metrics:   m,
@@ -118,10 +118,10 @@
 		listen:    listenTCP,
 	}
 	r.decode = func(raw []byte) (*model.RouteConfig, error) { return platform.DecodeConfig(raw, r.yield) }
-	r.linkPeers()
+	r.buildExchange()
 	r.buildRelay()
-	r.buildControl()
-	r.followStore()
+	r.buildController()
+	r.buildFollower()
 	return r
 }
 
@@ -129,54 +129,54 @@
 // callers wait for the first one.
 func (r *Router) yield() {
 	if r.config.Load() != nil {
-		time.Sleep(yieldTime)
+		time.Sleep(yieldDelay)
 	}
 }
 
-// followStore keeps what this router knows of the store up to date, by the store's own
+// buildFollower keeps what this router knows of the store up to date, by the store's own
 // word or that of the routers that ask it.
-func (r *Router) followStore() {
-	news := &peers.News{Pool: r.exchange.Pool}
+func (r *Router) buildFollower() {
+	updates := &peers.News{Pool: r.exchange.Pool}
 	r.follower = &follow.Follower{
 		Store:            r.store,
 		Prefix:           "",
 		Sink:             (*routerSink)(r),
 		Clock:            boottime.Now,
-		Picker:           &follow.Picker{Self: r.settings.Router.Peers, Domain: r.settings.FailureDomain, Routers: r.routersHeard, Clock: boottime.Now},
-		PollPeer:         news.Ask,
+		Picker:           &follow.Picker{Self: r.settings.Router.Peers, Domain: r.settings.FailureDomain, Routers: r.reachableRouters, Clock: boottime.Now},
+		PollPeer:         updates.Ask,
 		Replica:          &replica.Replica{},
 		PeersLastContact: r.config.LastConfirmed,
-		Idle:             func() bool { return !r.callersCame() && r.elector.FencingToken() == 0 },
+		Idle:             func() bool { return !r.hasTraffic() && r.elector.FencingToken() == 0 },
 	}
 	r.store.onNoResponse = r.follower.CallFailed
 	if store, ok := r.store.Store.(interface{ TellEra(func(era int64)) }); ok {
 		store.TellEra(r.follower.ObserveEra)
 	}
-	news.Tell = r.follower.WaitForUpdates
-	news.Register(r.links)
+	updates.Tell = r.follower.WaitForUpdates
+	updates.Register(r.links)
 }
 
-// routersHeard lists the other routers that are registered and were heard of lately.
-func (r *Router) routersHeard() []follow.Router {
-	heard := r.exchange.HeardLately()
+// reachableRouters lists the other routers that are registered and were heard of lately.
+func (r *Router) reachableRouters() []follow.Router {
+	reachable := r.exchange.HeardLately()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []follow.Router
 	for _, m := range r.members {
-		if heard[m.Address] {
+		if reachable[m.Address] {
 			out = append(out, follow.Router{Address: m.Address, Domain: m.Domain})
 		}
 	}
 	return out
 }
 
-// callersCame tells whether requests came here or at a peer since the system was
+// hasTraffic tells whether requests came here or at a peer since the system was
 // first started; they did where this is not its first start.
-func (r *Router) callersCame() bool {
-	return !r.settings.Router.FirstStart || r.traffic.Load() || r.exchange.PeerTraffic()
+func (r *Router) hasTraffic() bool {
+	return !r.settings.Router.FirstStart || r.requestSeen.Load() || r.exchange.PeerTraffic()
 }
 
-func (r *Router) linkPeers() {
+func (r *Router) buildExchange() {
 	stamp := &link.Stamp{
 		Clock:    hlc.New(time.Now),
 		Revision: r.config.Version,
@@ -191,8 +191,8 @@
 		Config:   r.config,
 		Decode:   r.decodeConfig,
 		Catalog:  r.catalog,
-		Memory:   r.memory,
-		Pipes:    r.pipes,
+		Memory:   r.usage,
+		Pipes:    r.interconnect,
 		Revision: func() model.Revision { return r.follower.AdvertisedRevision() },
 		PeerAt:   func(revision model.Revision) { r.follower.ObservePeerRevision(revision) },
 		Hint:     func(engine model.Incarnation) { r.prober.HandlePeerSuspicion(engine) },
@@ -200,7 +200,7 @@
 		Gone:     func(engine model.Incarnation) { r.front.Relay.HandleEngineExit(engine) },
 		Clock:    boottime.Now,
 		Now:      time.Now,
-		Traffic:  r.traffic.Load,
+		Traffic:  r.requestSeen.Load,
 	}
 	rt := r.settings.Router
 	budget := limits.NewSharedRetryBudget(rt.RetryRatio, rt.RetrySlack, time.Duration(rt.RetryWindow), r.exchange.Routers, time.Now)
@@ -209,13 +209,13 @@
 	r.links.OwnHostOnly = true
 	r.exchange.Register(r.links)
 	tracker := quarantine.New(boottime.Now)
-	r.suspects = &peers.Quarantine{Exchange: r.exchange, Tracker: tracker, Trials: quarantine.NewTrials(tracker)}
-	r.suspects.Register(r.links)
-	r.archive = &quarantine.Persister{
+	r.quarantine = &peers.Quarantine{Exchange: r.exchange, Tracker: tracker, Trials: quarantine.NewTrials(tracker)}
+	r.quarantine.Register(r.links)
+	r.persister = &quarantine.Persister{
 		Tracker: tracker,
 		Store:   r.store,
 		Key:     leader.QuarantineKey,
-		Rank:    r.suspects.Rank,
+		Rank:    r.quarantine.Rank,
 		Clock:   boottime.Now,
 		Now:     time.Now,
 	}
@@ -227,8 +227,8 @@
 		Config:         r.config,
 		Catalog:        r.catalog,
 		Health:         r.health,
-		Chooser:        &chains.Chooser{Catalog: r.catalog, Health: r.health, Usage: r.memory, Interconnect: r.pipes, RouterCount: r.exchange.Routers, Self: r.settings.Router.Peers},
-		Memory:         r.memory,
+		Chooser:        &chains.Chooser{Catalog: r.catalog, Health: r.health, Usage: r.usage, Interconnect: r.interconnect, RouterCount: r.exchange.Routers, Self: r.settings.Router.Peers},
+		Memory:         r.usage,
 		RetryBorrower:  r.exchange.Loans,
 		WaitQueue:      admission.NewWaitQueue(),
 		BackendClient:  r.backends,
@@ -237,8 +237,8 @@
 		ActiveRuns:     relay.NewActiveRuns(),
 		Detector:       detector.New(time.Now),
 		Suspects:       r.prober,
-		Quarantine:     r.suspects.Tracker,
-		RequestTrial:   r.suspects.Ask,
+		Quarantine:     r.quarantine.Tracker,
+		RequestTrial:   r.quarantine.Ask,
 		CheckListening: r.backends.Listens,
 		FailureDomain:  r.settings.FailureDomain,
 		MaxConfigAge:   time.Duration(rt.ConfigApply),
@@ -247,7 +247,7 @@
 		Started:        time.Now(),
 	}
 	rel.SlowdownMonitor = relay.NewSlowdownMonitor()
-	rel.SlowdownMonitor.Memory = r.memory
+	rel.SlowdownMonitor.Memory = r.usage
 	rel.SlowdownMonitor.Catalog = r.catalog
 	rel.SlowdownMonitor.Report = rel.Report
 	rel.SlowdownMonitor.Now = time.Now
@@ -268,7 +268,7 @@
 			rel.HandleEngineExit(b.Incarnation())
 		},
 	}
-	r.front = &front.Server{Config: r.config, Relay: rel, Observer: r.metrics, OnRequest: func() { r.traffic.Store(true) }}
+	r.front = &front.Server{Config: r.config, Relay: rel, Observer: r.metrics, OnRequest: func() { r.requestSeen.Store(true) }}
 }
 
 // engines lists the engines of all services that generate, leaving ones included.
@@ -286,7 +286,7 @@
 	return out
 }
 
-func (r *Router) buildControl() {
+func (r *Router) buildController() {
 	r.elector = &leader.Elector{
 		Store:       r.store,
 		Self:        leader.Member{Instance: r.settings.Instance, Address: r.settings.Router.Peers, Domain: r.settings.FailureDomain},
@@ -296,17 +296,17 @@
 		// others would stand as well: two priced calls each, whenever a leader ends.
 		Eligible: func() bool { return !r.draining.Load() && r.follower.Watching() },
 	}
-	r.control = &placement.Controller{
+	r.controller = &placement.Controller{
 		Config:       r.config,
 		Catalog:      r.catalog,
 		Store:        r.store,
 		Engines:      relay.EngineClient{Relay: r.front.Relay},
 		FencingToken: r.elector.FencingToken,
 		OnFenced:     r.elector.TokenRejected,
-		HasTraffic:   r.callersCame,
+		HasTraffic:   r.hasTraffic,
 		Suspected:    r.health.Suspected,
 		Unreachable:  r.prober.Lost,
-		StreamCount:  func(engine model.Incarnation) float64 { return r.memory.Used(engine).Streams },
+		StreamCount:  func(engine model.Incarnation) float64 { return r.usage.Used(engine).Streams },
 		Now:          time.Now,
 	}
 }
@@ -350,16 +350,16 @@
 	go r.exchange.Run(background)
 	go r.prober.Run(background)
 	go r.liveness.Run(background)
-	go r.every(background, controlEvery, func() {
-		r.expire()
+	go r.runPeriodically(background, controlInterval, func() {
+		r.expireServers()
 		r.front.Relay.SlowdownMonitor.Recheck()
-		r.control.Tick(background)
+		r.controller.Tick(background)
 	})
-	go r.suspects.Run(background)
-	go r.every(background, judgeEvery, r.suspects.Tracker.EvaluateSuspects)
-	go r.every(background, archiveEvery, func() { r.archive.Tick(background) })
-	go r.every(background, trimEvery, r.trim)
-	go r.every(background, callsEvery, r.store.logCounts)
+	go r.quarantine.Run(background)
+	go r.runPeriodically(background, evaluateInterval, r.quarantine.Tracker.EvaluateSuspects)
+	go r.runPeriodically(background, persistInterval, func() { r.persister.Tick(background) })
+	go r.runPeriodically(background, cleanUpInterval, r.cleanUp)
+	go r.runPeriodically(background, callLogInterval, r.store.logCounts)
 	served := make(chan error, 1)
 	go func() { served <- r.front.Serve(callers) }()
 	var failure error
@@ -376,19 +376,19 @@
 }
 
 func (r *Router) drain(grace time.Duration) {
-	began := time.Now()
+	startedAt := time.Now()
 	r.draining.Store(true)
 	r.front.Drain()
 	klog.InfoS("stopping", "active", r.front.Active(), "grace", grace)
 	time.Sleep(min(balancerDelay, grace/2))
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-graceMargin))
+	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(grace-graceMargin))
 	defer cancel()
 	err := r.front.Shutdown(ctx)
 	r.store.logCounts()
-	klog.InfoS("stopped", "active", r.front.Active(), "took", time.Since(began), "err", err)
+	klog.InfoS("stopped", "active", r.front.Active(), "took", time.Since(startedAt), "err", err)
 }
 
-func (r *Router) every(ctx context.Context, d time.Duration, f func()) {
+func (r *Router) runPeriodically(ctx context.Context, d time.Duration, f func()) {
 	tick := time.NewTicker(d)
 	defer tick.Stop()
 	for {
@@ -401,25 +401,25 @@
 	}
 }
 
-func (r *Router) trim() {
+func (r *Router) cleanUp() {
 	r.backends.Trim()
-	r.suspects.Tracker.Expire()
-	r.metrics.setQuarantine(r.suspects.Tracker.Counts())
-	r.memory.ExpirePeers()
+	r.quarantine.Tracker.Expire()
+	r.metrics.setQuarantine(r.quarantine.Tracker.Counts())
+	r.usage.ExpirePeers()
 	r.catalog.PruneExited()
-	known := r.catalog.Load()
-	stands := func(inc model.Incarnation) bool { return known.Find(inc) != nil }
-	r.health.Retain(stands)
-	r.memory.Retain(stands)
+	servers := r.catalog.Load()
+	registered := func(inc model.Incarnation) bool { return servers.Find(inc) != nil }
+	r.health.Retain(registered)
+	r.usage.Retain(registered)
 	for _, b := range r.engines() {
-		r.memory.Observe(b.Incarnation(), b.Holds)
+		r.usage.Observe(b.Incarnation(), b.Holds)
 	}
 	r.metrics.setRouter(r.front.Active(), r.front.Relay.WaitQueue.Len(), r.backends.Dialed(), r.config.Version())
 	r.metrics.setStoreContact(r.follower.Watching(), r.follower.SinceLastContact())
 }
 
-// expire drops backend servers whose entries did not come back in time.
-func (r *Router) expire() {
+// expireServers drops backend servers whose entries did not come back in time.
+func (r *Router) expireServers() {
 	for _, id := range r.catalog.Expire() {
 		klog.InfoS("backend server gone", "server", id, "why", "its entry did not come back")
 	}
--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -21,7 +21,7 @@
 // HandleStoreRestore implements follow.Sink.
 func (s *routerSink) HandleStoreRestore() {
 	s.elector.HandleStoreRestore()
-	s.control.HandleStoreRestore()
+	s.controller.HandleStoreRestore()
 }
 
 // Reset implements follow.Sink.
@@ -34,7 +34,7 @@
 	s.mu.Lock()
 	clear(s.members)
 	s.mu.Unlock()
-	s.archive.Observe(valueOf(page.Items, leader.QuarantineKey))
+	s.persister.Observe(valueOf(page.Items, leader.QuarantineKey))
 	leaderFound := false
 	for _, it := range page.Items {
 		if !strings.HasPrefix(it.Key, platform.ServersPrefix) && it.Key != leader.QuarantineKey {
@@ -107,13 +107,13 @@
 	case it.Key == leader.Key:
 		s.elector.Observe(it.Value, it.Revision)
 	case it.Key == leader.QuarantineKey && it.Removed:
-		s.archive.Observe(nil, 0)
+		s.persister.Observe(nil, 0)
 	case it.Key == leader.QuarantineKey:
-		s.archive.Observe(it.Value, it.Revision)
+		s.persister.Observe(it.Value, it.Revision)
 	case strings.HasPrefix(it.Key, leader.MemberPrefix):
 		s.applyMember(it)
 	case strings.HasPrefix(it.Key, leader.PlanPrefix) && !it.Removed:
-		s.control.ObservePlan(strings.TrimPrefix(it.Key, leader.PlanPrefix), it.Value, it.Revision)
+		s.controller.ObservePlan(strings.TrimPrefix(it.Key, leader.PlanPrefix), it.Value, it.Revision)
 	}
 }
 
