--- a/internal/daemon/command/command.go
+++ b/internal/daemon/command/command.go
@@ -28,7 +28,7 @@
 
 // Main runs the daemon's command line and gives the exit code.
 func Main(args []string) int {
-	root := newRoot(hangUps())
+	root := newRoot(notifySIGHUP())
 	root.SetArgs(args)
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "skylarkwoodd:", err)
@@ -37,10 +37,10 @@
 	return 0
 }
 
-// hangUps tells of SIGHUP from now on. It is asked for before anything else: the signal ends
+// notifySIGHUP tells of SIGHUP from now on. It is asked for before anything else: the signal ends
 // a process that does not listen for it, and one that says the settings have changed may come
 // while a router that has just been started still reads them.
-func hangUps() <-chan os.Signal {
+func notifySIGHUP() <-chan os.Signal {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	return hup
@@ -92,17 +92,17 @@
 // runRouter serves on the users' platform. SIGHUP means that the settings file
 // changed: it is read and checked, and what needs a new start is named.
 func runRouter(s settings.Settings, logs *flag.FlagSet, path string, hup <-chan os.Signal) error {
-	out, err := logging.ToStdout(logs)
+	writer, err := logging.ToStdout(logs)
 	if err != nil {
 		return err
 	}
-	defer out.Close()
+	defer writer.Close()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	go func() {
 		for range hup {
-			next, err := settings.Load(path)
-			klog.InfoS("settings read again", "path", path, "err", err, "changed", err == nil && !reflect.DeepEqual(next, s))
+			reloaded, err := settings.Load(path)
+			klog.InfoS("settings read again", "path", path, "err", err, "changed", err == nil && !reflect.DeepEqual(reloaded, s))
 		}
 	}()
 	err = daemon.NewRouter(s, platform.NewStoreClient(s.Router.Store)).Run(ctx)
@@ -124,9 +124,9 @@
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			defer stop()
 			if once {
-				return devOnce(ctx)
+				return runDevOnce(ctx)
 			}
-			return devStay(ctx, addr)
+			return serveDev(ctx, addr)
 		},
 	}
 	cmd.Flags().BoolVar(&once, "once", false, "send one round sheet through three stages, print what became of it, and exit")
@@ -134,7 +134,7 @@
 	return cmd
 }
 
-func devStay(ctx context.Context, addr string) error {
+func serveDev(ctx context.Context, addr string) error {
 	d, err := daemon.NewDev(addr)
 	if err != nil {
 		return err
@@ -144,7 +144,7 @@
 	return d.Run(ctx)
 }
 
-func devOnce(ctx context.Context) error {
+func runDevOnce(ctx context.Context) error {
 	d, err := daemon.NewDev("")
 	if err != nil {
 		return err
@@ -157,21 +157,21 @@
 	if err := d.WaitReady(ctx, c.ReachableInstances); err != nil {
 		return err
 	}
-	if err := sendSheet(ctx, c); err != nil {
+	if err := sendDevRequest(ctx, c); err != nil {
 		return err
 	}
 	stop()
 	return <-done
 }
 
-func sendSheet(ctx context.Context, c *ctl.Client) error {
-	const sheetTokens = 24
+func sendDevRequest(ctx context.Context, c *ctl.Client) error {
+	const maxTokens = 24
 	fmt.Print("answer:   ")
 	res, err := c.Submit(ctx, &v1.SubmitRequest{
 		Customer:  daemon.DevCustomer,
 		Service:   daemon.DevService,
 		Body:      []byte("Draft the round sheet for the school on Manus before Thursday 's inspection"),
-		MaxTokens: sheetTokens,
+		MaxTokens: maxTokens,
 	}, os.Stdout)
 	fmt.Println()
 	if err != nil {
