--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -12,19 +12,19 @@
 	outside "github.com/skylarkwood/skylarkwood/internal/platform"
 )
 
-// countedStore counts the calls to the store by kind: each is priced, refused and
-// unanswered ones too.
+// countedStore counts the calls to the store by kind. Refused and unanswered calls count
+// against the quota too.
 type countedStore struct {
 	outside.Store
 	metrics *metrics
-	// onNoResponse is told of renewals without an answer; nil for nobody.
+	// onNoResponse is called when a lease renewal gets no response. It may be nil.
 	onNoResponse func()
 
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-// The kinds of calls.
+// Kinds of calls.
 const (
 	callRange        = "range"
 	callGet          = "get"
@@ -35,14 +35,14 @@
 	callGrant        = "lease_grant"
 	callKeepAlive    = "lease_keep_alive"
 	callRevoke       = "lease_revoke"
-	failedSuffix       = "_failed" // after the kind
+	failedSuffix     = "_failed" // appended to the kind
 )
 
 func newCountedStore(store outside.Store, m *metrics) *countedStore {
 	return &countedStore{Store: store, metrics: m, counts: map[string]int{}}
 }
 
-// count notes a call that has ended.
+// count counts a finished call.
 func (c *countedStore) count(kind string, err error) {
 	if err != nil {
 		kind += failedSuffix
@@ -53,7 +53,7 @@
 	c.counts[kind]++
 }
 
-// logCounts tells the calls since the last time, if there were any.
+// logCounts logs the calls since it last ran, if there were any.
 func (c *countedStore) logCounts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +65,7 @@
 		keysAndValues = append(keysAndValues, kind, n)
 	}
 	clear(c.counts)
-	klog.InfoS("calls to the store", keysAndValues...)
+	klog.InfoS("store calls", keysAndValues...)
 }
 
 // Range implements Store.
