--- a/internal/daemon/command/command.go
+++ b/internal/daemon/command/command.go
@@ -26,7 +26,7 @@
 
 const exitFailure = 1
 
-// Main runs the daemon's command line and gives the exit code.
+// Main runs the daemon's command line and returns the exit code.
 func Main(args []string) int {
 	root := newRoot(notifySIGHUP())
 	root.SetArgs(args)
@@ -37,9 +37,8 @@
 	return 0
 }
 
-// notifySIGHUP tells of SIGHUP from now on. It is asked for before anything else: the signal ends
-// a process that does not listen for it, and one that says the settings have changed may come
-// while a router that has just been started still reads them.
+// notifySIGHUP starts to receive SIGHUP. It must run first, because by default the signal ends
+// the process, and it may arrive while a new router still reads its settings.
 func notifySIGHUP() <-chan os.Signal {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -51,7 +50,7 @@
 	logs := flag.NewFlagSet("logs", flag.ContinueOnError)
 	root := &cobra.Command{
 		Use:           "skylarkwoodd --settings FILE",
-		Short:         "Route requests over pipelines of model engines",
+		Short:         "Route requests to backend servers and engine chains",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -59,7 +58,7 @@
 				path = platform.SettingsPath()
 			}
 			if path == "" {
-				return errors.New("--settings names no file; `skylarkwoodd dev` needs none")
+				return errors.New("no settings file: set --settings, or use `skylarkwoodd dev`, which needs none")
 			}
 			s, err := settings.Load(path)
 			if err != nil {
@@ -80,7 +79,7 @@
 
 // run serves until SIGTERM or SIGINT, then drains.
 func run(s settings.Settings) error {
-	signal.Reset(syscall.SIGHUP) // as usual, it ends the process
+	signal.Reset(syscall.SIGHUP) // the default: end the process
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	if s.Role == model.RoleEntry {
@@ -89,8 +88,8 @@
 	return daemon.NewSidecar(s, daemon.Dial(s)).Run(ctx)
 }
 
-// runRouter serves on the users' platform. SIGHUP means that the settings file
-// changed: it is read and checked, and what needs a new start is named.
+// runRouter serves until SIGTERM or SIGINT, then drains. On SIGHUP it reads and checks the
+// settings file again and logs whether it changed. Changes take effect at the next start.
 func runRouter(s settings.Settings, logs *flag.FlagSet, path string, hup <-chan os.Signal) error {
 	writer, err := logging.ToStdout(logs)
 	if err != nil {
@@ -102,13 +101,12 @@
 	go func() {
 		for range hup {
 			reloaded, err := settings.Load(path)
-			klog.InfoS("settings read again", "path", path, "err", err, "changed", err == nil && !reflect.DeepEqual(reloaded, s))
+			klog.InfoS("settings file read again", "path", path, "err", err, "changed", err == nil && !reflect.DeepEqual(reloaded, s))
 		}
 	}()
 	err = daemon.NewRouter(s, platform.NewStoreClient(s.Router.Store)).Run(ctx)
-	// The last line: a log that ends without it is that of a process that was killed,
-	// or that crashed and left its stack on standard error.
-	klog.InfoS("process ends", "err", err, "signal", context.Cause(ctx))
+	// A log without this last line is that of a process that was killed or that crashed.
+	klog.InfoS("process exiting", "err", err, "signal", context.Cause(ctx))
 	return err
 }
 
@@ -117,10 +115,10 @@
 	var addr string
 	cmd := &cobra.Command{
 		Use:   "dev",
-		Short: "Run a whole small system in this process, on loopback",
+		Short: "Run a small system in one process on loopback, for development",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			signal.Reset(syscall.SIGHUP) // as usual, it ends the process
+			signal.Reset(syscall.SIGHUP) // the default: end the process
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			defer stop()
 			if once {
@@ -129,8 +127,8 @@
 			return serveDev(ctx, addr)
 		},
 	}
-	cmd.Flags().BoolVar(&once, "once", false, "send one round sheet through three stages, print what became of it, and exit")
-	cmd.Flags().StringVar(&addr, "http", "127.0.0.1:7400", "address of the entry")
+	cmd.Flags().BoolVar(&once, "once", false, "send one request through three stages, print its outcome, and exit")
+	cmd.Flags().StringVar(&addr, "http", "127.0.0.1:7400", "address that the entry listens on")
 	return cmd
 }
 
@@ -179,7 +177,7 @@
 	}
 	ctl.PrintOutcome(os.Stdout, res.ID, res.Outcome)
 	if res.Outcome.State != v1.OutcomeState_OUTCOME_STATE_RAN {
-		return errors.New("the round sheet did not run")
+		return errors.New("the request did not run")
 	}
 	rep, err := c.Requests.GetTimeline(ctx, connect.NewRequest(&v1.GetTimelineRequest{
 		Customer:  daemon.DevCustomer,
@@ -188,7 +186,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println("time line:")
+	fmt.Println("request timeline:")
 	ctl.PrintTimeline(os.Stdout, rep.Msg.Events, rep.Msg.Unreachable)
 	return nil
 }
--- a/internal/daemon/command/command_test.go
+++ b/internal/daemon/command/command_test.go
@@ -10,12 +10,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A router cannot listen where its settings say, and its process ends. Its log's last
-// line gives the reason: an end without one is then a kill from outside, or a crash
-// whose stack stands on standard error.
-func TestLastLineOfTheLog(t *testing.T) {
+// Guards against a process that exits without logging the reason as its last line.
+func TestLastLogLineNamesTheError(t *testing.T) {
 	dir := t.TempDir()
-	const elsewhere = "192.0.2.1:7400" // no machine has it
+	const elsewhere = "192.0.2.1:7400" // reserved for documentation
 	path := filepath.Join(dir, "settings.toml")
 	text := fmt.Sprintf("role = \"router\"\ninstance = \"r\"\nfailure_domain = \"a\"\n[router]\ncallers = %q\nready = %q\npeers = %q\nstore = %q\n",
 		elsewhere, elsewhere, elsewhere, elsewhere)
@@ -31,5 +29,5 @@
 	assert.NilError(t, err)
 	lines := strings.Split(strings.TrimSpace(string(log)), "\n")
 	last := lines[len(lines)-1]
-	assert.Assert(t, strings.Contains(last, "process ends") && strings.Contains(last, "cannot assign requested address"), "%s", last)
+	assert.Assert(t, strings.Contains(last, "process exiting") && strings.Contains(last, "cannot assign requested address"), "%s", last)
 }
