--- a/internal/daemon/contain.go
+++ b/internal/daemon/contain.go
@@ -10,24 +10,24 @@
 	outside "github.com/skylarkwood/skylarkwood/internal/platform"
 )
 
-// errPanic says that the code which reads something panicked.
-var errPanic = errors.New("panic in the code")
+// errPanic is the cause of errors from code that panicked.
+var errPanic = errors.New("recovered panic")
 
-// recoverPanic, deferred, passes an entry over whose reading panicked. Every router reads the
-// same entries, and reads them again when it starts: one that ended its reader would end
-// all routers, for as long as it stands. What was in force before it stays.
+// recoverPanic must be deferred. It skips an entry of the store whose handling panicked, and
+// the previous state stays. Every router reads the same entries, also after a restart, so
+// one such entry would end all routers.
 func (s *routerSink) recoverPanic(it outside.Item) {
 	if cause := recover(); cause != nil {
-		klog.ErrorS(errPanic, "entry passed over", "key", it.Key, "revision", it.Revision, "panic", cause, "stack", string(debug.Stack()))
+		klog.ErrorS(errPanic, "store entry skipped: handling it panicked", "key", it.Key, "revision", it.Revision, "panic", cause, "stack", string(debug.Stack()))
 		s.metrics.countPanic("entry")
 	}
 }
 
-// decodeConfig reads a configuration of the operator's; a panic is an error.
+// decodeConfig decodes a configuration. It returns an error if decoding panics.
 func (r *Router) decodeConfig(raw []byte) (cfg *model.RouteConfig, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			klog.ErrorS(errPanic, "configuration cannot be read", "panic", cause, "stack", string(debug.Stack()))
+			klog.ErrorS(errPanic, "decoding configuration panicked", "panic", cause, "stack", string(debug.Stack()))
 			r.metrics.countPanic("configuration")
 			cfg, err = nil, errors.Wrapf(errPanic, "%v", cause)
 		}
