--- a/internal/daemon/contain_test.go
+++ b/internal/daemon/contain_test.go
@@ -12,15 +12,13 @@
 	"github.com/skylarkwood/skylarkwood/platform"
 )
 
-// The operator publishes a configuration that the code cannot read without a panic. All
-// routers take it in at one moment, and again after each start: with the process ended by
-// it no caller would be served until it is replaced. It is passed over, the one before
-// stays in force, and the next one comes into force; also where a peer hands it on.
-func TestConfigurationThatEndsItsReader(t *testing.T) {
+// Guards against a configuration whose decoding panics ending the process of every router. It
+// is skipped, also when it comes from a peer, and the next one is applied.
+func TestConfigurationWhoseDecodingPanicsIsSkipped(t *testing.T) {
 	r := NewRouter(settings.Default(), nil)
 	r.decode = func(raw []byte) (*model.RouteConfig, error) {
 		if string(raw) == "2" {
-			panic("a fault of the code")
+			panic("decoder fault")
 		}
 		return &model.RouteConfig{Version: int64(raw[0] - '0')}, nil
 	}
