--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -17,34 +17,34 @@
 	"github.com/skylarkwood/skylarkwood/internal/standin"
 )
 
-// The small system of dev mode: one customer, one model in three layer ranges,
-// one plain service.
+// Dev mode has one customer, one model in three layer ranges and one plain service.
 const (
-	DevCustomer = "skola-manus"
-	DevService  = "planer-rundi"
-	DevPlainService    = "dispecer"
-	DevLayers   = 12
-	devStages   = 3
-	devCapacity = 32
+	DevCustomer     = "skola-manus"
+	DevService      = "planer-rundi"
+	DevPlainService = "dispecer"
+	DevLayers       = 12
+	devStages       = 3
+	devCapacity     = 32
 	devStepTime     = 50 * time.Microsecond
-	devReadyTimeout    = 20 * time.Second
+	devReadyTimeout = 20 * time.Second
 )
 
-// Dev is a whole system in one process, on loopback.
+// Dev is a small system in one process, on loopback addresses.
 type Dev struct {
-	// URL is where the entry answers callers and operators.
+	// URL is the base URL of the entry for callers and operators.
 	URL string
-	// Engines are the stand-ins, in layer order.
+	// Engines are the simulated engines, in layer order.
 	Engines []*standin.Engine
 
 	kv        *standin.KV
 	instances *standin.Instances
-	members      []model.Instance
-	processes      []func(context.Context) error
+	members   []model.Instance
+	processes []func(context.Context) error
 	closers   []func()
 }
 
-// NewDev lays out the system; httpAddr may be empty for any free port.
+// NewDev returns a system that serves once Run is called. If httpAddr is empty, the entry
+// listens on a free port.
 func NewDev(httpAddr string) (*Dev, error) {
 	d := &Dev{kv: standin.NewKV(), instances: standin.NewInstances(0)}
 	for i := 0; i < devStages; i++ {
@@ -62,7 +62,7 @@
 	return d, d.storeTemplate()
 }
 
-// storeTemplate stores the template of the one customer.
+// storeTemplate stores the template of the customer.
 func (d *Dev) storeTemplate() error {
 	store := config.NewStore(d.kv, time.Now, NewID, func(int64) {})
 	_, err := store.Set(context.Background(), config.Template{
@@ -73,7 +73,7 @@
 		},
 		Parameters: map[string]string{"language": "hr"},
 	}, 0, "dev")
-	return errors.Wrap(err, "dev template")
+	return errors.Wrap(err, "store dev template")
 }
 
 func (d *Dev) baseSettings(name string, role model.Role, httpAddr string) (settings.Settings, error) {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// Run runs the system until ctx ends.
+// Run serves until ctx ends.
 func (d *Dev) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, run := range d.processes {
@@ -154,7 +154,8 @@
 	return err
 }
 
-// WaitReady waits until every part was met by the entry.
+// WaitReady waits until the entry is ready and reaches every instance. reachableInstances
+// returns how many it reaches.
 func (d *Dev) WaitReady(ctx context.Context, reachableInstances func(context.Context) int) error {
 	ctx, cancel := context.WithTimeout(ctx, devReadyTimeout)
 	defer cancel()
@@ -165,7 +166,7 @@
 		select {
 		case <-time.After(readyPollInterval):
 		case <-ctx.Done():
-			return errors.New("the parts did not find each other in time")
+			return errors.New("instances did not connect in time")
 		}
 	}
 }
@@ -186,9 +187,8 @@
 // maxAddressAttempts bounds the search for a free address.
 const maxAddressAttempts = 100
 
-// FreeAddress finds a loopback address that nothing listens on. It takes a host
-// number of its own: connections take their source ports on 127.0.0.1, and one
-// of those would now and then be taken before it is listened on.
+// FreeAddress returns a loopback address that nothing listens on. It uses a host other than
+// 127.0.0.1, where outgoing connections could take the port before it is listened on.
 func FreeAddress() (string, error) {
 	const firstPort, ports = 10_000, 20_000
 	for attempt := 0; attempt < maxAddressAttempts; attempt++ {
