--- a/internal/daemon/dev_test.go
+++ b/internal/daemon/dev_test.go
@@ -12,7 +12,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/daemon"
 )
 
-// startDev runs the whole small system in this process.
+// startDev runs the system of dev mode in this process.
 func startDev(tb testing.TB) *ctl.Client {
 	tb.Helper()
 	d, err := daemon.NewDev("")
@@ -31,7 +31,7 @@
 
 const devTokens = 24
 
-func devSheet() *v1.SubmitRequest {
+func devRequest() *v1.SubmitRequest {
 	return &v1.SubmitRequest{
 		Customer:  daemon.DevCustomer,
 		Service:   daemon.DevService,
@@ -40,9 +40,9 @@
 	}
 }
 
-// A caller asks an entry of dev mode for what it must not get, in every way. Each
-// gets its own kind of refusal and leaves a record; a good request still runs.
-func TestBadRequests(t *testing.T) {
+// Guards against invalid requests that are accepted or get the wrong error. A valid request
+// still runs.
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	c := startDev(t)
 	for _, tc := range []struct {
 		name string
@@ -62,13 +62,13 @@
 		{"no ULID", func(m *v1.SubmitRequest) { m.NotRepeatable, m.RequestId = true, "once" }, "needs a ULID"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			m := devSheet()
+			m := devRequest()
 			tc.edit(m)
 			_, err := c.Submit(context.Background(), m, io.Discard)
 			assert.ErrorContains(t, err, tc.want)
 		})
 	}
-	m := devSheet()
+	m := devRequest()
 	m.RequestId = "mine"
 	res, err := c.Submit(context.Background(), m, io.Discard)
 	assert.NilError(t, err)
@@ -78,15 +78,15 @@
 	assert.ErrorContains(t, err, "was used for another request")
 }
 
-// BenchmarkSheet is the processor time of a whole request over three stages, all
-// roles and stand-ins together, with many requests at once.
-func BenchmarkSheet(b *testing.B) {
+// BenchmarkPipelineRequest measures the processor time of a whole request over three stages,
+// with all processes and simulated engines, under parallel requests.
+func BenchmarkPipelineRequest(b *testing.B) {
 	c := startDev(b)
 	b.ResetTimer()
 	b.SetParallelism(2)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			res, err := c.Submit(context.Background(), devSheet(), io.Discard)
+			res, err := c.Submit(context.Background(), devRequest(), io.Discard)
 			if err != nil || res.Outcome.State != v1.OutcomeState_OUTCOME_STATE_RAN {
 				b.Errorf("%v %v", err, res.Outcome)
 			}
