--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -16,17 +16,17 @@
 	"github.com/skylarkwood/skylarkwood/platform/standin"
 )
 
-// pipes is a listener in memory, so that drains run in virtual time.
-type pipes struct {
+// memoryListener is a listener in memory. It lets drains run in virtual time.
+type memoryListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 }
 
-func newPipes() *pipes {
-	return &pipes{conns: make(chan net.Conn), closed: make(chan struct{})}
+func newMemoryListener() *memoryListener {
+	return &memoryListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *memoryListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -35,17 +35,17 @@
 	}
 }
 
-func (p *pipes) Close() error   { close(p.closed); return nil }
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *memoryListener) Close() error   { close(p.closed); return nil }
+func (p *memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipes) dial() net.Conn {
+func (p *memoryListener) dial() net.Conn {
 	near, far := net.Pipe()
 	p.conns <- far
 	return near
 }
 
-// fullRouter is a router whose only engine has no room for another stream.
-func fullRouter() *Router {
+// routerAtCapacity returns a router whose only engine has no memory for another stream.
+func routerAtCapacity() *Router {
 	r := NewRouter(settings.Default(), standin.NewStore())
 	r.config.Apply(&model.RouteConfig{
 		Version: 1,
@@ -62,15 +62,13 @@
 	return r
 }
 
-// A caller's request waits for room at a router that stops, and the time for the stop
-// is over before its wait. The process ends and cuts the connection, and the caller
-// doesn't know whether the request ran. While there is time it must be told that it
-// did not, and when to come back, so that it goes to another router.
-func TestWaitingRequestIsRefusedBeforeTheStopEnds(t *testing.T) {
+// Guards against a stop that ends while a request waits for capacity. Its caller must learn
+// that the request did not run and when to retry.
+func TestWaitingRequestIsRefusedBeforeDrainEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const grace = 2 * time.Second
-		r := fullRouter()
-		l := newPipes()
+		r := routerAtCapacity()
+		l := newMemoryListener()
 		go func() { assert.Check(t, r.front.Serve(l)) }()
 		conn := l.dial()
 		answered := make(chan *http.Response, 1)
@@ -94,7 +92,7 @@
 			assert.Check(t, resp.StatusCode == http.StatusServiceUnavailable, "status %d", resp.StatusCode)
 			assert.Check(t, resp.Header.Get("Retry-After") != "")
 		default:
-			t.Error("the process ends with no answer to a request that never ran")
+			t.Error("drain ended without a response to a request that did not run")
 		}
 		assert.Check(t, conn.Close())
 		assert.Check(t, r.metrics.scope.(io.Closer).Close())
