--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -1,5 +1,5 @@
-// Package daemon puts the parts of a process together: an entry, a sidecar, or
-// a whole small system in one process for development.
+// Package daemon assembles the processes of the system: a router, an entry, a sidecar,
+// or a small system in one process for development.
 package daemon
 
 import (
@@ -38,16 +38,17 @@
 )
 
 const (
-	sweepInterval  = 5 * time.Second
-	intentTimeout   = 3 * time.Second
-	ledgerBurst = 5
-	// readyPollInterval is how often dev mode looks whether its parts have met.
+	sweepInterval = 5 * time.Second
+	intentTimeout = 3 * time.Second
+	ledgerBurst   = 5
+	// readyPollInterval is the time between two checks of dev mode whether its processes
+	// are connected.
 	readyPollInterval = 20 * time.Millisecond
-	// minCompressBytes is the size in bytes from which answers are compressed.
+	// minCompressBytes is the size of the smallest response that is compressed.
 	minCompressBytes = 4096
 )
 
-// Dependencies is what a process meets beyond the system.
+// Dependencies holds the clients of the external services that a process uses.
 type Dependencies struct {
 	KV        platform.KV
 	Instances platform.Instances
@@ -55,7 +56,7 @@
 	Plain     platform.Plain
 }
 
-// Dial gives the outside that settings name.
+// Dial returns clients of the external services that the settings name.
 func Dial(s settings.Settings) Dependencies {
 	const idle = 64
 	hc := platform.NewHTTPClient(idle)
@@ -72,12 +73,12 @@
 	return out
 }
 
-// NewID makes a ULID: ids that sort by time.
+// NewID returns a new ULID. ULIDs sort by time.
 func NewID() string {
 	return ulid.MustNew(ulid.Now(), rand.Reader).String()
 }
 
-// Entry is one running entry.
+// Entry is an entry process.
 type Entry struct {
 	settings settings.Settings
 	node     *mesh.Node
@@ -89,7 +90,7 @@
 	draining chan struct{}
 }
 
-// NewEntry puts an entry together.
+// NewEntry returns an entry that serves once Run is called.
 func NewEntry(s settings.Settings, out Dependencies) *Entry {
 	e := &Entry{
 		settings: s,
@@ -133,7 +134,8 @@
 	return e
 }
 
-// entryCount counts the entries that share what has no counter of its own.
+// entryCount returns the number of entries, this one included. They share limits that have
+// no common counter.
 func (e *Entry) entryCount() int { return 1 + len(e.node.Table.Entries()) }
 
 func instanceOf(s settings.Settings) model.Instance {
@@ -166,7 +168,7 @@
 	srv.Register(wire.MethodIntent, link.Handle(e.handleIntent))
 }
 
-// intentMessage carries an intent to the entry that acts for its shard.
+// intentMessage carries an intent to the entry that owns its shard.
 type intentMessage struct {
 	Intent ledger.Intent `json:"intent"`
 	ID     string        `json:"id"`
@@ -178,9 +180,9 @@
 	return e.ledger.Record(ctx, m.Intent, m.ID)
 }
 
-// recordIntent asks the entry that acts for the intent's shard. If that one cannot be
-// reached this entry acts itself: the swap in the key-value service decides,
-// and the intent's own recordIntent id tells whether the first try took effect.
+// recordIntent records an intent at the entry that owns its shard. If that entry is
+// unreachable, this entry records the intent itself. The compare-and-swap of the key-value
+// service admits only one of the two, and id shows whether the first attempt took effect.
 func (e *Entry) recordIntent(ctx context.Context, in ledger.Intent, id string) (ledger.Intent, error) {
 	ctx, cancel := context.WithTimeout(ctx, intentTimeout)
 	defer cancel()
@@ -203,8 +205,8 @@
 	return stored, err
 }
 
-// Run serves until ctx ends, then drains: it fails its readiness, lets the
-// balancer go elsewhere, and answers what it took in.
+// Run serves until ctx ends. It then fails the readiness check, waits for the balancer to
+// stop sending callers, and finishes the requests in progress.
 func (e *Entry) Run(ctx context.Context) error {
 	linkListener, httpListener, err := listen(e.settings.Listen)
 	if err != nil {
@@ -221,7 +223,7 @@
 		e.ledger.Sweep(running)
 		e.metrics.setLinkBytes(e.node.Bytes())
 	})
-	klog.InfoS("Entry serves", "instance", e.settings.Instance, "incarnation", e.node.Incarnation,
+	klog.InfoS("entry started", "instance", e.settings.Instance, "incarnation", e.node.Incarnation,
 		"http", e.settings.Listen.HTTP, "link", e.settings.Listen.Link)
 	select {
 	case err := <-done:
@@ -232,9 +234,8 @@
 	return e.closeHTTP(srv)
 }
 
-// closeHTTP lets callers read their last answers. Sidecars' data streams never
-// end by themselves, so the wait is bounded; nothing of a request is on them any
-// more.
+// closeHTTP waits for callers to read their responses. The data streams of sidecars stay
+// open, so the wait is bounded. They carry no request any more.
 func (e *Entry) closeHTTP(srv *http.Server) error {
 	const shutdownTimeout = 2 * time.Second
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
@@ -248,15 +249,14 @@
 func (e *Entry) drain() {
 	close(e.draining)
 	e.node.Events.Add(model.RequestKey{}, events.DrainStarted, "")
-	klog.InfoS("Entry drains", "instance", e.settings.Instance, "running", e.owner.Serving())
+	klog.InfoS("entry draining", "instance", e.settings.Instance, "running", e.owner.Serving())
 	time.Sleep(time.Duration(e.settings.Entry.DrainDelay))
 	<-e.owner.Drain()
 }
 
 func (e *Entry) handler() http.Handler {
 	mux := http.NewServeMux()
-	// Compressing a token costs an eighth of a request's processor time and
-	// makes it longer.
+	// Compressing the message of one token costs processor time and makes it longer.
 	compression := connect.WithCompressMinBytes(minCompressBytes)
 	mux.Handle(skylarkwoodv1connect.NewRequestServiceHandler(&api.Requests{Node: e.node, Owner: e.owner}, compression))
 	mux.Handle(skylarkwoodv1connect.NewOperatorServiceHandler(&api.Operators{Node: e.node}, compression))
@@ -305,10 +305,10 @@
 	}
 }
 
-// defaultLinkDelay is the one-way time between failure domains that no link names.
+// defaultLinkDelay is the one-way time between failure domains without a configured link.
 const defaultLinkDelay = 500 * time.Microsecond
 
-// links reads the links of the settings.
+// links returns the links of the settings.
 func (e *Entry) links() routing.Links {
 	links := e.settings.Links
 	byDomains := map[[2]string]settings.Link{}
