--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -28,12 +28,12 @@
 		}
 	})
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
-	klog.InfoS("readiness is no longer served", "err", srv.Serve(l))
+	klog.InfoS("serving readiness checks failed", "err", srv.Serve(l))
 }
 
 func (r *Router) serveMetrics(addr string) {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", r.metrics.handler())
 	srv := &http.Server{Addr: addr, Handler: mux, ReadHeaderTimeout: time.Second}
-	klog.ErrorS(srv.ListenAndServe(), "metrics are not served")
+	klog.ErrorS(srv.ListenAndServe(), "serving metrics failed")
 }
