--- a/internal/daemon/malformed.go
+++ b/internal/daemon/malformed.go
@@ -3,18 +3,19 @@
 import "time"
 
 const (
-	// malformedLogInterval is how long an entry that names no server is not logged again: its
-	// writer may write it each heartbeat, and each would be a line in every router.
+	// malformedLogInterval is the minimum time between two log lines on the same malformed
+	// entry. Its writer may write it with each heartbeat.
 	malformedLogInterval = time.Minute
-	// maxMalformedEntries is how many such entries are remembered; beyond it nothing is logged
-	// until the oldest are forgotten.
+	// maxMalformedEntries is the number of such entries that are remembered. While it is
+	// reached, further entries are not logged.
 	maxMalformedEntries = 64
 )
 
-// malformedEntries bounds the log lines on entries that name no server.
+// malformedEntries limits log lines on malformed entries. It holds the time of the last line
+// by server id.
 type malformedEntries map[string]time.Time
 
-// shouldLog tells whether an entry is to be logged now.
+// shouldLog reports whether a malformed entry is to be logged now, and records that it was.
 func (m malformedEntries) shouldLog(id string, now time.Time) bool {
 	for otherID, at := range m {
 		if now.Sub(at) > malformedLogInterval {
