--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -15,7 +15,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/front"
 )
 
-// metrics is a process's tally scope and the page that collectors read.
+// metrics holds the metrics of a process and serves them to collectors.
 type metrics struct {
 	scope    tally.Scope
 	reporter promreporter.Reporter
@@ -23,12 +23,12 @@
 
 const reportInterval = time.Second
 
-// latencyBuckets go from 5 ms, an idle plain service, to 20 s, the longest
-// deadline of the users' callers, each twice the one before.
+// latencyBuckets range from 5 ms, the latency of an idle plain service, to 20 s, the longest
+// deadline of callers.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, 13)
 
 func newMetrics(s settings.Settings) *metrics {
-	// A registry of its own: dev mode runs several processes' worth in one.
+	// Dev mode runs several processes in one, so each has its own registry.
 	reporter := promreporter.NewReporter(promreporter.Options{Registerer: prometheus.NewRegistry()})
 	scope, _ := tally.NewRootScope(tally.ScopeOptions{
 		Prefix:                 "skylarkwood",
@@ -41,27 +41,27 @@
 	return &metrics{scope: scope, reporter: reporter}
 }
 
-// recordOutcome counts a request that ended.
+// recordOutcome counts a finished request and records its duration.
 func (m *metrics) recordOutcome(service string, o model.Outcome, elapsed time.Duration) {
 	tagged := m.scope.Tagged(map[string]string{"service": service, "outcome": string(o.State), "kind": o.Kind})
 	tagged.Counter("requests").Inc(1)
 	tagged.Timer("request_time").Record(elapsed)
 }
 
-// setLinkBytes tells how many bytes went over the process's setLinkBytes.
+// setLinkBytes sets the number of bytes sent and received over links.
 func (m *metrics) setLinkBytes(total int64) {
 	m.scope.Gauge("link_bytes").Update(float64(total))
 }
 
-// setGate tells how full a sidecar's setGate is.
+// setGate sets the load of a sidecar's gate.
 func (m *metrics) setGate(l wire.Load) {
 	m.scope.Gauge("gate_active").Update(float64(l.Active))
 	m.scope.Gauge("gate_queued").Update(float64(l.Queued))
 	m.scope.Gauge("gate_places").Update(float64(l.Capacity))
 }
 
-// setRouter tells how a setRouter stands: requests in progress, requests that wait for
-// room, connections opened to backend servers so far, and the version in force.
+// setRouter sets the numbers of requests in progress, of waiting requests and of connections
+// opened to backend servers, and the version of the configuration in force.
 func (m *metrics) setRouter(active int64, waiting int, opened, version int64) {
 	m.scope.Gauge("requests_active").Update(float64(active))
 	m.scope.Gauge("requests_waiting").Update(float64(waiting))
@@ -98,8 +98,8 @@
 	m.scope.Tagged(map[string]string{"kind": kind}).Counter("store_calls").Inc(1)
 }
 
-// setStoreContact tells whether this router hears from the store itself, and how long ago
-// it, or the router that it asks, last did.
+// setStoreContact sets whether this router watches the store itself, and the time since it,
+// or the router that it polls, last heard from the store.
 func (m *metrics) setStoreContact(watching bool, age time.Duration) {
 	value := 0.0
 	if watching {
@@ -109,14 +109,13 @@
 	m.scope.Gauge("store_news_age_seconds").Update(age.Seconds())
 }
 
-// setQuarantine tells how many requests are under suspicion of ending servers, and how many
-// are known to.
+// setQuarantine sets the numbers of suspected and of quarantined requests.
 func (m *metrics) setQuarantine(suspects, quarantined int) {
 	m.scope.Gauge("requests_suspected").Update(float64(suspects))
 	m.scope.Gauge("requests_quarantined").Update(float64(quarantined))
 }
 
-// countPanic counts faults of the code that ended a request or one run of it.
+// countPanic counts a panic that ended a request, a run or the decoding of an entry.
 func (m *metrics) countPanic(location string) {
 	m.scope.Tagged(map[string]string{"where": location}).Counter("panics").Inc(1)
 }
