--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -37,85 +37,85 @@
 )
 
 const (
-	// controlInterval is how often the leader compares plan and engines.
+	// controlInterval is the time between two comparisons of the plan with the engines.
 	controlInterval = 200 * time.Millisecond
-	// evaluateInterval is how often it is looked whether a request is to blame for servers' ends.
+	// evaluateInterval is the time between two evaluations of suspected requests.
 	evaluateInterval = 50 * time.Millisecond
-	// persistInterval is how often it is looked whether the store knows them.
+	// persistInterval is the time between two checks whether the store has the verdicts.
 	persistInterval = 200 * time.Millisecond
-	// yieldDelay is how long reading a configuration pauses at a time.
+	// yieldDelay is the length of a pause while a configuration is decoded.
 	yieldDelay = time.Millisecond
-	// cleanUpInterval is how often idle connections and old beliefs are dropped.
+	// cleanUpInterval is the time between two removals of idle connections and expired state.
 	cleanUpInterval = time.Second
-	// callLogInterval is how often the calls to the store are told in the log.
+	// callLogInterval is the time between two log lines on the calls to the store.
 	callLogInterval = 10 * time.Second
-	// balancerDelay is how long the balancer may go on sending new callers
-	// after readiness failed: two checks, a second apart, and their time.
+	// balancerDelay is how long the balancer may still send new callers after the readiness
+	// check failed. It checks twice, one second apart.
 	balancerDelay = 2500 * time.Millisecond
-	// graceMargin is kept of the grace time for the process to end.
+	// graceMargin is the part of the grace time that is reserved for exiting.
 	graceMargin = 500 * time.Millisecond
-	// memoryLimitShare is the share of the memory limit that the garbage collector
-	// aims for; buffers of the kernel count too.
+	// memoryLimitShare is the share of the memory limit that the garbage collector aims for.
+	// Kernel buffers count against the limit too.
 	memoryLimitShare = 0.6
 )
 
-// Router is one running router on the users' platform.
+// Router is a router process.
 type Router struct {
-	settings settings.Settings
-	store    *countedStore
-	config   *routes.ActiveConfig
-	catalog  *catalog.Catalog
-	health   *catalog.Health
-	usage   *chains.UsageTracker
-	interconnect    *chains.Interconnect
-	elector  *leader.Elector
-	controller  *placement.Controller
-	exchange *peers.Exchange
-	follower *follow.Follower
-	prober   *relay.Prober
-	liveness *liveness.Watcher
-	quarantine *peers.Quarantine
-	persister  *quarantine.Persister
-	links    *link.Server
-	backends *backend.Pool
-	front    *front.Server
-	metrics  *metrics
+	settings     settings.Settings
+	store        *countedStore
+	config       *routes.ActiveConfig
+	catalog      *catalog.Catalog
+	health       *catalog.Health
+	usage        *chains.UsageTracker
+	interconnect *chains.Interconnect
+	elector      *leader.Elector
+	controller   *placement.Controller
+	exchange     *peers.Exchange
+	follower     *follow.Follower
+	prober       *relay.Prober
+	liveness     *liveness.Watcher
+	quarantine   *peers.Quarantine
+	persister    *quarantine.Persister
+	links        *link.Server
+	backends     *backend.Pool
+	front        *front.Server
+	metrics      *metrics
 
-	listen func(addr string) (net.Listener, error)      // tests give listeners that fail
-	decode func(raw []byte) (*model.RouteConfig, error) // tests give one that panics
+	listen func(addr string) (net.Listener, error)      // replaced in tests
+	decode func(raw []byte) (*model.RouteConfig, error) // replaced in tests
 
-	requestSeen  atomic.Bool
-	draining atomic.Bool
+	requestSeen atomic.Bool
+	draining    atomic.Bool
 
-	malformed malformedEntries // used by the follower alone
+	malformed malformedEntries // used by the follower only
 
 	mu      sync.Mutex
 	members map[string]leader.Member // by store key
 }
 
-// memoryLimit is what the garbage collector aims for, in bytes, where a process may
-// take that many megabytes. A figure beyond all machines is no limit.
+// memoryLimit returns the limit for the garbage collector in bytes. It caps values that would
+// overflow.
 func memoryLimit(megabytes float64) int64 {
 	return int64(min(megabytes*memoryLimitShare*(1<<20), math.MaxInt64/2))
 }
 
-// NewRouter puts a router together.
+// NewRouter returns a router that serves once Run is called.
 func NewRouter(s settings.Settings, store outside.Store) *Router {
 	m := newMetrics(s)
 	r := &Router{
-		settings:  s,
-		store:     newCountedStore(store, m),
-		config:    &routes.ActiveConfig{},
-		catalog:   catalog.New(time.Now),
-		health:    catalog.NewHealth(time.Now),
-		usage:    chains.NewUsageTracker(time.Now),
-		interconnect:     chains.NewInterconnect(time.Now),
-		prober:    relay.NewProber(),
-		backends:  backend.NewPool(),
-		metrics:   m,
-		members:   map[string]leader.Member{},
-		malformed: malformedEntries{},
-		listen:    listenTCP,
+		settings:     s,
+		store:        newCountedStore(store, m),
+		config:       &routes.ActiveConfig{},
+		catalog:      catalog.New(time.Now),
+		health:       catalog.NewHealth(time.Now),
+		usage:        chains.NewUsageTracker(time.Now),
+		interconnect: chains.NewInterconnect(time.Now),
+		prober:       relay.NewProber(),
+		backends:     backend.NewPool(),
+		metrics:      m,
+		members:      map[string]leader.Member{},
+		malformed:    malformedEntries{},
+		listen:       listenTCP,
 	}
 	r.decode = func(raw []byte) (*model.RouteConfig, error) { return platform.DecodeConfig(raw, r.yield) }
 	r.buildExchange()
@@ -125,16 +125,15 @@
 	return r
 }
 
-// yield lets other work of this process go first while a configuration is read, unless
-// callers wait for the first one.
+// yield pauses the decoding of a configuration to let other work run. It does not pause while
+// callers wait for the first configuration.
 func (r *Router) yield() {
 	if r.config.Load() != nil {
 		time.Sleep(yieldDelay)
 	}
 }
 
-// buildFollower keeps what this router knows of the store up to date, by the store's own
-// word or that of the routers that ask it.
+// buildFollower builds the follower, which keeps this router's copy of the store up to date.
 func (r *Router) buildFollower() {
 	updates := &peers.News{Pool: r.exchange.Pool}
 	r.follower = &follow.Follower{
@@ -156,7 +155,7 @@
 	updates.Register(r.links)
 }
 
-// reachableRouters lists the other routers that are registered and were heard of lately.
+// reachableRouters returns the registered routers that were recently heard from.
 func (r *Router) reachableRouters() []follow.Router {
 	reachable := r.exchange.HeardLately()
 	r.mu.Lock()
@@ -170,8 +169,8 @@
 	return out
 }
 
-// hasTraffic tells whether requests came here or at a peer since the system was
-// first started; they did where this is not its first start.
+// hasTraffic reports whether this router or a peer has received requests since the first start
+// of the system. It is true if this is not the first start.
 func (r *Router) hasTraffic() bool {
 	return !r.settings.Router.FirstStart || r.requestSeen.Load() || r.exchange.PeerTraffic()
 }
@@ -271,7 +270,7 @@
 	r.front = &front.Server{Config: r.config, Relay: rel, Observer: r.metrics, OnRequest: func() { r.requestSeen.Store(true) }}
 }
 
-// engines lists the engines of all services that generate, leaving ones included.
+// engines returns the engines of all engine services, draining ones included.
 func (r *Router) engines() []*model.BackendServer {
 	table := r.config.Load()
 	if table == nil {
@@ -292,8 +291,8 @@
 		Self:        leader.Member{Instance: r.settings.Instance, Address: r.settings.Router.Peers, Domain: r.settings.FailureDomain},
 		Incarnation: NewID(),
 		Clock:       boottime.Now,
-		// A router that hears from the store itself knows first that nobody leads. All
-		// others would stand as well: two priced calls each, whenever a leader ends.
+		// Routers that watch the store learn first that there is no leader. If all routers
+		// were candidates, each election would cost two store calls a router.
 		Eligible: func() bool { return !r.draining.Load() && r.follower.Watching() },
 	}
 	r.controller = &placement.Controller{
@@ -311,9 +310,9 @@
 	}
 }
 
-// Run serves until ctx ends or callers can no longer connect, then drains: it fails
-// its readiness, goes on serving until the balancer has noticed, and finishes what
-// runs.
+// Run serves until ctx ends or callers can no longer connect. It then fails the readiness
+// check, serves until the balancer stops sending callers, and finishes the requests in
+// progress. It returns an error if it cannot listen or if callers can no longer connect.
 func (r *Router) Run(ctx context.Context) error {
 	rt := r.settings.Router
 	if rt.MemoryMB > 0 {
@@ -339,7 +338,7 @@
 	}
 	go func() {
 		if err := r.links.Serve(background, links); err != nil {
-			klog.ErrorS(err, "links to peers ended")
+			klog.ErrorS(err, "serving links to peers failed")
 		}
 	}()
 	r.exchange.AskVersions()
@@ -365,10 +364,10 @@
 	var failure error
 	select {
 	case failure = <-served:
-		// Those who are connected get their answers before the process ends.
-		klog.ErrorS(failure, "callers can no longer connect")
+		// Callers that are connected get their responses before the process exits.
+		klog.ErrorS(failure, "accepting callers failed")
 	case <-ctx.Done():
-		klog.InfoS("told to stop", "by", context.Cause(ctx))
+		klog.InfoS("stop requested", "by", context.Cause(ctx))
 	}
 	resign()
 	r.drain(time.Duration(rt.Grace))
@@ -418,18 +417,17 @@
 	r.metrics.setStoreContact(r.follower.Watching(), r.follower.SinceLastContact())
 }
 
-// expireServers drops backend servers whose entries did not come back in time.
+// expireServers drops backend servers whose removed entries were not written again in time.
 func (r *Router) expireServers() {
 	for _, id := range r.catalog.Expire() {
-		klog.InfoS("backend server gone", "server", id, "why", "its entry did not come back")
+		klog.InfoS("backend server expired", "server", id, "why", "entry not written again in time")
 	}
 }
 
-// Ready tells whether the balancer should send callers here.
+// Ready reports whether the balancer may send callers to this router.
 func (r *Router) Ready() bool {
 	return !r.draining.Load() && r.config.Load() != nil
 }
 
-// Watching tells whether this router hears from the store itself, and not from a peer
-// that does.
+// Watching reports whether this router watches the store itself instead of polling a peer.
 func (r *Router) Watching() bool { return r.follower.Watching() }
