--- a/internal/daemon/router_test.go
+++ b/internal/daemon/router_test.go
@@ -19,8 +19,8 @@
 	"github.com/skylarkwood/skylarkwood/platform"
 )
 
-// emptyStore answers the first read once it is opened, with a configuration that
-// has no routes; nothing else is ever answered.
+// emptyStore responds to the first read once open is closed, with a configuration without
+// routes. All other calls fail.
 type emptyStore struct {
 	outside.Store
 	open chan struct{}
@@ -44,13 +44,13 @@
 	return 0, 0, outside.ErrUnavailable
 }
 
-// breaking is a listener whose socket is gone once a test says so.
-type breaking struct {
+// failingListener is a listener whose socket fails once broken is closed.
+type failingListener struct {
 	net.Listener
 	broken chan struct{}
 }
 
-func (l *breaking) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	select {
 	case <-l.broken:
@@ -74,14 +74,12 @@
 	return NewRouter(s, store)
 }
 
-// The socket that takes callers is gone while a request is being answered. Nobody
-// else can be served, so the process must end; but the request's caller gets its
-// answer first. A process that ended at once would close the connection of each
-// request in progress, passed on or not, without one.
-func TestRequestsOutlastTheCallersSocket(t *testing.T) {
+// Guards against a process that exits at once when its listener for callers fails: requests in
+// progress must get their responses first.
+func TestRequestsFinishAfterCallerListenerFails(t *testing.T) {
 	store := &emptyStore{open: make(chan struct{})}
 	r := testRouter(t, store)
-	callers := &breaking{broken: make(chan struct{})}
+	callers := &failingListener{broken: make(chan struct{})}
 	r.listen = func(addr string) (net.Listener, error) {
 		l, err := listenTCP(addr)
 		if err == nil && addr == r.settings.Router.Callers {
@@ -103,7 +101,7 @@
 	for !r.draining.Load() {
 		select {
 		case err := <-ended:
-			t.Fatalf("the process ends with a request in progress: %v", err)
+			t.Fatalf("process exits with a request in progress: %v", err)
 		default:
 			runtime.Gosched()
 		}
@@ -112,7 +110,7 @@
 	answer, err := http.ReadResponse(bufio.NewReader(c), nil)
 	assert.NilError(t, err)
 	_, err = io.ReadAll(answer.Body)
-	assert.NilError(t, err, "the answer is not whole")
+	assert.NilError(t, err, "response is truncated")
 	assert.ErrorIs(t, <-ended, syscall.EBADF)
 }
 
