--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -24,16 +24,16 @@
 
 const (
 	fencingTokenTimeout  = time.Second
-	prepareRetryInterval  = 200 * time.Millisecond
-	engineTimeout = 2 * time.Second
-	// leaveDelay lets entries learn from heartbeats that the sidecar leaves.
+	prepareRetryInterval = 200 * time.Millisecond
+	engineTimeout        = 2 * time.Second
+	// leaveDelay gives entries time to learn from heartbeats that the sidecar is leaving.
 	leaveDelay = time.Second
 )
 
-// Sidecar is one running sidecar.
+// Sidecar is a sidecar process.
 type Sidecar struct {
 	settings settings.Settings
-	deps      Dependencies
+	deps     Dependencies
 	node     *mesh.Node
 	data     *data.Pool
 	sidecar  *sidecar.Sidecar
@@ -42,7 +42,7 @@
 	load     platform.EngineLoad
 }
 
-// NewSidecar puts a sidecar together.
+// NewSidecar returns a sidecar that serves once Run is called.
 func NewSidecar(s settings.Settings, out Dependencies) *Sidecar {
 	d := &Sidecar{settings: s, deps: out, metrics: newMetrics(s)}
 	incarnation := NewID()
@@ -60,7 +60,7 @@
 	return d
 }
 
-// helloReply is what entries are told of the backend server.
+// helloReply returns the description of the backend server that entries receive.
 func (d *Sidecar) helloReply() wire.HelloReply {
 	return wire.HelloReply{
 		Data:       d.settings.Listen.HTTP,
@@ -73,8 +73,8 @@
 	}
 }
 
-// prepare ends what a predecessor left at the engine and learns what it holds.
-// Until then nothing is accepted.
+// prepare ends the sessions that an earlier sidecar left at the engine and reads which layers
+// the engine holds. No request is accepted before it returns.
 func (d *Sidecar) prepare(ctx context.Context) error {
 	b := sidecar.Backend{Engine: d.deps.Engine, Plain: d.deps.Plain}
 	for b.Engine != nil {
@@ -82,7 +82,7 @@
 		if err == nil {
 			break
 		}
-		klog.InfoS("Engine cannot be taken over yet", "instance", d.settings.Instance, "err", err)
+		klog.InfoS("taking over engine failed; retrying", "instance", d.settings.Instance, "err", err)
 		select {
 		case <-time.After(prepareRetryInterval):
 		case <-ctx.Done():
@@ -110,14 +110,13 @@
 	if d.load, err = b.Engine.Load(ctx); err != nil {
 		return err
 	}
-	klog.InfoS("Engine taken over", "instance", d.settings.Instance, "fence", b.Fence, "ended", endedSessions, "layers", d.load.Range)
+	klog.InfoS("engine taken over", "instance", d.settings.Instance, "fence", b.Fence, "ended", endedSessions, "layers", d.load.Range)
 	return nil
 }
 
-// nextFencingToken takes the next fencing number for an engine. The number is at least
-// the time in milliseconds; in an outage of the key-value service the time
-// alone serves, which holds while clocks do not go back further than a restart
-// takes.
+// nextFencingToken returns the next fencing token for an engine. The token is at least the time
+// in milliseconds. While the key-value service is unavailable the time is the token. That is
+// safe unless the clock goes back by more than a restart takes.
 func nextFencingToken(ctx context.Context, kv platform.KV, backend string) int64 {
 	ctx, cancel := context.WithTimeout(ctx, fencingTokenTimeout)
 	defer cancel()
@@ -136,8 +135,8 @@
 	return now
 }
 
-// register opens the gate's methods; before it every message is refused as
-// unknown, which entries take as an instance that is not up.
+// register registers the handlers of requests. Until then every message is refused as unknown,
+// and entries treat the instance as not started.
 func (d *Sidecar) register() {
 	srv, s := d.node.Server, d.sidecar
 	srv.Register(wire.MethodOpen, link.Handle(checkRevision(d, s.Open)))
@@ -148,7 +147,7 @@
 	srv.Register(wire.MethodCancel, link.Handle(s.Cancel))
 }
 
-// checkRevision refuses work from an entry that acts on an older configuration.
+// checkRevision wraps a handler to refuse requests of an entry whose configuration is older.
 func checkRevision[Req, Rep any](d *Sidecar, f func(context.Context, string, Req) (Rep, error)) func(context.Context, string, Req) (Rep, error) {
 	return func(ctx context.Context, from string, req Req) (Rep, error) {
 		admitted := int64(0)
@@ -163,8 +162,8 @@
 	}
 }
 
-// sender passes a stage's results on: in bulk by data streams, what is seldom by
-// links.
+// sender sends the results of a stage: activations and tokens over data streams, other messages
+// over links.
 type sender struct {
 	pool *link.Pool
 	data *data.Pool
@@ -186,8 +185,8 @@
 	return s.pool.Notify(ctx, addr, wire.MethodStageFailed, f)
 }
 
-// Run serves until ctx ends, then drains: the gate refuses new work at once,
-// what runs finishes, then the process ends.
+// Run serves until ctx ends. The gate then refuses new requests, and Run returns when the
+// requests in progress have finished.
 func (d *Sidecar) Run(ctx context.Context) error {
 	linkListener, httpListener, err := listen(d.settings.Listen)
 	if err != nil {
@@ -196,7 +195,7 @@
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
 	if err := d.prepare(ctx); err != nil {
-		return nil // told to stop before it had begun
+		return nil // stopped before it started
 	}
 	done := make(chan error, 2)
 	go func() { done <- d.node.Run(running, linkListener) }()
@@ -207,7 +206,7 @@
 		d.metrics.setLinkBytes(d.node.Bytes())
 		d.metrics.setGate(d.gate.Load())
 	})
-	klog.InfoS("Sidecar serves", "instance", d.settings.Instance, "incarnation", d.node.Incarnation,
+	klog.InfoS("sidecar started", "instance", d.settings.Instance, "incarnation", d.node.Incarnation,
 		"service", d.settings.Sidecar.Service, "link", d.settings.Listen.Link)
 	select {
 	case err := <-done:
@@ -215,7 +214,7 @@
 	case <-ctx.Done():
 	}
 	d.node.Events.Add(model.RequestKey{}, events.DrainStarted, "")
-	klog.InfoS("Sidecar drains", "instance", d.settings.Instance, "active", d.gate.Load().Active)
+	klog.InfoS("sidecar draining", "instance", d.settings.Instance, "active", d.gate.Load().Active)
 	<-d.gate.Drain()
 	time.Sleep(leaveDelay)
 	d.data.Close()
