--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -15,7 +15,7 @@
 	"github.com/skylarkwood/skylarkwood/platform"
 )
 
-// routerSink hands what the store holds to those who need it.
+// routerSink applies the contents of the store to the router.
 type routerSink Router
 
 // HandleStoreRestore implements follow.Sink.
@@ -26,8 +26,8 @@
 
 // Reset implements follow.Sink.
 //
-// Backend servers, and requests that must go to none, are taken in first: requests that
-// wait for the first configuration are sent as soon as it is in force.
+// Backend servers and quarantine verdicts are applied before the configuration, because
+// requests that wait for the first configuration are sent as soon as it is in force.
 func (s *routerSink) Reset(page outside.Page, grace time.Duration) {
 	servers, malformed := s.decodeServers(page.Items)
 	s.applyConflicts(s.catalog.Replace(servers, malformed, grace))
@@ -46,10 +46,10 @@
 		s.elector.Observe(nil, page.Revision)
 	}
 	s.publishMembers()
-	klog.InfoS("store read", "revision", page.Revision, "items", len(page.Items), "servers", len(servers), "namingNone", len(malformed))
+	klog.InfoS("store contents read", "revision", page.Revision, "items", len(page.Items), "servers", len(servers), "namingNone", len(malformed))
 }
 
-// valueOf finds what a key holds, and since which revision; nothing if it is not there.
+// valueOf returns the value and the revision of a key, or zero values if items lack it.
 func valueOf(items []outside.Item, key string) (value []byte, revision model.Revision) {
 	for _, it := range items {
 		if it.Key == key {
@@ -59,8 +59,8 @@
 	return nil, 0
 }
 
-// decodeServers reads the entries of backend servers. malformed holds the revisions
-// of those that name no server, by id.
+// decodeServers decodes the entries of backend servers. malformed holds the revisions of the
+// malformed ones, by server id.
 func (s *routerSink) decodeServers(items []outside.Item) (servers []model.BackendServer, malformed map[string]model.Revision) {
 	malformed = map[string]model.Revision{}
 	for _, it := range items {
@@ -79,18 +79,18 @@
 	return servers, malformed
 }
 
-// logMalformed logs an entry that names no server: where it has just replaced a good one, and
-// else once in a while for each.
+// logMalformed logs a malformed entry. An entry that replaced a valid one is always logged,
+// others at most once per malformedLogInterval.
 func (s *routerSink) logMalformed(id string, revision model.Revision, replaced bool, err error) {
 	if s.malformed.shouldLog(id, time.Now()) || replaced {
 		known := s.catalog.Load().ByID(id) != nil
-		klog.InfoS("backend server's entry names no server", "server", id, "known", known, "err", err, "revision", revision)
+		klog.InfoS("backend server entry malformed", "server", id, "known", known, "err", err, "revision", revision)
 	}
 }
 
-// applyConflicts carries out what follows from entries.
+// applyConflicts handles servers that exited and checks disputed incarnations.
 func (s *routerSink) applyConflicts(conflicts catalog.Conflicts) {
-	s.front.Relay.HandleExits(conflicts.Exited, "its successor's entry")
+	s.front.Relay.HandleExits(conflicts.Exited, "entry of a newer incarnation")
 	for _, claim := range conflicts.Disputed {
 		go s.front.Relay.VerifyIncarnation(claim)
 	}
@@ -122,24 +122,24 @@
 
 func (s *routerSink) applyConfig(it outside.Item) {
 	if it.Removed {
-		klog.InfoS("configuration removed from the store; the one in force stays", "revision", it.Revision)
+		klog.InfoS("configuration removed from the store; it stays in force", "revision", it.Revision)
 		return
 	}
 	before := s.config.Version()
 	if p := s.config.Raw(); p != nil && bytes.Equal(p.Raw, it.Value) {
-		klog.InfoS("configuration is in force already", "version", before, "revision", it.Revision)
+		klog.InfoS("configuration already in force", "version", before, "revision", it.Revision)
 		return
 	}
 	cfg, err := (*Router)(s).decodeConfig(it.Value)
 	if err != nil {
-		klog.ErrorS(err, "configuration passed over", "revision", it.Revision)
+		klog.ErrorS(err, "configuration skipped: it cannot be decoded", "revision", it.Revision)
 		return
 	}
 	if before == 0 {
 		s.exchange.FetchNewer(cfg.Version)
 	}
 	if !s.config.Apply(cfg, it.Value) {
-		klog.InfoS("configuration is not newer", "version", cfg.Version, "inForce", before)
+		klog.InfoS("configuration skipped: not newer than the one in force", "version", cfg.Version, "inForce", before)
 		return
 	}
 	klog.InfoS("configuration in force", "version", cfg.Version, "before", before, "source", "store", "revision", it.Revision,
@@ -149,7 +149,7 @@
 func (s *routerSink) applyServer(it outside.Item, grace time.Duration) {
 	id := platform.ServerID(it.Key)
 	if it.Removed {
-		klog.InfoS("backend server's entry removed", "server", id, "revision", it.Revision, "grace", grace)
+		klog.InfoS("backend server entry removed", "server", id, "revision", it.Revision, "grace", grace)
 		s.catalog.Remove(id, it.Revision, grace)
 		return
 	}
@@ -159,7 +159,7 @@
 		s.logMalformed(id, it.Revision, replaced, err)
 		return
 	}
-	klog.InfoS("backend server's entry", "server", b.Incarnation(), "address", b.Address, "failureDomain", b.FailureDomain, "draining", b.Draining,
+	klog.InfoS("backend server entry changed", "server", b.Incarnation(), "address", b.Address, "failureDomain", b.FailureDomain, "draining", b.Draining,
 		"card", b.Card, "holds", b.Holds.String(), "revision", it.Revision)
 	s.applyConflicts(s.catalog.Put(b))
 }
@@ -169,7 +169,7 @@
 	if it.Removed {
 		delete(s.members, it.Key)
 	} else if m, err := leader.DecodeMember(it.Value); err != nil {
-		klog.InfoS("member entry cannot be read", "key", it.Key, "err", err)
+		klog.InfoS("member entry skipped: it cannot be decoded", "key", it.Key, "err", err)
 	} else {
 		s.members[it.Key] = m
 	}
