--- a/internal/daemon/sink_test.go
+++ b/internal/daemon/sink_test.go
@@ -9,12 +9,9 @@
 	"github.com/skylarkwood/skylarkwood/platform"
 )
 
-// Requests to a service are refused though its backend server is there and registered.
-// Its entry is removed and written again while the pages of a range read are fetched:
-// a late page brings the new entry, and the watch, which begins at the first page,
-// then tells of the removal before it. The removal is the older word, and the next
-// answer of the watch may be a second away.
-func TestEntryThatCameBackOutlastsItsOlderRemoval(t *testing.T) {
+// Guards against an older removal that removes a newer entry. A range read is paged, so a late
+// page may hold an entry that the watch reports as removed afterwards.
+func TestOlderRemovalDoesNotRemoveNewerEntry(t *testing.T) {
 	const firstPage, removed, back, removedAgain = 10, 11, 14, 15
 	key := platform.ServersPrefix + "a"
 	entry := []byte(`{"service":"s","address":"10.0.0.1:80","zone":"z","state":"ready","slots":9}`)
