--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the start-up settings of the daemon. What
-// operators change while it runs is not here but in the templates.
+// Package settings reads and checks the settings file of the daemon. What operators change
+// while it runs is in the templates.
 package settings
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// Settings is one daemon's settings file.
+// Settings holds the contents of a settings file.
 type Settings struct {
 	Role          model.Role `toml:"role"`
 	Instance      string     `toml:"instance"`
@@ -35,7 +35,7 @@
 	Events        Events     `toml:"events"`
 }
 
-// Listen holds the addresses the daemon listens on, each host:port.
+// Listen holds the addresses that the daemon listens on, each as host:port.
 type Listen struct {
 	Link string `toml:"link"`
 	HTTP string `toml:"http"`
@@ -47,91 +47,87 @@
 	Instances string `toml:"instances"`
 }
 
-// Entry holds what only an entry needs.
+// Entry holds the settings of an entry.
 type Entry struct {
 	// DrainDelay is how long the balancer takes to stop sending callers.
 	DrainDelay Duration `toml:"drain_delay"`
-	// KeepOutcomes is how long outcomes are told after a request's deadline.
+	// KeepOutcomes is how long outcomes are retained after the deadline of a request.
 	KeepOutcomes Duration `toml:"keep_outcomes"`
-	// LedgerWrites is this entry's share of the key-value service's write rate,
-	// in writes a second.
+	// LedgerWrites is this entry's share of the write quota of the key-value service, in
+	// writes per second.
 	LedgerWrites float64 `toml:"ledger_writes"`
 }
 
-// Sidecar holds what only a sidecar needs.
+// Sidecar holds the settings of a sidecar.
 type Sidecar struct {
 	Service string            `toml:"service"`
 	Kind    model.ServiceKind `toml:"kind"`
 	Backend string            `toml:"backend"`
-	// Layers is how many layers the whole model has.
+	// Layers is the number of layers of the whole model.
 	Layers   int `toml:"layers"`
 	Capacity int `toml:"capacity"`
 	Queue    int `toml:"queue"`
 }
 
-// Router holds what a router on the users' platform needs. Its failure domain
-// and name stand above, as for the other roles.
+// Router holds the settings of a router. Its instance name and failure domain are in Settings.
 type Router struct {
-	// Callers, Ready, Peers and Metrics are addresses to listen on: for
-	// callers, for the balancer's readiness checks, for other routers, and for
-	// collectors of metrics.
+	// Callers, Ready, Peers and Metrics are the addresses to listen on for callers, for the
+	// balancer's readiness checks, for other routers, and for collectors of metrics.
 	Callers string `toml:"callers"`
 	Ready   string `toml:"ready"`
 	Peers   string `toml:"peers"`
 	Metrics string `toml:"metrics"`
-	// Seeds are peer addresses to ask while the store is out of reach.
+	// Seeds are the addresses of peers to contact while the store is unavailable.
 	Seeds []string `toml:"seeds"`
 	// Store is the address of the platform's store.
 	Store string `toml:"store"`
-	// FirstStart says that the whole system starts for the first time.
+	// FirstStart reports whether the whole system starts for the first time.
 	FirstStart bool `toml:"first_start"`
-	// Grace is how long a planned stop may take.
+	// Grace is the maximum duration of a planned stop.
 	Grace Duration `toml:"grace"`
-	// ConfigApply is how soon a configuration must be in force.
+	// ConfigApply is the maximum time until a configuration is in force.
 	ConfigApply Duration `toml:"config_apply"`
-	// RetryRatio, RetrySlack and RetryWindow bound repeated sends over all
-	// routers: in any window at most ratio x requests + slack for a service.
+	// RetryRatio, RetrySlack and RetryWindow define the retry budget that all routers share:
+	// at most ratio x requests + slack retries per service in any window.
 	RetryRatio  float64  `toml:"retry_ratio"`
 	RetrySlack  float64  `toml:"retry_slack"`
 	RetryWindow Duration `toml:"retry_window"`
-	// MemoryMB bounds the process's memory; 0 for no bound.
+	// MemoryMB is the memory limit of the process in MB; 0 means no limit.
 	MemoryMB float64 `toml:"memory_mb"`
 }
 
-// Link gives the one-way time between two failure domains.
+// Link holds the one-way time between two failure domains.
 type Link struct {
 	Between []string `toml:"between"`
 	OneWay  Duration `toml:"one_way"`
-	// Positions is how many positions a second the link carries between stages;
-	// 0 for no limit.
+	// Positions is the number of positions per second that the link carries between stages;
+	// 0 means no limit.
 	Positions float64 `toml:"positions"`
 }
 
-// Events bounds the ring of events kept for the time line.
+// Events holds the limit on the events kept for request timelines.
 type Events struct {
 	Keep int `toml:"keep"`
 }
 
-// Duration is a time.Duration written as in "1.5s".
+// Duration is a time.Duration that is written as text, such as "1.5s".
 type Duration time.Duration
 
-// longest is the most that a Duration holds: a year. Nothing here takes so long, and
-// sums of some such times still do not overflow to times in the past.
-const longest = 365 * 24 * time.Hour
+// maxDuration is the maximum of a Duration. Sums of several such values don't overflow.
+const maxDuration = 365 * 24 * time.Hour
 
-// exponent is a number as programs write large and small ones, with a unit after it,
-// which time.ParseDuration does not read.
-var exponent = regexp.MustCompile(`^([-+]?[0-9.]+[eE][-+]?[0-9]+)([a-zµ]+)$`)
+// exponentDuration matches a number in exponentDuration notation with a unit, which time.ParseDuration rejects.
+var exponentDuration = regexp.MustCompile(`^([-+]?[0-9.]+[eE][-+]?[0-9]+)([a-zµ]+)$`)
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := parseDuration(string(text))
-	*d = Duration(min(max(v, -longest), longest))
+	*d = Duration(min(max(v, -maxDuration), maxDuration))
 	return err
 }
 
 func parseDuration(text string) (time.Duration, error) {
-	parts := exponent.FindStringSubmatch(text)
+	parts := exponentDuration.FindStringSubmatch(text)
 	if parts == nil {
 		return time.ParseDuration(text)
 	}
@@ -139,13 +135,13 @@
 	if err != nil {
 		return 0, err
 	}
-	// Of a number beyond all bounds ParseFloat gives the bound, which is cut below.
+	// For a number out of range ParseFloat returns an infinity, which is limited below.
 	number, err := strconv.ParseFloat(parts[1], 64)
 	if err != nil && !errors.Is(err, strconv.ErrRange) {
 		return 0, err
 	}
-	most := float64(longest)
-	return time.Duration(min(max(number*float64(unit), -most), most)), nil
+	limit := float64(maxDuration)
+	return time.Duration(min(max(number*float64(unit), -limit), limit)), nil
 }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -153,7 +149,7 @@
 	return []byte(time.Duration(d).String()), nil
 }
 
-// Default gives the settings that a file leaves out.
+// Default returns the settings that apply where a file sets none.
 func Default() Settings {
 	return Settings{
 		Entry: Entry{
@@ -172,8 +168,7 @@
 	}
 }
 
-// Load reads and checks a file. The error names the file, the key and the
-// reason.
+// Load reads and checks a file. An error names the file, the key and the reason.
 func Load(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -183,7 +178,7 @@
 	return s, errors.Wrap(err, path)
 }
 
-// Parse reads and checks the content of a file.
+// Parse decodes and checks the contents of a file.
 func Parse(raw []byte) (Settings, error) {
 	s := Default()
 	dec := toml.NewDecoder(bytes.NewReader(raw))
@@ -194,7 +189,7 @@
 	return s, s.Validate()
 }
 
-// FormatError makes one line of a TOML decoder's error: the key and the reason.
+// FormatError returns the error of a TOML decoder as one line with the key and the reason.
 func FormatError(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
@@ -210,17 +205,17 @@
 	return err
 }
 
-// check is one key and what must hold for it.
+// check is the result of one check of a key.
 type check struct {
 	key    string
 	ok     bool
 	reason string
 }
 
-// Validate tells the first setting that cannot be worked with.
+// Validate returns an error for the first invalid setting.
 func (s *Settings) Validate() error {
 	if s.Role == model.RoleRouter {
-		return firstFailed(s.routerChecks())
+		return firstError(s.routerChecks())
 	}
 	checks := []check{
 		{"role", s.Role == model.RoleEntry || s.Role == model.RoleSidecar, `must be "entry", "sidecar" or "router"`},
@@ -242,10 +237,10 @@
 			check{key + ".one_way", l.OneWay > 0, "must be longer than 0"},
 			check{key + ".positions", l.Positions >= 0, "must not be negative"})
 	}
-	return firstFailed(checks)
+	return firstError(checks)
 }
 
-func firstFailed(checks []check) error {
+func firstError(checks []check) error {
 	for _, c := range checks {
 		if !c.ok {
 			return errors.Errorf("%s: %s", c.key, c.reason)
@@ -268,10 +263,10 @@
 		{"router.store", isAddress(r.Store), address},
 		{"router.grace", r.Grace > 0, "must be longer than 0"},
 		{"router.config_apply", r.ConfigApply > 0, "must be longer than 0"},
-		{"router.retry_ratio", isAmount(r.RetryRatio), amount},
-		{"router.retry_slack", isAmount(r.RetrySlack), amount},
+		{"router.retry_ratio", isNonNegative(r.RetryRatio), amount},
+		{"router.retry_slack", isNonNegative(r.RetrySlack), amount},
 		{"router.retry_window", r.RetryWindow > 0, "must be longer than 0"},
-		{"router.memory_mb", isAmount(r.MemoryMB), amount},
+		{"router.memory_mb", isNonNegative(r.MemoryMB), amount},
 	}
 	for i, seed := range r.Seeds {
 		checks = append(checks, check{fmt.Sprintf("router.seeds[%d]", i), isAddress(seed), address})
@@ -299,8 +294,8 @@
 	}
 }
 
-// isAmount tells whether a figure can be counted with; NaN is not at least 0.
-func isAmount(n float64) bool { return n >= 0 && !math.IsInf(n, 0) }
+// isNonNegative reports whether n is finite and at least 0. NaN is not.
+func isNonNegative(n float64) bool { return n >= 0 && !math.IsInf(n, 0) }
 
 func isAddress(a string) bool {
 	host, port, err := net.SplitHostPort(a)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -33,7 +33,7 @@
 	assert.Equal(t, s.Sidecar.Capacity, Default().Sidecar.Capacity)
 }
 
-// Each bad setting gives one line that names the key and the reason.
+// An invalid setting must yield an error of one line that names the key and the reason.
 func TestBad(t *testing.T) {
 	for _, tc := range []struct{ name, old, new, want string }{
 		{"unknown key", `layers = 24`, "layers = 24\nlayer = 3", "sidecar.layer: unknown key"},
@@ -55,7 +55,7 @@
 	}
 }
 
-// The examples that the docs name can be started as they are.
+// Guards against examples that the daemon rejects.
 func TestExamples(t *testing.T) {
 	files, err := filepath.Glob("../../examples/*/*.toml")
 	assert.NilError(t, err)
@@ -99,7 +99,7 @@
 	})
 }
 
-// The example of a router is good, and what is wrong with one is named.
+// The example of a router must be valid, and an error must name an invalid key.
 func TestRouterSettings(t *testing.T) {
 	raw, err := os.ReadFile("../../examples/router.toml")
 	assert.NilError(t, err)
@@ -120,9 +120,8 @@
 	}
 }
 
-// A deployment writes its figures as it likes: shares of whole ones, exponents, zeros.
-// A router that takes whole numbers only ends at its start, at every instance at once,
-// and callers find nobody.
+// Guards against a router that rejects fractions, exponents or zeros in its settings and so
+// does not start.
 func TestFiguresAsDeploymentsWriteThem(t *testing.T) {
 	raw, err := os.ReadFile("../../examples/router.toml")
 	assert.NilError(t, err)
@@ -138,7 +137,7 @@
 		{`memory_mb = 284`, `memory_mb = 162.5`, func(r Router) float64 { return r.MemoryMB }, 162.5},
 		{`grace = "8s"`, `grace = "8.5s"`, func(r Router) float64 { return time.Duration(r.Grace).Seconds() }, 8.5},
 		{`config_apply = "2s"`, `config_apply = "2.5e3ms"`, func(r Router) float64 { return time.Duration(r.ConfigApply).Seconds() }, 2.5},
-		{`config_apply = "2s"`, `config_apply = "1e300ms"`, func(r Router) float64 { return time.Duration(r.ConfigApply).Seconds() }, longest.Seconds()},
+		{`config_apply = "2s"`, `config_apply = "1e300ms"`, func(r Router) float64 { return time.Duration(r.ConfigApply).Seconds() }, maxDuration.Seconds()},
 	} {
 		s, err := Parse([]byte(strings.Replace(string(raw), tc.old, tc.new, 1)))
 		assert.NilError(t, err, tc.new)
@@ -146,7 +145,7 @@
 	}
 }
 
-// What no router can work with is named with its key, and what is allowed, in one line.
+// An invalid number must yield an error of one line that names the key and the allowed values.
 func TestFiguresThatAreNone(t *testing.T) {
 	raw, err := os.ReadFile("../../examples/router.toml")
 	assert.NilError(t, err)
