--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,4 @@
-// Package logging writes structured lines to standard output without ever
-// making a request wait for a reader.
+// Package logging writes log lines to standard output without blocking the requests that log.
 package logging
 
 import (
@@ -17,38 +16,38 @@
 )
 
 const (
-	// queued bounds the lines that wait to be written; at some 400 bytes a
-	// line that is under 2 MB. What comes beyond is dropped and counted.
-	queued = 4096
-	// perSecond bounds the lines written in a second. An instance of the
-	// usual size handles under a hundred requests a second, at two lines each.
-	perSecond = 2000
-	// flushWait bounds what a stop waits for lines that are not written yet.
-	flushWait = 300 * time.Millisecond
+	// maxQueuedLines is the maximum number of lines that wait to be written. At about 400 bytes a
+	// line this is less than 2 MB. Further lines are dropped and counted.
+	maxQueuedLines = 4096
+	// maxLinesPerSecond is the maximum number of lines written per second. An instance writes two
+	// lines a request, for fewer than a hundred requests per second.
+	maxLinesPerSecond = 2000
+	// flushTimeout is the maximum time for which Close waits for queued lines.
+	flushTimeout = 300 * time.Millisecond
 )
 
-// Writer hands lines to a goroutine that writes them.
+// Writer passes lines to a goroutine that writes them.
 type Writer struct {
 	lines   chan []byte
 	out     io.Writer
 	dropped atomic.Int64
 	done    chan struct{}
 
-	// mu keeps Close from closing lines under a Write: requests and links that
-	// outlive a stop still log, and a send on a closed channel ends the process.
+	// mu prevents a send on lines after Close has closed it. Requests and links may log after
+	// that.
 	mu     sync.RWMutex
 	closed bool
 }
 
-// NewWriter starts a writer to out.
+// NewWriter returns a writer to out and starts its goroutine. Close must be called.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{lines: make(chan []byte, queued), out: out, done: make(chan struct{})}
+	w := &Writer{lines: make(chan []byte, maxQueuedLines), out: out, done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer; it never waits and never fails. Lines that come after
-// Close are dropped.
+// Write implements io.Writer. It never blocks and never fails. Lines written after Close
+// are dropped.
 func (w *Writer) Write(p []byte) (int, error) {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
@@ -64,24 +63,24 @@
 	return len(p), nil
 }
 
-// Dropped counts the lines that were not written.
+// Dropped returns the number of lines that were not written.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
 func (w *Writer) run() {
 	defer close(w.done)
-	second := time.Now()
+	windowStart := time.Now()
 	written := 0
-	reported := int64(0)
+	reportedDrops := int64(0)
 	for line := range w.lines {
-		if now := time.Now(); now.Sub(second) >= time.Second {
-			second = now
+		if now := time.Now(); now.Sub(windowStart) >= time.Second {
+			windowStart = now
 			written = 0
-			if n := w.dropped.Load(); n != reported {
+			if n := w.dropped.Load(); n != reportedDrops {
 				w.emit([]byte("log lines dropped so far: " + strconv.FormatInt(n, 10) + "\n"))
-				reported = n
+				reportedDrops = n
 			}
 		}
-		if written++; written > perSecond {
+		if written++; written > maxLinesPerSecond {
 			w.dropped.Add(1)
 			continue
 		}
@@ -89,25 +88,24 @@
 	}
 }
 
-// emit writes a line. There is nowhere to report that standard output is gone; the
-// line counts as dropped.
+// emit writes a line. A line whose write fails counts as dropped.
 func (w *Writer) emit(line []byte) {
 	if _, err := w.out.Write(line); err != nil {
 		w.dropped.Add(1)
 	}
 }
 
-// Close writes what waits, for a short time at most.
+// Close stops accepting lines and waits up to flushTimeout until the queued ones are written.
 func (w *Writer) Close() {
-	w.end()
+	w.stopAccepting()
 	select {
 	case <-w.done:
-	case <-time.After(flushWait):
+	case <-time.After(flushTimeout):
 	}
 }
 
-// end takes no more lines.
-func (w *Writer) end() {
+// stopAccepting stops accepting lines.
+func (w *Writer) stopAccepting() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.closed {
@@ -116,15 +114,16 @@
 	}
 }
 
-// ToStdout sends klog's lines to standard output through a Writer.
+// ToStdout directs klog's output to standard output through a Writer, which the caller must
+// close.
 func ToStdout(flags *flag.FlagSet) (*Writer, error) {
 	for name, value := range map[string]string{"logtostderr": "false", "alsologtostderr": "false", "stderrthreshold": "4", "one_output": "true", "skip_headers": "false"} {
 		if err := flags.Set(name, value); err != nil {
 			return nil, err
 		}
 	}
-	// Go ends a program whose standard output has lost its reader at the next write,
-	// and with it every request that it serves. Ignored, the write fails instead.
+	// By default a write to standard output without a reader ends a Go process. If SIGPIPE is
+	// ignored, the write fails instead.
 	signal.Ignore(syscall.SIGPIPE)
 	w := NewWriter(os.Stdout)
 	klog.SetOutput(w)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -14,11 +14,8 @@
 	"k8s.io/klog/v2"
 )
 
-// A router has stopped and closes its log while a request that outlived the grace
-// time, or a link that ends, still writes a line. The line comes too late; the
-// process must not end by it, with a stack and a failure's exit code in place of a
-// clean stop.
-func TestLineAfterClose(t *testing.T) {
+// Guards against a panic when a request or a link logs after Close.
+func TestWriteAfterCloseIsDropped(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	_, err := w.Write([]byte("before\n"))
@@ -31,12 +28,10 @@
 	assert.Equal(t, w.Dropped(), int64(1))
 }
 
-// childVariable tells the test program that it is the process under test.
+// childVariable is set in the environment of the child process.
 const childVariable = "LOGGING_TEST_CHILD"
 
-// Whoever reads a process's log goes away: a collector restarts. Callers notice
-// nothing, as the lines are lost and the process goes on; by default the first line
-// after it ends the process at once with SIGPIPE, with every request that it serves.
+// Guards against SIGPIPE ending the process when the reader of its log exits.
 func TestReaderOfTheLogEnds(t *testing.T) {
 	if os.Getenv(childVariable) != "" {
 		logWithoutReader()
@@ -54,15 +49,16 @@
 	assert.NilError(t, child.Wait())
 }
 
-// logWithoutReader writes lines once nobody reads them any more, and ends well.
+// logWithoutReader logs a line after the reader has exited. It ends with exit code 0 if the
+// line was dropped.
 func logWithoutReader() {
 	w, err := ToStdout(klogFlags())
 	if err != nil {
 		os.Exit(2)
 	}
 	var end [1]byte
-	_, _ = os.Stdin.Read(end[:]) // until the reader is gone
-	klog.InfoS("nobody reads this")
+	_, _ = os.Stdin.Read(end[:]) // until the parent has closed the log
+	klog.InfoS("line without reader")
 	w.Close()
 	if w.Dropped() != 1 {
 		fmt.Fprintln(os.Stderr, "dropped lines:", w.Dropped())
@@ -77,8 +73,8 @@
 	return f
 }
 
-// A line that tells of an error stands in the log once.
-func TestErrorLineStandsOnce(t *testing.T) {
+// An error must be logged once only.
+func TestErrorIsLoggedOnce(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	out, err := os.Create(path)
 	assert.NilError(t, err)
@@ -87,9 +83,9 @@
 	w, err := ToStdout(klogFlags())
 	os.Stdout = before
 	assert.NilError(t, err)
-	klog.ErrorS(nil, "a fault")
+	klog.ErrorS(nil, "an error occurred")
 	w.Close()
 	log, err := os.ReadFile(path)
 	assert.NilError(t, err)
-	assert.Equal(t, strings.Count(string(log), "a fault"), 1)
+	assert.Equal(t, strings.Count(string(log), "an error occurred"), 1)
 }
