--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,6 +1,5 @@
-// Package boottime reads a clock that goes on while the instance is suspended.
-// The steady clock stands still then, so that an instance which wakes would
-// take what it held for fresh.
+// Package boottime reads a clock that includes the time for which the instance was suspended.
+// The monotonic clock of package time excludes it, so expired state would look fresh.
 package boottime
 
 import (
@@ -9,11 +8,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the time since the instance was started, suspension included.
+// Now returns the time since the instance booted, including suspension.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// The clock exists on every kernel that Go runs on.
+		// CLOCK_BOOTTIME exists on every kernel that Go supports.
 		panic(err)
 	}
 	return time.Duration(ts.Nano())
