--- a/cmd/skylark-standin/main.go
+++ b/cmd/skylark-standin/main.go
@@ -1,5 +1,5 @@
-// Skylark-standin runs one stand-in for an outside system as a process of its
-// own, for tests. It is not shipped.
+// Skylark-standin simulates one external system in a process of its own, for tests. It is not
+// shipped.
 package main
 
 import (
--- a/cmd/skylarkctl/main.go
+++ b/cmd/skylarkctl/main.go
@@ -1,4 +1,4 @@
-// Skylarkctl is the command line for callers, operators and support engineers.
+// Skylarkctl is the command line client for callers, operators and support engineers.
 package main
 
 import (
--- a/cmd/skylarkwoodd/main.go
+++ b/cmd/skylarkwoodd/main.go
@@ -1,5 +1,4 @@
-// Skylarkwoodd is the daemon: an entry, a sidecar, or a whole small system for
-// development.
+// Skylarkwoodd is the daemon: a router, an entry, a sidecar, or a small system for development.
 package main
 
 import (
