--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -12,19 +12,19 @@
 	outside "github.com/skylarkwood/skylarkwood/internal/platform"
 )
 
-// countedStore counts the calls to the store by kind: each is priced, refused and
-// unanswered ones too.
+// countedStore counts the calls to the store by kind. Refused and unanswered calls count
+// against the quota too.
 type countedStore struct {
 	outside.Store
 	metrics *metrics
-	// unanswered is told of renewals without an answer; nil for nobody.
-	unanswered func()
+	// onNoResponse is called when a lease renewal gets no response. It may be nil.
+	onNoResponse func()
 
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-// The kinds of calls.
+// Kinds of calls.
 const (
 	callRange        = "range"
 	callGet          = "get"
@@ -35,37 +35,37 @@
 	callGrant        = "lease_grant"
 	callKeepAlive    = "lease_keep_alive"
 	callRevoke       = "lease_revoke"
-	callFailed       = "_failed" // after the kind
+	failedSuffix     = "_failed" // appended to the kind
 )
 
 func newCountedStore(store outside.Store, m *metrics) *countedStore {
 	return &countedStore{Store: store, metrics: m, counts: map[string]int{}}
 }
 
-// count notes a call that has ended.
+// count counts a finished call.
 func (c *countedStore) count(kind string, err error) {
 	if err != nil {
-		kind += callFailed
+		kind += failedSuffix
 	}
-	c.metrics.storeCall(kind)
+	c.metrics.countStoreCall(kind)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[kind]++
 }
 
-// log tells the calls since the last time, if there were any.
-func (c *countedStore) log() {
+// logCounts logs the calls since it last ran, if there were any.
+func (c *countedStore) logCounts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.counts) == 0 {
 		return
 	}
-	var row []any
+	var keysAndValues []any
 	for kind, n := range c.counts {
-		row = append(row, kind, n)
+		keysAndValues = append(keysAndValues, kind, n)
 	}
 	clear(c.counts)
-	klog.InfoS("calls to the store", row...)
+	klog.InfoS("store calls", keysAndValues...)
 }
 
 // Range implements Store.
@@ -109,17 +109,17 @@
 
 // Grant implements Store.
 func (c *countedStore) Grant(ctx context.Context, ttl time.Duration) (outside.LeaseID, time.Duration, error) {
-	id, given, err := c.Store.Grant(ctx, ttl)
+	id, granted, err := c.Store.Grant(ctx, ttl)
 	c.count(callGrant, err)
-	return id, given, err
+	return id, granted, err
 }
 
 // KeepAlive implements Store.
 func (c *countedStore) KeepAlive(ctx context.Context, id outside.LeaseID) error {
 	err := c.Store.KeepAlive(ctx, id)
 	c.count(callKeepAlive, err)
-	if err != nil && !errors.Is(err, outside.ErrLeaseNotFound) && c.unanswered != nil {
-		c.unanswered()
+	if err != nil && !errors.Is(err, outside.ErrLeaseNotFound) && c.onNoResponse != nil {
+		c.onNoResponse()
 	}
 	return err
 }
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -1,5 +1,5 @@
-// Package daemon puts the parts of a process together: an entry, a sidecar, or
-// a whole small system in one process for development.
+// Package daemon assembles the processes of the system: a router, an entry, a sidecar,
+// or a small system in one process for development.
 package daemon
 
 import (
@@ -38,16 +38,17 @@
 )
 
 const (
-	sweepEvery  = 5 * time.Second
-	grantWait   = 3 * time.Second
-	ledgerBurst = 5
-	// readyPoll is how often dev mode looks whether its parts have met.
-	readyPoll = 20 * time.Millisecond
-	// compressFrom is the size in bytes from which answers are compressed.
-	compressFrom = 4096
+	sweepInterval = 5 * time.Second
+	intentTimeout = 3 * time.Second
+	ledgerBurst   = 5
+	// readyPollInterval is the time between two checks of dev mode whether its processes
+	// are connected.
+	readyPollInterval = 20 * time.Millisecond
+	// minCompressBytes is the size of the smallest response that is compressed.
+	minCompressBytes = 4096
 )
 
-// Dependencies is what a process meets beyond the system.
+// Dependencies holds the clients of the external services that a process uses.
 type Dependencies struct {
 	KV        platform.KV
 	Instances platform.Instances
@@ -55,7 +56,7 @@
 	Plain     platform.Plain
 }
 
-// Dial gives the outside that settings name.
+// Dial returns clients of the external services that the settings name.
 func Dial(s settings.Settings) Dependencies {
 	const idle = 64
 	hc := platform.NewHTTPClient(idle)
@@ -72,12 +73,12 @@
 	return out
 }
 
-// NewID makes a ULID: ids that sort by time.
+// NewID returns a new ULID. ULIDs sort by time.
 func NewID() string {
 	return ulid.MustNew(ulid.Now(), rand.Reader).String()
 }
 
-// Entry is one running entry.
+// Entry is an entry process.
 type Entry struct {
 	settings settings.Settings
 	node     *mesh.Node
@@ -89,7 +90,7 @@
 	draining chan struct{}
 }
 
-// NewEntry puts an entry together.
+// NewEntry returns an entry that serves once Run is called.
 func NewEntry(s settings.Settings, out Dependencies) *Entry {
 	e := &Entry{
 		settings: s,
@@ -118,23 +119,24 @@
 		Table:            e.node.Table,
 		Router:           routing.New(e.node.Table, e.links(), time.Now, nil),
 		Config:           e.node.Config,
-		RateLimiter:      limits.NewRateLimiter(e.sharers),
+		RateLimiter:      limits.NewRateLimiter(e.entryCount),
 		RetryBudget:      limits.NewRetryBudget(),
 		AdmissionLimiter: admission.NewLimiter(time.Now),
-		RecordIntent:     e.grant,
+		RecordIntent:     e.recordIntent,
 		Requests:         e.store,
 		Events:           e.node.Events,
 		Now:              time.Now,
 		Refresh:          e.node.FetchConfig,
-		Observe:          e.metrics.outcome,
+		Observe:          e.metrics.recordOutcome,
 		Timing:           owner.DefaultTiming(),
 	})
 	e.register()
 	return e
 }
 
-// sharers counts the entries that share what has no counter of its own.
-func (e *Entry) sharers() int { return 1 + len(e.node.Table.Entries()) }
+// entryCount returns the number of entries, this one included. They share limits that have
+// no common counter.
+func (e *Entry) entryCount() int { return 1 + len(e.node.Table.Entries()) }
 
 func instanceOf(s settings.Settings) model.Instance {
 	return model.Instance{
@@ -163,26 +165,26 @@
 		e.store.SetOutcomeCopy(c.Key, c.Outcome)
 		return struct{}{}, nil
 	}))
-	srv.Register(wire.MethodIntent, link.Handle(e.recordIntent))
+	srv.Register(wire.MethodIntent, link.Handle(e.handleIntent))
 }
 
-// intentMessage carries an intent to the entry that acts for its shard.
+// intentMessage carries an intent to the entry that owns its shard.
 type intentMessage struct {
 	Intent ledger.Intent `json:"intent"`
 	ID     string        `json:"id"`
 }
 
-func (e *Entry) recordIntent(ctx context.Context, _ string, m intentMessage) (ledger.Intent, error) {
-	ctx, cancel := context.WithTimeout(ctx, grantWait)
+func (e *Entry) handleIntent(ctx context.Context, _ string, m intentMessage) (ledger.Intent, error) {
+	ctx, cancel := context.WithTimeout(ctx, intentTimeout)
 	defer cancel()
 	return e.ledger.Record(ctx, m.Intent, m.ID)
 }
 
-// grant asks the entry that acts for the intent's shard. If that one cannot be
-// reached this entry acts itself: the swap in the key-value service decides,
-// and the intent's own grant id tells whether the first try took effect.
-func (e *Entry) grant(ctx context.Context, in ledger.Intent, id string) (ledger.Intent, error) {
-	ctx, cancel := context.WithTimeout(ctx, grantWait)
+// recordIntent records an intent at the entry that owns its shard. If that entry is
+// unreachable, this entry records the intent itself. The compare-and-swap of the key-value
+// service admits only one of the two, and id shows whether the first attempt took effect.
+func (e *Entry) recordIntent(ctx context.Context, in ledger.Intent, id string) (ledger.Intent, error) {
+	ctx, cancel := context.WithTimeout(ctx, intentTimeout)
 	defer cancel()
 	addrs := []string{e.node.Self.Address}
 	for _, m := range e.node.Table.Entries() {
@@ -194,7 +196,7 @@
 		return e.ledger.Record(ctx, in, id)
 	}
 	var stored ledger.Intent
-	call, stop := context.WithTimeout(ctx, grantWait/2)
+	call, stop := context.WithTimeout(ctx, intentTimeout/2)
 	defer stop()
 	err := e.node.Pool.Call(call, actor, wire.MethodIntent, intentMessage{in, id}, &stored)
 	if fault.Is(err, fault.Unreachable) {
@@ -203,25 +205,25 @@
 	return stored, err
 }
 
-// Run serves until ctx ends, then drains: it fails its readiness, lets the
-// balancer go elsewhere, and answers what it took in.
+// Run serves until ctx ends. It then fails the readiness check, waits for the balancer to
+// stop sending callers, and finishes the requests in progress.
 func (e *Entry) Run(ctx context.Context) error {
-	linkL, httpL, err := listen(e.settings.Listen)
+	linkListener, httpListener, err := listen(e.settings.Listen)
 	if err != nil {
 		return err
 	}
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
 	done := make(chan error, 2)
-	go func() { done <- e.node.Run(running, linkL) }()
+	go func() { done <- e.node.Run(running, linkListener) }()
 	srv := &http.Server{Handler: e.handler(), ReadHeaderTimeout: 10 * time.Second}
-	go func() { done <- srv.Serve(httpL) }()
-	go every(running, sweepEvery, func() {
+	go func() { done <- srv.Serve(httpListener) }()
+	go runPeriodically(running, sweepInterval, func() {
 		e.store.Sweep()
 		e.ledger.Sweep(running)
-		e.metrics.links(e.node.Bytes())
+		e.metrics.setLinkBytes(e.node.Bytes())
 	})
-	klog.InfoS("Entry serves", "instance", e.settings.Instance, "incarnation", e.node.Incarnation,
+	klog.InfoS("entry started", "instance", e.settings.Instance, "incarnation", e.node.Incarnation,
 		"http", e.settings.Listen.HTTP, "link", e.settings.Listen.Link)
 	select {
 	case err := <-done:
@@ -232,12 +234,11 @@
 	return e.closeHTTP(srv)
 }
 
-// closeHTTP lets callers read their last answers. Sidecars' data streams never
-// end by themselves, so the wait is bounded; nothing of a request is on them any
-// more.
+// closeHTTP waits for callers to read their responses. The data streams of sidecars stay
+// open, so the wait is bounded. They carry no request any more.
 func (e *Entry) closeHTTP(srv *http.Server) error {
-	const lastAnswers = 2 * time.Second
-	ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
+	const shutdownTimeout = 2 * time.Second
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := srv.Shutdown(ctx); err != nil {
 		return srv.Close()
@@ -248,20 +249,19 @@
 func (e *Entry) drain() {
 	close(e.draining)
 	e.node.Events.Add(model.RequestKey{}, events.DrainStarted, "")
-	klog.InfoS("Entry drains", "instance", e.settings.Instance, "running", e.owner.ActiveRequests())
+	klog.InfoS("entry draining", "instance", e.settings.Instance, "running", e.owner.ActiveRequests())
 	time.Sleep(time.Duration(e.settings.Entry.DrainDelay))
 	<-e.owner.Drain()
 }
 
 func (e *Entry) handler() http.Handler {
 	mux := http.NewServeMux()
-	// Compressing a token costs an eighth of a request's processor time and
-	// makes it longer.
-	small := connect.WithCompressMinBytes(compressFrom)
-	mux.Handle(skylarkwoodv1connect.NewRequestServiceHandler(&api.Requests{Node: e.node, Owner: e.owner}, small))
-	mux.Handle(skylarkwoodv1connect.NewOperatorServiceHandler(&api.Operators{Node: e.node}, small))
-	in := &data.Server{Metadata: e.node.Metadata(), Tokens: e.owner.Tokens}
-	mux.Handle(in.Handler())
+	// Compressing the message of one token costs processor time and makes it longer.
+	compression := connect.WithCompressMinBytes(minCompressBytes)
+	mux.Handle(skylarkwoodv1connect.NewRequestServiceHandler(&api.Requests{Node: e.node, Owner: e.owner}, compression))
+	mux.Handle(skylarkwoodv1connect.NewOperatorServiceHandler(&api.Operators{Node: e.node}, compression))
+	dataServer := &data.Server{Metadata: e.node.Metadata(), Tokens: e.owner.Tokens}
+	mux.Handle(dataServer.Handler())
 	mux.Handle("GET /metrics", e.metrics.handler())
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
@@ -281,18 +281,18 @@
 	}
 }
 
-func listen(l settings.Listen) (linkL, httpL net.Listener, err error) {
-	if linkL, err = net.Listen("tcp", l.Link); err != nil {
+func listen(l settings.Listen) (linkListener, httpListener net.Listener, err error) {
+	if linkListener, err = net.Listen("tcp", l.Link); err != nil {
 		return nil, nil, errors.Wrap(err, "listen.link")
 	}
-	if httpL, err = net.Listen("tcp", l.HTTP); err != nil {
-		linkL.Close()
+	if httpListener, err = net.Listen("tcp", l.HTTP); err != nil {
+		linkListener.Close()
 		return nil, nil, errors.Wrap(err, "listen.http")
 	}
-	return linkL, httpL, nil
+	return linkListener, httpListener, nil
 }
 
-func every(ctx context.Context, d time.Duration, f func()) {
+func runPeriodically(ctx context.Context, d time.Duration, f func()) {
 	t := time.NewTicker(d)
 	defer t.Stop()
 	for {
@@ -305,31 +305,31 @@
 	}
 }
 
-// defaultLink is the one-way time between failure domains that no link names.
-const defaultLink = 500 * time.Microsecond
+// defaultLinkDelay is the one-way time between failure domains without a configured link.
+const defaultLinkDelay = 500 * time.Microsecond
 
-// links reads the links of the settings.
+// links returns the links of the settings.
 func (e *Entry) links() routing.Links {
 	links := e.settings.Links
-	known := map[[2]string]settings.Link{}
+	byDomains := map[[2]string]settings.Link{}
 	for _, l := range links {
 		a, b := l.Between[0], l.Between[1]
-		known[[2]string{a, b}] = l
-		known[[2]string{b, a}] = l
+		byDomains[[2]string{a, b}] = l
+		byDomains[[2]string{b, a}] = l
 	}
 	return routing.Links{
-		RouterCount: e.sharers,
+		RouterCount: e.entryCount,
 		Time: func(a, b model.Instance) time.Duration {
-			if l, ok := known[[2]string{a.FailureDomain, b.FailureDomain}]; ok {
+			if l, ok := byDomains[[2]string{a.FailureDomain, b.FailureDomain}]; ok {
 				return time.Duration(l.OneWay)
 			}
 			if a.FailureDomain == b.FailureDomain {
-				return defaultLink / 5
+				return defaultLinkDelay / 5
 			}
-			return defaultLink
+			return defaultLinkDelay
 		},
 		Rate: func(from, to string) float64 {
-			if l, ok := known[[2]string{from, to}]; ok && l.Positions > 0 {
+			if l, ok := byDomains[[2]string{from, to}]; ok && l.Positions > 0 {
 				return l.Positions
 			}
 			return math.Inf(1)
--- a/internal/daemon/malformed.go
+++ b/internal/daemon/malformed.go
@@ -3,27 +3,28 @@
 import "time"
 
 const (
-	// malformedInterval is how long an entry that names no server is not logged again: its
-	// writer may write it each heartbeat, and each would be a line in every router.
-	malformedInterval = time.Minute
-	// mostMalformed is how many such entries are remembered; beyond it nothing is logged
-	// until the oldest are forgotten.
-	mostMalformed = 64
+	// malformedLogInterval is the minimum time between two log lines on the same malformed
+	// entry. Its writer may write it with each heartbeat.
+	malformedLogInterval = time.Minute
+	// maxMalformedEntries is the number of such entries that are remembered. While it is
+	// reached, further entries are not logged.
+	maxMalformedEntries = 64
 )
 
-// malformedEntries bounds the log lines on entries that name no server.
+// malformedEntries limits log lines on malformed entries. It holds the time of the last line
+// by server id.
 type malformedEntries map[string]time.Time
 
-// first tells whether an entry is to be logged now.
-func (o malformedEntries) first(id string, now time.Time) bool {
-	for other, at := range o {
-		if now.Sub(at) > malformedInterval {
-			delete(o, other)
+// shouldLog reports whether a malformed entry is to be logged now, and records that it was.
+func (m malformedEntries) shouldLog(id string, now time.Time) bool {
+	for otherID, at := range m {
+		if now.Sub(at) > malformedLogInterval {
+			delete(m, otherID)
 		}
 	}
-	if _, ok := o[id]; ok || len(o) >= mostMalformed {
+	if _, ok := m[id]; ok || len(m) >= maxMalformedEntries {
 		return false
 	}
-	o[id] = now
+	m[id] = now
 	return true
 }
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -37,146 +37,145 @@
 )
 
 const (
-	// controlEvery is how often the leader compares plan and engines.
-	controlEvery = 200 * time.Millisecond
-	// judgeEvery is how often it is looked whether a request is to blame for servers' ends.
-	judgeEvery = 50 * time.Millisecond
-	// archiveEvery is how often it is looked whether the store knows them.
-	archiveEvery = 200 * time.Millisecond
-	// yieldTime is how long reading a configuration pauses at a time.
-	yieldTime = time.Millisecond
-	// trimEvery is how often idle connections and old beliefs are dropped.
-	trimEvery = time.Second
-	// callsEvery is how often the calls to the store are told in the log.
-	callsEvery = 10 * time.Second
-	// balancerDelay is how long the balancer may go on sending new callers
-	// after readiness failed: two checks, a second apart, and their time.
+	// controlInterval is the time between two comparisons of the plan with the engines.
+	controlInterval = 200 * time.Millisecond
+	// evaluateInterval is the time between two evaluations of suspected requests.
+	evaluateInterval = 50 * time.Millisecond
+	// persistInterval is the time between two checks whether the store has the verdicts.
+	persistInterval = 200 * time.Millisecond
+	// yieldDelay is the length of a pause while a configuration is decoded.
+	yieldDelay = time.Millisecond
+	// cleanUpInterval is the time between two removals of idle connections and expired state.
+	cleanUpInterval = time.Second
+	// callLogInterval is the time between two log lines on the calls to the store.
+	callLogInterval = 10 * time.Second
+	// balancerDelay is how long the balancer may still send new callers after the readiness
+	// check failed. It checks twice, one second apart.
 	balancerDelay = 2500 * time.Millisecond
-	// graceMargin is kept of the grace time for the process to end.
+	// graceMargin is the part of the grace time that is reserved for exiting.
 	graceMargin = 500 * time.Millisecond
-	// memoryShare is the share of the memory limit that the garbage collector
-	// aims for; buffers of the kernel count too.
-	memoryShare = 0.6
+	// memoryLimitShare is the share of the memory limit that the garbage collector aims for.
+	// Kernel buffers count against the limit too.
+	memoryLimitShare = 0.6
 )
 
-// Router is one running router on the users' platform.
+// Router is a router process.
 type Router struct {
-	settings settings.Settings
-	store    *countedStore
-	config   *routes.ActiveConfig
-	catalog  *catalog.Catalog
-	health   *catalog.Health
-	memory   *chains.UsageTracker
-	pipes    *chains.Interconnect
-	elector  *leader.Elector
-	control  *placement.Controller
-	exchange *peers.Exchange
-	follower *follow.Follower
-	prober   *relay.Prober
-	liveness *liveness.Watcher
-	suspects *peers.Quarantine
-	archive  *quarantine.Persister
-	links    *link.Server
-	backends *backend.Pool
-	front    *front.Server
-	metrics  *metrics
+	settings     settings.Settings
+	store        *countedStore
+	config       *routes.ActiveConfig
+	catalog      *catalog.Catalog
+	health       *catalog.Health
+	usage        *chains.UsageTracker
+	interconnect *chains.Interconnect
+	elector      *leader.Elector
+	controller   *placement.Controller
+	exchange     *peers.Exchange
+	follower     *follow.Follower
+	prober       *relay.Prober
+	liveness     *liveness.Watcher
+	quarantine   *peers.Quarantine
+	persister    *quarantine.Persister
+	links        *link.Server
+	backends     *backend.Pool
+	front        *front.Server
+	metrics      *metrics
 
-	listen func(addr string) (net.Listener, error)      // tests give listeners that fail
-	decode func(raw []byte) (*model.RouteConfig, error) // tests give one that panics
+	listen func(addr string) (net.Listener, error)      // replaced in tests
+	decode func(raw []byte) (*model.RouteConfig, error) // replaced in tests
 
-	traffic  atomic.Bool
-	draining atomic.Bool
+	requestSeen atomic.Bool
+	draining    atomic.Bool
 
-	malformed malformedEntries // used by the follower alone
+	malformed malformedEntries // used by the follower only
 
 	mu      sync.Mutex
 	members map[string]leader.Member // by store key
 }
 
-// memoryLimit is what the garbage collector aims for, in bytes, where a process may
-// take that many megabytes. A figure beyond all machines is no limit.
+// memoryLimit returns the limit for the garbage collector in bytes. It caps values that would
+// overflow.
 func memoryLimit(megabytes float64) int64 {
-	return int64(min(megabytes*memoryShare*(1<<20), math.MaxInt64/2))
+	return int64(min(megabytes*memoryLimitShare*(1<<20), math.MaxInt64/2))
 }
 
-// NewRouter puts a router together.
+// NewRouter returns a router that serves once Run is called.
 func NewRouter(s settings.Settings, store outside.Store) *Router {
 	m := newMetrics(s)
 	r := &Router{
-		settings:  s,
-		store:     newCountedStore(store, m),
-		config:    &routes.ActiveConfig{},
-		catalog:   catalog.New(time.Now),
-		health:    catalog.NewHealth(time.Now),
-		memory:    chains.NewUsageTracker(time.Now),
-		pipes:     chains.NewInterconnect(time.Now),
-		prober:    relay.NewProber(),
-		backends:  backend.NewPool(),
-		metrics:   m,
-		members:   map[string]leader.Member{},
-		malformed: malformedEntries{},
-		listen:    listenTCP,
+		settings:     s,
+		store:        newCountedStore(store, m),
+		config:       &routes.ActiveConfig{},
+		catalog:      catalog.New(time.Now),
+		health:       catalog.NewHealth(time.Now),
+		usage:        chains.NewUsageTracker(time.Now),
+		interconnect: chains.NewInterconnect(time.Now),
+		prober:       relay.NewProber(),
+		backends:     backend.NewPool(),
+		metrics:      m,
+		members:      map[string]leader.Member{},
+		malformed:    malformedEntries{},
+		listen:       listenTCP,
 	}
 	r.decode = func(raw []byte) (*model.RouteConfig, error) { return platform.DecodeConfig(raw, r.yield) }
-	r.linkPeers()
+	r.buildExchange()
 	r.buildRelay()
-	r.buildControl()
-	r.followStore()
+	r.buildController()
+	r.buildFollower()
 	return r
 }
 
-// yield lets other work of this process go first while a configuration is read, unless
-// callers wait for the first one.
+// yield pauses the decoding of a configuration to let other work run. It does not pause while
+// callers wait for the first configuration.
 func (r *Router) yield() {
 	if r.config.Load() != nil {
-		time.Sleep(yieldTime)
+		time.Sleep(yieldDelay)
 	}
 }
 
-// followStore keeps what this router knows of the store up to date, by the store's own
-// word or that of the routers that ask it.
-func (r *Router) followStore() {
-	news := &peers.Updates{Pool: r.exchange.Pool}
+// buildFollower builds the follower, which keeps this router's copy of the store up to date.
+func (r *Router) buildFollower() {
+	updates := &peers.Updates{Pool: r.exchange.Pool}
 	r.follower = &follow.Follower{
 		Store:            r.store,
 		Prefix:           "",
 		Sink:             (*routerSink)(r),
 		Clock:            boottime.Now,
-		Picker:           &follow.Picker{Self: r.settings.Router.Peers, Domain: r.settings.FailureDomain, Routers: r.routersHeard, Clock: boottime.Now},
-		PollPeer:         news.Poll,
+		Picker:           &follow.Picker{Self: r.settings.Router.Peers, Domain: r.settings.FailureDomain, Routers: r.reachableRouters, Clock: boottime.Now},
+		PollPeer:         updates.Poll,
 		Replica:          &replica.Replica{},
 		PeersLastContact: r.config.LastConfirmed,
-		Idle:             func() bool { return !r.callersCame() && r.elector.FencingToken() == 0 },
+		Idle:             func() bool { return !r.hasTraffic() && r.elector.FencingToken() == 0 },
 	}
-	r.store.unanswered = r.follower.CallFailed
+	r.store.onNoResponse = r.follower.CallFailed
 	if store, ok := r.store.Store.(interface{ OnNewEra(func(era int64)) }); ok {
 		store.OnNewEra(r.follower.ObserveEra)
 	}
-	news.WaitForUpdates = r.follower.WaitForUpdates
-	news.Register(r.links)
+	updates.WaitForUpdates = r.follower.WaitForUpdates
+	updates.Register(r.links)
 }
 
-// routersHeard lists the other routers that are registered and were heard of lately.
-func (r *Router) routersHeard() []follow.Router {
-	heard := r.exchange.ReachablePeers()
+// reachableRouters returns the registered routers that were recently heard from.
+func (r *Router) reachableRouters() []follow.Router {
+	reachable := r.exchange.ReachablePeers()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []follow.Router
 	for _, m := range r.members {
-		if heard[m.Address] {
+		if reachable[m.Address] {
 			out = append(out, follow.Router{Address: m.Address, Domain: m.Domain})
 		}
 	}
 	return out
 }
 
-// callersCame tells whether requests came here or at a peer since the system was
-// first started; they did where this is not its first start.
-func (r *Router) callersCame() bool {
-	return !r.settings.Router.FirstStart || r.traffic.Load() || r.exchange.PeerHasTraffic()
+// hasTraffic reports whether this router or a peer has received requests since the first start
+// of the system. It is true if this is not the first start.
+func (r *Router) hasTraffic() bool {
+	return !r.settings.Router.FirstStart || r.requestSeen.Load() || r.exchange.PeerHasTraffic()
 }
 
-func (r *Router) linkPeers() {
+func (r *Router) buildExchange() {
 	stamp := &link.Metadata{
 		Clock:               hlc.New(time.Now),
 		Revision:            r.config.Version,
@@ -191,8 +190,8 @@
 		Config:              r.config,
 		Decode:              r.decodeConfig,
 		Catalog:             r.catalog,
-		Usage:               r.memory,
-		Interconnect:        r.pipes,
+		Usage:               r.usage,
+		Interconnect:        r.interconnect,
 		Revision:            func() model.Revision { return r.follower.AdvertisedRevision() },
 		ObservePeerRevision: func(revision model.Revision) { r.follower.ObservePeerRevision(revision) },
 		HandlePeerSuspicion: func(engine model.Incarnation) { r.prober.HandlePeerSuspicion(engine) },
@@ -200,7 +199,7 @@
 		HandleEngineExit:    func(engine model.Incarnation) { r.front.Relay.HandleEngineExit(engine) },
 		Clock:               boottime.Now,
 		Now:                 time.Now,
-		HasTraffic:          r.traffic.Load,
+		HasTraffic:          r.requestSeen.Load,
 	}
 	rt := r.settings.Router
 	budget := limits.NewSharedRetryBudget(rt.RetryRatio, rt.RetrySlack, time.Duration(rt.RetryWindow), r.exchange.RouterCount, time.Now)
@@ -209,13 +208,13 @@
 	r.links.VerifySenderHost = true
 	r.exchange.Register(r.links)
 	tracker := quarantine.New(boottime.Now)
-	r.suspects = &peers.Quarantine{Exchange: r.exchange, Tracker: tracker, Trials: quarantine.NewTrials(tracker)}
-	r.suspects.Register(r.links)
-	r.archive = &quarantine.Persister{
+	r.quarantine = &peers.Quarantine{Exchange: r.exchange, Tracker: tracker, Trials: quarantine.NewTrials(tracker)}
+	r.quarantine.Register(r.links)
+	r.persister = &quarantine.Persister{
 		Tracker: tracker,
 		Store:   r.store,
 		Key:     leader.QuarantineKey,
-		Rank:    r.suspects.PersisterRank,
+		Rank:    r.quarantine.PersisterRank,
 		Clock:   boottime.Now,
 		Now:     time.Now,
 	}
@@ -227,18 +226,18 @@
 		Config:         r.config,
 		Catalog:        r.catalog,
 		Health:         r.health,
-		Chooser:        &chains.Chooser{Catalog: r.catalog, Health: r.health, Usage: r.memory, Interconnect: r.pipes, RouterCount: r.exchange.RouterCount, Self: r.settings.Router.Peers},
-		Memory:         r.memory,
+		Chooser:        &chains.Chooser{Catalog: r.catalog, Health: r.health, Usage: r.usage, Interconnect: r.interconnect, RouterCount: r.exchange.RouterCount, Self: r.settings.Router.Peers},
+		Memory:         r.usage,
 		RetryBorrower:  r.exchange.RetryBorrower,
 		WaitQueue:      admission.NewWaitQueue(),
 		BackendClient:  r.backends,
 		Observer:       r.metrics,
-		OnPanic:        r.metrics.panicked,
+		OnPanic:        r.metrics.countPanic,
 		ActiveRuns:     relay.NewActiveRuns(),
 		Detector:       detector.New(time.Now),
 		Suspects:       r.prober,
-		Quarantine:     r.suspects.Tracker,
-		RequestTrial:   r.suspects.RequestTrial,
+		Quarantine:     r.quarantine.Tracker,
+		RequestTrial:   r.quarantine.RequestTrial,
 		CheckListening: r.backends.CheckListening,
 		FailureDomain:  r.settings.FailureDomain,
 		MaxConfigAge:   time.Duration(rt.ConfigApply),
@@ -247,7 +246,7 @@
 		Started:        time.Now(),
 	}
 	rel.SlowdownMonitor = relay.NewSlowdownMonitor()
-	rel.SlowdownMonitor.Memory = r.memory
+	rel.SlowdownMonitor.Memory = r.usage
 	rel.SlowdownMonitor.Catalog = r.catalog
 	rel.SlowdownMonitor.Report = rel.Report
 	rel.SlowdownMonitor.Now = time.Now
@@ -268,10 +267,10 @@
 			rel.HandleEngineExit(b.Incarnation())
 		},
 	}
-	r.front = &front.Server{Config: r.config, Relay: rel, Observer: r.metrics, OnRequest: func() { r.traffic.Store(true) }}
+	r.front = &front.Server{Config: r.config, Relay: rel, Observer: r.metrics, OnRequest: func() { r.requestSeen.Store(true) }}
 }
 
-// engines lists the engines of all services that generate, leaving ones included.
+// engines returns the engines of all engine services, draining ones included.
 func (r *Router) engines() []*model.BackendServer {
 	table := r.config.Load()
 	if table == nil {
@@ -286,34 +285,34 @@
 	return out
 }
 
-func (r *Router) buildControl() {
+func (r *Router) buildController() {
 	r.elector = &leader.Elector{
 		Store:       r.store,
 		Self:        leader.Member{Instance: r.settings.Instance, Address: r.settings.Router.Peers, Domain: r.settings.FailureDomain},
 		Incarnation: NewID(),
 		Clock:       boottime.Now,
-		// A router that hears from the store itself knows first that nobody leads. All
-		// others would stand as well: two priced calls each, whenever a leader ends.
+		// Routers that watch the store learn first that there is no leader. If all routers
+		// were candidates, each election would cost two store calls a router.
 		Eligible: func() bool { return !r.draining.Load() && r.follower.Watching() },
 	}
-	r.control = &placement.Controller{
+	r.controller = &placement.Controller{
 		Config:       r.config,
 		Catalog:      r.catalog,
 		Store:        r.store,
 		Engines:      relay.EngineClient{Relay: r.front.Relay},
 		FencingToken: r.elector.FencingToken,
 		OnFenced:     r.elector.TokenRejected,
-		HasTraffic:   r.callersCame,
+		HasTraffic:   r.hasTraffic,
 		Suspected:    r.health.Suspected,
 		Unreachable:  r.prober.Lost,
-		StreamCount:  func(engine model.Incarnation) float64 { return r.memory.Used(engine).Streams },
+		StreamCount:  func(engine model.Incarnation) float64 { return r.usage.Used(engine).Streams },
 		Now:          time.Now,
 	}
 }
 
-// Run serves until ctx ends or callers can no longer connect, then drains: it fails
-// its readiness, goes on serving until the balancer has noticed, and finishes what
-// runs.
+// Run serves until ctx ends or callers can no longer connect. It then fails the readiness
+// check, serves until the balancer stops sending callers, and finishes the requests in
+// progress. It returns an error if it cannot listen or if callers can no longer connect.
 func (r *Router) Run(ctx context.Context) error {
 	rt := r.settings.Router
 	if rt.MemoryMB > 0 {
@@ -339,7 +338,7 @@
 	}
 	go func() {
 		if err := r.links.Serve(background, links); err != nil {
-			klog.ErrorS(err, "links to peers ended")
+			klog.ErrorS(err, "serving links to peers failed")
 		}
 	}()
 	r.exchange.QueryPeerVersions()
@@ -350,25 +349,25 @@
 	go r.exchange.Run(background)
 	go r.prober.Run(background)
 	go r.liveness.Run(background)
-	go r.every(background, controlEvery, func() {
-		r.expire()
+	go r.runPeriodically(background, controlInterval, func() {
+		r.expireServers()
 		r.front.Relay.SlowdownMonitor.Recheck()
-		r.control.Tick(background)
+		r.controller.Tick(background)
 	})
-	go r.suspects.Run(background)
-	go r.every(background, judgeEvery, r.suspects.Tracker.EvaluateSuspects)
-	go r.every(background, archiveEvery, func() { r.archive.Tick(background) })
-	go r.every(background, trimEvery, r.trim)
-	go r.every(background, callsEvery, r.store.log)
+	go r.quarantine.Run(background)
+	go r.runPeriodically(background, evaluateInterval, r.quarantine.Tracker.EvaluateSuspects)
+	go r.runPeriodically(background, persistInterval, func() { r.persister.Tick(background) })
+	go r.runPeriodically(background, cleanUpInterval, r.cleanUp)
+	go r.runPeriodically(background, callLogInterval, r.store.logCounts)
 	served := make(chan error, 1)
 	go func() { served <- r.front.Serve(callers) }()
 	var failure error
 	select {
 	case failure = <-served:
-		// Those who are connected get their answers before the process ends.
-		klog.ErrorS(failure, "callers can no longer connect")
+		// Callers that are connected get their responses before the process exits.
+		klog.ErrorS(failure, "accepting callers failed")
 	case <-ctx.Done():
-		klog.InfoS("told to stop", "by", context.Cause(ctx))
+		klog.InfoS("stop requested", "by", context.Cause(ctx))
 	}
 	resign()
 	r.drain(time.Duration(rt.Grace))
@@ -376,19 +375,19 @@
 }
 
 func (r *Router) drain(grace time.Duration) {
-	began := time.Now()
+	startedAt := time.Now()
 	r.draining.Store(true)
 	r.front.Drain()
 	klog.InfoS("stopping", "active", r.front.ActiveRequests(), "grace", grace)
 	time.Sleep(min(balancerDelay, grace/2))
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-graceMargin))
+	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(grace-graceMargin))
 	defer cancel()
 	err := r.front.Shutdown(ctx)
-	r.store.log()
-	klog.InfoS("stopped", "active", r.front.ActiveRequests(), "took", time.Since(began), "err", err)
+	r.store.logCounts()
+	klog.InfoS("stopped", "active", r.front.ActiveRequests(), "took", time.Since(startedAt), "err", err)
 }
 
-func (r *Router) every(ctx context.Context, d time.Duration, f func()) {
+func (r *Router) runPeriodically(ctx context.Context, d time.Duration, f func()) {
 	tick := time.NewTicker(d)
 	defer tick.Stop()
 	for {
@@ -401,35 +400,34 @@
 	}
 }
 
-func (r *Router) trim() {
+func (r *Router) cleanUp() {
 	r.backends.CloseExpired()
-	r.suspects.Tracker.Expire()
-	r.metrics.quarantine(r.suspects.Tracker.Counts())
-	r.memory.ExpirePeers()
+	r.quarantine.Tracker.Expire()
+	r.metrics.setQuarantine(r.quarantine.Tracker.Counts())
+	r.usage.ExpirePeers()
 	r.catalog.PruneExited()
-	known := r.catalog.Load()
-	stands := func(inc model.Incarnation) bool { return known.Find(inc) != nil }
-	r.health.Retain(stands)
-	r.memory.Retain(stands)
+	servers := r.catalog.Load()
+	registered := func(inc model.Incarnation) bool { return servers.Find(inc) != nil }
+	r.health.Retain(registered)
+	r.usage.Retain(registered)
 	for _, b := range r.engines() {
-		r.memory.Observe(b.Incarnation(), b.Holds)
+		r.usage.Observe(b.Incarnation(), b.Holds)
 	}
-	r.metrics.router(r.front.ActiveRequests(), r.front.Relay.WaitQueue.Len(), r.backends.DialCount(), r.config.Version())
-	r.metrics.newsSource(r.follower.Watching(), r.follower.SinceLastContact())
+	r.metrics.setRouter(r.front.ActiveRequests(), r.front.Relay.WaitQueue.Len(), r.backends.DialCount(), r.config.Version())
+	r.metrics.setStoreContact(r.follower.Watching(), r.follower.SinceLastContact())
 }
 
-// expire drops backend servers whose entries did not come back in time.
-func (r *Router) expire() {
+// expireServers drops backend servers whose removed entries were not written again in time.
+func (r *Router) expireServers() {
 	for _, id := range r.catalog.Expire() {
-		klog.InfoS("backend server gone", "server", id, "why", "its entry did not come back")
+		klog.InfoS("backend server expired", "server", id, "why", "entry not written again in time")
 	}
 }
 
-// Ready tells whether the balancer should send callers here.
+// Ready reports whether the balancer may send callers to this router.
 func (r *Router) Ready() bool {
 	return !r.draining.Load() && r.config.Load() != nil
 }
 
-// Watching tells whether this router hears from the store itself, and not from a peer
-// that does.
+// Watching reports whether this router watches the store itself instead of polling a peer.
 func (r *Router) Watching() bool { return r.follower.Watching() }
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -23,17 +23,17 @@
 )
 
 const (
-	fenceTimeout  = time.Second
-	prepareRetry  = 200 * time.Millisecond
-	engineTimeout = 2 * time.Second
-	// leaveGrace lets entries learn from heartbeats that the sidecar leaves.
-	leaveGrace = time.Second
+	fencingTokenTimeout  = time.Second
+	prepareRetryInterval = 200 * time.Millisecond
+	engineTimeout        = 2 * time.Second
+	// leaveDelay gives entries time to learn from heartbeats that the sidecar is leaving.
+	leaveDelay = time.Second
 )
 
-// Sidecar is one running sidecar.
+// Sidecar is a sidecar process.
 type Sidecar struct {
 	settings settings.Settings
-	out      Dependencies
+	deps     Dependencies
 	node     *mesh.Node
 	data     *data.Pool
 	sidecar  *sidecar.Sidecar
@@ -42,9 +42,9 @@
 	load     platform.EngineLoad
 }
 
-// NewSidecar puts a sidecar together.
+// NewSidecar returns a sidecar that serves once Run is called.
 func NewSidecar(s settings.Settings, out Dependencies) *Sidecar {
-	d := &Sidecar{settings: s, out: out, metrics: newMetrics(s)}
+	d := &Sidecar{settings: s, deps: out, metrics: newMetrics(s)}
 	incarnation := NewID()
 	d.gate = gate.New(incarnation, s.Sidecar.Capacity, s.Sidecar.Queue, time.Now)
 	d.node = mesh.New(mesh.Options{
@@ -60,8 +60,8 @@
 	return d
 }
 
-// describe is what entries are told of the backend server.
-func (d *Sidecar) describe() wire.HelloReply {
+// helloReply returns the description of the backend server that entries receive.
+func (d *Sidecar) helloReply() wire.HelloReply {
 	return wire.HelloReply{
 		Data:       d.settings.Listen.HTTP,
 		Service:    d.settings.Sidecar.Service,
@@ -73,18 +73,18 @@
 	}
 }
 
-// prepare ends what a predecessor left at the engine and learns what it holds.
-// Until then nothing is accepted.
+// prepare ends the sessions that an earlier sidecar left at the engine and reads which layers
+// the engine holds. No request is accepted before it returns.
 func (d *Sidecar) prepare(ctx context.Context) error {
-	b := sidecar.Backend{Engine: d.out.Engine, Plain: d.out.Plain}
+	b := sidecar.Backend{Engine: d.deps.Engine, Plain: d.deps.Plain}
 	for b.Engine != nil {
-		err := d.takeEngine(ctx, &b)
+		err := d.takeOverEngine(ctx, &b)
 		if err == nil {
 			break
 		}
-		klog.InfoS("Engine cannot be taken over yet", "instance", d.settings.Instance, "err", err)
+		klog.InfoS("taking over engine failed; retrying", "instance", d.settings.Instance, "err", err)
 		select {
-		case <-time.After(prepareRetry):
+		case <-time.After(prepareRetryInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -94,32 +94,31 @@
 		d.gate.SetConcurrencyLimiter(b.Limiter)
 	}
 	d.sidecar = sidecar.New(d.settings.Listen.Link, d.gate, b, sender{d.node.Pool, d.data}, d.node.Events, time.Now)
-	d.node.SetBackend(d.describe(), d.gate.Load, d.sidecar.RecordContact)
+	d.node.SetBackend(d.helloReply(), d.gate.Load, d.sidecar.RecordContact)
 	d.register()
 	return nil
 }
 
-func (d *Sidecar) takeEngine(ctx context.Context, b *sidecar.Backend) error {
-	b.Fence = takeFence(ctx, d.out.KV, d.settings.Sidecar.Backend)
+func (d *Sidecar) takeOverEngine(ctx context.Context, b *sidecar.Backend) error {
+	b.Fence = nextFencingToken(ctx, d.deps.KV, d.settings.Sidecar.Backend)
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
-	ended, err := b.Engine.EndAll(ctx, b.Fence)
+	endedSessions, err := b.Engine.EndAll(ctx, b.Fence)
 	if err != nil {
 		return err
 	}
 	if d.load, err = b.Engine.Load(ctx); err != nil {
 		return err
 	}
-	klog.InfoS("Engine taken over", "instance", d.settings.Instance, "fence", b.Fence, "ended", ended, "layers", d.load.Range)
+	klog.InfoS("engine taken over", "instance", d.settings.Instance, "fence", b.Fence, "ended", endedSessions, "layers", d.load.Range)
 	return nil
 }
 
-// takeFence takes the next fencing number for an engine. The number is at least
-// the time in milliseconds; in an outage of the key-value service the time
-// alone serves, which holds while clocks do not go back further than a restart
-// takes.
-func takeFence(ctx context.Context, kv platform.KV, backend string) int64 {
-	ctx, cancel := context.WithTimeout(ctx, fenceTimeout)
+// nextFencingToken returns the next fencing token for an engine. The token is at least the time
+// in milliseconds. While the key-value service is unavailable the time is the token. That is
+// safe unless the clock goes back by more than a restart takes.
+func nextFencingToken(ctx context.Context, kv platform.KV, backend string) int64 {
+	ctx, cancel := context.WithTimeout(ctx, fencingTokenTimeout)
 	defer cancel()
 	now := time.Now().UnixMilli()
 	for ctx.Err() == nil {
@@ -136,35 +135,35 @@
 	return now
 }
 
-// register opens the gate's methods; before it every message is refused as
-// unknown, which entries take as an instance that is not up.
+// register registers the handlers of requests. Until then every message is refused as unknown,
+// and entries treat the instance as not started.
 func (d *Sidecar) register() {
 	srv, s := d.node.Server, d.sidecar
-	srv.Register(wire.MethodOpen, link.Handle(checked(d, s.Open)))
-	srv.Register(wire.MethodCall, link.Handle(checked(d, s.Call)))
+	srv.Register(wire.MethodOpen, link.Handle(checkRevision(d, s.Open)))
+	srv.Register(wire.MethodCall, link.Handle(checkRevision(d, s.Call)))
 	srv.Register(wire.MethodResume, link.Handle(s.Resume))
 	srv.Register(wire.MethodNoStage, link.Handle(s.NoStage))
 	srv.Register(wire.MethodClose, link.Handle(s.Close))
 	srv.Register(wire.MethodCancel, link.Handle(s.Cancel))
 }
 
-// checked refuses work from an entry that acts on an older configuration.
-func checked[Req, Rep any](d *Sidecar, f func(context.Context, string, Req) (Rep, error)) func(context.Context, string, Req) (Rep, error) {
+// checkRevision wraps a handler to refuse requests of an entry whose configuration is older.
+func checkRevision[Req, Rep any](d *Sidecar, f func(context.Context, string, Req) (Rep, error)) func(context.Context, string, Req) (Rep, error) {
 	return func(ctx context.Context, from string, req Req) (Rep, error) {
 		admitted := int64(0)
 		if a, ok := any(req).(interface{ AdmittedBy() int64 }); ok {
 			admitted = a.AdmittedBy()
 		}
 		if err := d.node.CheckSenderRevision(from, admitted); err != nil {
-			var none Rep
-			return none, err
+			var zero Rep
+			return zero, err
 		}
 		return f(ctx, from, req)
 	}
 }
 
-// sender passes a stage's results on: in bulk by data streams, what is seldom by
-// links.
+// sender sends the results of a stage: activations and tokens over data streams, other messages
+// over links.
 type sender struct {
 	pool *link.Pool
 	data *data.Pool
@@ -186,28 +185,28 @@
 	return s.pool.Notify(ctx, addr, wire.MethodStageFailed, f)
 }
 
-// Run serves until ctx ends, then drains: the gate refuses new work at once,
-// what runs finishes, then the process ends.
+// Run serves until ctx ends. The gate then refuses new requests, and Run returns when the
+// requests in progress have finished.
 func (d *Sidecar) Run(ctx context.Context) error {
-	linkL, httpL, err := listen(d.settings.Listen)
+	linkListener, httpListener, err := listen(d.settings.Listen)
 	if err != nil {
 		return err
 	}
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
 	if err := d.prepare(ctx); err != nil {
-		return nil // told to stop before it had begun
+		return nil // stopped before it started
 	}
 	done := make(chan error, 2)
-	go func() { done <- d.node.Run(running, linkL) }()
+	go func() { done <- d.node.Run(running, linkListener) }()
 	srv := &http.Server{Handler: d.handler(), ReadHeaderTimeout: 10 * time.Second}
-	go func() { done <- srv.Serve(httpL) }()
-	go every(running, sweepEvery/5, func() {
+	go func() { done <- srv.Serve(httpListener) }()
+	go runPeriodically(running, sweepInterval/5, func() {
 		d.sidecar.Sweep()
-		d.metrics.links(d.node.Bytes())
-		d.metrics.gate(d.gate.Load())
+		d.metrics.setLinkBytes(d.node.Bytes())
+		d.metrics.setGate(d.gate.Load())
 	})
-	klog.InfoS("Sidecar serves", "instance", d.settings.Instance, "incarnation", d.node.Incarnation,
+	klog.InfoS("sidecar started", "instance", d.settings.Instance, "incarnation", d.node.Incarnation,
 		"service", d.settings.Sidecar.Service, "link", d.settings.Listen.Link)
 	select {
 	case err := <-done:
@@ -215,17 +214,17 @@
 	case <-ctx.Done():
 	}
 	d.node.Events.Add(model.RequestKey{}, events.DrainStarted, "")
-	klog.InfoS("Sidecar drains", "instance", d.settings.Instance, "active", d.gate.Load().Active)
+	klog.InfoS("sidecar draining", "instance", d.settings.Instance, "active", d.gate.Load().Active)
 	<-d.gate.Drain()
-	time.Sleep(leaveGrace)
+	time.Sleep(leaveDelay)
 	d.data.Close()
 	return srv.Close()
 }
 
 func (d *Sidecar) handler() http.Handler {
 	mux := http.NewServeMux()
-	in := &data.Server{Metadata: d.node.Metadata(), Forward: d.sidecar.Forward}
-	mux.Handle(in.Handler())
+	dataServer := &data.Server{Metadata: d.node.Metadata(), Forward: d.sidecar.Forward}
+	mux.Handle(dataServer.Handler())
 	mux.Handle("GET /metrics", d.metrics.handler())
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
