--- a/internal/coordination/quarantine/archive.go
+++ b/internal/coordination/quarantine/archive.go
@@ -145,7 +145,7 @@
 		If:  []platform.Condition{{Key: p.Key, Revision: expected}},
 		Put: []platform.Item{{Key: p.Key, Value: value}},
 	})
-	klog.InfoS("wrote verdicts to the store", "requests", len(rec.Requests), "revision", revision, "expected", expected, "err", err)
+	klog.InfoS("write of verdicts to the store finished", "requests", len(rec.Requests), "revision", revision, "expected", expected, "err", err)
 	if err == nil {
 		p.Observe(value, revision)
 	}
--- a/internal/coordination/quarantine/log.go
+++ b/internal/coordination/quarantine/log.go
@@ -26,7 +26,7 @@
 		return
 	}
 	s.trialOnlyLogged = true
-	klog.InfoS("request restricted to trials: several servers exited while they ran it", "work", fp, "ends", incarnationNames(ev.attributed), "unconfirmed", len(s.lostConnections))
+	klog.InfoS("request restricted to trials: servers exited while they ran it", "work", fp, "ends", incarnationNames(ev.attributed), "unconfirmed", len(s.lostConnections))
 }
 
 func logQuarantined(fp model.Fingerprint, ev evidence, source string) {
