--- a/internal/model/serving.go
+++ b/internal/model/serving.go
@@ -172,7 +172,8 @@
 // milliseconds old.
 type EngineReport struct {
 	// Born is the engine's start time as in BackendServer.
-	Born  int64
+	Born int64
+	// Holds is the range of loaded layers as in BackendServer.
 	Holds LayerRange
 	// Busy is set while an order is in progress.
 	Busy bool
