--- a/bench/throughput_test.go
+++ b/bench/throughput_test.go
@@ -102,7 +102,7 @@
 	}
 	last := began
 	for pos := int64(0); ; {
-		parts, o, err := req.Next(e.Dead, pos)
+		parts, o, err := req.Next(e.Context, pos)
 		if err != nil {
 			return
 		}
--- a/internal/standin/world/entry.go
+++ b/internal/standin/world/entry.go
@@ -27,15 +27,15 @@
 	Addr  string
 	Owner *owner.Owner
 	Store *requests.Store
-	// Dead ends with the entry.
-	Dead   context.Context
-	domain string
-	stop   context.CancelFunc
+	// Context ends with the entry.
+	Context context.Context
+	domain  string
+	stop    context.CancelFunc
 }
 
 func (w *World) startEntry(addr, domain string) *Entry {
 	ctx, stop := context.WithCancel(w.ctx)
-	e := &Entry{Addr: addr, domain: domain, stop: stop, Dead: ctx}
+	e := &Entry{Addr: addr, domain: domain, stop: stop, Context: ctx}
 	p := newPeers(ctx, w.Net, addr, true)
 	table := membership.New(addr, time.Now)
 	clock := hlc.New(time.Now)
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -171,7 +171,7 @@
 	}
 	var answer []byte
 	for pos := int64(0); ; {
-		parts, outcome, err := req.Next(e.Dead, pos)
+		parts, outcome, err := req.Next(e.Context, pos)
 		if err != nil {
 			rec.mu.Lock()
 			defer rec.mu.Unlock()
