--- a/bench/recovery_test.go
+++ b/bench/recovery_test.go
@@ -28,7 +28,7 @@
 	return []blow{
 		{"kill", func(w *world.World, u, _ *world.Sidecar) { w.KillSidecar(u) }},
 		{"freeze", func(w *world.World, u, _ *world.Sidecar) { w.Net.Freeze(u.Addr, time.Minute) }},
-		{"cut", func(w *world.World, u, next *world.Sidecar) { w.Net.SetCut(u.Addr, next.Addr, true) }},
+		{"cut", func(w *world.World, u, next *world.Sidecar) { w.Net.SetPartitioned(u.Addr, next.Addr, true) }},
 	}
 }
 
@@ -72,7 +72,7 @@
 			time.Sleep(2 * time.Minute) // the struck stage comes back
 			for _, u := range w.Sidecars {
 				for _, v := range w.Sidecars {
-					w.Net.SetCut(u.Addr, v.Addr, false)
+					w.Net.SetPartitioned(u.Addr, v.Addr, false)
 				}
 			}
 			time.Sleep(settle)
--- a/internal/standin/world/network.go
+++ b/internal/standin/world/network.go
@@ -92,8 +92,8 @@
 	time.AfterFunc(d, func() { close(thawed) })
 }
 
-// SetCut cuts two processes off from each other, silently, or joins them again.
-func (n *Network) SetCut(a, b string, cut bool) {
+// SetPartitioned cuts two processes off from each other, silently, or joins them again.
+func (n *Network) SetPartitioned(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts[[2]string{a, b}] = cut
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -205,7 +205,7 @@
 	w.Net.SetLoss(0)
 	for _, a := range w.Addresses() {
 		for _, b := range w.Addresses() {
-			w.Net.SetCut(a, b, false)
+			w.Net.SetPartitioned(a, b, false)
 		}
 	}
 }
@@ -223,11 +223,11 @@
 	case 3:
 		w.Net.Freeze(e.Addr, d)
 	case 4:
-		w.Net.SetCut(u.Addr, other.Addr, true)
-		time.AfterFunc(d, func() { w.Net.SetCut(u.Addr, other.Addr, false) })
+		w.Net.SetPartitioned(u.Addr, other.Addr, true)
+		time.AfterFunc(d, func() { w.Net.SetPartitioned(u.Addr, other.Addr, false) })
 	case 5:
-		w.Net.SetCut(e.Addr, u.Addr, true)
-		time.AfterFunc(d, func() { w.Net.SetCut(e.Addr, u.Addr, false) })
+		w.Net.SetPartitioned(e.Addr, u.Addr, true)
+		time.AfterFunc(d, func() { w.Net.SetPartitioned(e.Addr, u.Addr, false) })
 	case 6:
 		w.Net.SetLoss(20 + rnd.IntN(100))
 		time.AfterFunc(d, func() { w.Net.SetLoss(0) })
