--- a/bench/throughput_test.go
+++ b/bench/throughput_test.go
@@ -211,9 +211,9 @@
 		}
 		return out
 	}
-	before, links := runs(), w.Net.Carried()
+	before, links := runs(), w.Net.PositionsCarried()
 	time.Sleep(*measureFlag)
-	after, links2 := runs(), w.Net.Carried()
+	after, links2 := runs(), w.Net.PositionsCarried()
 	used, rate := map[string]float64{}, map[string]float64{}
 	for i, u := range w.Sidecars {
 		key := u.Domain + u.Engine.Range().String()
--- a/internal/standin/world/network.go
+++ b/internal/standin/world/network.go
@@ -114,8 +114,8 @@
 	return n.sent
 }
 
-// Carried tells how many positions each link between two domains has carried.
-func (n *Network) Carried() map[[2]string]int {
+// PositionsCarried tells how many positions each link between two domains has carried.
+func (n *Network) PositionsCarried() map[[2]string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return maps.Clone(n.carried)
