--- a/bench/recovery_test.go
+++ b/bench/recovery_test.go
@@ -27,7 +27,7 @@
 func blows() []blow {
 	return []blow{
 		{"kill", func(w *world.World, u, _ *world.Sidecar) { w.KillSidecar(u) }},
-		{"freeze", func(w *world.World, u, _ *world.Sidecar) { w.Net.Freeze(u.Addr, time.Minute) }},
+		{"freeze", func(w *world.World, u, _ *world.Sidecar) { w.Net.Suspend(u.Addr, time.Minute) }},
 		{"cut", func(w *world.World, u, next *world.Sidecar) { w.Net.SetPartitioned(u.Addr, next.Addr, true) }},
 	}
 }
--- a/bench/retry_test.go
+++ b/bench/retry_test.go
@@ -36,7 +36,7 @@
 		time.AfterFunc(lostAt*time.Second, func() {
 			for _, u := range w.Sidecars {
 				if u.Domain == places[0] {
-					w.Net.Freeze(u.Addr, time.Minute)
+					w.Net.Suspend(u.Addr, time.Minute)
 				}
 			}
 		})
--- a/internal/standin/world/network.go
+++ b/internal/standin/world/network.go
@@ -76,9 +76,9 @@
 	delete(n.nodes, addr)
 }
 
-// Freeze stops a process for a while: nothing it is asked is answered, and it
+// Suspend stops a process for a while: nothing it is asked is answered, and it
 // carries on afterwards as if no time had passed.
-func (n *Network) Freeze(addr string, d time.Duration) {
+func (n *Network) Suspend(addr string, d time.Duration) {
 	n.mu.Lock()
 	nd, ok := n.nodes[addr]
 	if ok {
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -219,9 +219,9 @@
 	case 1:
 		w.KillEntry(rnd.IntN(3), fmt.Sprintf("entry-%d-%d", n, rnd.IntN(1<<30)))
 	case 2:
-		w.Net.Freeze(u.Addr, d)
+		w.Net.Suspend(u.Addr, d)
 	case 3:
-		w.Net.Freeze(e.Addr, d)
+		w.Net.Suspend(e.Addr, d)
 	case 4:
 		w.Net.SetPartitioned(u.Addr, other.Addr, true)
 		time.AfterFunc(d, func() { w.Net.SetPartitioned(u.Addr, other.Addr, false) })
