--- a/bench/fleet_test.go
+++ b/bench/fleet_test.go
@@ -47,7 +47,7 @@
 			Domain:   place,
 			Range:    rng,
 			StepTime: speeds[(i/3+i%5)%3],
-			Batch:    batch,
+			MaxBatch: batch,
 			Sessions: sessions,
 		})
 	}
@@ -58,7 +58,7 @@
 func bound(specs []world.EngineSpec) float64 {
 	var groups []flow.Group
 	for _, s := range specs {
-		rate := float64(s.Batch) / (s.StepTime.Seconds() * float64(s.Range.Len()))
+		rate := float64(s.MaxBatch) / (s.StepTime.Seconds() * float64(s.Range.Len()))
 		groups = append(groups, flow.Group{Domain: s.Domain, Range: s.Range, Rate: rate})
 	}
 	rate := func(a, b string) float64 { return between(a, b).Rate }
--- a/bench/recovery_test.go
+++ b/bench/recovery_test.go
@@ -59,7 +59,7 @@
 				Range:        model.LayerRange{From: i % 3 * 4, To: i%3*4 + 4},
 				StepTime:     2500 * time.Microsecond,
 				PositionTime: 50 * time.Microsecond,
-				Batch:        batch,
+				MaxBatch:     batch,
 				Sessions:     sessions,
 			})
 		}
--- a/internal/standin/world/sidecar.go
+++ b/internal/standin/world/sidecar.go
@@ -31,7 +31,7 @@
 }
 
 func (u *Sidecar) batchTime() time.Duration {
-	return time.Duration(float64(u.spec.Batch) / u.Engine.Rate() * float64(time.Second))
+	return time.Duration(float64(u.spec.MaxBatch) / u.Engine.Rate() * float64(time.Second))
 }
 
 // Gate gives the gate of the sidecar's present incarnation.
@@ -79,7 +79,7 @@
 	m := mortal{Engine: u.Engine, Plain: u.Plain, ctx: ctx}
 	if u.Engine != nil {
 		b.Engine = m
-		b.Pace = limits.NewConcurrencyLimiter(u.spec.Batch, u.places, u.batchTime(), time.Now)
+		b.Pace = limits.NewConcurrencyLimiter(u.spec.MaxBatch, u.places, u.batchTime(), time.Now)
 		u.gate.SetPace(b.Pace)
 		if _, err := u.Engine.EndAll(ctx, b.Fence); err != nil {
 			panic(err) // the stand-in honours the number just taken
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -42,7 +42,7 @@
 	Range        model.LayerRange
 	StepTime     time.Duration
 	PositionTime time.Duration
-	Batch        int
+	MaxBatch     int
 	Sessions     int // places at the gate
 }
 
@@ -103,7 +103,7 @@
 				Layers:       cfg.Layers,
 				StepTime:     spec.StepTime,
 				PositionTime: spec.PositionTime,
-				MaxBatch:     spec.Batch,
+				MaxBatch:     spec.MaxBatch,
 				Capacity:     spec.Sessions,
 			}),
 		})
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -113,7 +113,7 @@
 		cfg.Engines = append(cfg.Engines, world.EngineSpec{
 			Range:    model.LayerRange{From: from, To: from + perEngine},
 			StepTime: time.Millisecond,
-			Batch:    64,
+			MaxBatch: 64,
 			Sessions: 16,
 		})
 	}
