--- a/bench/retry_test.go
+++ b/bench/retry_test.go
@@ -26,7 +26,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		cfg := world.Config{Seed: 1, Layers: 1, Entries: places[:2], Link: between}
 		for i := 0; i < 6; i++ {
-			cfg.Plains = append(cfg.Plains, world.PlainSpec{Domain: places[i%3], Time: 20 * time.Millisecond, Places: 16})
+			cfg.Plains = append(cfg.Plains, world.PlainSpec{Domain: places[i%3], CallDuration: 20 * time.Millisecond, Places: 16})
 		}
 		w, err := world.New(ctx, cfg)
 		assert.NilError(t, err)
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -48,9 +48,9 @@
 
 // PlainSpec is one plain service with its sidecar.
 type PlainSpec struct {
-	Domain string
-	Time   time.Duration
-	Places int
+	Domain       string
+	CallDuration time.Duration
+	Places       int
 }
 
 // Config lays a world out.
@@ -109,7 +109,7 @@
 		})
 	}
 	for _, spec := range cfg.Plains {
-		w.addSidecar(&Sidecar{Domain: spec.Domain, places: spec.Places, Plain: standin.NewPlain(spec.Time)})
+		w.addSidecar(&Sidecar{Domain: spec.Domain, places: spec.Places, Plain: standin.NewPlain(spec.CallDuration)})
 	}
 	for i, domain := range cfg.Entries {
 		e := w.startEntry(fmt.Sprintf("entry-%d", i), domain)
