--- a/internal/standin/world/entry.go
+++ b/internal/standin/world/entry.go
@@ -44,7 +44,7 @@
 	for cfg.Refresh(ctx) != nil { // an outage: peers are asked in the real program
 		time.Sleep(Heartbeat)
 	}
-	led := ledger.New(w.KV, time.Now, rate.NewLimiter(50, 5))
+	intentLedger := ledger.New(w.KV, time.Now, rate.NewLimiter(50, 5))
 	e.Store = requests.NewStore(time.Now, time.Minute)
 	e.Owner = owner.New(owner.Deps{
 		Instance: addr,
@@ -57,7 +57,7 @@
 		Rates:    limits.NewRateLimiter(func() int { return 1 }),
 		Retries:  limits.NewRetryBudget(),
 		Room:     admission.NewLimiter(time.Now),
-		Grant:    led.Record,
+		Grant:    intentLedger.Record,
 		Requests: e.Store,
 		Events:   log,
 		Now:      time.Now,
@@ -67,7 +67,7 @@
 	})
 	w.Net.join(addr, domain, e.handlers())
 	w.every(ctx, Heartbeat, func() { w.heartbeats(ctx, e, p, table) })
-	w.every(ctx, 5*time.Second, func() { e.Store.Sweep(); led.Sweep(ctx) })
+	w.every(ctx, 5*time.Second, func() { e.Store.Sweep(); intentLedger.Sweep(ctx) })
 	return e
 }
 
@@ -93,7 +93,7 @@
 			return struct{}{}, nil
 		}),
 		wire.MethodHello: link.Handle(func(context.Context, string, wire.Hello) (wire.HelloReply, error) {
-			return wire.HelloReply{Instance: told(e.Addr, e.domain, model.RoleEntry), Incarnation: e.Addr}, nil
+			return wire.HelloReply{Instance: instancePointer(e.Addr, e.domain, model.RoleEntry), Incarnation: e.Addr}, nil
 		}),
 	}
 }
@@ -106,15 +106,15 @@
 			continue
 		}
 		wg.Go(func() {
-			call, cancel := context.WithTimeout(ctx, helloWait)
+			call, cancel := context.WithTimeout(ctx, helloTimeout)
 			defer cancel()
-			began := time.Now()
+			start := time.Now()
 			var rep wire.HelloReply
 			if err := p.Call(call, addr, wire.MethodHello, wire.Hello{}, &rep); err != nil {
 				table.Missed(addr)
 				return
 			}
-			table.Seen(*rep.Instance, rep.Incarnation, rep.Backend(), time.Since(began))
+			table.Seen(*rep.Instance, rep.Incarnation, rep.Backend(), time.Since(start))
 		})
 	}
 	wg.Wait()
--- a/internal/standin/world/network.go
+++ b/internal/standin/world/network.go
@@ -44,7 +44,7 @@
 
 type node struct {
 	handlers map[wire.Method]link.Handler
-	thawed   chan struct{} // closed while the node runs
+	resumed  chan struct{} // closed while the node runs
 }
 
 func newNetwork(seed uint64, between func(from, to string) Link) *Network {
@@ -65,7 +65,7 @@
 	close(running)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.nodes[addr] = &node{handlers: handlers, thawed: running}
+	n.nodes[addr] = &node{handlers: handlers, resumed: running}
 	n.domains[addr] = domain
 }
 
@@ -82,14 +82,14 @@
 	n.mu.Lock()
 	nd, ok := n.nodes[addr]
 	if ok {
-		nd.thawed = make(chan struct{})
+		nd.resumed = make(chan struct{})
 	}
 	n.mu.Unlock()
 	if !ok {
 		return
 	}
-	thawed := nd.thawed
-	time.AfterFunc(d, func() { close(thawed) })
+	resumed := nd.resumed
+	time.AfterFunc(d, func() { close(resumed) })
 }
 
 // SetPartitioned cuts two processes off from each other, silently, or joins them again.
@@ -122,22 +122,22 @@
 }
 
 // fate is what becomes of one message.
-type fate struct {
-	to         *node
-	arrives    time.Time
-	lost       bool
-	answerLost bool
+type delivery struct {
+	to           *node
+	arrives      time.Time
+	lost         bool
+	responseLost bool
 }
 
 // send decides on a message that carries so many positions.
-func (n *Network) send(from, to string, positions int) fate {
+func (n *Network) send(from, to string, positions int) delivery {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.sent++
-	f := fate{to: n.nodes[to], lost: n.cuts[[2]string{from, to}]}
+	f := delivery{to: n.nodes[to], lost: n.cuts[[2]string{from, to}]}
 	if n.lossIn > 0 {
 		f.lost = f.lost || n.rnd.IntN(n.lossIn) == 0
-		f.answerLost = n.rnd.IntN(n.lossIn) == 0
+		f.responseLost = n.rnd.IntN(n.lossIn) == 0
 	}
 	f.arrives = n.arrival(n.domains[from], n.domains[to], positions)
 	return f
@@ -159,11 +159,11 @@
 	return leaves.Add(l.Delay/2 + jitter)
 }
 
-func (n *Network) frozen(addr string) <-chan struct{} {
+func (n *Network) whenResumed(addr string) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if nd, ok := n.nodes[addr]; ok {
-		return nd.thawed
+		return nd.resumed
 	}
 	running := make(chan struct{})
 	close(running)
@@ -177,44 +177,44 @@
 	self string
 	// small is set where what the process sends is tokens, which take no room
 	// on links, and not activations.
-	small bool
+	tokensOnly bool
 
 	mu     sync.Mutex
 	queues map[string]chan func()
 	ctx    context.Context // ends with the process
 }
 
-func newPeers(ctx context.Context, n *Network, self string, small bool) *peers {
-	return &peers{net: n, self: self, small: small, queues: map[string]chan func(){}, ctx: ctx}
+func newPeers(ctx context.Context, n *Network, self string, tokensOnly bool) *peers {
+	return &peers{net: n, self: self, tokensOnly: tokensOnly, queues: map[string]chan func(){}, ctx: ctx}
 }
 
-var errGone = fault.New(fault.NotConnected, "no such process")
+var errExited = fault.New(fault.NotConnected, "no such process")
 
 // Call implements owner.Peers.
 func (p *peers) Call(ctx context.Context, addr string, m wire.Method, req, rep any) error {
-	<-p.net.frozen(p.self)
+	<-p.net.whenResumed(p.self)
 	if p.ctx.Err() != nil {
-		return errGone
+		return errExited
 	}
 	body, err := json.Marshal(req)
 	if err != nil {
 		return err
 	}
-	type answer struct {
+	type response struct {
 		raw []byte
 		err error
 	}
-	got := make(chan answer, 1)
+	got := make(chan response, 1)
 	f := p.net.send(p.self, addr, 0)
 	if f.to == nil {
-		return errGone
+		return errExited
 	}
 	go func() {
 		time.Sleep(time.Until(f.arrives))
 		if f.lost {
 			return
 		}
-		<-f.to.thawed
+		<-f.to.resumed
 		if p.net.node(addr) != f.to {
 			return // died meanwhile
 		}
@@ -222,13 +222,13 @@
 		raw, _ := json.Marshal(v)
 		back := p.net.send(addr, p.self, 0)
 		time.Sleep(time.Until(back.arrives))
-		if !f.answerLost && !back.lost {
-			got <- answer{raw, err}
+		if !f.responseLost && !back.lost {
+			got <- response{raw, err}
 		}
 	}()
 	select {
 	case a := <-got:
-		<-p.net.frozen(p.self)
+		<-p.net.whenResumed(p.self)
 		if a.err != nil {
 			f := fault.From(a.err)
 			return &fault.Error{Kind: f.Kind, Msg: f.Msg, RetryAfter: f.RetryAfter}
@@ -264,9 +264,9 @@
 
 // Notify implements owner.Peers.
 func (p *peers) Notify(_ context.Context, addr string, m wire.Method, msg any) error {
-	<-p.net.frozen(p.self)
+	<-p.net.whenResumed(p.self)
 	if p.ctx.Err() != nil {
-		return errGone
+		return errExited
 	}
 	body, err := json.Marshal(msg)
 	if err != nil {
@@ -274,7 +274,7 @@
 	}
 	f := p.net.send(p.self, addr, p.positionsIn(msg))
 	if f.to == nil {
-		return errGone
+		return errExited
 	}
 	if f.lost {
 		return nil
@@ -285,7 +285,7 @@
 		case <-p.ctx.Done(): // what a dead process had queued is lost
 			return
 		}
-		<-f.to.thawed
+		<-f.to.resumed
 		if p.net.node(addr) == f.to {
 			_, _ = handle(context.WithoutCancel(p.ctx), f.to, p.self, m, body)
 		}
@@ -298,7 +298,7 @@
 }
 
 func (p *peers) positionsIn(msg any) int {
-	if m, ok := msg.(wire.Forward); ok && !p.small {
+	if m, ok := msg.(wire.Forward); ok && !p.tokensOnly {
 		return len(m.Data)
 	}
 	return 0
--- a/internal/standin/world/sidecar.go
+++ b/internal/standin/world/sidecar.go
@@ -45,22 +45,22 @@
 
 // mortal keeps a dead sidecar from reaching the backend server; what it began
 // goes on there.
-type mortal struct {
+type backendClient struct {
 	platform.Engine
 	platform.Plain
 	ctx context.Context
 }
 
-func (m mortal) Step(ctx context.Context, s platform.Step) ([][]byte, error) {
+func (m backendClient) Step(ctx context.Context, s platform.Step) ([][]byte, error) {
 	if m.ctx.Err() != nil {
-		return nil, errGone
+		return nil, errExited
 	}
 	return m.Engine.Step(ctx, s)
 }
 
-func (m mortal) Call(ctx context.Context, id string, body []byte) ([]byte, error) {
+func (m backendClient) Call(ctx context.Context, id string, body []byte) ([]byte, error) {
 	if m.ctx.Err() != nil {
-		return nil, errGone
+		return nil, errExited
 	}
 	return m.Plain.Call(ctx, id, body)
 }
@@ -76,7 +76,7 @@
 	w.fence++
 	b := sidecar.Backend{Fence: w.fence}
 	w.mu.Unlock()
-	m := mortal{Engine: u.Engine, Plain: u.Plain, ctx: ctx}
+	m := backendClient{Engine: u.Engine, Plain: u.Plain, ctx: ctx}
 	if u.Engine != nil {
 		b.Engine = m
 		b.Pace = limits.NewConcurrencyLimiter(u.spec.MaxBatch, u.places, u.batchTime(), time.Now)
@@ -110,7 +110,7 @@
 
 func (u *Sidecar) hello(layers int, inc string, g *gate.Gate) wire.HelloReply {
 	rep := wire.HelloReply{
-		Instance:    told(u.Addr, u.Domain, model.RoleSidecar),
+		Instance:    instancePointer(u.Addr, u.Domain, model.RoleSidecar),
 		Incarnation: inc,
 		Service:     Notices,
 		Kind:        model.KindPlain,
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -30,10 +30,10 @@
 
 const (
 	// Heartbeat is how often entries ask everybody for their state.
-	Heartbeat = 500 * time.Millisecond
-	helloWait = 700 * time.Millisecond
-	queueSize = 32
-	timeout   = 20 * time.Second
+	Heartbeat    = 500 * time.Millisecond
+	helloTimeout = 700 * time.Millisecond
+	queueSize    = 32
+	timeout      = 20 * time.Second
 )
 
 // EngineSpec is one engine with its sidecar.
@@ -124,7 +124,7 @@
 	return model.Instance{ID: addr, Role: role, Address: addr, FailureDomain: domain}
 }
 
-func told(addr, domain string, role model.Role) *model.Instance {
+func instancePointer(addr, domain string, role model.Role) *model.Instance {
 	in := instance(addr, domain, role)
 	return &in
 }
