--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of the stand-ins.
+// Package command implements the command line of the test doubles.
 package command
 
 import (
@@ -13,10 +13,10 @@
 	"github.com/skylarkwood/skylarkwood/internal/standin"
 )
 
-// Main runs one stand-in until it is killed and gives the exit code.
+// Main runs a test double until it is terminated and returns the exit code.
 func Main(args []string) int {
 	root := &cobra.Command{Use: "skylark-standin", SilenceUsage: true}
-	addr := root.PersistentFlags().String("listen", "127.0.0.1:0", "address to answer on")
+	addr := root.PersistentFlags().String("listen", "127.0.0.1:0", "address to listen on")
 	root.AddCommand(newKV(addr), newInstances(addr), newEngine(addr), newPlain(addr))
 	root.SetArgs(args)
 	if err := root.Execute(); err != nil {
@@ -50,7 +50,7 @@
 			return serve(*addr, standin.InstancesHandler(standin.NewInstances(lag)))
 		},
 	}
-	cmd.Flags().DurationVar(&lag, "lag", 0, "how late the list shows a change")
+	cmd.Flags().DurationVar(&lag, "lag", 0, "delay until the list shows a change")
 	return cmd
 }
 
@@ -68,13 +68,13 @@
 	f := cmd.Flags()
 	f.IntVar(&r.From, "from", 0, "first layer held")
 	f.IntVar(&r.To, "to", 1, "layer after the last one held")
-	f.IntVar(&cfg.Layers, "layers", 1, "layers of the whole model")
-	f.DurationVar(&cfg.StepTime, "step", time.Millisecond, "time of one layer for one batch")
-	f.DurationVar(&cfg.PositionTime, "position", 0, "time added per layer for each position of a batch")
-	f.IntVar(&cfg.MaxBatch, "batch", 64, "positions that run together")
-	f.IntVar(&cfg.Capacity, "capacity", 16, "sessions the engine reports to hold")
-	f.BoolVar(&cfg.IgnoreFence, "ignore-fence", false, "take orders with an old fencing number")
-	f.DurationVar(&cfg.LoadLag, "load-lag", 0, "how old the load report is")
+	f.IntVar(&cfg.Layers, "layers", 1, "number of layers of the model")
+	f.DurationVar(&cfg.StepTime, "step", time.Millisecond, "time to run one layer on a batch")
+	f.DurationVar(&cfg.PositionTime, "position", 0, "time added for each layer and each position of a batch")
+	f.IntVar(&cfg.MaxBatch, "batch", 64, "maximum number of positions in a batch")
+	f.IntVar(&cfg.Capacity, "capacity", 16, "session capacity that the engine reports")
+	f.BoolVar(&cfg.IgnoreFence, "ignore-fence", false, "accept requests with a stale fencing token")
+	f.DurationVar(&cfg.LoadLag, "load-lag", 0, "interval at which the load report is updated")
 	return cmd
 }
 
@@ -82,11 +82,11 @@
 	var t time.Duration
 	cmd := &cobra.Command{
 		Use:   "plain",
-		Short: "A plain service beside the engines",
+		Short: "A plain service",
 		RunE: func(*cobra.Command, []string) error {
 			return serve(*addr, standin.PlainHandler(standin.NewPlain(t)))
 		},
 	}
-	cmd.Flags().DurationVar(&t, "time", time.Millisecond, "time of one call")
+	cmd.Flags().DurationVar(&t, "time", time.Millisecond, "duration of a call")
 	return cmd
 }
