--- a/internal/standin/world/entry.go
+++ b/internal/standin/world/entry.go
@@ -22,12 +22,12 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/link"
 )
 
-// Entry is one incarnation of an entry.
+// Entry is an incarnation of an entry.
 type Entry struct {
 	Addr  string
 	Owner *owner.Owner
 	Store *requests.Store
-	// Context ends with the entry.
+	// Context is cancelled when the entry exits.
 	Context context.Context
 	domain  string
 	stop    context.CancelFunc
@@ -41,7 +41,7 @@
 	clock := hlc.New(time.Now)
 	log := events.New(addr, model.RoleEntry, daemon.NewID(), clock, 1000)
 	cfg := config.NewStore(w.KV, time.Now, daemon.NewID, func(int64) {})
-	for cfg.Refresh(ctx) != nil { // an outage: peers are asked in the real program
+	for cfg.Refresh(ctx) != nil { // during an outage, the daemon would ask its peers
 		time.Sleep(Heartbeat)
 	}
 	intentLedger := ledger.New(w.KV, time.Now, rate.NewLimiter(50, 5))
@@ -120,14 +120,14 @@
 	wg.Wait()
 }
 
-// Entry gives one of the living entries.
+// Entry returns a running entry.
 func (w *World) Entry(i int) *Entry {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.entries[i%len(w.entries)]
 }
 
-// KillEntry ends an entry and starts its replacement at another address, as a
+// KillEntry terminates an entry and starts its replacement at another address, as the
 // platform does.
 func (w *World) KillEntry(i int, name string) {
 	old := w.Entry(i)
