--- a/internal/standin/world/network.go
+++ b/internal/standin/world/network.go
@@ -13,38 +13,38 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/link"
 )
 
-// Methods for what goes by data streams in the real program.
+// Methods for messages that the daemon sends over data streams.
 const (
 	methodForward wire.Method = "data.forward"
 	methodTokens  wire.Method = "data.tokens"
 )
 
-// Link is the way between two failure domains.
+// Link describes the interconnect between two failure domains.
 type Link struct {
-	// Delay is the one-way time of a small message.
+	// Delay is the one-way latency of a small message.
 	Delay time.Duration
-	// Rate is how many positions it carries a second; 0 is no limit.
+	// Rate is the capacity in positions per second. 0 means no limit.
 	Rate float64
 }
 
-// Network stands in for the links: it delays, loses messages and answers, cuts
-// pairs of processes off, and lets processes freeze and die.
+// Network simulates the network. It delays and loses messages, partitions pairs of processes
+// and simulates processes that are suspended or exit.
 type Network struct {
 	mu      sync.Mutex
 	rnd     *rand.Rand
 	nodes   map[string]*node
 	domains map[string]string
 	cuts    map[[2]string]bool
-	lossIn  int // one message in so many is lost; 0 for none
+	lossIn  int // one message in lossIn is lost; 0 means none
 	link    func(from, to string) Link
-	free    map[[2]string]time.Time // when the link between two domains is free
+	free    map[[2]string]time.Time // when the link between two domains becomes free
 	sent    int
-	carried map[[2]string]int // positions by link
+	carried map[[2]string]int // positions by pair of domains
 }
 
 type node struct {
 	handlers map[wire.Method]link.Handler
-	resumed  chan struct{} // closed while the node runs
+	resumed  chan struct{} // closed while the node is not suspended
 }
 
 func newNetwork(seed uint64, between func(from, to string) Link) *Network {
@@ -59,7 +59,7 @@
 	}
 }
 
-// join adds a process, or its next incarnation, under an address.
+// join adds a process or its next incarnation at an address.
 func (n *Network) join(addr, domain string, handlers map[wire.Method]link.Handler) {
 	running := make(chan struct{})
 	close(running)
@@ -69,15 +69,15 @@
 	n.domains[addr] = domain
 }
 
-// leave is the death of a process.
+// leave removes a process that exits.
 func (n *Network) leave(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.nodes, addr)
 }
 
-// Suspend stops a process for a while: nothing it is asked is answered, and it
-// carries on afterwards as if no time had passed.
+// Suspend suspends a process for d. The process does not respond during this time, and
+// continues afterwards as if no time had passed.
 func (n *Network) Suspend(addr string, d time.Duration) {
 	n.mu.Lock()
 	nd, ok := n.nodes[addr]
@@ -92,7 +92,8 @@
 	time.AfterFunc(d, func() { close(resumed) })
 }
 
-// SetPartitioned cuts two processes off from each other, silently, or joins them again.
+// SetPartitioned partitions the network between two processes, whose messages are then lost,
+// or removes the partition.
 func (n *Network) SetPartitioned(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -100,28 +101,29 @@
 	n.cuts[[2]string{b, a}] = cut
 }
 
-// SetLoss loses one message in so many; 0 loses none.
+// SetLoss causes the loss of one in oneIn messages. 0 means no loss.
 func (n *Network) SetLoss(oneIn int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lossIn = oneIn
 }
 
-// Sent counts the messages so far.
+// Sent returns the number of messages sent so far.
 func (n *Network) Sent() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sent
 }
 
-// PositionsCarried tells how many positions each link between two domains has carried.
+// PositionsCarried returns the number of positions sent between failure domains, by source
+// and destination.
 func (n *Network) PositionsCarried() map[[2]string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return maps.Clone(n.carried)
 }
 
-// fate is what becomes of one message.
+// delivery describes how a message is delivered.
 type delivery struct {
 	to           *node
 	arrives      time.Time
@@ -129,7 +131,7 @@
 	responseLost bool
 }
 
-// send decides on a message that carries so many positions.
+// send determines the delivery of a message with a number of positions.
 func (n *Network) send(from, to string, positions int) delivery {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -170,18 +172,18 @@
 	return running
 }
 
-// peers is one process's way into the network. Messages from one process to
-// another keep their order, as on a connection.
+// peers connects a process to the network. Messages from one process to another stay in
+// order, as on a connection.
 type peers struct {
 	net  *Network
 	self string
-	// small is set where what the process sends is tokens, which take no room
-	// on links, and not activations.
+	// tokensOnly is set if the process sends tokens instead of activations. Tokens do not
+	// count against the capacity of links.
 	tokensOnly bool
 
 	mu     sync.Mutex
 	queues map[string]chan func()
-	ctx    context.Context // ends with the process
+	ctx    context.Context // cancelled when the process exits
 }
 
 func newPeers(ctx context.Context, n *Network, self string, tokensOnly bool) *peers {
@@ -216,7 +218,7 @@
 		}
 		<-f.to.resumed
 		if p.net.node(addr) != f.to {
-			return // died meanwhile
+			return // the process exited meanwhile
 		}
 		v, err := handle(context.WithoutCancel(p.ctx), f.to, p.self, m, body)
 		raw, _ := json.Marshal(v)
@@ -238,7 +240,7 @@
 		}
 		return json.Unmarshal(a.raw, rep)
 	case <-ctx.Done():
-		return fault.New(fault.Unreachable, "%s to %s: no answer in time", m, addr)
+		return fault.New(fault.Unreachable, "%s to %s: no response before the deadline", m, addr)
 	}
 }
 
@@ -282,7 +284,7 @@
 	deliver := func() {
 		select {
 		case <-time.After(time.Until(f.arrives)):
-		case <-p.ctx.Done(): // what a dead process had queued is lost
+		case <-p.ctx.Done(): // queued messages of an exited process are lost
 			return
 		}
 		<-f.to.resumed
@@ -330,7 +332,7 @@
 // Reset implements owner.Peers.
 func (p *peers) Reset(string) {}
 
-// Forward, Tokens and Failed implement stage.Sender.
+// Forward implements stage.Sender.
 func (p *peers) Forward(ctx context.Context, to wire.Hop, f wire.Forward) error {
 	return p.Notify(ctx, to.Address, methodForward, f)
 }
