--- a/internal/standin/world/sidecar.go
+++ b/internal/standin/world/sidecar.go
@@ -18,7 +18,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/link"
 )
 
-// Sidecar is one backend server and the sidecar beside it.
+// Sidecar is a sidecar with its backend server.
 type Sidecar struct {
 	Addr   string
 	Engine *standin.Engine
@@ -34,7 +34,7 @@
 	return time.Duration(float64(u.spec.MaxBatch) / u.Engine.Rate() * float64(time.Second))
 }
 
-// Gate gives the gate of the sidecar's present incarnation.
+// Gate returns the gate of the sidecar's current incarnation.
 func (u *Sidecar) Gate() *gate.Gate { return u.gate }
 
 func (w *World) addSidecar(u *Sidecar) {
@@ -43,8 +43,8 @@
 	w.startSidecar(u)
 }
 
-// mortal keeps a dead sidecar from reaching the backend server; what it began
-// goes on there.
+// backendClient connects a sidecar to its backend server. After the sidecar exits, new calls
+// fail and calls in progress continue at the backend server.
 type backendClient struct {
 	platform.Engine
 	platform.Plain
@@ -82,7 +82,7 @@
 		b.Pace = limits.NewConcurrencyLimiter(u.spec.MaxBatch, u.places, u.batchTime(), time.Now)
 		u.gate.SetPace(b.Pace)
 		if _, err := u.Engine.EndAll(ctx, b.Fence); err != nil {
-			panic(err) // the stand-in honours the number just taken
+			panic(err) // the engine accepts the newest fencing token
 		}
 	} else {
 		b.Plain = m
@@ -127,8 +127,8 @@
 	return rep
 }
 
-// KillSidecar ends a sidecar beside its living backend server and starts the
-// next incarnation.
+// KillSidecar terminates a sidecar, but not its backend server, and starts the next
+// incarnation of the sidecar.
 func (w *World) KillSidecar(u *Sidecar) {
 	u.stop()
 	w.Net.leave(u.Addr)
