--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -1,7 +1,6 @@
-// Package world is a small whole system in one process for long randomised runs
-// and experiments in virtual time: the real decisions of entries and sidecars
-// over stand-ins for engines, the key-value service and the links, without
-// sockets.
+// Package world runs a small system in one process for randomised tests and experiments in
+// virtual time. Entries and sidecars are real. Engines, the key-value service and the network
+// are simulated without sockets.
 package world
 
 import (
@@ -21,7 +20,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/standin"
 )
 
-// The one customer of a world and its services.
+// The default customer of a world and its services.
 const (
 	Customer = "skola-manus"
 	Sheets   = "planer-rundi"
@@ -29,31 +28,31 @@
 )
 
 const (
-	// Heartbeat is how often entries ask everybody for their state.
+	// Heartbeat is the interval at which entries request the state of all processes.
 	Heartbeat    = 500 * time.Millisecond
 	helloTimeout = 700 * time.Millisecond
 	queueSize    = 32
 	timeout      = 20 * time.Second
 )
 
-// EngineSpec is one engine with its sidecar.
+// EngineSpec describes an engine with its sidecar.
 type EngineSpec struct {
 	Domain       string
 	Range        model.LayerRange
 	StepTime     time.Duration
 	PositionTime time.Duration
 	MaxBatch     int
-	Sessions     int // places at the gate
+	Sessions     int // capacity of the gate
 }
 
-// PlainSpec is one plain service with its sidecar.
+// PlainSpec describes a plain service with its sidecar.
 type PlainSpec struct {
 	Domain       string
 	CallDuration time.Duration
 	Places       int
 }
 
-// Config lays a world out.
+// Config describes a World.
 type Config struct {
 	Seed    uint64
 	Layers  int
@@ -61,13 +60,13 @@
 	Engines []EngineSpec
 	Plains  []PlainSpec
 	Link    func(from, to string) Link
-	// Customers are given the same template as Customer.
+	// Customers get the same template as Customer.
 	Customers []string
-	// Router makes an entry's router; nil takes the product's.
+	// Router returns the router of an entry. If it is nil, routing.New is used.
 	Router func(*membership.Table, routing.Links) owner.Router
 }
 
-// World is the whole system.
+// World is a running system.
 type World struct {
 	Net      *Network
 	KV       *standin.KV
@@ -80,7 +79,8 @@
 	wg       sync.WaitGroup
 }
 
-// New starts a world that ends with ctx and Close.
+// New starts a world. The caller must call Close. Cancelling ctx also stops the entries and
+// sidecars.
 func New(ctx context.Context, cfg Config) (*World, error) {
 	w := &World{cfg: cfg, Net: newNetwork(cfg.Seed, cfg.Link), KV: standin.NewKV(), ctx: ctx}
 	store := config.NewStore(w.KV, time.Now, daemon.NewID, func(int64) {})
@@ -129,12 +129,13 @@
 	return &in
 }
 
-// LinkTime is what routers go by.
+// LinkTime returns the latency between two instances for routers.
 func (w *World) LinkTime(a, b model.Instance) time.Duration {
 	return w.cfg.Link(a.FailureDomain, b.FailureDomain).Delay
 }
 
-// LinkRate is what plans go by.
+// LinkRate returns the capacity between two failure domains for plans, in positions per
+// second.
 func (w *World) LinkRate(from, to string) float64 {
 	if r := w.cfg.Link(from, to).Rate; r > 0 {
 		return r
@@ -154,7 +155,7 @@
 	return routing.New(table, links, time.Now, nil)
 }
 
-// list is the platform's instance list.
+// list returns the platform's instance list.
 func (w *World) list() []model.Instance {
 	var out []model.Instance
 	for _, addr := range w.Addresses() {
@@ -167,7 +168,7 @@
 	return out
 }
 
-// Addresses lists the living processes.
+// Addresses returns the addresses of the running processes.
 func (w *World) Addresses() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -193,7 +194,7 @@
 	})
 }
 
-// Close ends every process; goroutines that wait for deadlines end by them.
+// Close stops all processes and waits for their periodic tasks.
 func (w *World) Close() {
 	defer w.wg.Wait()
 	for _, u := range w.Sidecars {
