--- a/bench/recovery_test.go
+++ b/bench/recovery_test.go
@@ -27,8 +27,8 @@
 func blows() []blow {
 	return []blow{
 		{"kill", func(w *world.World, u, _ *world.Sidecar) { w.KillSidecar(u) }},
-		{"freeze", func(w *world.World, u, _ *world.Sidecar) { w.Net.Freeze(u.Addr, time.Minute) }},
-		{"cut", func(w *world.World, u, next *world.Sidecar) { w.Net.SetCut(u.Addr, next.Addr, true) }},
+		{"freeze", func(w *world.World, u, _ *world.Sidecar) { w.Net.Suspend(u.Addr, time.Minute) }},
+		{"cut", func(w *world.World, u, next *world.Sidecar) { w.Net.SetPartitioned(u.Addr, next.Addr, true) }},
 	}
 }
 
@@ -59,7 +59,7 @@
 				Range:        model.LayerRange{From: i % 3 * 4, To: i%3*4 + 4},
 				StepTime:     2500 * time.Microsecond,
 				PositionTime: 50 * time.Microsecond,
-				Batch:        batch,
+				MaxBatch:     batch,
 				Sessions:     sessions,
 			})
 		}
@@ -72,7 +72,7 @@
 			time.Sleep(2 * time.Minute) // the struck stage comes back
 			for _, u := range w.Sidecars {
 				for _, v := range w.Sidecars {
-					w.Net.SetCut(u.Addr, v.Addr, false)
+					w.Net.SetPartitioned(u.Addr, v.Addr, false)
 				}
 			}
 			time.Sleep(settle)
--- a/bench/retry_test.go
+++ b/bench/retry_test.go
@@ -26,7 +26,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		cfg := world.Config{Seed: 1, Layers: 1, Entries: places[:2], Link: between}
 		for i := 0; i < 6; i++ {
-			cfg.Plains = append(cfg.Plains, world.PlainSpec{Domain: places[i%3], Time: 20 * time.Millisecond, Places: 16})
+			cfg.Plains = append(cfg.Plains, world.PlainSpec{Domain: places[i%3], CallDuration: 20 * time.Millisecond, Places: 16})
 		}
 		w, err := world.New(ctx, cfg)
 		assert.NilError(t, err)
@@ -36,7 +36,7 @@
 		time.AfterFunc(lostAt*time.Second, func() {
 			for _, u := range w.Sidecars {
 				if u.Domain == places[0] {
-					w.Net.Freeze(u.Addr, time.Minute)
+					w.Net.Suspend(u.Addr, time.Minute)
 				}
 			}
 		})
--- a/internal/standin/world/entry.go
+++ b/internal/standin/world/entry.go
@@ -22,29 +22,29 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/link"
 )
 
-// Entry is one incarnation of an entry.
+// Entry is an incarnation of an entry.
 type Entry struct {
 	Addr  string
 	Owner *owner.Owner
 	Store *requests.Store
-	// Dead ends with the entry.
-	Dead   context.Context
-	domain string
-	stop   context.CancelFunc
+	// Context is cancelled when the entry exits.
+	Context context.Context
+	domain  string
+	stop    context.CancelFunc
 }
 
 func (w *World) startEntry(addr, domain string) *Entry {
 	ctx, stop := context.WithCancel(w.ctx)
-	e := &Entry{Addr: addr, domain: domain, stop: stop, Dead: ctx}
+	e := &Entry{Addr: addr, domain: domain, stop: stop, Context: ctx}
 	p := newPeers(ctx, w.Net, addr, true)
 	table := membership.New(addr, time.Now)
 	clock := hlc.New(time.Now)
 	log := events.New(addr, model.RoleEntry, daemon.NewID(), clock, 1000)
 	cfg := config.NewStore(w.KV, time.Now, daemon.NewID, func(int64) {})
-	for cfg.Refresh(ctx) != nil { // an outage: peers are asked in the real program
+	for cfg.Refresh(ctx) != nil { // during an outage, the daemon would ask its peers
 		time.Sleep(Heartbeat)
 	}
-	led := ledger.New(w.KV, time.Now, rate.NewLimiter(50, 5))
+	intentLedger := ledger.New(w.KV, time.Now, rate.NewLimiter(50, 5))
 	e.Store = requests.NewStore(time.Now, time.Minute)
 	e.Owner = owner.New(owner.Deps{
 		Instance:         addr,
@@ -57,7 +57,7 @@
 		RateLimiter:      limits.NewRateLimiter(func() int { return 1 }),
 		RetryBudget:      limits.NewRetryBudget(),
 		AdmissionLimiter: admission.NewLimiter(time.Now),
-		RecordIntent:     led.Record,
+		RecordIntent:     intentLedger.Record,
 		Requests:         e.Store,
 		Events:           log,
 		Now:              time.Now,
@@ -67,7 +67,7 @@
 	})
 	w.Net.join(addr, domain, e.handlers())
 	w.every(ctx, Heartbeat, func() { w.heartbeats(ctx, e, p, table) })
-	w.every(ctx, 5*time.Second, func() { e.Store.Sweep(); led.Sweep(ctx) })
+	w.every(ctx, 5*time.Second, func() { e.Store.Sweep(); intentLedger.Sweep(ctx) })
 	return e
 }
 
@@ -93,7 +93,7 @@
 			return struct{}{}, nil
 		}),
 		wire.MethodHello: link.Handle(func(context.Context, string, wire.Hello) (wire.HelloReply, error) {
-			return wire.HelloReply{Instance: told(e.Addr, e.domain, model.RoleEntry), Incarnation: e.Addr}, nil
+			return wire.HelloReply{Instance: instancePointer(e.Addr, e.domain, model.RoleEntry), Incarnation: e.Addr}, nil
 		}),
 	}
 }
@@ -106,28 +106,28 @@
 			continue
 		}
 		wg.Go(func() {
-			call, cancel := context.WithTimeout(ctx, helloWait)
+			call, cancel := context.WithTimeout(ctx, helloTimeout)
 			defer cancel()
-			began := time.Now()
+			start := time.Now()
 			var rep wire.HelloReply
 			if err := p.Call(call, addr, wire.MethodHello, wire.Hello{}, &rep); err != nil {
 				table.RecordFailure(addr)
 				return
 			}
-			table.Observe(*rep.Instance, rep.Incarnation, rep.Backend(), time.Since(began))
+			table.Observe(*rep.Instance, rep.Incarnation, rep.Backend(), time.Since(start))
 		})
 	}
 	wg.Wait()
 }
 
-// Entry gives one of the living entries.
+// Entry returns a running entry.
 func (w *World) Entry(i int) *Entry {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.entries[i%len(w.entries)]
 }
 
-// KillEntry ends an entry and starts its replacement at another address, as a
+// KillEntry terminates an entry and starts its replacement at another address, as the
 // platform does.
 func (w *World) KillEntry(i int, name string) {
 	old := w.Entry(i)
--- a/internal/standin/world/network.go
+++ b/internal/standin/world/network.go
@@ -13,38 +13,38 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/link"
 )
 
-// Methods for what goes by data streams in the real program.
+// Methods for messages that the daemon sends over data streams.
 const (
 	methodForward wire.Method = "data.forward"
 	methodTokens  wire.Method = "data.tokens"
 )
 
-// Link is the way between two failure domains.
+// Link describes the interconnect between two failure domains.
 type Link struct {
-	// Delay is the one-way time of a small message.
+	// Delay is the one-way latency of a small message.
 	Delay time.Duration
-	// Rate is how many positions it carries a second; 0 is no limit.
+	// Rate is the capacity in positions per second. 0 means no limit.
 	Rate float64
 }
 
-// Network stands in for the links: it delays, loses messages and answers, cuts
-// pairs of processes off, and lets processes freeze and die.
+// Network simulates the network. It delays and loses messages, partitions pairs of processes
+// and simulates processes that are suspended or exit.
 type Network struct {
 	mu      sync.Mutex
 	rnd     *rand.Rand
 	nodes   map[string]*node
 	domains map[string]string
 	cuts    map[[2]string]bool
-	lossIn  int // one message in so many is lost; 0 for none
+	lossIn  int // one message in lossIn is lost; 0 means none
 	link    func(from, to string) Link
-	free    map[[2]string]time.Time // when the link between two domains is free
+	free    map[[2]string]time.Time // when the link between two domains becomes free
 	sent    int
-	carried map[[2]string]int // positions by link
+	carried map[[2]string]int // positions by pair of domains
 }
 
 type node struct {
 	handlers map[wire.Method]link.Handler
-	thawed   chan struct{} // closed while the node runs
+	resumed  chan struct{} // closed while the node is not suspended
 }
 
 func newNetwork(seed uint64, between func(from, to string) Link) *Network {
@@ -59,85 +59,87 @@
 	}
 }
 
-// join adds a process, or its next incarnation, under an address.
+// join adds a process or its next incarnation at an address.
 func (n *Network) join(addr, domain string, handlers map[wire.Method]link.Handler) {
 	running := make(chan struct{})
 	close(running)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.nodes[addr] = &node{handlers: handlers, thawed: running}
+	n.nodes[addr] = &node{handlers: handlers, resumed: running}
 	n.domains[addr] = domain
 }
 
-// leave is the death of a process.
+// leave removes a process that exits.
 func (n *Network) leave(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.nodes, addr)
 }
 
-// Freeze stops a process for a while: nothing it is asked is answered, and it
-// carries on afterwards as if no time had passed.
-func (n *Network) Freeze(addr string, d time.Duration) {
+// Suspend suspends a process for d. The process does not respond during this time, and
+// continues afterwards as if no time had passed.
+func (n *Network) Suspend(addr string, d time.Duration) {
 	n.mu.Lock()
 	nd, ok := n.nodes[addr]
 	if ok {
-		nd.thawed = make(chan struct{})
+		nd.resumed = make(chan struct{})
 	}
 	n.mu.Unlock()
 	if !ok {
 		return
 	}
-	thawed := nd.thawed
-	time.AfterFunc(d, func() { close(thawed) })
+	resumed := nd.resumed
+	time.AfterFunc(d, func() { close(resumed) })
 }
 
-// SetCut cuts two processes off from each other, silently, or joins them again.
-func (n *Network) SetCut(a, b string, cut bool) {
+// SetPartitioned partitions the network between two processes, whose messages are then lost,
+// or removes the partition.
+func (n *Network) SetPartitioned(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts[[2]string{a, b}] = cut
 	n.cuts[[2]string{b, a}] = cut
 }
 
-// SetLoss loses one message in so many; 0 loses none.
+// SetLoss causes the loss of one in oneIn messages. 0 means no loss.
 func (n *Network) SetLoss(oneIn int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lossIn = oneIn
 }
 
-// Sent counts the messages so far.
+// Sent returns the number of messages sent so far.
 func (n *Network) Sent() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sent
 }
 
-// Carried tells how many positions each link between two domains has carried.
-func (n *Network) Carried() map[[2]string]int {
+// PositionsCarried returns the number of positions sent between failure domains, by source
+// and destination.
+func (n *Network) PositionsCarried() map[[2]string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return maps.Clone(n.carried)
 }
 
-// fate is what becomes of one message.
-type fate struct {
-	to         *node
-	arrives    time.Time
-	lost       bool
-	answerLost bool
+// delivery describes how a message is delivered.
+type delivery struct {
+	to           *node
+	arrives      time.Time
+	lost         bool
+	responseLost bool
 }
 
-// send decides on a message that carries so many positions.
-func (n *Network) send(from, to string, positions int) fate {
+// send determines the delivery of a message with a number of positions.
+func (n *Network) send(from, to string, positions int) delivery {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.sent++
-	f := fate{to: n.nodes[to], lost: n.cuts[[2]string{from, to}]}
+	f := delivery{to: n.nodes[to], lost: n.cuts[[2]string{from, to}]}
 	if n.lossIn > 0 {
 		f.lost = f.lost || n.rnd.IntN(n.lossIn) == 0
-		f.answerLost = n.rnd.IntN(n.lossIn) == 0
+		f.responseLost = n.rnd.IntN(n.lossIn) == 0
 	}
 	f.arrives = n.arrival(n.domains[from], n.domains[to], positions)
 	return f
@@ -159,76 +161,76 @@
 	return leaves.Add(l.Delay/2 + jitter)
 }
 
-func (n *Network) frozen(addr string) <-chan struct{} {
+func (n *Network) whenResumed(addr string) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if nd, ok := n.nodes[addr]; ok {
-		return nd.thawed
+		return nd.resumed
 	}
 	running := make(chan struct{})
 	close(running)
 	return running
 }
 
-// peers is one process's way into the network. Messages from one process to
-// another keep their order, as on a connection.
+// peers connects a process to the network. Messages from one process to another stay in
+// order, as on a connection.
 type peers struct {
 	net  *Network
 	self string
-	// small is set where what the process sends is tokens, which take no room
-	// on links, and not activations.
-	small bool
+	// tokensOnly is set if the process sends tokens instead of activations. Tokens do not
+	// count against the capacity of links.
+	tokensOnly bool
 
 	mu     sync.Mutex
 	queues map[string]chan func()
-	ctx    context.Context // ends with the process
+	ctx    context.Context // cancelled when the process exits
 }
 
-func newPeers(ctx context.Context, n *Network, self string, small bool) *peers {
-	return &peers{net: n, self: self, small: small, queues: map[string]chan func(){}, ctx: ctx}
+func newPeers(ctx context.Context, n *Network, self string, tokensOnly bool) *peers {
+	return &peers{net: n, self: self, tokensOnly: tokensOnly, queues: map[string]chan func(){}, ctx: ctx}
 }
 
-var errGone = fault.New(fault.NotConnected, "no such process")
+var errExited = fault.New(fault.NotConnected, "no such process")
 
 // Call implements owner.Peers.
 func (p *peers) Call(ctx context.Context, addr string, m wire.Method, req, rep any) error {
-	<-p.net.frozen(p.self)
+	<-p.net.whenResumed(p.self)
 	if p.ctx.Err() != nil {
-		return errGone
+		return errExited
 	}
 	body, err := json.Marshal(req)
 	if err != nil {
 		return err
 	}
-	type answer struct {
+	type response struct {
 		raw []byte
 		err error
 	}
-	got := make(chan answer, 1)
+	got := make(chan response, 1)
 	f := p.net.send(p.self, addr, 0)
 	if f.to == nil {
-		return errGone
+		return errExited
 	}
 	go func() {
 		time.Sleep(time.Until(f.arrives))
 		if f.lost {
 			return
 		}
-		<-f.to.thawed
+		<-f.to.resumed
 		if p.net.node(addr) != f.to {
-			return // died meanwhile
+			return // the process exited meanwhile
 		}
 		v, err := handle(context.WithoutCancel(p.ctx), f.to, p.self, m, body)
 		raw, _ := json.Marshal(v)
 		back := p.net.send(addr, p.self, 0)
 		time.Sleep(time.Until(back.arrives))
-		if !f.answerLost && !back.lost {
-			got <- answer{raw, err}
+		if !f.responseLost && !back.lost {
+			got <- response{raw, err}
 		}
 	}()
 	select {
 	case a := <-got:
-		<-p.net.frozen(p.self)
+		<-p.net.whenResumed(p.self)
 		if a.err != nil {
 			f := fault.From(a.err)
 			return &fault.Error{Kind: f.Kind, Msg: f.Msg, RetryAfter: f.RetryAfter}
@@ -238,7 +240,7 @@
 		}
 		return json.Unmarshal(a.raw, rep)
 	case <-ctx.Done():
-		return fault.New(fault.Unreachable, "%s to %s: no answer in time", m, addr)
+		return fault.New(fault.Unreachable, "%s to %s: no response before the deadline", m, addr)
 	}
 }
 
@@ -264,9 +266,9 @@
 
 // Notify implements owner.Peers.
 func (p *peers) Notify(_ context.Context, addr string, m wire.Method, msg any) error {
-	<-p.net.frozen(p.self)
+	<-p.net.whenResumed(p.self)
 	if p.ctx.Err() != nil {
-		return errGone
+		return errExited
 	}
 	body, err := json.Marshal(msg)
 	if err != nil {
@@ -274,7 +276,7 @@
 	}
 	f := p.net.send(p.self, addr, p.positionsIn(msg))
 	if f.to == nil {
-		return errGone
+		return errExited
 	}
 	if f.lost {
 		return nil
@@ -282,10 +284,10 @@
 	deliver := func() {
 		select {
 		case <-time.After(time.Until(f.arrives)):
-		case <-p.ctx.Done(): // what a dead process had queued is lost
+		case <-p.ctx.Done(): // queued messages of an exited process are lost
 			return
 		}
-		<-f.to.thawed
+		<-f.to.resumed
 		if p.net.node(addr) == f.to {
 			_, _ = handle(context.WithoutCancel(p.ctx), f.to, p.self, m, body)
 		}
@@ -298,7 +300,7 @@
 }
 
 func (p *peers) positionsIn(msg any) int {
-	if m, ok := msg.(wire.Forward); ok && !p.small {
+	if m, ok := msg.(wire.Forward); ok && !p.tokensOnly {
 		return len(m.Data)
 	}
 	return 0
@@ -330,7 +332,7 @@
 // Reset implements owner.Peers.
 func (p *peers) Reset(string) {}
 
-// Forward, Tokens and Failed implement stage.Sender.
+// Forward implements stage.Sender.
 func (p *peers) Forward(ctx context.Context, to wire.Stage, f wire.Forward) error {
 	return p.Notify(ctx, to.Address, methodForward, f)
 }
--- a/internal/standin/world/sidecar.go
+++ b/internal/standin/world/sidecar.go
@@ -18,7 +18,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/link"
 )
 
-// Sidecar is one backend server and the sidecar beside it.
+// Sidecar is a sidecar with its backend server.
 type Sidecar struct {
 	Addr   string
 	Engine *standin.Engine
@@ -31,10 +31,10 @@
 }
 
 func (u *Sidecar) batchTime() time.Duration {
-	return time.Duration(float64(u.spec.Batch) / u.Engine.Rate() * float64(time.Second))
+	return time.Duration(float64(u.spec.MaxBatch) / u.Engine.Rate() * float64(time.Second))
 }
 
-// Gate gives the gate of the sidecar's present incarnation.
+// Gate returns the gate of the sidecar's current incarnation.
 func (u *Sidecar) Gate() *gate.Gate { return u.gate }
 
 func (w *World) addSidecar(u *Sidecar) {
@@ -43,24 +43,24 @@
 	w.startSidecar(u)
 }
 
-// mortal keeps a dead sidecar from reaching the backend server; what it began
-// goes on there.
-type mortal struct {
+// backendClient connects a sidecar to its backend server. After the sidecar exits, new calls
+// fail and calls in progress continue at the backend server.
+type backendClient struct {
 	platform.Engine
 	platform.Plain
 	ctx context.Context
 }
 
-func (m mortal) Step(ctx context.Context, s platform.Step) ([][]byte, error) {
+func (m backendClient) Step(ctx context.Context, s platform.Step) ([][]byte, error) {
 	if m.ctx.Err() != nil {
-		return nil, errGone
+		return nil, errExited
 	}
 	return m.Engine.Step(ctx, s)
 }
 
-func (m mortal) Call(ctx context.Context, id string, body []byte) ([]byte, error) {
+func (m backendClient) Call(ctx context.Context, id string, body []byte) ([]byte, error) {
 	if m.ctx.Err() != nil {
-		return nil, errGone
+		return nil, errExited
 	}
 	return m.Plain.Call(ctx, id, body)
 }
@@ -76,13 +76,13 @@
 	w.fence++
 	b := sidecar.Backend{Fence: w.fence}
 	w.mu.Unlock()
-	m := mortal{Engine: u.Engine, Plain: u.Plain, ctx: ctx}
+	m := backendClient{Engine: u.Engine, Plain: u.Plain, ctx: ctx}
 	if u.Engine != nil {
 		b.Engine = m
-		b.Limiter = limits.NewConcurrencyLimiter(u.spec.Batch, u.places, u.batchTime(), time.Now)
+		b.Limiter = limits.NewConcurrencyLimiter(u.spec.MaxBatch, u.places, u.batchTime(), time.Now)
 		u.gate.SetConcurrencyLimiter(b.Limiter)
 		if _, err := u.Engine.EndAll(ctx, b.Fence); err != nil {
-			panic(err) // the stand-in honours the number just taken
+			panic(err) // the engine accepts the newest fencing token
 		}
 	} else {
 		b.Plain = m
@@ -110,7 +110,7 @@
 
 func (u *Sidecar) hello(layers int, inc string, g *gate.Gate) wire.HelloReply {
 	rep := wire.HelloReply{
-		Instance:    told(u.Addr, u.Domain, model.RoleSidecar),
+		Instance:    instancePointer(u.Addr, u.Domain, model.RoleSidecar),
 		Incarnation: inc,
 		Service:     Notices,
 		Kind:        model.KindPlain,
@@ -127,8 +127,8 @@
 	return rep
 }
 
-// KillSidecar ends a sidecar beside its living backend server and starts the
-// next incarnation.
+// KillSidecar terminates a sidecar, but not its backend server, and starts the next
+// incarnation of the sidecar.
 func (w *World) KillSidecar(u *Sidecar) {
 	u.stop()
 	w.Net.leave(u.Addr)
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -113,12 +113,12 @@
 		cfg.Engines = append(cfg.Engines, world.EngineSpec{
 			Range:    model.LayerRange{From: from, To: from + perEngine},
 			StepTime: time.Millisecond,
-			Batch:    64,
+			MaxBatch: 64,
 			Sessions: 16,
 		})
 	}
 	for i := 0; i < copies; i++ {
-		cfg.Plains = append(cfg.Plains, world.PlainSpec{Time: 30 * time.Millisecond, Places: 16})
+		cfg.Plains = append(cfg.Plains, world.PlainSpec{CallDuration: 30 * time.Millisecond, Places: 16})
 	}
 	w, err := world.New(ctx, cfg)
 	assert.NilError(t, err)
@@ -171,7 +171,7 @@
 	}
 	var answer []byte
 	for pos := int64(0); ; {
-		parts, outcome, err := req.Next(e.Dead, pos)
+		parts, outcome, err := req.Next(e.Context, pos)
 		if err != nil {
 			rec.mu.Lock()
 			defer rec.mu.Unlock()
@@ -205,7 +205,7 @@
 	w.Net.SetLoss(0)
 	for _, a := range w.Addresses() {
 		for _, b := range w.Addresses() {
-			w.Net.SetCut(a, b, false)
+			w.Net.SetPartitioned(a, b, false)
 		}
 	}
 }
@@ -219,15 +219,15 @@
 	case 1:
 		w.KillEntry(rnd.IntN(3), fmt.Sprintf("entry-%d-%d", n, rnd.IntN(1<<30)))
 	case 2:
-		w.Net.Freeze(u.Addr, d)
+		w.Net.Suspend(u.Addr, d)
 	case 3:
-		w.Net.Freeze(e.Addr, d)
+		w.Net.Suspend(e.Addr, d)
 	case 4:
-		w.Net.SetCut(u.Addr, other.Addr, true)
-		time.AfterFunc(d, func() { w.Net.SetCut(u.Addr, other.Addr, false) })
+		w.Net.SetPartitioned(u.Addr, other.Addr, true)
+		time.AfterFunc(d, func() { w.Net.SetPartitioned(u.Addr, other.Addr, false) })
 	case 5:
-		w.Net.SetCut(e.Addr, u.Addr, true)
-		time.AfterFunc(d, func() { w.Net.SetCut(e.Addr, u.Addr, false) })
+		w.Net.SetPartitioned(e.Addr, u.Addr, true)
+		time.AfterFunc(d, func() { w.Net.SetPartitioned(e.Addr, u.Addr, false) })
 	case 6:
 		w.Net.SetLoss(20 + rnd.IntN(100))
 		time.AfterFunc(d, func() { w.Net.SetLoss(0) })
