--- a/test/fleet/churn_test.go
+++ b/test/fleet/churn_test.go
@@ -24,7 +24,7 @@
 // routers follow each other within some tens of milliseconds. A caller may be refused,
 // or see an answer broken off; but no request that reached a backend server is left
 // without the head of an answer, and everything is served again afterwards.
-func TestChangesLossesAndStopsTogether(t *testing.T) {
+func TestConcurrentChangesFailuresAndStopsAnswerEveryForwardedRequest(t *testing.T) {
 	s := newSite(t, 3)
 	s.fleet.Events = 40
 	var callers sync.WaitGroup
@@ -33,7 +33,7 @@
 		rnd := rand.New(rand.NewPCG(churnSeed, uint64(i)))
 		callers.Go(func() {
 			for range churnRequests {
-				if !s.ends(s.routers[rnd.IntN(len(s.routers))], rnd) {
+				if !s.callRandom(s.routers[rnd.IntN(len(s.routers))], rnd) {
 					unanswered.Add(1)
 				}
 			}
@@ -50,8 +50,8 @@
 }
 
 // ends sends a request of any kind and tells whether it ended as it may.
-func (s *site) ends(r *router, rnd *rand.Rand) bool {
-	a := []ask{
+func (s *site) callRandom(r *router, rnd *rand.Rand) bool {
+	a := []requestSpec{
 		{path: "/sheet/1", body: "draft"},
 		{path: "/notice/1", body: "arrived"},
 		{path: "/lookup/1", method: http.MethodGet},
--- a/test/fleet/crash_test.go
+++ b/test/fleet/crash_test.go
@@ -15,31 +15,31 @@
 
 const (
 	// mostCrashes is after how many servers a request is known to end them.
-	mostCrashes = 3
-	poison      = "a sheet that ends whoever writes it"
+	maxCrashes   = 3
+	crashingBody = "a sheet that ends whoever writes it"
 )
 
 // A caller's request ends each engine that begins to run it, and comes again at one
 // router after the other, also after all of them started anew. Each return began from
 // nothing: what a router learnt of it was over with the attempt and told to nobody, so
 // twenty engines and more ended, each under the streams of other callers.
-func TestRequestThatEndsEngines(t *testing.T) {
+func TestRequestThatCrashesEnginesIsRefused(t *testing.T) {
 	s := newSite(t, 3)
-	s.fleet.SetCrash(standin.Crash{Customer: "school", Body: poison, Delay: 30 * time.Millisecond, RestartDelay: 400 * time.Millisecond})
+	s.fleet.SetCrash(standin.Crash{Customer: "school", Body: crashingBody, Delay: 30 * time.Millisecond, RestartDelay: 400 * time.Millisecond})
 	stop := make(chan struct{})
-	var innocents sync.WaitGroup
+	var otherCallers sync.WaitGroup
 	var refused atomic.Int64
 	for _, r := range s.routers {
-		innocents.Go(func() { refused.Add(s.beside(r, stop)) })
+		otherCallers.Go(func() { refused.Add(s.sendOtherRequests(r, stop)) })
 	}
 	for i := range 12 {
-		rep := s.call(s.routers[i%3], ask{path: "/sheet/1", body: poison})
+		rep := s.call(s.routers[i%3], requestSpec{path: "/sheet/1", body: crashingBody})
 		assert.Assert(t, rep.status != http.StatusOK)
 		time.Sleep(50 * time.Millisecond)
 	}
 	close(stop)
-	innocents.Wait()
-	assert.Equal(t, s.fleet.CrashCount(), mostCrashes)
+	otherCallers.Wait()
+	assert.Equal(t, s.fleet.CrashCount(), maxCrashes)
 	assert.Equal(t, refused.Load(), int64(0), "others were taken for it")
 	for _, r := range s.routers {
 		r.stop()
@@ -48,23 +48,23 @@
 	}
 	s.waitServing()
 	for _, r := range s.routers {
-		rep := s.call(r, ask{path: "/sheet/1", body: poison})
+		rep := s.call(r, requestSpec{path: "/sheet/1", body: crashingBody})
 		assert.Equal(t, rep.status, http.StatusBadRequest, "%s", rep.body)
 		assert.Equal(t, s.fleet.Arrivals(rep.attempt), 0)
-		s.whole(s.call(r, ask{path: "/sheet/1", body: poison, key: "key-2"}))
+		s.assertComplete(s.call(r, requestSpec{path: "/sheet/1", body: crashingBody, key: "key-2"}))
 	}
-	assert.Equal(t, s.fleet.CrashCount(), mostCrashes)
+	assert.Equal(t, s.fleet.CrashCount(), maxCrashes)
 }
 
 // beside sends other requests of the same customer and path until stop, and counts
 // those that got a final refusal.
-func (s *site) beside(r *router, stop <-chan struct{}) (refused int64) {
+func (s *site) sendOtherRequests(r *router, stop <-chan struct{}) (refused int64) {
 	for {
 		select {
 		case <-stop:
 			return refused
 		default:
-			if rep := s.call(r, ask{path: "/sheet/1", body: "draft"}); rep.status == http.StatusBadRequest {
+			if rep := s.call(r, requestSpec{path: "/sheet/1", body: "draft"}); rep.status == http.StatusBadRequest {
 				refused++
 			}
 		}
@@ -73,23 +73,23 @@
 
 // The same at a plain service, whose servers nobody watches: a notice, which is sent once an
 // attempt, and a lookup, which may be sent again. The servers' ends show by their ports.
-func TestRequestThatEndsPlainServers(t *testing.T) {
+func TestRequestThatCrashesPlainServersIsRefused(t *testing.T) {
 	for _, path := range []string{"/notice/1", "/lookup/1"} {
 		t.Run(path, func(t *testing.T) {
 			s := newSite(t, 2)
-			s.fleet.SetCrash(standin.Crash{Customer: "school", Body: poison, Delay: 10 * time.Millisecond, RestartDelay: 300 * time.Millisecond})
+			s.fleet.SetCrash(standin.Crash{Customer: "school", Body: crashingBody, Delay: 10 * time.Millisecond, RestartDelay: 300 * time.Millisecond})
 			for i := range 20 {
-				rep := s.call(s.routers[i%2], ask{path: path, body: poison})
+				rep := s.call(s.routers[i%2], requestSpec{path: path, body: crashingBody})
 				assert.Assert(t, rep.status != http.StatusOK)
 				if rep.status == http.StatusServiceUnavailable || strings.Contains(rep.body, "was not run") {
 					assert.Equal(t, s.fleet.Arrivals(rep.attempt), 0, "it is said not to have run")
 				}
 				time.Sleep(200 * time.Millisecond)
 			}
-			assert.Equal(t, s.fleet.CrashCount(), mostCrashes)
-			assert.Equal(t, s.call(s.routers[0], ask{path: path, body: poison}).status, http.StatusBadRequest)
+			assert.Equal(t, s.fleet.CrashCount(), maxCrashes)
+			assert.Equal(t, s.call(s.routers[0], requestSpec{path: path, body: crashingBody}).status, http.StatusBadRequest)
 			for _, r := range s.routers {
-				s.eventually("others are served", func() bool { return s.call(r, ask{path: path, body: "arrived"}).status == http.StatusOK })
+				s.eventually("others are served", func() bool { return s.call(r, requestSpec{path: path, body: "arrived"}).status == http.StatusOK })
 			}
 		})
 	}
@@ -104,13 +104,13 @@
 			e.SetFaults(standin.EngineFaults{DropResponses: 2})
 		}
 		for i := range 6 {
-			s.call(s.routers[(round+i)%2], ask{path: "/lookup/1", body: "draft"})
+			s.call(s.routers[(round+i)%2], requestSpec{path: "/lookup/1", body: "draft"})
 		}
 	}
 	for _, e := range s.plain {
 		e.SetFaults(standin.EngineFaults{})
 	}
 	for _, r := range s.routers {
-		assert.Equal(t, s.call(r, ask{path: "/lookup/1", body: "draft"}).status, http.StatusOK)
+		assert.Equal(t, s.call(r, requestSpec{path: "/lookup/1", body: "draft"}).status, http.StatusOK)
 	}
 }
--- a/test/fleet/harness_test.go
+++ b/test/fleet/harness_test.go
@@ -26,10 +26,10 @@
 )
 
 const (
-	sheets   = "sheets"  // service of model engines
-	notices  = "notices" // plain service
-	patience = 20 * time.Second
-	layers   = 12
+	sheets      = "sheets"  // service of model engines
+	notices     = "notices" // plain service
+	waitTimeout = 20 * time.Second
+	layers      = 12
 )
 
 // site is a small site: engines in two domains, two plain servers, routers.
@@ -81,24 +81,24 @@
 	s.configure(nil)
 	for _, domain := range []string{"a", "b"} {
 		for _, card := range []string{"fast", "fast", "slow", "slow"} {
-			s.engines = append(s.engines, s.add(sheets, domain, card))
+			s.engines = append(s.engines, s.addServer(sheets, domain, card))
 		}
-		s.plain = append(s.plain, s.add(notices, domain, ""))
+		s.plain = append(s.plain, s.addServer(notices, domain, ""))
 	}
 	for i := range routers {
-		s.start(fmt.Sprintf("r%d", i), []string{"a", "b"}[i%2])
+		s.startRouter(fmt.Sprintf("r%d", i), []string{"a", "b"}[i%2])
 	}
 	s.waitServing()
 	return s
 }
 
-func (s *site) add(service, domain, card string) *standin.Engine {
+func (s *site) addServer(service, domain, card string) *standin.Engine {
 	e, err := s.fleet.Add(service, domain, card, nil)
 	assert.NilError(s.t, err)
 	return e
 }
 
-const firstPort, ports = 20000, 10000
+const firstPort, portCount = 20000, 10000
 
 // nextPort hands out ports below the ephemeral range, so that no listener or
 // connection of a test that runs beside takes one before its router does. Each
@@ -106,11 +106,11 @@
 // that is just starting again.
 var nextPort atomic.Int64
 
-func init() { nextPort.Store(rand.Int64N(ports)) }
+func init() { nextPort.Store(rand.Int64N(portCount)) }
 
-func free(t *testing.T) string {
-	for range ports {
-		port := firstPort + nextPort.Add(1)%ports
+func freeAddress(t *testing.T) string {
+	for range portCount {
+		port := firstPort + nextPort.Add(1)%portCount
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err == nil {
 			defer l.Close()
@@ -153,14 +153,14 @@
 	s.store.Put(platform.ConfigKey, raw)
 }
 
-func (s *site) start(name, domain string) *router {
+func (s *site) startRouter(name, domain string) *router {
 	set := settings.Default()
 	set.Role = model.RoleRouter
 	set.Instance = name
 	set.FailureDomain = domain
-	set.Router.Callers = free(s.t)
-	set.Router.Ready = free(s.t)
-	set.Router.Peers = free(s.t)
+	set.Router.Callers = freeAddress(s.t)
+	set.Router.Ready = freeAddress(s.t)
+	set.Router.Peers = freeAddress(s.t)
 	set.Router.Store = s.addr
 	set.Router.FirstStart = true
 	set.Router.RetrySlack = 200
@@ -190,7 +190,7 @@
 	for _, r := range s.routers {
 		select {
 		case <-r.done:
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			s.t.Error("a router did not stop")
 		}
 	}
@@ -200,7 +200,7 @@
 // eventually waits for a state; how long it takes is not what is tested.
 func (s *site) eventually(what string, ok func() bool) {
 	s.t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for !ok() {
 		if time.Now().After(end) {
 			s.t.Fatalf("not reached: %s", what)
@@ -213,7 +213,7 @@
 func (s *site) waitServing() {
 	for _, r := range s.routers {
 		s.eventually("router serves", func() bool {
-			return s.call(r, ask{path: "/sheet/x"}).status == http.StatusOK && s.call(r, ask{path: "/lookup/x", method: http.MethodGet}).status == http.StatusOK
+			return s.call(r, requestSpec{path: "/sheet/x"}).status == http.StatusOK && s.call(r, requestSpec{path: "/lookup/x", method: http.MethodGet}).status == http.StatusOK
 		})
 	}
 }
@@ -223,7 +223,7 @@
 func newAttempt() string { return fmt.Sprintf("at-%d", attempts.Add(1)) }
 
 // ask is a request of a caller; fields left out get usual values.
-type ask struct {
+type requestSpec struct {
 	path, method, key, attempt string
 	deadline                   time.Duration
 	body                       string
@@ -231,20 +231,20 @@
 }
 
 // reply is what a caller got.
-type reply struct {
-	attempt   string
-	status    int
-	body      string
-	signature string
-	after     string
-	err       error // the answer was not whole
+type response struct {
+	attempt    string
+	status     int
+	body       string
+	signature  string
+	retryAfter string
+	err        error // the answer was not whole
 }
 
-func (s *site) call(r *router, a ask) reply {
+func (s *site) call(r *router, a requestSpec) response {
 	return s.callCtx(context.Background(), r, a)
 }
 
-func (s *site) callCtx(ctx context.Context, r *router, a ask) reply {
+func (s *site) callCtx(ctx context.Context, r *router, a requestSpec) response {
 	if a.attempt == "" {
 		a.attempt = newAttempt()
 	}
@@ -257,19 +257,19 @@
 	req := a.request(ctx, r.settings.Router.Callers)
 	c, err := net.Dial("tcp", r.settings.Router.Callers)
 	if err != nil {
-		return reply{attempt: a.attempt, err: err}
+		return response{attempt: a.attempt, err: err}
 	}
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(waitTimeout))
 	if err := req.Write(c); err != nil {
-		return reply{attempt: a.attempt, err: err}
+		return response{attempt: a.attempt, err: err}
 	}
-	return readReply(a.attempt, bufio.NewReader(c), req)
+	return readResponse(a.attempt, bufio.NewReader(c), req)
 }
 
-func (a ask) request(ctx context.Context, addr string) *http.Request {
+func (a requestSpec) request(ctx context.Context, addr string) *http.Request {
 	var body io.Reader
 	if a.body != "" {
 		body = io.NopCloser(newReader(a.body))
@@ -305,25 +305,25 @@
 	return n, nil
 }
 
-func readReply(attempt string, br *bufio.Reader, req *http.Request) reply {
+func readResponse(attempt string, br *bufio.Reader, req *http.Request) response {
 	resp, err := http.ReadResponse(br, req)
 	if err != nil {
-		return reply{attempt: attempt, err: err}
+		return response{attempt: attempt, err: err}
 	}
 	body, err := io.ReadAll(resp.Body)
-	return reply{
-		attempt:   attempt,
-		status:    resp.StatusCode,
-		body:      string(body),
-		signature: resp.Header.Get("Response-Signature"),
-		after:     resp.Header.Get("Retry-After"),
-		err:       err,
+	return response{
+		attempt:    attempt,
+		status:     resp.StatusCode,
+		body:       string(body),
+		signature:  resp.Header.Get("Response-Signature"),
+		retryAfter: resp.Header.Get("Retry-After"),
+		err:        err,
 	}
 }
 
 // whole asserts that a sheet was answered completely, each event once and in
 // order.
-func (s *site) whole(rep reply) {
+func (s *site) assertComplete(rep response) {
 	s.t.Helper()
 	assert.NilError(s.t, rep.err)
 	assert.Equal(s.t, rep.status, http.StatusOK)
--- a/test/fleet/incarnation_test.go
+++ b/test/fleet/incarnation_test.go
@@ -14,53 +14,53 @@
 // An engine in the middle of chains crashes and is back at once under its id and
 // address, empty. Its entry tells only of its new start. Streams that ran there go
 // on elsewhere, it is loaded again, and it serves.
-func TestEngineReturnsUnderItsID(t *testing.T) {
+func TestEngineRestartsWithSameID(t *testing.T) {
 	s := newSite(t, 2)
 	s.fleet.Events = 200
-	back := s.partOf(1)
-	held := back.Holds()
+	restarted := s.engineAtStage(1)
+	held := restarted.Holds()
 	var all sync.WaitGroup
 	for range 4 {
-		all.Go(func() { s.whole(s.call(s.routers[0], ask{path: "/sheet/1"})) })
+		all.Go(func() { s.assertComplete(s.call(s.routers[0], requestSpec{path: "/sheet/1"})) })
 	}
 	time.Sleep(200 * time.Millisecond)
-	back.RestartSameID()
-	back.Register()
+	restarted.RestartSameID()
+	restarted.Register()
 	all.Wait()
-	s.eventually("it is loaded again", func() bool { return back.Holds() == held })
-	assert.Equal(t, back.Orders(), int64(1), "its count of orders began anew")
+	s.eventually("it is loaded again", func() bool { return restarted.Holds() == held })
+	assert.Equal(t, restarted.Orders(), int64(1), "its count of orders began anew")
 	s.fleet.Events = 20
-	s.whole(s.call(s.routers[0], ask{path: "/sheet/2"}))
+	s.assertComplete(s.call(s.routers[0], requestSpec{path: "/sheet/2"}))
 }
 
 // The same where no entry tells of the new start: what a report says of it is
 // enough to load it again.
-func TestReportTellsOfANewStart(t *testing.T) {
+func TestEngineReportRevealsRestart(t *testing.T) {
 	s := newSite(t, 1)
-	back := s.partOf(1)
-	held := back.Holds()
-	back.RestartSameID()
+	restarted := s.engineAtStage(1)
+	held := restarted.Holds()
+	restarted.RestartSameID()
 	s.eventually("it is loaded again", func() bool {
 		// A stream through it is refused; whoever looks into that learns of the start.
-		s.call(s.routers[0], ask{path: "/sheet/1"})
-		return back.Holds() == held
+		s.call(s.routers[0], requestSpec{path: "/sheet/1"})
+		return restarted.Holds() == held
 	})
-	s.whole(s.call(s.routers[0], ask{path: "/sheet/2"}))
+	s.assertComplete(s.call(s.routers[0], requestSpec{path: "/sheet/2"}))
 }
 
 // A notice is at a server that goes silent and comes back under its id. Nobody
 // will answer it any more: its caller is told so now, with 502 as it may have run,
 // and not at the end of its time.
-func TestNoticeAtAServerThatReturns(t *testing.T) {
+func TestNoticeFailsWhenServerRestarts(t *testing.T) {
 	s := newSite(t, 1)
 	for _, e := range s.plain {
 		e.SetFaults(standin.EngineFaults{Hang: true})
 	}
 	attempt := newAttempt()
-	answered := make(chan reply, 1)
+	answered := make(chan response, 1)
 	began := time.Now()
 	go func() {
-		answered <- s.call(s.routers[0], ask{path: "/notice/1", body: "arrived", attempt: attempt, deadline: 15 * time.Second})
+		answered <- s.call(s.routers[0], requestSpec{path: "/notice/1", body: "arrived", attempt: attempt, deadline: 15 * time.Second})
 	}()
 	s.eventually("it runs", func() bool { return len(s.fleet.Runs(attempt)) == 1 })
 	for _, e := range s.plain {
@@ -71,33 +71,33 @@
 	assert.Equal(t, rep.status, http.StatusBadGateway)
 	assert.Assert(t, time.Since(began) < 8*time.Second, "before the route's time is over")
 	assert.Equal(t, len(s.fleet.Runs(attempt)), 1)
-	assert.Equal(t, s.call(s.routers[0], ask{path: "/notice/2", body: "arrived"}).status, http.StatusOK)
+	assert.Equal(t, s.call(s.routers[0], requestSpec{path: "/notice/2", body: "arrived"}).status, http.StatusOK)
 }
 
 // Another writer puts odd entries beside and in place of the engines' own. None is
 // used, the others serve on, and an engine's next heartbeat brings it back.
-func TestEntriesOfOtherWriters(t *testing.T) {
+func TestInvalidServerEntriesAreIgnored(t *testing.T) {
 	s := newSite(t, 2)
-	victim := s.partOf(1)
-	key, own := victim.Entry()
-	odd := []string{
+	overwritten := s.engineAtStage(1)
+	key, original := overwritten.Entry()
+	invalid := []string{
 		"", "\x00\xff", "null", "[]", "7", `{"state":"ready"}`, `{"service":"sheets","address":7}`,
 		`{"service":"sheets","address":"127.0.0.1:1","zone":"a","state":"resting","type":"fast","layers":{"from":0,"to":12}}`,
 		`{"service":"nobody","address":"127.0.0.1:1","zone":"a","state":"ready"}`,
 		`{"service":"sheets","address":"127.0.0.1:1","zone":"a","state":"ready","type":"fast","slots":9,"layers":{"from":0,"to":"all"}}`,
 	}
-	for i, value := range odd {
-		victim.PutEntry("servers/odd-"+string(rune('a'+i)), []byte(value))
-		victim.PutEntry(key, []byte(value))
+	for i, value := range invalid {
+		overwritten.PutEntry("servers/odd-"+string(rune('a'+i)), []byte(value))
+		overwritten.PutEntry(key, []byte(value))
 		for _, r := range s.routers {
-			s.whole(s.call(r, ask{path: "/sheet/1"}))
+			s.assertComplete(s.call(r, requestSpec{path: "/sheet/1"}))
 		}
 	}
 	for _, e := range s.engines {
-		if e != victim && e.Holds() == victim.Holds() {
+		if e != overwritten && e.Holds() == overwritten.Holds() {
 			e.StopResponding()
 		}
 	}
-	victim.PutEntry(key, own)
-	s.eventually("it serves again", func() bool { return s.call(s.routers[0], ask{path: "/sheet/1"}).status == http.StatusOK })
+	overwritten.PutEntry(key, original)
+	s.eventually("it serves again", func() bool { return s.call(s.routers[0], requestSpec{path: "/sheet/1"}).status == http.StatusOK })
 }
--- a/test/fleet/path_test.go
+++ b/test/fleet/path_test.go
@@ -14,31 +14,31 @@
 	"github.com/skylarkwood/skylarkwood/platform/standin"
 )
 
-func TestSheetsAndNotices(t *testing.T) {
+func TestSheetsAndNoticesAreServed(t *testing.T) {
 	s := newSite(t, 2)
 	for _, r := range s.routers {
-		s.whole(s.call(r, ask{path: "/sheet/1", body: "draft"}))
-		rep := s.call(r, ask{path: "/notice/1", body: "arrived"})
+		s.assertComplete(s.call(r, requestSpec{path: "/sheet/1", body: "draft"}))
+		rep := s.call(r, requestSpec{path: "/notice/1", body: "arrived"})
 		assert.Equal(t, rep.status, http.StatusOK)
 		assert.Equal(t, rep.body, standin.PlainBody(rep.attempt))
 		assert.Equal(t, len(s.fleet.Runs(rep.attempt)), 1)
 	}
 }
 
-func TestRefusedRequests(t *testing.T) {
+func TestInvalidRequestsAreNotForwarded(t *testing.T) {
 	s := newSite(t, 1)
 	r := s.routers[0]
 	for name, want := range map[string]struct {
-		ask    ask
-		status int
+		request requestSpec
+		status  int
 	}{
-		"no such route": {ask{path: "/none/1"}, http.StatusNotFound},
-		"unknown key":   {ask{path: "/sheet/1", key: "key-9"}, http.StatusUnauthorized},
-		"body too long": {ask{path: "/notice/1", body: strings.Repeat("x", 70000)}, http.StatusRequestEntityTooLarge},
-		"head too long": {ask{path: "/notice/1", header: http.Header{"X-Long": {strings.Repeat("x", 9000)}}}, http.StatusRequestHeaderFieldsTooLarge},
-		"odd deadline":  {ask{path: "/notice/1", header: http.Header{"Deadline-Ms": {"soon"}}}, http.StatusBadRequest},
+		"no such route": {requestSpec{path: "/none/1"}, http.StatusNotFound},
+		"unknown key":   {requestSpec{path: "/sheet/1", key: "key-9"}, http.StatusUnauthorized},
+		"body too long": {requestSpec{path: "/notice/1", body: strings.Repeat("x", 70000)}, http.StatusRequestEntityTooLarge},
+		"head too long": {requestSpec{path: "/notice/1", header: http.Header{"X-Long": {strings.Repeat("x", 9000)}}}, http.StatusRequestHeaderFieldsTooLarge},
+		"odd deadline":  {requestSpec{path: "/notice/1", header: http.Header{"Deadline-Ms": {"soon"}}}, http.StatusBadRequest},
 	} {
-		rep := s.call(r, want.ask)
+		rep := s.call(r, want.request)
 		assert.NilError(t, rep.err, name)
 		assert.Equal(t, rep.status, want.status, name)
 		assert.Equal(t, s.fleet.Arrivals(rep.attempt), 0, name)
@@ -48,37 +48,37 @@
 // A part of a chain dies while a sheet is being written. The caller gets the
 // rest from another engine, with no event missing or twice: the first engine
 // names the one it waits for and the stream is sent around it.
-func TestStreamLosesAPart(t *testing.T) {
+func TestStreamContinuesAfterLosingLaterStage(t *testing.T) {
 	s := newSite(t, 1)
 	s.fleet.Events = 200
-	dying := s.partOf(1)
+	failing := s.engineAtStage(1)
 	var all sync.WaitGroup
 	for range 4 {
-		all.Go(func() { s.whole(s.call(s.routers[0], ask{path: "/sheet/1"})) })
+		all.Go(func() { s.assertComplete(s.call(s.routers[0], requestSpec{path: "/sheet/1"})) })
 	}
 	time.Sleep(200 * time.Millisecond)
-	dying.StopResponding()
+	failing.StopResponding()
 	all.Wait()
 }
 
 // The first engine of a chain dies: its streams are taken up by another one
 // from the last event that the caller has.
-func TestStreamLosesItsFirstEngine(t *testing.T) {
+func TestStreamContinuesAfterLosingFirstStage(t *testing.T) {
 	s := newSite(t, 1)
 	s.fleet.Events = 200
-	dying := s.partOf(0)
+	failing := s.engineAtStage(0)
 	var all sync.WaitGroup
 	for range 4 {
-		all.Go(func() { s.whole(s.call(s.routers[0], ask{path: "/sheet/1"})) })
+		all.Go(func() { s.assertComplete(s.call(s.routers[0], requestSpec{path: "/sheet/1"})) })
 	}
 	time.Sleep(200 * time.Millisecond)
-	dying.StopResponding()
+	failing.StopResponding()
 	all.Wait()
 }
 
 // partOf finds a fast engine of the first router's domain that begins, or does
 // not begin, with the first layer.
-func (s *site) partOf(n int) *standin.Engine {
+func (s *site) engineAtStage(n int) *standin.Engine {
 	for i, e := range s.engines[:2] {
 		if (e.Holds().From > 0) == (n > 0) && e.Holds().Len() > 0 {
 			return s.engines[i]
@@ -97,7 +97,7 @@
 	}
 	lost := 0
 	for range 30 {
-		rep := s.call(s.routers[0], ask{path: "/notice/1", body: "arrived"})
+		rep := s.call(s.routers[0], requestSpec{path: "/notice/1", body: "arrived"})
 		assert.Equal(t, len(s.fleet.Runs(rep.attempt)), 1)
 		assert.Assert(t, rep.status == http.StatusOK || rep.status == http.StatusBadGateway, "%d", rep.status)
 		if rep.status == http.StatusOK {
@@ -110,11 +110,11 @@
 }
 
 // The same faults at a lookup, which may run again: the caller notices nothing.
-func TestLookupIsSentAgain(t *testing.T) {
+func TestLookupIsRetried(t *testing.T) {
 	s := newSite(t, 1)
 	s.plain[0].SetFaults(standin.EngineFaults{DropResponses: 1, Truncate: 1, WrongAttempt: 1, Fail: 1})
 	for range 12 {
-		rep := s.call(s.routers[0], ask{path: "/lookup/1", method: http.MethodGet})
+		rep := s.call(s.routers[0], requestSpec{path: "/lookup/1", method: http.MethodGet})
 		assert.Equal(t, rep.status, http.StatusOK)
 		assert.Equal(t, rep.body, standin.PlainBody(rep.attempt))
 	}
@@ -122,13 +122,13 @@
 
 // A backend server sends a second answer behind the first. It belongs to no
 // request: the next one on that connection must not get it.
-func TestSurplusAnswerReachesNobody(t *testing.T) {
+func TestSurplusResponseIsDiscarded(t *testing.T) {
 	s := newSite(t, 1)
 	for _, e := range s.plain {
 		e.SetFaults(standin.EngineFaults{ExtraResponses: 3})
 	}
 	for range 12 {
-		rep := s.call(s.routers[0], ask{path: "/lookup/1", method: http.MethodGet})
+		rep := s.call(s.routers[0], requestSpec{path: "/lookup/1", method: http.MethodGet})
 		assert.Equal(t, rep.status, http.StatusOK)
 		assert.Equal(t, rep.body, standin.PlainBody(rep.attempt))
 	}
@@ -136,36 +136,36 @@
 
 // Every backend server refuses. The caller is told at once that its notice did
 // not run, and when to come back.
-func TestRefusalIsTrueAndPrompt(t *testing.T) {
+func TestRefusedNoticeReturnsRetryAfter(t *testing.T) {
 	s := newSite(t, 1)
 	for _, e := range s.plain {
 		e.SetFaults(standin.EngineFaults{Refuse: true})
 	}
-	rep := s.call(s.routers[0], ask{path: "/notice/1", body: "x"})
+	rep := s.call(s.routers[0], requestSpec{path: "/notice/1", body: "x"})
 	assert.Equal(t, rep.status, http.StatusServiceUnavailable)
-	assert.Assert(t, rep.after != "")
+	assert.Assert(t, rep.retryAfter != "")
 	assert.Equal(t, len(s.fleet.Runs(rep.attempt)), 0)
 }
 
 // A backend server hangs. The notice is answered when the caller's time is
 // over, as 504: it may have run.
-func TestHangingNoticeEndsWithItsDeadline(t *testing.T) {
+func TestHangingNoticeTimesOut(t *testing.T) {
 	s := newSite(t, 1)
 	for _, e := range s.plain {
 		e.SetFaults(standin.EngineFaults{Hang: true})
 	}
-	rep := s.call(s.routers[0], ask{path: "/notice/1", body: "x", deadline: 300 * time.Millisecond})
+	rep := s.call(s.routers[0], requestSpec{path: "/notice/1", body: "x", deadline: 300 * time.Millisecond})
 	assert.Equal(t, rep.status, http.StatusGatewayTimeout)
 	assert.Equal(t, len(s.fleet.Runs(rep.attempt)), 1)
 }
 
 // An engine says that it leaves: from then on it gets nothing new.
-func TestLeavingEngineGetsNothing(t *testing.T) {
+func TestDrainingServerGetsNoRequests(t *testing.T) {
 	s := newSite(t, 1)
 	s.plain[0].Drain()
 	time.Sleep(500 * time.Millisecond)
 	for range 10 {
-		rep := s.call(s.routers[0], ask{path: "/lookup/1", method: http.MethodGet})
+		rep := s.call(s.routers[0], requestSpec{path: "/lookup/1", method: http.MethodGet})
 		assert.Equal(t, rep.status, http.StatusOK)
 		assert.DeepEqual(t, s.fleet.Runs(rep.attempt), []string{s.plain[1].ID()})
 	}
@@ -173,13 +173,13 @@
 
 // An engine restarts empty at its old address. Nothing meant for the old
 // incarnation runs there, and it is loaded with its range again.
-func TestRestartedEngineIsLoadedAgain(t *testing.T) {
+func TestRestartedEngineIsReloaded(t *testing.T) {
 	s := newSite(t, 2)
 	e := s.engines[0]
 	held := e.Holds()
 	e.Restart()
 	s.eventually("loaded again", func() bool { return e.Holds() == held })
-	s.whole(s.call(s.routers[0], ask{path: "/sheet/1"}))
+	s.assertComplete(s.call(s.routers[0], requestSpec{path: "/sheet/1"}))
 }
 
 // A key is taken away, a route is added. Both are in force at every router, and
@@ -190,43 +190,45 @@
 		cfg["tenants"] = []any{map[string]any{"name": "school", "api_keys": []any{"key-3"}}}
 	})
 	for _, r := range s.routers {
-		s.eventually("old key refused", func() bool { return s.call(r, ask{path: "/lookup/1", key: "key-1"}).status == http.StatusUnauthorized })
-		assert.Equal(t, s.call(r, ask{path: "/lookup/1", key: "key-3"}).status, http.StatusOK)
+		s.eventually("old key refused", func() bool {
+			return s.call(r, requestSpec{path: "/lookup/1", key: "key-1"}).status == http.StatusUnauthorized
+		})
+		assert.Equal(t, s.call(r, requestSpec{path: "/lookup/1", key: "key-3"}).status, http.StatusOK)
 	}
 }
 
 // The store is away for everybody. What is configured goes on being served; what
 // the configuration does not know is refused for now, not for good: it may have
 // been added meanwhile.
-func TestStoreOutage(t *testing.T) {
+func TestStoreOutageKeepsServing(t *testing.T) {
 	s := newSite(t, 1)
 	r := s.routers[0]
 	s.store.SetFaults(standin.StoreFaults{Unresponsive: true})
 	s.eventually("unknown route refused for now", func() bool {
-		return s.call(r, ask{path: "/none/1"}).status == http.StatusServiceUnavailable
+		return s.call(r, requestSpec{path: "/none/1"}).status == http.StatusServiceUnavailable
 	})
-	s.whole(s.call(r, ask{path: "/sheet/1"}))
-	assert.Equal(t, s.call(r, ask{path: "/notice/1", body: "x"}).status, http.StatusOK)
+	s.assertComplete(s.call(r, requestSpec{path: "/sheet/1"}))
+	assert.Equal(t, s.call(r, requestSpec{path: "/notice/1", body: "x"}).status, http.StatusOK)
 	s.store.SetFaults(standin.StoreFaults{})
-	s.eventually("unknown route refused for good", func() bool { return s.call(r, ask{path: "/none/1"}).status == http.StatusNotFound })
+	s.eventually("unknown route refused for good", func() bool { return s.call(r, requestSpec{path: "/none/1"}).status == http.StatusNotFound })
 }
 
 // A router starts while the store is away: it gets the configuration and the
 // engines from a peer named as its seed, and serves.
-func TestRouterStartsDuringOutage(t *testing.T) {
+func TestRouterStartsDuringStoreOutage(t *testing.T) {
 	s := newSite(t, 1)
 	s.store.SetFaults(standin.StoreFaults{Unresponsive: true})
-	late := s.start("late", "b")
+	late := s.startRouter("late", "b")
 	s.eventually("ready", late.r.Ready)
-	s.whole(s.call(late, ask{path: "/sheet/1"}))
-	assert.Equal(t, s.call(late, ask{path: "/lookup/1", key: "key-9"}).status/100 != 2, true, "the configuration came with its keys")
+	s.assertComplete(s.call(late, requestSpec{path: "/sheet/1"}))
+	assert.Equal(t, s.call(late, requestSpec{path: "/lookup/1", key: "key-9"}).status/100 != 2, true, "the configuration came with its keys")
 }
 
 // Every router restarts while the store is away, and it returns a moment later.
 // Callers that come meanwhile are served as soon as the configuration is there:
 // they have one retry, and a refusal would use it up. Once the router has been
 // up for a while without one, it refuses at once.
-func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
+func TestRequestsWaitForFirstConfiguration(t *testing.T) {
 	s := newSite(t, 1)
 	s.store.SetFaults(standin.StoreFaults{Refuse: true})
 	s.routers[0].stop()
@@ -242,12 +244,12 @@
 		return err == nil
 	})
 	time.AfterFunc(300*time.Millisecond, func() { s.store.SetFaults(standin.StoreFaults{}) })
-	s.whole(s.call(r, ask{path: "/sheet/1"}))
+	s.assertComplete(s.call(r, requestSpec{path: "/sheet/1"}))
 }
 
 // A planned stop: readiness fails, requests in progress are finished, later ones
 // are still taken until the balancer has noticed, and the process ends.
-func TestPlannedStopLosesNothing(t *testing.T) {
+func TestPlannedStopCompletesRequests(t *testing.T) {
 	s := newSite(t, 2)
 	s.fleet.Events = 150
 	r := s.routers[0]
@@ -255,7 +257,7 @@
 	for i := range 8 {
 		all.Go(func() {
 			time.Sleep(time.Duration(i*60) * time.Millisecond)
-			s.whole(s.call(r, ask{path: "/sheet/1"}))
+			s.assertComplete(s.call(r, requestSpec{path: "/sheet/1"}))
 		})
 	}
 	time.Sleep(200 * time.Millisecond)
@@ -267,14 +269,14 @@
 }
 
 // A caller hangs up in the middle of its sheet. Its engine's work ends soon.
-func TestCallerThatLeaves(t *testing.T) {
+func TestCallerHangUpCancelsStream(t *testing.T) {
 	s := newSite(t, 1)
 	s.fleet.Events = 100000
-	ctx, leave := context.WithCancel(context.Background())
-	done := make(chan reply)
-	go func() { done <- s.callCtx(ctx, s.routers[0], ask{path: "/sheet/1"}) }()
+	ctx, hangUp := context.WithCancel(context.Background())
+	done := make(chan response)
+	go func() { done <- s.callCtx(ctx, s.routers[0], requestSpec{path: "/sheet/1"}) }()
 	time.Sleep(200 * time.Millisecond)
-	leave()
+	hangUp()
 	<-done
 	s.eventually("engines idle", func() bool {
 		for _, e := range s.engines {
@@ -291,16 +293,16 @@
 // the same, each by another engine, and after a few of them none begins there.
 func TestFailingEngineIsLeftAlone(t *testing.T) {
 	s := newSite(t, 1)
-	const many = 60
-	rep := s.call(s.routers[0], ask{path: "/sheet/x"})
-	s.whole(rep)
-	grey := s.engineByID(s.fleet.Runs(rep.attempt)[0])
-	grey.SetFaults(standin.EngineFaults{Fail: many})
-	for range many {
-		s.whole(s.call(s.routers[0], ask{path: "/sheet/x"}))
+	const requestCount = 60
+	rep := s.call(s.routers[0], requestSpec{path: "/sheet/x"})
+	s.assertComplete(rep)
+	faulty := s.engineByID(s.fleet.Runs(rep.attempt)[0])
+	faulty.SetFaults(standin.EngineFaults{Fail: requestCount})
+	for range requestCount {
+		s.assertComplete(s.call(s.routers[0], requestSpec{path: "/sheet/x"}))
 	}
-	assert.Assert(t, grey.Failed() > 0, "it was never begun with")
-	assert.Assert(t, grey.Failed() <= many/6, "%d of %d began there", grey.Failed(), many)
+	assert.Assert(t, faulty.Failed() > 0, "it was never begun with")
+	assert.Assert(t, faulty.Failed() <= requestCount/6, "%d of %d began there", faulty.Failed(), requestCount)
 }
 
 // engineByID finds an engine by its present incarnation.
--- a/test/fleet/restore_test.go
+++ b/test/fleet/restore_test.go
@@ -20,21 +20,23 @@
 // gone; the operator and the engines write again a second later. Callers notice nothing:
 // sheets are served all the while, and the key that was taken away is never taken.
 // Afterwards routers are registered, and engines are ordered again.
-func TestStoreComesBackFromAnOlderCopy(t *testing.T) {
+func TestStoreRestoredFromSnapshot(t *testing.T) {
 	s := newSite(t, 3)
-	early := s.store.Snapshot()
+	snapshot := s.store.Snapshot()
 	s.configure(func(cfg map[string]any) { cfg["tenants"] = cfg["tenants"].([]any)[:1] })
 	for _, r := range s.routers {
-		s.eventually("the key is taken away", func() bool { return s.call(r, ask{path: "/sheet/1", key: "key-2"}).status == http.StatusUnauthorized })
+		s.eventually("the key is taken away", func() bool {
+			return s.call(r, requestSpec{path: "/sheet/1", key: "key-2"}).status == http.StatusUnauthorized
+		})
 	}
-	back := s.engines[1]
-	held := back.Holds()
-	back.Restart()
-	s.eventually("it is loaded again", func() bool { return back.Holds() == held })
+	restarted := s.engines[1]
+	held := restarted.Holds()
+	restarted.Restart()
+	s.eventually("it is loaded again", func() bool { return restarted.Holds() == held })
 
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
-	var failed, revived atomic.Int64
+	var failed, acceptedRevoked atomic.Int64
 	for _, r := range s.routers {
 		callers.Go(func() {
 			for {
@@ -43,27 +45,27 @@
 					return
 				default:
 				}
-				if rep := s.call(r, ask{path: "/sheet/1", body: "draft"}); rep.status != http.StatusOK || rep.err != nil {
+				if rep := s.call(r, requestSpec{path: "/sheet/1", body: "draft"}); rep.status != http.StatusOK || rep.err != nil {
 					t.Logf("sheet at %s: %d %s %v", r.settings.Instance, rep.status, rep.body, rep.err)
 					failed.Add(1)
 				}
-				if s.call(r, ask{path: "/sheet/1", key: "key-2"}).status == http.StatusOK {
-					revived.Add(1)
+				if s.call(r, requestSpec{path: "/sheet/1", key: "key-2"}).status == http.StatusOK {
+					acceptedRevoked.Add(1)
 				}
 			}
 		})
 	}
 	for range 2 {
-		s.restore(early)
+		s.restore(snapshot)
 	}
 	s.eventually("routers are registered again", func() bool { return len(s.store.Keys(leader.MemberPrefix)) == 3 })
 	close(stop)
 	callers.Wait()
 	assert.Equal(t, failed.Load(), int64(0))
-	assert.Equal(t, revived.Load(), int64(0))
-	held = back.Holds()
-	back.Restart()
-	s.eventually("it is ordered again", func() bool { return back.Holds() == held })
+	assert.Equal(t, acceptedRevoked.Load(), int64(0))
+	held = restarted.Holds()
+	restarted.Restart()
+	s.eventually("it is ordered again", func() bool { return restarted.Holds() == held })
 }
 
 // restore brings the store back from a copy, and has the operator and the servers write a
@@ -90,14 +92,16 @@
 
 // A key is taken away, the store comes back from a copy of before, and a router starts in
 // that moment. It serves by what the running routers know, and the key is not taken there.
-func TestRouterStartsWhileTheStoreIsOlder(t *testing.T) {
+func TestRouterStartsWithRestoredStore(t *testing.T) {
 	s := newSite(t, 3)
-	early := s.store.Snapshot()
+	snapshot := s.store.Snapshot()
 	s.configure(func(cfg map[string]any) { cfg["tenants"] = cfg["tenants"].([]any)[:1] })
 	for _, r := range s.routers {
-		s.eventually("the key is taken away", func() bool { return s.call(r, ask{path: "/sheet/1", key: "key-2"}).status == http.StatusUnauthorized })
+		s.eventually("the key is taken away", func() bool {
+			return s.call(r, requestSpec{path: "/sheet/1", key: "key-2"}).status == http.StatusUnauthorized
+		})
 	}
-	s.store.Restore(early)
+	s.store.Restore(snapshot)
 	s.registerServers()
 	starting := s.routers[2]
 	starting.stop()
@@ -105,11 +109,11 @@
 	s.run(starting)
 	served := 0
 	s.eventually("the new process serves and refuses the key", func() bool {
-		if s.call(starting, ask{path: "/sheet/1", key: "key-2"}).status == http.StatusOK {
+		if s.call(starting, requestSpec{path: "/sheet/1", key: "key-2"}).status == http.StatusOK {
 			served++
 		}
-		return s.call(starting, ask{path: "/sheet/1"}).status == http.StatusOK &&
-			s.call(starting, ask{path: "/sheet/1", key: "key-2"}).status == http.StatusUnauthorized
+		return s.call(starting, requestSpec{path: "/sheet/1"}).status == http.StatusOK &&
+			s.call(starting, requestSpec{path: "/sheet/1", key: "key-2"}).status == http.StatusUnauthorized
 	})
 	assert.Equal(t, served, 0)
 }
