--- a/test/fleet/churn_test.go
+++ b/test/fleet/churn_test.go
@@ -15,15 +15,13 @@
 const (
 	churnSeed     = 7
 	churnCallers  = 8
-	churnRequests = 12 // of each caller
+	churnRequests = 12 // per caller
 	idleRoutes    = 240
 )
 
-// While requests are in progress, versions of the configuration that change only
-// routes which nobody uses, losses and returns of backend servers and planned stops of
-// routers follow each other within some tens of milliseconds. A caller may be refused,
-// or see an answer broken off; but no request that reached a backend server is left
-// without the head of an answer, and everything is served again afterwards.
+// Guards against a request that reached a backend server but got no response head,
+// while routes change, backend servers fail and restart, and routers stop. Refusals
+// and truncated responses are allowed. Everything must be served again afterwards.
 func TestConcurrentChangesFailuresAndStopsAnswerEveryForwardedRequest(t *testing.T) {
 	s := newSite(t, 3)
 	s.fleet.Events = 40
@@ -45,11 +43,12 @@
 		close(done)
 	}()
 	s.churn(rand.New(rand.NewPCG(churnSeed, churnCallers)), done)
-	assert.Equal(t, unanswered.Load(), int64(0), "requests were passed on and never answered")
+	assert.Equal(t, unanswered.Load(), int64(0), "forwarded requests got no response")
 	s.waitServing()
 }
 
-// ends sends a request of any kind and tells whether it ended as it may.
+// callRandom sends a random kind of request. It returns false if the request reached a
+// backend server and no response head came back.
 func (s *site) callRandom(r *router, rnd *rand.Rand) bool {
 	a := []requestSpec{
 		{path: "/sheet/1", body: "draft"},
@@ -60,11 +59,12 @@
 	if rep.err == nil || rep.status != 0 || s.fleet.Arrivals(rep.attempt) == 0 {
 		return true
 	}
-	s.t.Logf("%s of %s at %s: %v; it ran at %v", rep.attempt, a.path, r.settings.Instance, rep.err, s.fleet.Runs(rep.attempt))
+	s.t.Logf("request %s to %s at router %s failed: %v; executed by %v", rep.attempt, a.path, r.settings.Instance, rep.err, s.fleet.Runs(rep.attempt))
 	return false
 }
 
-// churn changes the site until done is closed, and heals it then.
+// churn changes the configuration and stops and restarts servers and routers until
+// done is closed. It then restarts all servers.
 func (s *site) churn(rnd *rand.Rand, done <-chan struct{}) {
 	var restarts sync.WaitGroup
 	defer restarts.Wait()
@@ -102,7 +102,7 @@
 	}
 }
 
-// addIdleRoutes adds routes that nobody uses, other ones each time.
+// addIdleRoutes adds routes that receive no requests. The prefixes differ for each n.
 func addIdleRoutes(cfg map[string]any, n int) {
 	routes := cfg["routes"].([]any)
 	for i := range idleRoutes {
@@ -112,11 +112,11 @@
 	cfg["routes"] = routes
 }
 
-// restart stops a router as planned and starts it again.
+// restart stops a router gracefully and starts it again.
 func (s *site) restart(r *router) {
 	r.stop()
 	if err := <-r.done; err != nil {
-		s.t.Errorf("router %s ended: %v", r.settings.Instance, err)
+		s.t.Errorf("router %s exited with an error: %v", r.settings.Instance, err)
 	}
 	s.run(r)
 }
