--- a/test/fleet/crash_test.go
+++ b/test/fleet/crash_test.go
@@ -14,15 +14,13 @@
 )
 
 const (
-	// mostCrashes is after how many servers a request is known to end them.
+	// maxCrashes is the number of crashes after which a request is refused.
 	maxCrashes   = 3
-	crashingBody = "a sheet that ends whoever writes it"
+	crashingBody = "a request body that crashes its server"
 )
 
-// A caller's request ends each engine that begins to run it, and comes again at one
-// router after the other, also after all of them started anew. Each return began from
-// nothing: what a router learnt of it was over with the attempt and told to nobody, so
-// twenty engines and more ended, each under the streams of other callers.
+// Guards against a request that crashes one engine after another because routers do
+// not share, or lose on restart, what they recorded about it.
 func TestRequestThatCrashesEnginesIsRefused(t *testing.T) {
 	s := newSite(t, 3)
 	s.fleet.SetCrash(standin.Crash{Customer: "school", Body: crashingBody, Delay: 30 * time.Millisecond, RestartDelay: 400 * time.Millisecond})
@@ -40,7 +38,7 @@
 	close(stop)
 	otherCallers.Wait()
 	assert.Equal(t, s.fleet.CrashCount(), maxCrashes)
-	assert.Equal(t, refused.Load(), int64(0), "others were taken for it")
+	assert.Equal(t, refused.Load(), int64(0), "other requests were refused as the crashing one")
 	for _, r := range s.routers {
 		r.stop()
 		<-r.done
@@ -56,8 +54,8 @@
 	assert.Equal(t, s.fleet.CrashCount(), maxCrashes)
 }
 
-// beside sends other requests of the same customer and path until stop, and counts
-// those that got a final refusal.
+// sendOtherRequests sends other requests of the same customer and path until stop is
+// closed, and returns the number that got a final refusal.
 func (s *site) sendOtherRequests(r *router, stop <-chan struct{}) (refused int64) {
 	for {
 		select {
@@ -71,8 +69,8 @@
 	}
 }
 
-// The same at a plain service, whose servers nobody watches: a notice, which is sent once an
-// attempt, and a lookup, which may be sent again. The servers' ends show by their ports.
+// Guards against the same at a plain service, whose crashes show only as closed ports,
+// both for a notice, which is sent once, and a lookup, which may be retried.
 func TestRequestThatCrashesPlainServersIsRefused(t *testing.T) {
 	for _, path := range []string{"/notice/1", "/lookup/1"} {
 		t.Run(path, func(t *testing.T) {
@@ -82,21 +80,21 @@
 				rep := s.call(s.routers[i%2], requestSpec{path: path, body: crashingBody})
 				assert.Assert(t, rep.status != http.StatusOK)
 				if rep.status == http.StatusServiceUnavailable || strings.Contains(rep.body, "was not run") {
-					assert.Equal(t, s.fleet.Arrivals(rep.attempt), 0, "it is said not to have run")
+					assert.Equal(t, s.fleet.Arrivals(rep.attempt), 0, "the response says that the request was not run")
 				}
 				time.Sleep(200 * time.Millisecond)
 			}
 			assert.Equal(t, s.fleet.CrashCount(), maxCrashes)
 			assert.Equal(t, s.call(s.routers[0], requestSpec{path: path, body: crashingBody}).status, http.StatusBadRequest)
 			for _, r := range s.routers {
-				s.eventually("others are served", func() bool { return s.call(r, requestSpec{path: path, body: "arrived"}).status == http.StatusOK })
+				s.eventually("other requests are served", func() bool { return s.call(r, requestSpec{path: path, body: "arrived"}).status == http.StatusOK })
 			}
 		})
 	}
 }
 
-// A request breaks off at server after server because links fail, and no process ends. It
-// is not taken for one that ends servers: its caller is served once the links are well.
+// Guards against taking failing links for crashes: a request whose connections break
+// at several servers must be served once the links recover.
 func TestFailingLinksBlameNoRequest(t *testing.T) {
 	s := newSite(t, 2)
 	for round := range 4 {
