--- a/test/fleet/harness_test.go
+++ b/test/fleet/harness_test.go
@@ -1,6 +1,5 @@
-// Package fleet runs routers of the users' platform against its stand-ins, in
-// one process, and brings about what callers must not notice or must be told
-// truly.
+// Package fleet runs routers in one process against stand-ins for the users' platform
+// and tests how they handle failures.
 package fleet
 
 import (
@@ -26,18 +25,19 @@
 )
 
 const (
-	sheets      = "sheets"  // service of model engines
-	notices     = "notices" // plain service
+	sheets      = "sheets"  // service with engines
+	notices     = "notices" // service with plain servers
 	waitTimeout = 20 * time.Second
 	layers      = 12
 )
 
-// site is a small site: engines in two domains, two plain servers, routers.
+// site is a test deployment: engines and one plain server in each of two failure
+// domains, and routers.
 type site struct {
 	t       *testing.T
 	store   *standin.Store
 	http    *http.Server
-	addr    string // of the store
+	addr    string // address of the store
 	fleet   *standin.Fleet
 	engines []*standin.Engine
 	plain   []*standin.Engine
@@ -100,10 +100,9 @@
 
 const firstPort, portCount = 20000, 10000
 
-// nextPort hands out ports below the ephemeral range, so that no listener or
-// connection of a test that runs beside takes one before its router does. Each
-// process begins elsewhere: one would else take the port of a router of another
-// that is just starting again.
+// nextPort is an offset from firstPort. The range lies below the ephemeral ports, so
+// that other tests do not take a port before its router listens. The random start
+// keeps test processes apart: a restarting router must find its port free.
 var nextPort atomic.Int64
 
 func init() { nextPort.Store(rand.Int64N(portCount)) }
@@ -117,11 +116,12 @@
 			return l.Addr().String()
 		}
 	}
-	t.Fatal("no free port")
+	t.Fatal("no free port found")
 	return ""
 }
 
-// configure publishes the operator's next configuration, changed by f.
+// configure publishes a new version of the configuration, modified by f if f is not
+// nil.
 func (s *site) configure(f func(cfg map[string]any)) {
 	s.version += 2
 	route := func(name, prefix, kind, service string) map[string]any {
@@ -191,25 +191,25 @@
 		select {
 		case <-r.done:
 		case <-time.After(waitTimeout):
-			s.t.Error("a router did not stop")
+			s.t.Error("router did not stop in time")
 		}
 	}
 	s.routers = nil
 }
 
-// eventually waits for a state; how long it takes is not what is tested.
+// eventually waits until ok returns true, and fails the test after waitTimeout.
 func (s *site) eventually(what string, ok func() bool) {
 	s.t.Helper()
 	end := time.Now().Add(waitTimeout)
 	for !ok() {
 		if time.Now().After(end) {
-			s.t.Fatalf("not reached: %s", what)
+			s.t.Fatalf("condition not met in time: %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// waitServing waits until each router answers a sheet and a lookup.
+// waitServing waits until every router serves a sheet and a lookup.
 func (s *site) waitServing() {
 	for _, r := range s.routers {
 		s.eventually("router serves", func() bool {
@@ -222,7 +222,8 @@
 
 func newAttempt() string { return fmt.Sprintf("at-%d", attempts.Add(1)) }
 
-// ask is a request of a caller; fields left out get usual values.
+// requestSpec describes a caller's request. The attempt is generated if empty, the
+// method defaults to POST and the key to the school's key.
 type requestSpec struct {
 	path, method, key, attempt string
 	deadline                   time.Duration
@@ -230,14 +231,14 @@
 	header                     http.Header
 }
 
-// reply is what a caller got.
+// response is what a caller received.
 type response struct {
 	attempt    string
 	status     int
 	body       string
 	signature  string
 	retryAfter string
-	err        error // the answer was not whole
+	err        error // the response is missing or incomplete
 }
 
 func (s *site) call(r *router, a requestSpec) response {
@@ -321,7 +322,7 @@
 	}
 }
 
-// whole asserts that a sheet was answered completely, each event once and in
+// assertComplete asserts that the response holds each event of a sheet once and in
 // order.
 func (s *site) assertComplete(rep response) {
 	s.t.Helper()
