--- a/test/fleet/incarnation_test.go
+++ b/test/fleet/incarnation_test.go
@@ -11,9 +11,9 @@
 	"github.com/skylarkwood/skylarkwood/platform/standin"
 )
 
-// An engine in the middle of chains crashes and is back at once under its id and
-// address, empty. Its entry tells only of its new start. Streams that ran there go
-// on elsewhere, it is loaded again, and it serves.
+// Guards against treating an engine that restarts empty under the same ID and address
+// as the old one. Its streams must continue elsewhere and its layers must be loaded
+// again.
 func TestEngineRestartsWithSameID(t *testing.T) {
 	s := newSite(t, 2)
 	s.fleet.Events = 200
@@ -27,30 +27,29 @@
 	restarted.RestartSameID()
 	restarted.Register()
 	all.Wait()
-	s.eventually("it is loaded again", func() bool { return restarted.Holds() == held })
-	assert.Equal(t, restarted.Orders(), int64(1), "its count of orders began anew")
+	s.eventually("layers are loaded again", func() bool { return restarted.Holds() == held })
+	assert.Equal(t, restarted.Orders(), int64(1), "order count did not restart")
 	s.fleet.Events = 20
 	s.assertComplete(s.call(s.routers[0], requestSpec{path: "/sheet/2"}))
 }
 
-// The same where no entry tells of the new start: what a report says of it is
-// enough to load it again.
+// Guards against missing a restart that no entry announces: the engine's report must
+// suffice.
 func TestEngineReportRevealsRestart(t *testing.T) {
 	s := newSite(t, 1)
 	restarted := s.engineAtStage(1)
 	held := restarted.Holds()
 	restarted.RestartSameID()
-	s.eventually("it is loaded again", func() bool {
-		// A stream through it is refused; whoever looks into that learns of the start.
+	s.eventually("layers are loaded again", func() bool {
+		// The refused stream makes the router query the engine.
 		s.call(s.routers[0], requestSpec{path: "/sheet/1"})
 		return restarted.Holds() == held
 	})
 	s.assertComplete(s.call(s.routers[0], requestSpec{path: "/sheet/2"}))
 }
 
-// A notice is at a server that goes silent and comes back under its id. Nobody
-// will answer it any more: its caller is told so now, with 502 as it may have run,
-// and not at the end of its time.
+// Guards against waiting for a server that restarted while it ran a notice. The caller
+// must get 502 promptly, since the notice may have run.
 func TestNoticeFailsWhenServerRestarts(t *testing.T) {
 	s := newSite(t, 1)
 	for _, e := range s.plain {
@@ -62,20 +61,21 @@
 	go func() {
 		answered <- s.call(s.routers[0], requestSpec{path: "/notice/1", body: "arrived", attempt: attempt, deadline: 15 * time.Second})
 	}()
-	s.eventually("it runs", func() bool { return len(s.fleet.Runs(attempt)) == 1 })
+	s.eventually("the notice is running", func() bool { return len(s.fleet.Runs(attempt)) == 1 })
 	for _, e := range s.plain {
 		e.RestartSameID()
 		e.Register()
 	}
 	rep := <-answered
 	assert.Equal(t, rep.status, http.StatusBadGateway)
-	assert.Assert(t, time.Since(began) < 8*time.Second, "before the route's time is over")
+	assert.Assert(t, time.Since(began) < 8*time.Second, "answered only at the route's timeout")
 	assert.Equal(t, len(s.fleet.Runs(attempt)), 1)
 	assert.Equal(t, s.call(s.routers[0], requestSpec{path: "/notice/2", body: "arrived"}).status, http.StatusOK)
 }
 
-// Another writer puts odd entries beside and in place of the engines' own. None is
-// used, the others serve on, and an engine's next heartbeat brings it back.
+// Guards against invalid server entries that another writer stores beside or over an
+// engine's own. They must be ignored, and the next valid entry must restore the
+// engine.
 func TestInvalidServerEntriesAreIgnored(t *testing.T) {
 	s := newSite(t, 2)
 	overwritten := s.engineAtStage(1)
@@ -99,5 +99,5 @@
 		}
 	}
 	overwritten.PutEntry(key, original)
-	s.eventually("it serves again", func() bool { return s.call(s.routers[0], requestSpec{path: "/sheet/1"}).status == http.StatusOK })
+	s.eventually("the engine serves again", func() bool { return s.call(s.routers[0], requestSpec{path: "/sheet/1"}).status == http.StatusOK })
 }
