--- a/test/fleet/news_test.go
+++ b/test/fleet/news_test.go
@@ -17,8 +17,8 @@
 	return n
 }
 
-// keyReaches replaces the customers' key and waits until every router refuses the one
-// before and takes the new one.
+// replaceKey replaces the customer's key and waits until every router refuses oldKey
+// and accepts key.
 func (s *site) replaceKey(oldKey, key string, idleRoutes int) {
 	s.configure(func(cfg map[string]any) {
 		cfg["tenants"] = []any{map[string]any{"name": "school", "api_keys": []any{key}}}
@@ -32,12 +32,11 @@
 	}
 }
 
-// Eight routers in two failure domains, of whom four watch the store. A key that is taken
-// away is refused by all of them: by those that hear of it from a watcher, also where the
-// configuration is too large to be passed on, and after a watcher was stopped.
+// Guards against configuration updates that miss routers which do not watch the store,
+// also with a configuration too large to forward and after a watcher stops.
 func TestUpdatesReachRoutersThatDoNotWatch(t *testing.T) {
 	s := newSite(t, 8)
-	s.eventually("two of each domain watch", func() bool { return s.watchingCount() == 4 })
+	s.eventually("two routers per failure domain watch", func() bool { return s.watchingCount() == 4 })
 	s.replaceKey("key-1", "key-3", 0)
 	s.replaceKey("key-3", "key-4", 300)
 	for i, r := range s.routers {
@@ -49,5 +48,5 @@
 		}
 	}
 	s.replaceKey("key-4", "key-5", 300)
-	s.eventually("another one watches", func() bool { return s.watchingCount() == 4 })
+	s.eventually("another router watches", func() bool { return s.watchingCount() == 4 })
 }
