--- a/test/fleet/path_test.go
+++ b/test/fleet/path_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// A part of a chain dies while a sheet is being written. The caller gets the
-// rest from another engine, with no event missing or twice: the first engine
-// names the one it waits for and the stream is sent around it.
+// Guards against missing or duplicate events when an engine of a later stage stops
+// responding. The first engine names the failed stage, and the stream continues on
+// another chain.
 func TestStreamContinuesAfterLosingLaterStage(t *testing.T) {
 	s := newSite(t, 1)
 	s.fleet.Events = 200
@@ -61,8 +61,8 @@
 	all.Wait()
 }
 
-// The first engine of a chain dies: its streams are taken up by another one
-// from the last event that the caller has.
+// Guards against missing or duplicate events when the first engine stops responding.
+// Another engine continues after the last event that the caller received.
 func TestStreamContinuesAfterLosingFirstStage(t *testing.T) {
 	s := newSite(t, 1)
 	s.fleet.Events = 200
@@ -76,20 +76,20 @@
 	all.Wait()
 }
 
-// partOf finds a fast engine of the first router's domain that begins, or does
-// not begin, with the first layer.
+// engineAtStage returns a fast engine of the first router's failure domain: one of the
+// first stage if n is 0, otherwise one of a later stage.
 func (s *site) engineAtStage(n int) *standin.Engine {
 	for i, e := range s.engines[:2] {
 		if (e.Holds().From > 0) == (n > 0) && e.Holds().Len() > 0 {
 			return s.engines[i]
 		}
 	}
-	s.t.Fatal("no such engine")
+	s.t.Fatal("no engine holds such a stage")
 	return nil
 }
 
-// A notice runs and its answer is lost. It must not run again: the caller is
-// told that nobody knows (502), and never that it did not run.
+// Guards against running a notice again after its response is lost. The caller must
+// get 502, as the notice may have run.
 func TestNoticeWhoseAnswerIsLost(t *testing.T) {
 	s := newSite(t, 1)
 	for _, e := range s.plain {
@@ -106,10 +106,11 @@
 			lost++
 		}
 	}
-	assert.Assert(t, lost >= 3, "%d answers were lost", lost)
+	assert.Assert(t, lost >= 3, "only %d responses were lost", lost)
 }
 
-// The same faults at a lookup, which may run again: the caller notices nothing.
+// Guards against exposing the same faults to the caller of a lookup, which may be
+// retried.
 func TestLookupIsRetried(t *testing.T) {
 	s := newSite(t, 1)
 	s.plain[0].SetFaults(standin.EngineFaults{DropResponses: 1, Truncate: 1, WrongAttempt: 1, Fail: 1})
@@ -120,8 +121,7 @@
 	}
 }
 
-// A backend server sends a second answer behind the first. It belongs to no
-// request: the next one on that connection must not get it.
+// Guards against delivering a surplus response to the next request on the connection.
 func TestSurplusResponseIsDiscarded(t *testing.T) {
 	s := newSite(t, 1)
 	for _, e := range s.plain {
@@ -134,8 +134,8 @@
 	}
 }
 
-// Every backend server refuses. The caller is told at once that its notice did
-// not run, and when to come back.
+// Guards against a slow or missing refusal when every backend server refuses. The
+// caller must get 503 with Retry-After, and the notice must not run.
 func TestRefusedNoticeReturnsRetryAfter(t *testing.T) {
 	s := newSite(t, 1)
 	for _, e := range s.plain {
@@ -147,8 +147,8 @@
 	assert.Equal(t, len(s.fleet.Runs(rep.attempt)), 0)
 }
 
-// A backend server hangs. The notice is answered when the caller's time is
-// over, as 504: it may have run.
+// Guards against a notice without an answer when its backend server hangs. The caller
+// must get 504 at its deadline, as the notice may have run.
 func TestHangingNoticeTimesOut(t *testing.T) {
 	s := newSite(t, 1)
 	for _, e := range s.plain {
@@ -159,7 +159,7 @@
 	assert.Equal(t, len(s.fleet.Runs(rep.attempt)), 1)
 }
 
-// An engine says that it leaves: from then on it gets nothing new.
+// Guards against sending new requests to a draining backend server.
 func TestDrainingServerGetsNoRequests(t *testing.T) {
 	s := newSite(t, 1)
 	s.plain[0].Drain()
@@ -171,19 +171,19 @@
 	}
 }
 
-// An engine restarts empty at its old address. Nothing meant for the old
-// incarnation runs there, and it is loaded with its range again.
+// Guards against using an engine that restarted empty. Requests for its old
+// incarnation must not run there, and its layers must be loaded again.
 func TestRestartedEngineIsReloaded(t *testing.T) {
 	s := newSite(t, 2)
 	e := s.engines[0]
 	held := e.Holds()
 	e.Restart()
-	s.eventually("loaded again", func() bool { return e.Holds() == held })
+	s.eventually("layers are loaded again", func() bool { return e.Holds() == held })
 	s.assertComplete(s.call(s.routers[0], requestSpec{path: "/sheet/1"}))
 }
 
-// A key is taken away, a route is added. Both are in force at every router, and
-// a router that the store does not serve learns them from its peer.
+// Guards against a configuration change that does not reach every router: the old key
+// must be refused and the new one accepted.
 func TestConfigurationReachesEveryRouter(t *testing.T) {
 	s := newSite(t, 2)
 	s.configure(func(cfg map[string]any) {
@@ -197,37 +197,34 @@
 	}
 }
 
-// The store is away for everybody. What is configured goes on being served; what
-// the configuration does not know is refused for now, not for good: it may have
-// been added meanwhile.
+// Guards against refusals during a store outage. Configured routes must still be
+// served. Unknown routes must get 503, since they may have been added meanwhile.
 func TestStoreOutageKeepsServing(t *testing.T) {
 	s := newSite(t, 1)
 	r := s.routers[0]
 	s.store.SetFaults(standin.StoreFaults{Unresponsive: true})
-	s.eventually("unknown route refused for now", func() bool {
+	s.eventually("unknown route gets 503", func() bool {
 		return s.call(r, requestSpec{path: "/none/1"}).status == http.StatusServiceUnavailable
 	})
 	s.assertComplete(s.call(r, requestSpec{path: "/sheet/1"}))
 	assert.Equal(t, s.call(r, requestSpec{path: "/notice/1", body: "x"}).status, http.StatusOK)
 	s.store.SetFaults(standin.StoreFaults{})
-	s.eventually("unknown route refused for good", func() bool { return s.call(r, requestSpec{path: "/none/1"}).status == http.StatusNotFound })
+	s.eventually("unknown route gets 404", func() bool { return s.call(r, requestSpec{path: "/none/1"}).status == http.StatusNotFound })
 }
 
-// A router starts while the store is away: it gets the configuration and the
-// engines from a peer named as its seed, and serves.
+// Guards against a router that cannot start during a store outage. It must get the
+// configuration and the engines from its seed peer.
 func TestRouterStartsDuringStoreOutage(t *testing.T) {
 	s := newSite(t, 1)
 	s.store.SetFaults(standin.StoreFaults{Unresponsive: true})
 	late := s.startRouter("late", "b")
 	s.eventually("ready", late.r.Ready)
 	s.assertComplete(s.call(late, requestSpec{path: "/sheet/1"}))
-	assert.Equal(t, s.call(late, requestSpec{path: "/lookup/1", key: "key-9"}).status/100 != 2, true, "the configuration came with its keys")
+	assert.Equal(t, s.call(late, requestSpec{path: "/lookup/1", key: "key-9"}).status/100 != 2, true, "an unknown key was accepted")
 }
 
-// Every router restarts while the store is away, and it returns a moment later.
-// Callers that come meanwhile are served as soon as the configuration is there:
-// they have one retry, and a refusal would use it up. Once the router has been
-// up for a while without one, it refuses at once.
+// Guards against refusing requests during startup, before the first configuration
+// arrives: callers have one retry only, so the router must hold them.
 func TestRequestsWaitForFirstConfiguration(t *testing.T) {
 	s := newSite(t, 1)
 	s.store.SetFaults(standin.StoreFaults{Refuse: true})
@@ -236,7 +233,7 @@
 	r := s.routers[0]
 	r.settings.Router.FirstStart = false
 	s.run(r)
-	s.eventually("takes callers", func() bool {
+	s.eventually("router accepts connections", func() bool {
 		c, err := net.Dial("tcp", r.settings.Router.Callers)
 		if err == nil {
 			c.Close()
@@ -247,8 +244,9 @@
 	s.assertComplete(s.call(r, requestSpec{path: "/sheet/1"}))
 }
 
-// A planned stop: readiness fails, requests in progress are finished, later ones
-// are still taken until the balancer has noticed, and the process ends.
+// Guards against losing requests in a planned stop: readiness must fail, requests that
+// are in progress or arrive during the drain delay must complete, and the router must
+// exit without an error.
 func TestPlannedStopCompletesRequests(t *testing.T) {
 	s := newSite(t, 2)
 	s.fleet.Events = 150
@@ -265,10 +263,10 @@
 	s.eventually("not ready", func() bool { return !r.r.Ready() })
 	all.Wait()
 	assert.NilError(t, <-r.done)
-	r.done <- nil // for the clean-up
+	r.done <- nil // received by stopAll
 }
 
-// A caller hangs up in the middle of its sheet. Its engine's work ends soon.
+// Guards against engines that keep working on a stream after its caller hung up.
 func TestCallerHangUpCancelsStream(t *testing.T) {
 	s := newSite(t, 1)
 	s.fleet.Events = 100000
@@ -278,7 +276,7 @@
 	time.Sleep(200 * time.Millisecond)
 	hangUp()
 	<-done
-	s.eventually("engines idle", func() bool {
+	s.eventually("engines have no streams", func() bool {
 		for _, e := range s.engines {
 			if e.Streams() > 0 {
 				return false
@@ -288,9 +286,8 @@
 	})
 }
 
-// An engine answers everything that it receives with a failure of its own, at once,
-// and its health check is good. Streams that are sent to it are answered whole all
-// the same, each by another engine, and after a few of them none begins there.
+// Guards against sending streams to an engine that passes its health check but fails
+// every request. Each stream must complete on another engine.
 func TestFailingEngineIsLeftAlone(t *testing.T) {
 	s := newSite(t, 1)
 	const requestCount = 60
@@ -301,11 +298,11 @@
 	for range requestCount {
 		s.assertComplete(s.call(s.routers[0], requestSpec{path: "/sheet/x"}))
 	}
-	assert.Assert(t, faulty.Failed() > 0, "it was never begun with")
-	assert.Assert(t, faulty.Failed() <= requestCount/6, "%d of %d began there", faulty.Failed(), requestCount)
+	assert.Assert(t, faulty.Failed() > 0, "no stream reached the faulty engine")
+	assert.Assert(t, faulty.Failed() <= requestCount/6, "%d of %d streams reached the faulty engine", faulty.Failed(), requestCount)
 }
 
-// engineByID finds an engine by its present incarnation.
+// engineByID returns the engine whose current incarnation has the given ID.
 func (s *site) engineByID(id string) *standin.Engine {
 	s.t.Helper()
 	for _, e := range s.engines {
@@ -313,6 +310,6 @@
 			return e
 		}
 	}
-	s.t.Fatalf("no engine %s", id)
+	s.t.Fatalf("no engine has ID %s", id)
 	return nil
 }
