--- a/test/fleet/restore_test.go
+++ b/test/fleet/restore_test.go
@@ -15,24 +15,22 @@
 	"github.com/skylarkwood/skylarkwood/platform/standin"
 )
 
-// A customer's key is taken away and an engine starts again. Then the store is away for a
-// moment and comes back as it was before both, with the routers' entries and their leader's
-// gone; the operator and the engines write again a second later. Callers notice nothing:
-// sheets are served all the while, and the key that was taken away is never taken.
-// Afterwards routers are registered, and engines are ordered again.
+// Guards against accepting a revoked key or refusing sheets after the store is
+// restored from an older snapshot that lacks the routers' entries. Routers must
+// register again, and engines must be loaded again.
 func TestStoreRestoredFromSnapshot(t *testing.T) {
 	s := newSite(t, 3)
 	snapshot := s.store.Snapshot()
 	s.configure(func(cfg map[string]any) { cfg["tenants"] = cfg["tenants"].([]any)[:1] })
 	for _, r := range s.routers {
-		s.eventually("the key is taken away", func() bool {
+		s.eventually("the key is revoked", func() bool {
 			return s.call(r, requestSpec{path: "/sheet/1", key: "key-2"}).status == http.StatusUnauthorized
 		})
 	}
 	restarted := s.engines[1]
 	held := restarted.Holds()
 	restarted.Restart()
-	s.eventually("it is loaded again", func() bool { return restarted.Holds() == held })
+	s.eventually("engine is loaded again", func() bool { return restarted.Holds() == held })
 
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
@@ -46,7 +44,7 @@
 				default:
 				}
 				if rep := s.call(r, requestSpec{path: "/sheet/1", body: "draft"}); rep.status != http.StatusOK || rep.err != nil {
-					t.Logf("sheet at %s: %d %s %v", r.settings.Instance, rep.status, rep.body, rep.err)
+					t.Logf("sheet request to router %s failed: status %d, body %q, error %v", r.settings.Instance, rep.status, rep.body, rep.err)
 					failed.Add(1)
 				}
 				if s.call(r, requestSpec{path: "/sheet/1", key: "key-2"}).status == http.StatusOK {
@@ -58,18 +56,18 @@
 	for range 2 {
 		s.restore(snapshot)
 	}
-	s.eventually("routers are registered again", func() bool { return len(s.store.Keys(leader.MemberPrefix)) == 3 })
+	s.eventually("routers have registered again", func() bool { return len(s.store.Keys(leader.MemberPrefix)) == 3 })
 	close(stop)
 	callers.Wait()
 	assert.Equal(t, failed.Load(), int64(0))
 	assert.Equal(t, acceptedRevoked.Load(), int64(0))
 	held = restarted.Holds()
 	restarted.Restart()
-	s.eventually("it is ordered again", func() bool { return restarted.Holds() == held })
+	s.eventually("engine is loaded again after the restore", func() bool { return restarted.Holds() == held })
 }
 
-// restore brings the store back from a copy, and has the operator and the servers write a
-// second later.
+// restore makes the store unresponsive, restores it from a snapshot, and publishes the
+// configuration and the server entries again a second later.
 func (s *site) restore(c standin.Snapshot) {
 	s.store.SetFaults(standin.StoreFaults{Unresponsive: true})
 	time.Sleep(300 * time.Millisecond)
@@ -83,21 +81,21 @@
 	time.Sleep(time.Second)
 }
 
-// registerServers has all servers write their entries again.
+// registerServers writes the entries of all servers again.
 func (s *site) registerServers() {
 	for _, e := range append(append([]*standin.Engine(nil), s.engines...), s.plain...) {
 		e.Register()
 	}
 }
 
-// A key is taken away, the store comes back from a copy of before, and a router starts in
-// that moment. It serves by what the running routers know, and the key is not taken there.
+// Guards against a router that starts while the store holds an older configuration and
+// accepts a revoked key. It must use its peers' newer configuration.
 func TestRouterStartsWithRestoredStore(t *testing.T) {
 	s := newSite(t, 3)
 	snapshot := s.store.Snapshot()
 	s.configure(func(cfg map[string]any) { cfg["tenants"] = cfg["tenants"].([]any)[:1] })
 	for _, r := range s.routers {
-		s.eventually("the key is taken away", func() bool {
+		s.eventually("the key is revoked", func() bool {
 			return s.call(r, requestSpec{path: "/sheet/1", key: "key-2"}).status == http.StatusUnauthorized
 		})
 	}
@@ -108,7 +106,7 @@
 	<-starting.done
 	s.run(starting)
 	served := 0
-	s.eventually("the new process serves and refuses the key", func() bool {
+	s.eventually("the restarted router serves and refuses the revoked key", func() bool {
 		if s.call(starting, requestSpec{path: "/sheet/1", key: "key-2"}).status == http.StatusOK {
 			served++
 		}
