--- a/test/faultsoak/client_test.go
+++ b/test/faultsoak/client_test.go
@@ -21,31 +21,31 @@
 // client is one caller. It keeps its connection open until the router closes it
 // or is gone.
 type client struct {
-	site *site
-	rnd  *rand.Rand
-	conn net.Conn
-	br   *bufio.Reader
-	at   *life
+	site        *site
+	rnd         *rand.Rand
+	conn        net.Conn
+	br          *bufio.Reader
+	incarnation *incarnation
 	// idleSince is when its connection began to rest.
 	idleSince time.Time
 	// slowHead is how long it takes over the head of its next request.
-	slowHead time.Duration
+	headDelay time.Duration
 }
 
 // reply is what a caller got: no status, if no answer began.
-type reply struct {
+type response struct {
 	status int
 	body   string
 	err    error
 
-	life         *life // nil if the request could not be sent
+	incarnation  *incarnation // nil if the request could not be sent
 	idleSince    time.Time
 	began, ended time.Time
 }
 
 var attempts atomic.Int64
 
-func (c *client) drop() {
+func (c *client) closeConn() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
@@ -53,13 +53,13 @@
 }
 
 // step sends one request and checks what can be checked at once.
-func (c *client) step() {
+func (c *client) sendRandom() {
 	if c.conn != nil && c.rnd.IntN(20) == 0 {
-		c.drop()
+		c.closeConn()
 	}
 	kind := []string{"sheet", "sheet", "notice", "lookup"}[c.rnd.IntN(4)]
-	if rep := c.ask(c.site.routers[c.rnd.IntN(len(c.site.routers))], kind); rep.err != nil {
-		c.drop()
+	if rep := c.request(c.site.routers[c.rnd.IntN(len(c.site.routers))], kind); rep.err != nil {
+		c.closeConn()
 		time.Sleep(20 * time.Millisecond)
 	}
 }
@@ -67,26 +67,26 @@
 // rest waits until about a moment at which a router treats a resting connection
 // differently: when it may no longer be relied on, at the limit, and, twice as
 // often, when it is closed.
-func (c *client) rest() {
+func (c *client) waitIdle() {
 	const (
 		closeMargin = time.Second // idleMargin of the front
-		around      = 2 * time.Millisecond
+		jitter      = 2 * time.Millisecond
 	)
 	if c.conn == nil {
 		return
 	}
-	limit := c.site.newest().idle
-	moments := []time.Duration{limit*4/5 - 2*around, limit, limit + closeMargin, limit + closeMargin}
-	d := moments[c.rnd.IntN(len(moments))] + time.Duration((2*c.rnd.Float64()-1)*float64(around))
+	limit := c.site.latestConfig().idle
+	offsets := []time.Duration{limit*4/5 - 2*jitter, limit, limit + closeMargin, limit + closeMargin}
+	d := offsets[c.rnd.IntN(len(offsets))] + time.Duration((2*c.rnd.Float64()-1)*float64(jitter))
 	time.Sleep(time.Until(c.idleSince.Add(d)))
 	if c.rnd.IntN(8) == 0 {
-		c.slowHead = headerTime + time.Duration((2*c.rnd.Float64()-1)*float64(around))
+		c.headDelay = headerTime + time.Duration((2*c.rnd.Float64()-1)*float64(jitter))
 	}
 }
 
-func (c *client) ask(r *process, kind string) reply { return c.askWith(r, kind, "key") }
+func (c *client) request(r *router, kind string) response { return c.requestWithKey(r, kind, "key") }
 
-func (c *client) askWith(r *process, kind, key string) reply {
+func (c *client) requestWithKey(r *router, kind, key string) response {
 	attempt := fmt.Sprintf("%x-%x", os.Getpid(), attempts.Add(1))
 	rep := c.exchange(r, kind, key, attempt)
 	rep.ended = time.Now()
@@ -97,37 +97,37 @@
 
 // dial connects to a router and finds out which of its processes that is: the one
 // that runs both before and after.
-func (c *client) dial(r *process) error {
-	before := r.present()
+func (c *client) dial(r *router) error {
+	before := r.current()
 	conn, err := net.DialTimeout("tcp", r.settings.Router.Callers, time.Second)
 	if err != nil {
 		return err
 	}
-	if r.present() != before {
+	if r.current() != before {
 		conn.Close()
 		return errors.New("the router was started anew meanwhile")
 	}
 	c.conn = conn
 	c.br = bufio.NewReader(conn)
-	c.at = before
+	c.incarnation = before
 	c.idleSince = time.Now()
 	return nil
 }
 
 // exchange sends one request, on the connection that it has or else on one to r.
-func (c *client) exchange(r *process, kind, key, attempt string) reply {
-	const patience = 9 * time.Second // beyond the route's timeout
+func (c *client) exchange(r *router, kind, key, attempt string) response {
+	const responseTimeout = 9 * time.Second // beyond the route's timeout
 	if c.conn == nil {
 		if err := c.dial(r); err != nil {
-			return reply{err: err}
+			return response{err: err}
 		}
 	}
 	req, err := newRequest(kind, key, attempt)
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
-	rep := reply{life: c.at, idleSince: c.idleSince, began: time.Now()}
-	_ = c.conn.SetDeadline(rep.began.Add(patience))
+	rep := response{incarnation: c.incarnation, idleSince: c.idleSince, began: time.Now()}
+	_ = c.conn.SetDeadline(rep.began.Add(responseTimeout))
 	if rep.err = c.write(req); rep.err != nil {
 		return rep
 	}
@@ -138,7 +138,7 @@
 	}
 	body, err := io.ReadAll(resp.Body)
 	if resp.Close {
-		c.drop()
+		c.closeConn()
 	}
 	rep.status, rep.body, rep.err = resp.StatusCode, string(body), err
 	return rep
@@ -165,22 +165,22 @@
 	if err := req.Write(&raw); err != nil {
 		return err
 	}
-	if c.slowHead > 0 {
+	if c.headDelay > 0 {
 		if _, err := c.conn.Write(raw.Next(raw.Len() / 2)); err != nil {
 			return err
 		}
-		time.Sleep(c.slowHead)
-		c.slowHead = 0
+		time.Sleep(c.headDelay)
+		c.headDelay = 0
 	}
 	_, err := c.conn.Write(raw.Bytes())
 	return err
 }
 
 // verify checks the answer itself: whole and the caller's own, or visibly broken.
-func (c *client) verify(kind, key, attempt string, rep reply) {
+func (c *client) verify(kind, key, attempt string, rep response) {
 	s := c.site
 	s.mu.Lock()
-	s.sent = append(s.sent, sent{attempt, kind, rep})
+	s.sent = append(s.sent, sentRequest{attempt, kind, rep})
 	s.mu.Unlock()
 	want := standin.PlainBody(attempt)
 	if kind == "sheet" {
@@ -198,16 +198,16 @@
 
 // oldKeyRefused tells whether every router refuses the key before the last one
 // and serves the last one.
-func (s *site) oldKeyRefused(c *client) bool {
+func (s *site) keysUpToDate(c *client) bool {
 	for _, r := range s.routers {
-		c.drop()
-		if rep := c.askWith(r, "lookup", extraKey(s.key)); rep.status != http.StatusOK {
+		c.closeConn()
+		if rep := c.requestWithKey(r, "lookup", extraKey(s.key)); rep.status != http.StatusOK {
 			return false
 		}
-		if rep := c.askWith(r, "lookup", extraKey(s.key-1)); s.key > 1 && rep.status == http.StatusOK {
+		if rep := c.requestWithKey(r, "lookup", extraKey(s.key-1)); s.key > 1 && rep.status == http.StatusOK {
 			return false
 		}
 	}
-	c.drop()
+	c.closeConn()
 	return true
 }
--- a/test/faultsoak/hangup_test.go
+++ b/test/faultsoak/hangup_test.go
@@ -16,7 +16,7 @@
 // it still reads them. The signal ended the process, which had not begun to listen for it;
 // callers saw a router start and be gone. Here the settings are a pipe, so that the router
 // is surely reading them when the signal comes; it must end by what they say.
-func TestHangUpWhileTheSettingsAreRead(t *testing.T) {
+func TestHangupWhileReadingSettings(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings")
 	assert.NilError(t, syscall.Mkfifo(file, 0o600))
 	cmd := exec.Command(binary, "--settings", file)
--- a/test/faultsoak/process_test.go
+++ b/test/faultsoak/process_test.go
@@ -16,45 +16,45 @@
 )
 
 // process is one router, started again whenever it ends.
-type process struct {
+type router struct {
 	name     string
 	settings settings.Settings
 	file     string
 	log      *os.File
 	store    *proxy
 
-	mu   sync.Mutex
-	life *life // the present process; nil before the first
-	over bool
+	mu          sync.Mutex
+	incarnation *incarnation // the present process; nil before the first
+	shutDown    bool
 }
 
 // life is one process of a router, from its start to its end, with what was done
 // to it from outside. The lock of its router guards it.
-type life struct {
-	of      *process
+type incarnation struct {
+	router  *router
 	cmd     *exec.Cmd
 	killed  time.Time // zero: was not
 	stopped time.Time // zero: was not asked to stop
 	pauses  []span
-	knows   []known
+	applied []appliedVersion
 }
 
 // span is a time that has ended, or still lasts if its end is zero.
 type span struct{ from, to time.Time }
 
-func (p span) meets(from, to time.Time) bool {
+func (p span) overlaps(from, to time.Time) bool {
 	return p.from.Before(to) && (p.to.IsZero() || p.to.After(from))
 }
 
 // known tells from when on a process certainly holds a version.
-type known struct {
+type appliedVersion struct {
 	version int64
 	at      time.Time
 }
 
 // keepRunning starts a router again whenever its process ends, as the platform
 // does. A process that ends without having been told to is a fault.
-func (s *site) keepRunning(r *process) {
+func (s *site) keepRunning(r *router) {
 	for {
 		cmd := exec.Command(binary, "--settings", r.file)
 		cmd.Stdout = r.log
@@ -63,13 +63,13 @@
 			cmd.Env = append(os.Environ(), fmt.Sprintf("GOMAXPROCS=%d", *procs))
 		}
 		r.mu.Lock()
-		if r.over {
+		if r.shutDown {
 			r.mu.Unlock()
 			return
 		}
 		err := cmd.Start()
-		l := &life{of: r, cmd: cmd}
-		r.life = l
+		l := &incarnation{router: r, cmd: cmd}
+		r.incarnation = l
 		r.mu.Unlock()
 		if err != nil {
 			s.t.Errorf("router %s: %v", r.name, err)
@@ -77,9 +77,9 @@
 		}
 		err = cmd.Wait()
 		r.mu.Lock()
-		told := !l.killed.IsZero() || !l.stopped.IsZero()
+		expected := !l.killed.IsZero() || !l.stopped.IsZero()
 		r.mu.Unlock()
-		if !told {
+		if !expected {
 			s.t.Errorf("router %s ended by itself: %v", r.name, err)
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -87,24 +87,24 @@
 }
 
 // ended tells whether no process of it will follow.
-func (r *process) ended() bool {
+func (r *router) isShutDown() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.over
+	return r.shutDown
 }
 
 // present is its process now, or the last one.
-func (r *process) present() *life {
+func (r *router) current() *incarnation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.life
+	return r.incarnation
 }
 
 // signal sends a signal to the present process and notes it, before it can act.
-func (r *process) signal(sig syscall.Signal) {
+func (r *router) signal(sig syscall.Signal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.life
+	l := r.incarnation
 	if l == nil || l.cmd.Process == nil {
 		return
 	}
@@ -128,18 +128,18 @@
 }
 
 // learnt notes that a process holds a version by now.
-func (l *life) learnt(version int64) {
-	l.of.mu.Lock()
-	defer l.of.mu.Unlock()
-	l.knows = append(l.knows, known{version, time.Now()})
+func (l *incarnation) recordVersion(version int64) {
+	l.router.mu.Lock()
+	defer l.router.mu.Unlock()
+	l.applied = append(l.applied, appliedVersion{version, time.Now()})
 }
 
 // left gives the time from which on a process certainly holds a later version;
 // false if it may hold this one still.
-func (l *life) left(version int64) (time.Time, bool) {
-	l.of.mu.Lock()
-	defer l.of.mu.Unlock()
-	for _, k := range l.knows {
+func (l *incarnation) supersededAt(version int64) (time.Time, bool) {
+	l.router.mu.Lock()
+	defer l.router.mu.Unlock()
+	for _, k := range l.applied {
 		if k.version > version {
 			return k.at, true
 		}
@@ -147,32 +147,32 @@
 	return time.Time{}, false
 }
 
-func (l *life) holds(version int64) bool {
-	_, ok := l.left(version - 1)
+func (l *incarnation) hasVersion(version int64) bool {
+	_, ok := l.supersededAt(version - 1)
 	return ok
 }
 
-func (l *life) pausedBetween(from, to time.Time) bool {
-	l.of.mu.Lock()
-	defer l.of.mu.Unlock()
+func (l *incarnation) pausedBetween(from, to time.Time) bool {
+	l.router.mu.Lock()
+	defer l.router.mu.Unlock()
 	for _, p := range l.pauses {
-		if p.meets(from, to) {
+		if p.overlaps(from, to) {
 			return true
 		}
 	}
 	return false
 }
 
-func (l *life) killedBefore(t time.Time) bool {
-	l.of.mu.Lock()
-	defer l.of.mu.Unlock()
+func (l *incarnation) killedBefore(t time.Time) bool {
+	l.router.mu.Lock()
+	defer l.router.mu.Unlock()
 	return !l.killed.IsZero() && l.killed.Before(t)
 }
 
 // stoppedBefore tells whether a planned stop had begun at a time.
-func (l *life) stoppedBefore(t time.Time) bool {
-	l.of.mu.Lock()
-	defer l.of.mu.Unlock()
+func (l *incarnation) stoppedBefore(t time.Time) bool {
+	l.router.mu.Lock()
+	defer l.router.mu.Unlock()
 	return !l.stopped.IsZero() && !l.stopped.After(t)
 }
 
@@ -180,7 +180,7 @@
 const busyEnv = "FAULTSOAK_BUSY"
 
 // burn ends with the process that started it, whose end closes the pipe.
-func burn() {
+func burnCPU() {
 	go func() {
 		_, _ = io.Copy(io.Discard, os.Stdin)
 		os.Exit(0)
@@ -192,21 +192,21 @@
 }
 
 // beside starts busy processes and gives what ends them.
-func (s *site) beside(n int) (end func()) {
-	var ends []func()
+func (s *site) startBusyProcesses(n int) (end func()) {
+	var stopFuncs []func()
 	for range n {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), busyEnv+"=1")
 		in, err := cmd.StdinPipe()
 		assert.NilError(s.t, err)
 		assert.NilError(s.t, cmd.Start())
-		ends = append(ends, func() {
+		stopFuncs = append(stopFuncs, func() {
 			in.Close()
 			_ = cmd.Wait()
 		})
 	}
 	return func() {
-		for _, f := range ends {
+		for _, f := range stopFuncs {
 			f()
 		}
 	}
--- a/test/faultsoak/proxy_test.go
+++ b/test/faultsoak/proxy_test.go
@@ -11,15 +11,15 @@
 type mode int32
 
 const (
-	pass    mode = iota
-	delay        // holds each piece back for a while
-	silent       // passes nothing, and closes nothing
-	deafIn       // passes nothing towards the target
-	deafOut      // passes nothing back
-	modes
+	pass            mode = iota
+	delay                // holds each piece back for a while
+	blockBoth            // passes nothing, and closes nothing
+	blockToTarget        // passes nothing towards the target
+	blockFromTarget      // passes nothing back
+	modeCount
 )
 
-const heldBack = 60 * time.Millisecond
+const addedDelay = 60 * time.Millisecond
 
 // proxy stands before one address on loopback.
 type proxy struct {
@@ -66,8 +66,8 @@
 	p.conns[t] = true
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.pump(t, c, deafIn) })
-	both.Go(func() { p.pump(c, t, deafOut) })
+	both.Go(func() { p.forward(t, c, blockToTarget) })
+	both.Go(func() { p.forward(c, t, blockFromTarget) })
 	both.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,15 +79,15 @@
 
 // pump copies one way until an end closes. What comes while its way is cut is
 // held, and passed on when the way is open again, as by a network.
-func (p *proxy) pump(to, from net.Conn, cut mode) {
+func (p *proxy) forward(to, from net.Conn, blockedBy mode) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		for m := mode(p.mode.Load()); n > 0 && (m == silent || m == cut); m = mode(p.mode.Load()) {
+		for m := mode(p.mode.Load()); n > 0 && (m == blockBoth || m == blockedBy); m = mode(p.mode.Load()) {
 			time.Sleep(5 * time.Millisecond)
 		}
 		if mode(p.mode.Load()) == delay {
-			time.Sleep(heldBack)
+			time.Sleep(addedDelay)
 		}
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
--- a/test/faultsoak/site_test.go
+++ b/test/faultsoak/site_test.go
@@ -41,7 +41,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(busyEnv) != "" {
-		burn()
+		burnCPU()
 	}
 	reserved, err := reservePorts()
 	exitOn(err)
@@ -67,26 +67,26 @@
 }
 
 type site struct {
-	t       *testing.T
-	rnd     *rand.Rand
-	dir     string
-	store   *standin.Store
-	http    *http.Server
-	fleet   *standin.Fleet
-	engines []*standin.Engine
-	plain   []*standin.Engine
-	links   []*proxy // before the engines and plain servers
-	routers []*process
-	version int64
-	key     int // number of the extra key in force
-	idle    time.Duration
-	later   sync.WaitGroup
-	copied  *standin.Snapshot // the store as it was; nil for none
+	t             *testing.T
+	rnd           *rand.Rand
+	dir           string
+	store         *standin.Store
+	http          *http.Server
+	fleet         *standin.Fleet
+	engines       []*standin.Engine
+	plain         []*standin.Engine
+	serverProxies []*proxy // before the engines and plain servers
+	routers       []*router
+	version       int64
+	key           int // number of the extra key in force
+	idle          time.Duration
+	background    sync.WaitGroup
+	snapshot      *standin.Snapshot // the store as it was; nil for none
 
 	mu        sync.Mutex
-	published []published
+	published []publishedConfig
 	config    []byte // the newest, as written
-	sent      []sent
+	sent      []sentRequest
 }
 
 func spec() *model.EngineSpec {
@@ -111,9 +111,9 @@
 		s.plain = append(s.plain, s.add("notices", domain, ""))
 	}
 	for i := range *routers {
-		s.router(fmt.Sprintf("r%d", i), []string{"a", "b"}[i%2], l.Addr().String())
+		s.addRouter(fmt.Sprintf("r%d", i), []string{"a", "b"}[i%2], l.Addr().String())
 	}
-	s.recovered()
+	s.waitRecovered()
 	return s
 }
 
@@ -121,7 +121,7 @@
 	e, err := s.fleet.Add(service, domain, card, func(addr string) string {
 		p, err := newProxy(addr)
 		assert.NilError(s.t, err)
-		s.links = append(s.links, p)
+		s.serverProxies = append(s.serverProxies, p)
 		return p.addr()
 	})
 	assert.NilError(s.t, err)
@@ -158,7 +158,7 @@
 // free finds a port that nothing else takes while a router restarts. No process may
 // be started meanwhile: until its program is loaded it would hold the listener open
 // too, and a router would find its port in use.
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
 	for range portRange {
@@ -172,7 +172,7 @@
 	return ""
 }
 
-func (s *site) router(name, domain, store string) {
+func (s *site) addRouter(name, domain, store string) {
 	p, err := newProxy(store)
 	assert.NilError(s.t, err)
 	set := settings.Default()
@@ -180,9 +180,9 @@
 	set.Instance = name
 	set.FailureDomain = domain
 	set.Region = "r"
-	set.Router.Callers = free(s.t)
-	set.Router.Ready = free(s.t)
-	set.Router.Peers = free(s.t)
+	set.Router.Callers = freeAddress(s.t)
+	set.Router.Ready = freeAddress(s.t)
+	set.Router.Peers = freeAddress(s.t)
 	set.Router.Store = p.addr()
 	set.Router.RetrySlack = 200
 	set.Router.Grace = settings.Duration(grace)
@@ -191,13 +191,13 @@
 	}
 	raw, err := toml.Marshal(set)
 	assert.NilError(s.t, err)
-	r := &process{name: name, settings: set, store: p, file: filepath.Join(s.dir, name+".toml")}
+	r := &router{name: name, settings: set, store: p, file: filepath.Join(s.dir, name+".toml")}
 	assert.NilError(s.t, os.WriteFile(r.file, raw, 0o600))
 	r.log, err = os.Create(filepath.Join(s.dir, name+".log"))
 	assert.NilError(s.t, err)
 	s.routers = append(s.routers, r)
-	s.later.Go(func() { s.keepRunning(r) })
-	s.later.Go(func() { s.followVersions(r) })
+	s.background.Go(func() { s.keepRunning(r) })
+	s.background.Go(func() { s.followVersions(r) })
 }
 
 // publish writes the operator's next configuration, with a new extra key.
@@ -220,7 +220,7 @@
 	})
 	assert.NilError(s.t, err)
 	s.mu.Lock()
-	s.published = append(s.published, published{s.version, extraKey(s.key), s.idle, time.Now()})
+	s.published = append(s.published, publishedConfig{s.version, extraKey(s.key), s.idle, time.Now()})
 	s.config = raw
 	s.store.Put(platform.ConfigKey, raw)
 	s.mu.Unlock()
@@ -229,61 +229,61 @@
 func extraKey(n int) string { return fmt.Sprintf("extra-%d", n) }
 
 // after undoes a fault when it is over.
-func (s *site) after(d time.Duration, undo func()) {
-	s.later.Go(func() {
+func (s *site) runAfter(d time.Duration, f func()) {
+	s.background.Go(func() {
 		time.Sleep(d)
-		undo()
+		f()
 	})
 }
 
-func (s *site) anyLink() *proxy {
-	all := append([]*proxy(nil), s.links...)
+func (s *site) randomProxy() *proxy {
+	all := append([]*proxy(nil), s.serverProxies...)
 	for _, r := range s.routers {
 		all = append(all, r.store, r.store) // the store's are fewer and matter more
 	}
 	return all[s.rnd.IntN(len(all))]
 }
 
-func (s *site) anyRouter() *process { return s.routers[s.rnd.IntN(len(s.routers))] }
+func (s *site) randomRouter() *router { return s.routers[s.rnd.IntN(len(s.routers))] }
 
-func (s *site) breakLink(d time.Duration) {
-	p := s.anyLink()
-	p.set(mode(1 + s.rnd.IntN(int(modes)-1)))
-	s.after(d, func() { p.set(pass) })
+func (s *site) impairLink(d time.Duration) {
+	p := s.randomProxy()
+	p.set(mode(1 + s.rnd.IntN(int(modeCount)-1)))
+	s.runAfter(d, func() { p.set(pass) })
 }
 
-func (s *site) resetLink(time.Duration) { s.anyLink().reset() }
+func (s *site) resetLink(time.Duration) { s.randomProxy().reset() }
 
-func (s *site) breakStore(d time.Duration) {
+func (s *site) impairStore(d time.Duration) {
 	faults := []standin.StoreFaults{{Refuse: true}, {Unresponsive: true}, {Delay: 150 * time.Millisecond}}
 	s.store.SetFaults(faults[s.rnd.IntN(len(faults))])
-	s.after(d, func() { s.store.SetFaults(standin.StoreFaults{}) })
+	s.runAfter(d, func() { s.store.SetFaults(standin.StoreFaults{}) })
 }
 
-func (s *site) loseWrites(time.Duration) {
+func (s *site) dropWriteResponses(time.Duration) {
 	s.store.SetFaults(standin.StoreFaults{DropWriteResponses: s.rnd.IntN(3), DelayedWrites: s.rnd.IntN(3), WriteDelay: time.Second})
 }
 
 func (s *site) compact(time.Duration) { s.store.Compact() }
 
-func (s *site) copyStore(time.Duration) {
+func (s *site) snapshotStore(time.Duration) {
 	c := s.store.Snapshot()
-	s.copied = &c
+	s.snapshot = &c
 }
 
 // restoreStore brings the store back from a copy after a moment away. The operator and the
 // servers write again a little later.
 func (s *site) restoreStore(d time.Duration) {
-	if s.copied == nil {
+	if s.snapshot == nil {
 		return
 	}
-	c := *s.copied
+	c := *s.snapshot
 	s.store.SetFaults(standin.StoreFaults{Unresponsive: true})
-	s.after(d/8, func() {
+	s.runAfter(d/8, func() {
 		s.store.Restore(c)
 		s.store.SetFaults(standin.StoreFaults{})
 	})
-	s.after(d, func() {
+	s.runAfter(d, func() {
 		s.mu.Lock()
 		s.store.Put(platform.ConfigKey, s.config)
 		s.mu.Unlock()
@@ -296,66 +296,70 @@
 func (s *site) killEngine(d time.Duration) {
 	e := s.engines[s.rnd.IntN(len(s.engines))]
 	e.StopResponding()
-	s.after(d, e.Restart)
+	s.runAfter(d, e.Restart)
 }
 
 // returnEngine has a server start again under its id. What it wrote before may come
 // after its own new entry, which follows a little later.
-func (s *site) returnEngine(d time.Duration) {
+func (s *site) restartEngineSameID(d time.Duration) {
 	all := append(append([]*standin.Engine(nil), s.engines...), s.plain...)
 	e := all[s.rnd.IntN(len(all))]
 	key, before := e.Entry()
-	late := s.rnd.IntN(2) == 0
+	writeOldEntry := s.rnd.IntN(2) == 0
 	e.RestartSameID()
-	s.after(d/4, func() {
+	s.runAfter(d/4, func() {
 		e.Register()
-		if late {
+		if writeOldEntry {
 			e.PutEntry(key, before)
 		}
 	})
-	s.after(d, e.Register)
+	s.runAfter(d, e.Register)
 }
 
 // overwriteEntry puts something odd in the place of an engine's entry, and beside it.
 func (s *site) overwriteEntry(d time.Duration) {
 	e := s.engines[s.rnd.IntN(len(s.engines))]
-	odd := [][]byte{{}, []byte("\x00\xff"), []byte(`{"state":7}`), []byte(`{"service":"sheets","address":"127.0.0.1:1","zone":"a","state":"resting"}`)}
-	value := odd[s.rnd.IntN(len(odd))]
+	invalid := [][]byte{{}, []byte("\x00\xff"), []byte(`{"state":7}`), []byte(`{"service":"sheets","address":"127.0.0.1:1","zone":"a","state":"resting"}`)}
+	value := invalid[s.rnd.IntN(len(invalid))]
 	key, _ := e.Entry()
 	e.PutEntry(key, value)
 	e.PutEntry(key+"-odd", value)
-	s.after(d, e.Register)
+	s.runAfter(d, e.Register)
 }
 
-func (s *site) leaveEngine(d time.Duration) {
+func (s *site) drainEngine(d time.Duration) {
 	e := s.engines[s.rnd.IntN(len(s.engines))]
 	e.Drain()
-	s.after(d, e.Restart)
+	s.runAfter(d, e.Restart)
 }
 
-func (s *site) confuse(e *standin.Engine, d time.Duration) {
+func (s *site) injectServerFaults(e *standin.Engine, d time.Duration) {
 	n := s.rnd.IntN(4)
 	e.SetFaults(standin.EngineFaults{
 		Fail: s.rnd.IntN(4), Truncate: s.rnd.IntN(3), DropResponses: s.rnd.IntN(3), ExtraResponses: s.rnd.IntN(3), WrongAttempt: s.rnd.IntN(2),
 		Refuse: n == 0, Hang: n == 1, FailReports: n == 2,
 	})
-	s.after(d, func() { e.SetFaults(standin.EngineFaults{}) })
+	s.runAfter(d, func() { e.SetFaults(standin.EngineFaults{}) })
 }
 
-func (s *site) confuseEngine(d time.Duration) { s.confuse(s.engines[s.rnd.IntN(len(s.engines))], d) }
+func (s *site) injectEngineFaults(d time.Duration) {
+	s.injectServerFaults(s.engines[s.rnd.IntN(len(s.engines))], d)
+}
 
-func (s *site) confusePlain(d time.Duration) { s.confuse(s.plain[s.rnd.IntN(len(s.plain))], d) }
+func (s *site) injectPlainFaults(d time.Duration) {
+	s.injectServerFaults(s.plain[s.rnd.IntN(len(s.plain))], d)
+}
 
-func (s *site) killRouter(time.Duration) { s.anyRouter().signal(syscall.SIGKILL) }
+func (s *site) killRouter(time.Duration) { s.randomRouter().signal(syscall.SIGKILL) }
 
-func (s *site) stopRouter(time.Duration) { s.anyRouter().signal(syscall.SIGTERM) }
+func (s *site) stopRouter(time.Duration) { s.randomRouter().signal(syscall.SIGTERM) }
 
-func (s *site) hangUp(time.Duration) { s.anyRouter().signal(syscall.SIGHUP) }
+func (s *site) sendHangup(time.Duration) { s.randomRouter().signal(syscall.SIGHUP) }
 
 func (s *site) pauseRouter(d time.Duration) {
-	r := s.anyRouter()
+	r := s.randomRouter()
 	r.signal(syscall.SIGSTOP)
-	s.after(d, func() { r.signal(syscall.SIGCONT) })
+	s.runAfter(d, func() { r.signal(syscall.SIGCONT) })
 }
 
 func (s *site) reconfigure(time.Duration) { s.publish() }
@@ -367,11 +371,11 @@
 }
 
 // changeAndStrike signals every router of a failure domain right after a change.
-func (s *site) changeAndStrike(time.Duration) {
+func (s *site) changeAndSignal(time.Duration) {
 	domain := []string{"a", "b"}[s.rnd.IntN(2)]
 	sig := []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM, syscall.SIGHUP}[s.rnd.IntN(3)]
 	s.changeIdle(0)
-	s.after(time.Duration(5+s.rnd.IntN(400))*time.Millisecond, func() {
+	s.runAfter(time.Duration(5+s.rnd.IntN(400))*time.Millisecond, func() {
 		for _, r := range s.routers {
 			if r.settings.FailureDomain == domain {
 				r.signal(sig)
@@ -381,10 +385,10 @@
 }
 
 // heal ends every fault.
-func (s *site) heal() {
+func (s *site) clearFaults() {
 	s.store.SetFaults(standin.StoreFaults{})
 	time.Sleep(2 * time.Second) // the longest fault
-	for _, p := range s.links {
+	for _, p := range s.serverProxies {
 		p.set(pass)
 	}
 	for _, e := range append(append([]*standin.Engine(nil), s.engines...), s.plain...) {
@@ -399,13 +403,13 @@
 func (s *site) close() {
 	for _, r := range s.routers {
 		r.mu.Lock()
-		r.over = true
+		r.shutDown = true
 		r.mu.Unlock()
 		r.signal(syscall.SIGKILL)
 		r.store.close()
 	}
-	s.later.Wait()
-	for _, p := range s.links {
+	s.background.Wait()
+	for _, p := range s.serverProxies {
 		p.close()
 	}
 	s.fleet.Close()
@@ -415,4 +419,4 @@
 	}
 }
 
-func (s *site) keepLogs() string { return s.dir }
+func (s *site) logDir() string { return s.dir }
--- a/test/faultsoak/soak_test.go
+++ b/test/faultsoak/soak_test.go
@@ -15,16 +15,16 @@
 )
 
 var (
-	first    = flag.Uint64("seed", 2, "first seed")
-	seeds    = flag.Int("seeds", 1, "how many seeds")
-	only     = flag.Bool("only", false, "leave the regressions out")
-	together = flag.Int("together", 2, "seeds at a time")
-	lasts    = flag.Duration("lasts", 6*time.Second, "how long faults are injected, for each seed")
-	routers  = flag.Int("routers", 3, "router processes")
-	callers  = flag.Int("callers", 12, "callers at a time")
-	resting  = flag.Int("resting", 60, "callers beside them whose connections rest between requests")
-	procs    = flag.Int("procs", 1, "GOMAXPROCS of each router; 0 leaves it alone")
-	busy     = flag.Int("busy", 0, "processes beside that only use up processor time")
+	firstSeed       = flag.Uint64("seed", 2, "first seed")
+	seeds           = flag.Int("seeds", 1, "how many seeds")
+	skipRegressions = flag.Bool("only", false, "leave the regressions out")
+	parallel        = flag.Int("together", 2, "seeds at a time")
+	faultDuration   = flag.Duration("lasts", 6*time.Second, "how long faults are injected, for each seed")
+	routers         = flag.Int("routers", 3, "router processes")
+	callers         = flag.Int("callers", 12, "callers at a time")
+	resting         = flag.Int("resting", 60, "callers beside them whose connections rest between requests")
+	procs           = flag.Int("procs", 1, "GOMAXPROCS of each router; 0 leaves it alone")
+	busy            = flag.Int("busy", 0, "processes beside that only use up processor time")
 )
 
 // regressions are seeds that failed once, each with its cause. A seed draws the
@@ -45,58 +45,58 @@
 	if testing.Short() {
 		t.Skip("the soak takes half a minute")
 	}
-	turns := make(chan struct{}, *together)
-	play := func(seed uint64, resting int) {
+	slots := make(chan struct{}, *parallel)
+	runSeed := func(seed uint64, resting int) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			turns <- struct{}{}
-			defer func() { <-turns }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			soak(t, seed, resting)
 		})
 	}
-	if !*only {
+	if !*skipRegressions {
 		for _, r := range regressions {
-			play(r.seed, r.resting)
+			runSeed(r.seed, r.resting)
 		}
 	}
 	for i := range uint64(*seeds) {
-		play(*first+i, *resting)
+		runSeed(*firstSeed+i, *resting)
 	}
 }
 
 func soak(t *testing.T, seed uint64, resting int) {
 	s := newSite(t, rand.New(rand.NewPCG(seed, seed)))
 	defer s.close()
-	defer s.beside(*busy)()
-	end := time.Now().Add(*lasts)
+	defer s.startBusyProcesses(*busy)()
+	end := time.Now().Add(*faultDuration)
 	var all sync.WaitGroup
 	for i := range *callers + resting {
 		c := &client{site: s, rnd: rand.New(rand.NewPCG(seed, s.rnd.Uint64()))}
 		all.Go(func() {
 			for time.Now().Before(end) {
 				if i >= *callers {
-					c.rest()
+					c.waitIdle()
 				}
-				c.step()
+				c.sendRandom()
 			}
-			c.drop()
+			c.closeConn()
 		})
 	}
 	for time.Now().Before(end) {
-		s.fault()
-		time.Sleep(s.untilNext())
+		s.injectFault()
+		time.Sleep(s.faultInterval())
 	}
 	all.Wait()
-	s.heal()
-	s.recovered()
+	s.clearFaults()
+	s.waitRecovered()
 	s.check()
 	if t.Failed() {
-		t.Fatalf("seed %d failed; logs of the routers: %s", seed, s.keepLogs())
+		t.Fatalf("seed %d failed; logs of the routers: %s", seed, s.logDir())
 	}
 }
 
 // untilNext is the time between two faults; some come in series.
-func (s *site) untilNext() time.Duration {
+func (s *site) faultInterval() time.Duration {
 	if s.rnd.IntN(4) == 0 {
 		return time.Duration(s.rnd.IntN(20)) * time.Millisecond
 	}
@@ -104,30 +104,30 @@
 }
 
 // fault injects one fault, which ends by itself after a while. Several overlap.
-func (s *site) fault() {
-	during := time.Duration(200+s.rnd.IntN(1800)) * time.Millisecond
+func (s *site) injectFault() {
+	duration := time.Duration(200+s.rnd.IntN(1800)) * time.Millisecond
 	kinds := []func(time.Duration){
-		s.breakLink, s.breakLink, s.resetLink, s.resetLink, s.breakStore, s.loseWrites, s.compact,
-		s.killEngine, s.killEngine, s.leaveEngine, s.confuseEngine, s.confuseEngine, s.confusePlain, s.confusePlain,
-		s.killRouter, s.stopRouter, s.pauseRouter, s.hangUp, s.reconfigure,
-		s.changeIdle, s.changeIdle, s.changeIdle, s.changeAndStrike,
-		s.returnEngine, s.returnEngine, s.overwriteEntry,
-		s.copyStore, s.restoreStore,
+		s.impairLink, s.impairLink, s.resetLink, s.resetLink, s.impairStore, s.dropWriteResponses, s.compact,
+		s.killEngine, s.killEngine, s.drainEngine, s.injectEngineFaults, s.injectEngineFaults, s.injectPlainFaults, s.injectPlainFaults,
+		s.killRouter, s.stopRouter, s.pauseRouter, s.sendHangup, s.reconfigure,
+		s.changeIdle, s.changeIdle, s.changeIdle, s.changeAndSignal,
+		s.restartEngineSameID, s.restartEngineSameID, s.overwriteEntry,
+		s.snapshotStore, s.restoreStore,
 	}
-	kinds[s.rnd.IntN(len(kinds))](during)
+	kinds[s.rnd.IntN(len(kinds))](duration)
 }
 
 // recovered waits until every router serves each kind of request again. How
 // long that takes is not what is tested; that it comes is.
-func (s *site) recovered() {
+func (s *site) waitRecovered() {
 	s.t.Helper()
 	end := time.Now().Add(40 * time.Second)
 	c := &client{site: s, rnd: s.rnd}
 	for _, r := range s.routers {
 		for _, kind := range []string{"sheet", "notice", "lookup"} {
 			for {
-				c.drop()
-				if rep := c.ask(r, kind); rep.err == nil && rep.status == http.StatusOK {
+				c.closeConn()
+				if rep := c.request(r, kind); rep.err == nil && rep.status == http.StatusOK {
 					break
 				}
 				if time.Now().After(end) {
@@ -138,8 +138,8 @@
 			}
 		}
 	}
-	c.drop()
-	for !s.oldKeyRefused(c) {
+	c.closeConn()
+	for !s.keysUpToDate(c) {
 		if time.Now().After(end) {
 			s.t.Error("a key that was taken away is still served, or the newest is not")
 			return
