--- a/test/faultsoak/client_test.go
+++ b/test/faultsoak/client_test.go
@@ -18,27 +18,27 @@
 	"github.com/skylarkwood/skylarkwood/platform/standin"
 )
 
-// client is one caller. It keeps its connection open until the router closes it
-// or is gone.
+// client is one caller. It keeps its connection open until the router closes it or
+// exits.
 type client struct {
 	site        *site
 	rnd         *rand.Rand
 	conn        net.Conn
 	br          *bufio.Reader
 	incarnation *incarnation
-	// idleSince is when its connection began to rest.
+	// idleSince is when the connection became idle.
 	idleSince time.Time
-	// slowHead is how long it takes over the head of its next request.
+	// headDelay is how long the next request's head is delayed halfway.
 	headDelay time.Duration
 }
 
-// reply is what a caller got: no status, if no answer began.
+// response is what a caller received. The status is 0 if no response began.
 type response struct {
 	status int
 	body   string
 	err    error
 
-	incarnation  *incarnation // nil if the request could not be sent
+	incarnation  *incarnation // nil if the router could not be reached
 	idleSince    time.Time
 	began, ended time.Time
 }
@@ -52,7 +52,7 @@
 	}
 }
 
-// step sends one request and checks what can be checked at once.
+// sendRandom sends a random kind of request to a random router.
 func (c *client) sendRandom() {
 	if c.conn != nil && c.rnd.IntN(20) == 0 {
 		c.closeConn()
@@ -64,12 +64,12 @@
 	}
 }
 
-// rest waits until about a moment at which a router treats a resting connection
-// differently: when it may no longer be relied on, at the limit, and, twice as
-// often, when it is closed.
+// waitIdle waits until about a moment at which a router changes how it treats an idle
+// connection: shortly before the caller may no longer rely on it, at the idle limit,
+// and, twice as often, when the router closes it.
 func (c *client) waitIdle() {
 	const (
-		closeMargin = time.Second // idleMargin of the front
+		closeMargin = time.Second // idleMargin of the router's HTTP listener
 		jitter      = 2 * time.Millisecond
 	)
 	if c.conn == nil {
@@ -95,8 +95,8 @@
 	return rep
 }
 
-// dial connects to a router and finds out which of its processes that is: the one
-// that runs both before and after.
+// dial connects to a router and records its incarnation, which must be the same before
+// and after.
 func (c *client) dial(r *router) error {
 	before := r.current()
 	conn, err := net.DialTimeout("tcp", r.settings.Router.Callers, time.Second)
@@ -105,7 +105,7 @@
 	}
 	if r.current() != before {
 		conn.Close()
-		return errors.New("the router was started anew meanwhile")
+		return errors.New("router restarted during dial")
 	}
 	c.conn = conn
 	c.br = bufio.NewReader(conn)
@@ -114,9 +114,9 @@
 	return nil
 }
 
-// exchange sends one request, on the connection that it has or else on one to r.
+// exchange sends one request on the open connection, or on a new one to r.
 func (c *client) exchange(r *router, kind, key, attempt string) response {
-	const responseTimeout = 9 * time.Second // beyond the route's timeout
+	const responseTimeout = 9 * time.Second // longer than the route's timeout
 	if c.conn == nil {
 		if err := c.dial(r); err != nil {
 			return response{err: err}
@@ -159,7 +159,8 @@
 	return req, nil
 }
 
-// write sends a request, in two pieces if its head is a slow one.
+// write sends a request. If headDelay is set, it pauses that long halfway through the
+// head.
 func (c *client) write(req *http.Request) error {
 	var raw bytes.Buffer
 	if err := req.Write(&raw); err != nil {
@@ -176,7 +177,8 @@
 	return err
 }
 
-// verify checks the answer itself: whole and the caller's own, or visibly broken.
+// verify records the request and checks that a response is complete and belongs to
+// this request, or is visibly truncated.
 func (c *client) verify(kind, key, attempt string, rep response) {
 	s := c.site
 	s.mu.Lock()
@@ -188,16 +190,16 @@
 	}
 	switch {
 	case rep.status == http.StatusOK && rep.err == nil && rep.body != want:
-		s.t.Errorf("%s %s: another answer, or not whole: %q", kind, attempt, rep.body)
+		s.t.Errorf("%s %s: response is incomplete or belongs to another request: %q", kind, attempt, rep.body)
 	case rep.status == http.StatusOK && !strings.HasPrefix(want, rep.body):
-		s.t.Errorf("%s %s: broken answer does not begin as the whole one: %q", kind, attempt, rep.body)
+		s.t.Errorf("%s %s: truncated response is no prefix of the expected one: %q", kind, attempt, rep.body)
 	case key == "key" && (rep.status == http.StatusUnauthorized || rep.status == http.StatusNotFound):
-		s.t.Errorf("%s %s: refused with %d though the configuration always allowed it", kind, attempt, rep.status)
+		s.t.Errorf("%s %s: refused with status %d although every configuration allows it", kind, attempt, rep.status)
 	}
 }
 
-// oldKeyRefused tells whether every router refuses the key before the last one
-// and serves the last one.
+// keysUpToDate returns whether every router refuses the previous key and accepts the
+// current one.
 func (s *site) keysUpToDate(c *client) bool {
 	for _, r := range s.routers {
 		c.closeConn()
