--- a/test/faultsoak/mayclose_test.go
+++ b/test/faultsoak/mayclose_test.go
@@ -7,23 +7,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// A connection rests while the idle limit changes from 200 ms to 2 s, 100 ms after
-// its rest began. Its caller may rely on the lower limit until the router holds the
-// higher one, and on that one from then on; or on none any more, if the router came
-// to hold it only after four fifths of the lower one.
+// Guards against wrong expectations after the idle limit rises from 200 ms to 2 s, 100
+// ms into a connection's idle time. The lower limit applies until the router applies
+// the higher one. If that happens after four fifths of the lower limit, the router may
+// close the connection at any time.
 func TestMayCloseAfterIdleLimitIsRaised(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	for _, c := range []struct {
 		name              string
-		appliedAt, usedAt int // in ms of its rest
+		appliedAt, usedAt int // ms of idle time
 		mayClose          bool
 	}{
-		{name: "used before four fifths of the lower limit", appliedAt: 1000, usedAt: 159},
-		{name: "used after them, the higher not yet known", appliedAt: 1000, usedAt: 161, mayClose: true},
-		{name: "the higher known in time", appliedAt: 150, usedAt: 1599},
-		{name: "the higher known too late", appliedAt: 170, usedAt: 1599, mayClose: true},
-		{name: "used after four fifths of the higher limit", appliedAt: 150, usedAt: 1601, mayClose: true},
+		{name: "used before 4/5 of the lower limit", appliedAt: 1000, usedAt: 159},
+		{name: "used after 4/5 of the lower limit, higher limit not yet applied", appliedAt: 1000, usedAt: 161, mayClose: true},
+		{name: "higher limit applied in time", appliedAt: 150, usedAt: 1599},
+		{name: "higher limit applied too late", appliedAt: 170, usedAt: 1599, mayClose: true},
+		{name: "used after 4/5 of the higher limit", appliedAt: 150, usedAt: 1601, mayClose: true},
 	} {
 		l := &incarnation{router: &router{}, applied: []appliedVersion{{1, at(-1000)}, {2, at(c.appliedAt)}}}
 		s := &site{published: []publishedConfig{
@@ -35,8 +35,8 @@
 	}
 }
 
-// A limit is lowered under a resting connection: from then on a router may hold it,
-// and close what has rested for four fifths of it.
+// Guards against wrong expectations after the idle limit is lowered: from then on a
+// router may close a connection that was idle for four fifths of the lower limit.
 func TestMayCloseAfterIdleLimitIsLowered(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
