--- a/test/faultsoak/process_test.go
+++ b/test/faultsoak/process_test.go
@@ -15,7 +15,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/settings"
 )
 
-// process is one router, started again whenever it ends.
+// router is a router that is restarted whenever its process exits.
 type router struct {
 	name     string
 	settings settings.Settings
@@ -24,36 +24,37 @@
 	store    *proxy
 
 	mu          sync.Mutex
-	incarnation *incarnation // the present process; nil before the first
+	incarnation *incarnation // current process; nil before the first start
 	shutDown    bool
 }
 
-// life is one process of a router, from its start to its end, with what was done
-// to it from outside. The lock of its router guards it.
+// incarnation is one process of a router, from start to exit, with the signals sent to
+// it. The mutex of its router guards it.
 type incarnation struct {
 	router  *router
 	cmd     *exec.Cmd
-	killed  time.Time // zero: was not
-	stopped time.Time // zero: was not asked to stop
+	killed  time.Time // zero if not killed
+	stopped time.Time // zero if not asked to stop
 	pauses  []span
 	applied []appliedVersion
 }
 
-// span is a time that has ended, or still lasts if its end is zero.
+// span is a period of time. A zero end means that it has not ended.
 type span struct{ from, to time.Time }
 
 func (p span) overlaps(from, to time.Time) bool {
 	return p.from.Before(to) && (p.to.IsZero() || p.to.After(from))
 }
 
-// known tells from when on a process certainly holds a version.
+// appliedVersion holds a time from which on a process certainly serves by a version of
+// the configuration.
 type appliedVersion struct {
 	version int64
 	at      time.Time
 }
 
-// keepRunning starts a router again whenever its process ends, as the platform
-// does. A process that ends without having been told to is a fault.
+// keepRunning restarts a router whenever its process exits. An exit that no signal
+// caused fails the test.
 func (s *site) keepRunning(r *router) {
 	for {
 		cmd := exec.Command(binary, "--settings", r.file)
@@ -80,27 +81,28 @@
 		expected := !l.killed.IsZero() || !l.stopped.IsZero()
 		r.mu.Unlock()
 		if !expected {
-			s.t.Errorf("router %s ended by itself: %v", r.name, err)
+			s.t.Errorf("router %s exited unexpectedly: %v", r.name, err)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// ended tells whether no process of it will follow.
+// isShutDown returns whether no further process of the router will be started.
 func (r *router) isShutDown() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.shutDown
 }
 
-// present is its process now, or the last one.
+// current returns the current process, or the last one.
 func (r *router) current() *incarnation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.incarnation
 }
 
-// signal sends a signal to the present process and notes it, before it can act.
+// signal sends a signal to the current process. It records the signal before sending
+// it, and the end of a pause after it.
 func (r *router) signal(sig syscall.Signal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,7 +119,7 @@
 	case sig == syscall.SIGSTOP:
 		l.pauses = append(l.pauses, span{from: now})
 	}
-	_ = l.cmd.Process.Signal(sig) // it may have ended by itself
+	_ = l.cmd.Process.Signal(sig) // the process may have exited
 	if sig == syscall.SIGCONT {
 		for i := range l.pauses {
 			if l.pauses[i].to.IsZero() {
@@ -127,15 +129,15 @@
 	}
 }
 
-// learnt notes that a process holds a version by now.
+// recordVersion records that the process has applied a version.
 func (l *incarnation) recordVersion(version int64) {
 	l.router.mu.Lock()
 	defer l.router.mu.Unlock()
 	l.applied = append(l.applied, appliedVersion{version, time.Now()})
 }
 
-// left gives the time from which on a process certainly holds a later version;
-// false if it may hold this one still.
+// supersededAt returns the time from which on the process certainly serves by a later
+// version. It returns false if the process may still serve by this one.
 func (l *incarnation) supersededAt(version int64) (time.Time, bool) {
 	l.router.mu.Lock()
 	defer l.router.mu.Unlock()
@@ -169,17 +171,17 @@
 	return !l.killed.IsZero() && l.killed.Before(t)
 }
 
-// stoppedBefore tells whether a planned stop had begun at a time.
+// stoppedBefore returns whether a planned stop had begun at t.
 func (l *incarnation) stoppedBefore(t time.Time) bool {
 	l.router.mu.Lock()
 	defer l.router.mu.Unlock()
 	return !l.stopped.IsZero() && !l.stopped.After(t)
 }
 
-// busyEnv makes the test's binary a process that only uses up processor time.
+// busyEnv makes the test binary run burnCPU instead of the tests.
 const busyEnv = "FAULTSOAK_BUSY"
 
-// burn ends with the process that started it, whose end closes the pipe.
+// burnCPU uses processor time until the parent process exits, which closes the pipe.
 func burnCPU() {
 	go func() {
 		_, _ = io.Copy(io.Discard, os.Stdin)
@@ -191,7 +193,8 @@
 	}
 }
 
-// beside starts busy processes and gives what ends them.
+// startBusyProcesses starts n processes that use processor time. It returns a function
+// that stops them.
 func (s *site) startBusyProcesses(n int) (end func()) {
 	var stopFuncs []func()
 	for range n {
