--- a/test/faultsoak/promise_test.go
+++ b/test/faultsoak/promise_test.go
@@ -8,31 +8,32 @@
 	"github.com/pkg/errors"
 )
 
-// published is one version of the configuration, as the operator wrote it.
+// publishedConfig is one version of the configuration that the operator published.
 type publishedConfig struct {
 	version int64
 	key     string
 	idle    time.Duration
-	at      time.Time // before it was written
+	at      time.Time // just before it was written
 }
 
-// sent is one request and what came of it.
+// sentRequest is one request with its response.
 type sentRequest struct {
 	attempt string
 	kind    string
 	response
 }
 
-// tally counts what is allowed, beside the answers.
+// resultCounts counts requests by result. Only allowed results are counted beside
+// requests.
 type resultCounts struct {
 	requests, served, refused, truncated int
-	killed                               int // no answer, as the process was killed
-	closedIdle                           int // met the close of a resting connection
+	killed                               int // no response because the process was killed
+	closedIdle                           int // sent while the router closed the idle connection
 }
 
-// check looks at what backend servers saw, when everything has ended: nothing
-// that must not be repeated ran twice, what was said not to have run did not, and
-// what was passed on was answered.
+// check compares responses with what backend servers executed, after all callers have
+// finished: no notice ran twice, no request that was reported as not run ran, and
+// every forwarded request got a response.
 func (s *site) check() {
 	var n resultCounts
 	for _, q := range s.sent {
@@ -56,16 +57,15 @@
 	}
 	claimsNotRun := q.status == http.StatusServiceUnavailable || q.status == http.StatusTooManyRequests || q.status == http.StatusRequestTimeout
 	if q.kind != "lookup" && claimsNotRun && runs > 0 {
-		s.t.Errorf("%s %s was said not to have run (%d), and ran %d times", q.kind, q.attempt, q.status, runs)
+		s.t.Errorf("%s %s was reported as not run (status %d) but ran %d times", q.kind, q.attempt, q.status, runs)
 	}
 }
 
-// checkAnswered holds a router to two promises. A request that it passed on to a
-// backend server is answered on its connection; only a kill of its process excuses
-// it: in a planned stop, also one that a pause held up, the router has the time to
-// answer for what still runs. A connection that has rested for less than four fifths of the idle limit is open. What goes wrong
-// at backend servers and at the store, or on the ways there, excuses neither: the
-// router can refuse.
+// checkResponse checks two guarantees. A request that was forwarded to a backend
+// server gets a response on its connection, unless the router's process was killed. A
+// connection that was idle for less than four fifths of the idle limit is open, unless
+// the router was stopped or paused. Failures of backend servers, the store and links
+// are no excuse, since the router can refuse.
 func (s *site) checkResponse(q sentRequest, n *resultCounts) {
 	arrived := s.fleet.Arrivals(q.attempt)
 	switch {
@@ -79,21 +79,21 @@
 		n.killed++
 	case errors.Is(q.err, os.ErrDeadlineExceeded):
 		if !q.incarnation.pausedBetween(q.began, q.ended) {
-			s.t.Errorf("%s %s: neither an answer nor an end from %s", q.kind, q.attempt, q.incarnation.router.name)
+			s.t.Errorf("%s %s: %s neither responded nor closed the connection", q.kind, q.attempt, q.incarnation.router.name)
 		}
 	case arrived > 0:
-		s.t.Errorf("%s %s: %s passed it on %d times and closed its connection after %s without an answer, rested %s before: %v",
+		s.t.Errorf("%s %s: %s forwarded it %d times and closed the connection after %s without a response, idle %s before: %v",
 			q.kind, q.attempt, q.incarnation.router.name, arrived, q.ended.Sub(q.began), q.began.Sub(q.idleSince), q.err)
 	case q.incarnation.stoppedBefore(q.ended), q.incarnation.pausedBetween(q.idleSince, q.ended), s.mayClose(q):
 		n.closedIdle++
 	default:
-		s.t.Errorf("%s %s: %s closed a connection that had rested %s only: %v",
+		s.t.Errorf("%s %s: %s closed a connection that was idle for only %s: %v",
 			q.kind, q.attempt, q.incarnation.router.name, q.began.Sub(q.idleSince), q.err)
 	}
 }
 
-// mayClose tells whether there was a moment at which a connection had rested for
-// four fifths of an idle limit that its router may have held then.
+// mayClose returns whether the connection had been idle for four fifths of some idle
+// limit while its router may have applied that limit.
 func (s *site) mayClose(q sentRequest) bool {
 	for _, v := range s.published {
 		if v.at.After(q.began) {
@@ -116,8 +116,7 @@
 	return s.published[len(s.published)-1]
 }
 
-// followVersions notes when a router is seen to hold each version: when it serves
-// the key that the version brought.
+// followVersions records when a router first serves the key of each version.
 func (s *site) followVersions(r *router) {
 	const pollInterval = 10 * time.Millisecond
 	c := &client{site: s}
