--- a/test/faultsoak/proxy_test.go
+++ b/test/faultsoak/proxy_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// mode is what a proxy does with the connections through it.
+// mode is how a proxy treats its connections.
 type mode int32
 
 const (
 	pass            mode = iota
-	delay                // holds each piece back for a while
-	blockBoth            // passes nothing, and closes nothing
-	blockToTarget        // passes nothing towards the target
-	blockFromTarget      // passes nothing back
+	delay                // delays each chunk
+	blockBoth            // forwards nothing in either direction
+	blockToTarget        // forwards nothing to the target
+	blockFromTarget      // forwards nothing from the target
 	modeCount
 )
 
 const addedDelay = 60 * time.Millisecond
 
-// proxy stands before one address on loopback.
+// proxy forwards connections to one address on loopback.
 type proxy struct {
 	l      net.Listener
 	target string
@@ -77,8 +77,8 @@
 	t.Close()
 }
 
-// pump copies one way until an end closes. What comes while its way is cut is
-// held, and passed on when the way is open again, as by a network.
+// forward copies from one connection to the other until either closes. Data that
+// arrives while the direction is blocked is held and forwarded later.
 func (p *proxy) forward(to, from net.Conn, blockedBy mode) {
 	buf := make([]byte, 16<<10)
 	for {
@@ -98,12 +98,11 @@
 			break
 		}
 	}
-	// Passes an end on as an end, and a reset as a reset.
 	to.Close()
 	from.Close()
 }
 
-// reset breaks every connection through the proxy.
+// reset resets every connection through the proxy.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
