--- a/test/faultsoak/site_test.go
+++ b/test/faultsoak/site_test.go
@@ -27,14 +27,14 @@
 
 const layers = 12
 
-// Of the routers' settings and the configuration.
+// Values in the routers' settings and the configuration.
 const (
 	grace      = 3 * time.Second
 	headerTime = 500 * time.Millisecond
 )
 
-// idleLimits are the idle limits that the operator sets: short ones, so that
-// callers meet them often, and one far beyond their closes.
+// idleLimits are the idle limits that the operator sets. The short ones make callers
+// meet closes often.
 var idleLimits = []time.Duration{200 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond, 2 * time.Second}
 
 var binary string
@@ -75,17 +75,17 @@
 	fleet         *standin.Fleet
 	engines       []*standin.Engine
 	plain         []*standin.Engine
-	serverProxies []*proxy // before the engines and plain servers
+	serverProxies []*proxy // proxies of the engines and plain servers
 	routers       []*router
 	version       int64
-	key           int // number of the extra key in force
+	key           int // number of the current extra key
 	idle          time.Duration
 	background    sync.WaitGroup
-	snapshot      *standin.Snapshot // the store as it was; nil for none
+	snapshot      *standin.Snapshot // nil if none was taken
 
 	mu        sync.Mutex
 	published []publishedConfig
-	config    []byte // the newest, as written
+	config    []byte // latest configuration, as written
 	sent      []sentRequest
 }
 
@@ -128,21 +128,20 @@
 	return e
 }
 
-// Ports of routers, below the ephemeral range. Each run has a range to itself, and
-// holds its first port: of two runs on one machine, one would take a port of the
-// other's while the router there restarts, and their callers and peers would mix.
+// Ports of routers, below the ephemeral range. Each test process reserves a range by
+// listening on its first port, so that a restarting router finds its port free.
 const (
 	firstPort = 12000
-	lastPort  = 18000 // the tests of package fleet take those above
+	lastPort  = 18000 // package fleet uses higher ports
 	portRange = 1000
 )
 
 var (
 	basePort int
-	nextPort atomic.Int64 // after basePort
+	nextPort atomic.Int64 // offset from basePort
 )
 
-// reservePorts takes a range for this run. The listener keeps it.
+// reservePorts reserves a range of ports until the returned listener is closed.
 func reservePorts() (net.Listener, error) {
 	for port := firstPort; port < lastPort; port += portRange {
 		if l, err := net.Listen("tcp", loopback(port)); err == nil {
@@ -150,14 +149,13 @@
 			return l, nil
 		}
 	}
-	return nil, errors.New("no range of ports is free")
+	return nil, errors.New("no free port range")
 }
 
 func loopback(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-// free finds a port that nothing else takes while a router restarts. No process may
-// be started meanwhile: until its program is loaded it would hold the listener open
-// too, and a router would find its port in use.
+// freeAddress returns a free address. The lock prevents a fork while the listener is
+// open: the child would inherit the listener and keep the port in use until exec.
 func freeAddress(t *testing.T) string {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
@@ -168,7 +166,7 @@
 			return addr
 		}
 	}
-	t.Fatal("no free port")
+	t.Fatal("no free port found")
 	return ""
 }
 
@@ -200,7 +198,7 @@
 	s.background.Go(func() { s.followVersions(r) })
 }
 
-// publish writes the operator's next configuration, with a new extra key.
+// publish writes the next version of the configuration, with a new extra key.
 func (s *site) publish() {
 	s.version += 1 + int64(s.rnd.IntN(3))
 	s.key++
@@ -228,7 +226,7 @@
 
 func extraKey(n int) string { return fmt.Sprintf("extra-%d", n) }
 
-// after undoes a fault when it is over.
+// runAfter calls f in the background after d.
 func (s *site) runAfter(d time.Duration, f func()) {
 	s.background.Go(func() {
 		time.Sleep(d)
@@ -239,7 +237,7 @@
 func (s *site) randomProxy() *proxy {
 	all := append([]*proxy(nil), s.serverProxies...)
 	for _, r := range s.routers {
-		all = append(all, r.store, r.store) // the store's are fewer and matter more
+		all = append(all, r.store, r.store) // the store's proxies are fewer, so they count twice
 	}
 	return all[s.rnd.IntN(len(all))]
 }
@@ -271,8 +269,8 @@
 	s.snapshot = &c
 }
 
-// restoreStore brings the store back from a copy after a moment away. The operator and the
-// servers write again a little later.
+// restoreStore makes the store unresponsive, then restores it from the snapshot. The
+// operator and the servers write again a little later.
 func (s *site) restoreStore(d time.Duration) {
 	if s.snapshot == nil {
 		return
@@ -299,8 +297,8 @@
 	s.runAfter(d, e.Restart)
 }
 
-// returnEngine has a server start again under its id. What it wrote before may come
-// after its own new entry, which follows a little later.
+// restartEngineSameID restarts a server under its ID. Its old entry may overwrite the
+// new one until it registers again.
 func (s *site) restartEngineSameID(d time.Duration) {
 	all := append(append([]*standin.Engine(nil), s.engines...), s.plain...)
 	e := all[s.rnd.IntN(len(all))]
@@ -316,7 +314,8 @@
 	s.runAfter(d, e.Register)
 }
 
-// overwriteEntry puts something odd in the place of an engine's entry, and beside it.
+// overwriteEntry stores an invalid entry over an engine's own, and another one beside
+// it.
 func (s *site) overwriteEntry(d time.Duration) {
 	e := s.engines[s.rnd.IntN(len(s.engines))]
 	invalid := [][]byte{{}, []byte("\x00\xff"), []byte(`{"state":7}`), []byte(`{"service":"sheets","address":"127.0.0.1:1","zone":"a","state":"resting"}`)}
@@ -364,13 +363,14 @@
 
 func (s *site) reconfigure(time.Duration) { s.publish() }
 
-// changeIdle raises or lowers the idle limit while connections rest.
+// changeIdle publishes a random idle limit.
 func (s *site) changeIdle(time.Duration) {
 	s.idle = idleLimits[s.rnd.IntN(len(idleLimits))]
 	s.publish()
 }
 
-// changeAndStrike signals every router of a failure domain right after a change.
+// changeAndSignal changes the idle limit, then signals every router of a failure
+// domain.
 func (s *site) changeAndSignal(time.Duration) {
 	domain := []string{"a", "b"}[s.rnd.IntN(2)]
 	sig := []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM, syscall.SIGHUP}[s.rnd.IntN(3)]
@@ -384,10 +384,10 @@
 	})
 }
 
-// heal ends every fault.
+// clearFaults ends every fault.
 func (s *site) clearFaults() {
 	s.store.SetFaults(standin.StoreFaults{})
-	time.Sleep(2 * time.Second) // the longest fault
+	time.Sleep(2 * time.Second) // duration of the longest fault
 	for _, p := range s.serverProxies {
 		p.set(pass)
 	}
