--- a/test/faultsoak/soak_test.go
+++ b/test/faultsoak/soak_test.go
@@ -1,7 +1,7 @@
-// Package faultsoak runs routers as separate processes before the platform's
-// stand-ins and injects faults from outside: proxies that delay, reset, silence or
-// cut one way, signals, a store and engines that misbehave. While it runs it
-// checks what callers and backend servers see.
+// Package faultsoak runs routers as separate processes against stand-ins for the
+// platform and injects faults: proxies that delay, reset or block connections,
+// signals, and failures of the store and the engines. It checks what callers and
+// backend servers observe.
 package faultsoak
 
 import (
@@ -16,34 +16,34 @@
 
 var (
 	firstSeed       = flag.Uint64("seed", 2, "first seed")
-	seeds           = flag.Int("seeds", 1, "how many seeds")
-	skipRegressions = flag.Bool("only", false, "leave the regressions out")
-	parallel        = flag.Int("together", 2, "seeds at a time")
-	faultDuration   = flag.Duration("lasts", 6*time.Second, "how long faults are injected, for each seed")
-	routers         = flag.Int("routers", 3, "router processes")
-	callers         = flag.Int("callers", 12, "callers at a time")
-	resting         = flag.Int("resting", 60, "callers beside them whose connections rest between requests")
-	procs           = flag.Int("procs", 1, "GOMAXPROCS of each router; 0 leaves it alone")
-	busy            = flag.Int("busy", 0, "processes beside that only use up processor time")
+	seeds           = flag.Int("seeds", 1, "number of seeds")
+	skipRegressions = flag.Bool("only", false, "skip the regression seeds")
+	parallel        = flag.Int("together", 2, "seeds to run in parallel")
+	faultDuration   = flag.Duration("lasts", 6*time.Second, "duration of fault injection per seed")
+	routers         = flag.Int("routers", 3, "number of router processes")
+	callers         = flag.Int("callers", 12, "number of busy callers")
+	resting         = flag.Int("resting", 60, "number of additional callers whose connections idle between requests")
+	procs           = flag.Int("procs", 1, "GOMAXPROCS of each router; 0 keeps the default")
+	busy            = flag.Int("busy", 0, "number of additional processes that only use processor time")
 )
 
-// regressions are seeds that failed once, each with its cause. A seed draws the
-// faults and the requests; when they meet depends on the machine.
+// regressions are seeds that once failed, with the cause. A seed determines faults and
+// requests, but not their exact timing.
 var regressions = []struct {
 	seed    uint64
 	resting int
 	cause   string
 }{
-	{1, 60, "the idle timer closed a connection whose next request had just been taken over"},
-	{9300, 400, "the timer of heads refused a request that had just been taken over, as not run"},
-	{9301, 400, "a raised idle limit did not hold for connections that rested already"},
+	{1, 60, "idle timer closed a connection whose next request had just been accepted"},
+	{9300, 400, "header timer refused a request that had just been accepted, as not run"},
+	{9301, 400, "raised idle limit did not apply to connections that were already idle"},
 }
 
-// TestFaultSoak plays the regressions and the seeds asked for, two at a time: a
-// seed spends most of its time waiting.
+// TestFaultSoak runs the regression seeds and the requested seeds, several in
+// parallel.
 func TestFaultSoak(t *testing.T) {
 	if testing.Short() {
-		t.Skip("the soak takes half a minute")
+		t.Skip("soak takes about half a minute")
 	}
 	slots := make(chan struct{}, *parallel)
 	runSeed := func(seed uint64, resting int) {
@@ -91,11 +91,12 @@
 	s.waitRecovered()
 	s.check()
 	if t.Failed() {
-		t.Fatalf("seed %d failed; logs of the routers: %s", seed, s.logDir())
+		t.Fatalf("seed %d failed; router logs are in %s", seed, s.logDir())
 	}
 }
 
-// untilNext is the time between two faults; some come in series.
+// faultInterval returns the time until the next fault. A quarter of the faults follow
+// in quick succession.
 func (s *site) faultInterval() time.Duration {
 	if s.rnd.IntN(4) == 0 {
 		return time.Duration(s.rnd.IntN(20)) * time.Millisecond
@@ -103,7 +104,7 @@
 	return time.Duration(50+s.rnd.IntN(400)) * time.Millisecond
 }
 
-// fault injects one fault, which ends by itself after a while. Several overlap.
+// injectFault injects one random fault, which ends after a while. Faults may overlap.
 func (s *site) injectFault() {
 	duration := time.Duration(200+s.rnd.IntN(1800)) * time.Millisecond
 	kinds := []func(time.Duration){
@@ -117,8 +118,8 @@
 	kinds[s.rnd.IntN(len(kinds))](duration)
 }
 
-// recovered waits until every router serves each kind of request again. How
-// long that takes is not what is tested; that it comes is.
+// waitRecovered waits until every router serves each kind of request and applies the
+// latest key.
 func (s *site) waitRecovered() {
 	s.t.Helper()
 	end := time.Now().Add(40 * time.Second)
@@ -131,7 +132,7 @@
 					break
 				}
 				if time.Now().After(end) {
-					s.t.Errorf("router %s does not serve a %s again", r.name, kind)
+					s.t.Errorf("router %s did not recover: %s request is not served", r.name, kind)
 					return
 				}
 				time.Sleep(50 * time.Millisecond)
@@ -141,7 +142,7 @@
 	c.closeConn()
 	for !s.keysUpToDate(c) {
 		if time.Now().After(end) {
-			s.t.Error("a key that was taken away is still served, or the newest is not")
+			s.t.Error("a revoked key is still accepted, or the current key is not")
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
