--- a/test/integration/capacity_test.go
+++ b/test/integration/capacity_test.go
@@ -25,16 +25,16 @@
 )
 
 // use is what one process has used so far.
-type use struct {
+type usage struct {
 	cpu   time.Duration
 	rss   int64 // bytes
 	links int64 // bytes over links
 }
 
-func (u *unit) use(t *testing.T) use {
+func (u *instance) usage(t *testing.T) usage {
 	t.Helper()
 	pid := u.cmd.Process.Pid
-	return use{cpu: cpuOf(t, pid), rss: rssOf(t, pid), links: linkBytes(t, u)}
+	return usage{cpu: cpuOf(t, pid), rss: rssOf(t, pid), links: linkBytes(t, u)}
 }
 
 // cpuOf reads user and system time; the kernel counts in hundredths of a second.
@@ -58,7 +58,7 @@
 	return pages * int64(os.Getpagesize())
 }
 
-func linkBytes(t *testing.T, u *unit) int64 {
+func linkBytes(t *testing.T, u *instance) int64 {
 	rep, err := http.Get("http://" + u.http + "/metrics")
 	assert.NilError(t, err)
 	defer rep.Body.Close()
@@ -74,37 +74,37 @@
 }
 
 // spent is the mean use of some processes over a window.
-type spent struct {
+type meanUsage struct {
 	cpuShare float64 // of one core
 	rss      float64 // MB
 	links    float64 // bytes a second
 }
 
-func (c *cluster) spend(units []*unit, do func()) spent {
-	before := make([]use, len(units))
-	for i, u := range units {
-		before[i] = u.use(c.t)
+func (c *cluster) measureUsage(instances []*instance, do func()) meanUsage {
+	before := make([]usage, len(instances))
+	for i, u := range instances {
+		before[i] = u.usage(c.t)
 	}
 	began := time.Now()
 	do()
-	took := time.Since(began).Seconds()
-	var s spent
-	n := float64(len(units))
-	for i, u := range units {
-		after := u.use(c.t)
-		s.cpuShare += (after.cpu - before[i].cpu).Seconds() / took / n
+	elapsed := time.Since(began).Seconds()
+	var s meanUsage
+	n := float64(len(instances))
+	for i, u := range instances {
+		after := u.usage(c.t)
+		s.cpuShare += (after.cpu - before[i].cpu).Seconds() / elapsed / n
 		s.rss += float64(after.rss) / 1e6 / n
-		s.links += float64(after.links-before[i].links) / took / n
+		s.links += float64(after.links-before[i].links) / elapsed / n
 	}
 	return s
 }
 
 // addShared starts sidecars beside three engines that they share: at rest only
 // the sidecars are measured, and one engine for each would fill the machine.
-func (c *cluster) addShared(n int) {
+func (c *cluster) addSidecarsSharingEngines(n int) {
 	var engines []string
 	for from := 0; from < layers; from += 4 {
-		addr := address(c.t)
+		addr := freeAddress(c.t)
 		start(c.t, "skylark-standin", "--listen", addr, "engine", "--layers", fmt.Sprint(layers), "--ignore-fence",
 			"--from", fmt.Sprint(from), "--to", fmt.Sprint(from+4), "--step", "300us", "--capacity", "32")
 		engines = append(engines, addr)
@@ -128,36 +128,36 @@
 
 func measureSize(t *testing.T, size int) {
 	c := newCluster(t, 2, nil, 0)
-	c.addShared(size)
+	c.addSidecarsSharingEngines(size)
 	c.publish()
 	c.waitReady()
 	var before, after standin.KVCalls
-	c.read(c.kv, "", &before)
+	c.getControl(c.kv, "", &before)
 	began := time.Now()
-	var atSidecars spent
-	entries := c.spend(c.entries, func() {
-		atSidecars = c.spend(c.sidecars, func() { time.Sleep(*windowFlag) })
+	var sidecars meanUsage
+	entries := c.measureUsage(c.entries, func() {
+		sidecars = c.measureUsage(c.sidecars, func() { time.Sleep(*windowFlag) })
 	})
-	c.read(c.kv, "", &after)
+	c.getControl(c.kv, "", &after)
 	calls := float64(after.Gets+after.Swaps+after.Watches-before.Gets-before.Swaps-before.Watches) / time.Since(began).Seconds()
 	t.Logf("rest, 2 entries, %d sidecars: entry %.4f core %.1f MB %.0f B/s; sidecar %.4f core %.1f MB %.0f B/s; store %.2f calls/s",
-		size, entries.cpuShare, entries.rss, entries.links, atSidecars.cpuShare, atSidecars.rss, atSidecars.links, calls)
+		size, entries.cpuShare, entries.rss, entries.links, sidecars.cpuShare, sidecars.rss, sidecars.links, calls)
 
 	var r load.Report
-	entries = c.spend(c.entries, func() {
-		atSidecars = c.spend(c.sidecars, func() { r = c.offer() })
+	entries = c.measureUsage(c.entries, func() {
+		sidecars = c.measureUsage(c.sidecars, func() { r = c.runLoad() })
 	})
 	assert.Equal(t, r.Ran+r.NotRun+r.CutOff+r.NotAccepted+r.Lost, r.Sent)
 	perSecond := float64(r.Ran) / windowFlag.Seconds()
 	t.Logf("load, %d sidecars: %.1f requests/s of %d tokens (ran %d of %d); entry %.3f core %.1f MB %.0f B/s: %.0f us a request; all sidecars %.3f core: %.0f us a request; sidecar %.1f MB",
 		size, perSecond, loadTokens, r.Ran, r.Sent, entries.cpuShare, entries.rss, entries.links,
 		entries.cpuShare*float64(len(c.entries))/perSecond*1e6,
-		atSidecars.cpuShare*float64(len(c.sidecars)), atSidecars.cpuShare*float64(len(c.sidecars))/perSecond*1e6, atSidecars.rss)
+		sidecars.cpuShare*float64(len(c.sidecars)), sidecars.cpuShare*float64(len(c.sidecars))/perSecond*1e6, sidecars.rss)
 }
 
 const loadTokens = 24
 
-func (c *cluster) offer() load.Report {
+func (c *cluster) runLoad() load.Report {
 	cfg := load.Config{
 		Rate:     *rateFlag,
 		Duration: *windowFlag,
--- a/test/integration/harness_test.go
+++ b/test/integration/harness_test.go
@@ -30,11 +30,11 @@
 )
 
 const (
-	customer = "skola-manus"
-	sheets   = "planer-rundi"
-	notices  = "dispecer"
-	layers   = 12
-	patience = 30 * time.Second // bounds a wait; nothing is asserted about it
+	customer    = "skola-manus"
+	sheets      = "planer-rundi"
+	notices     = "dispecer"
+	layers      = 12
+	waitTimeout = 30 * time.Second // bounds a wait; nothing is asserted about it
 )
 
 var bin string
@@ -106,8 +106,8 @@
 }
 
 func tail(s string) string {
-	const most = 4000
-	return s[max(0, len(s)-most):]
+	const maxBytes = 4000
+	return s[max(0, len(s)-maxBytes):]
 }
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
@@ -118,7 +118,7 @@
 }
 
 // unit is one daemon with its settings.
-type unit struct {
+type instance struct {
 	*process
 	name, link, http, file string
 }
@@ -128,14 +128,14 @@
 	t                 *testing.T
 	dir               string
 	kv, instancesAddr string
-	list              []model.Instance
-	entries           []*unit
-	sidecars          []*unit
+	instances         []model.Instance
+	entries           []*instance
+	sidecars          []*instance
 	engines           []string // addresses, by sidecar
-	plains            []string
+	plainServers      []string
 }
 
-func address(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	a, err := daemon.FreeAddress()
 	assert.NilError(t, err)
@@ -144,15 +144,15 @@
 
 // newCluster starts the platform, entries, and for each range of layers so many
 // engines with their sidecars, and so many plain services with theirs.
-func newCluster(t *testing.T, entries int, ranges []model.LayerRange, plains int) *cluster {
+func newCluster(t *testing.T, entries int, layerRanges []model.LayerRange, plainServers int) *cluster {
 	t.Helper()
-	c := &cluster{t: t, dir: t.TempDir(), kv: address(t), instancesAddr: address(t)}
+	c := &cluster{t: t, dir: t.TempDir(), kv: freeAddress(t), instancesAddr: freeAddress(t)}
 	start(t, "skylark-standin", "--listen", c.kv, "kv")
 	start(t, "skylark-standin", "--listen", c.instancesAddr, "instances")
-	for _, r := range ranges {
+	for _, r := range layerRanges {
 		c.addEngine(r)
 	}
-	for i := 0; i < plains; i++ {
+	for i := 0; i < plainServers; i++ {
 		c.addPlain()
 	}
 	for i := 0; i < entries; i++ {
@@ -160,15 +160,15 @@
 	}
 	c.publish()
 	c.waitReady()
-	c.seed()
-	if plains > 0 {
-		c.waitOnce()
+	c.putTemplate()
+	if plainServers > 0 {
+		c.waitNonRepeatable()
 	}
 	return c
 }
 
 // waitOnce waits until the gates are old enough for notices.
-func (c *cluster) waitOnce() {
+func (c *cluster) waitNonRepeatable() {
 	c.t.Helper()
 	c.eventually("gates take notices", func() bool {
 		res, err := c.client(0).Submit(context.Background(), notice(newID()), io.Discard)
@@ -186,8 +186,8 @@
 	return out
 }
 
-func (c *cluster) addEngine(r model.LayerRange) *unit {
-	addr := address(c.t)
+func (c *cluster) addEngine(r model.LayerRange) *instance {
+	addr := freeAddress(c.t)
 	start(c.t, "skylark-standin", "--listen", addr, "engine", "--layers", fmt.Sprint(layers),
 		"--from", fmt.Sprint(r.From), "--to", fmt.Sprint(r.To), "--step", "300us", "--capacity", "32")
 	c.engines = append(c.engines, addr)
@@ -195,49 +195,49 @@
 	return u
 }
 
-func (c *cluster) addPlain() *unit {
-	addr := address(c.t)
+func (c *cluster) addPlain() *instance {
+	addr := freeAddress(c.t)
 	start(c.t, "skylark-standin", "--listen", addr, "plain", "--time", "5ms")
-	c.plains = append(c.plains, addr)
+	c.plainServers = append(c.plainServers, addr)
 	return c.addSidecar(fmt.Sprintf("service = %q\nkind = \"plain\"", notices), addr)
 }
 
-func (c *cluster) addSidecar(section, backend string) *unit {
+func (c *cluster) addSidecar(section, backend string) *instance {
 	name := fmt.Sprintf("sidecar-%d", len(c.sidecars)+1)
 	u := c.daemon(name, model.RoleSidecar, "[sidecar]\n"+section+"\nbackend = \"http://"+backend+"\"\n")
 	c.sidecars = append(c.sidecars, u)
 	return u
 }
 
-func (c *cluster) addEntry() *unit {
+func (c *cluster) addEntry() *instance {
 	name := fmt.Sprintf("entry-%d", len(c.entries)+1)
 	u := c.daemon(name, model.RoleEntry, "[entry]\ndrain_delay = \"100ms\"\n")
 	c.entries = append(c.entries, u)
 	return u
 }
 
-func (c *cluster) daemon(name string, role model.Role, section string) *unit {
-	u := &unit{name: name, link: address(c.t), http: address(c.t)}
+func (c *cluster) daemon(name string, role model.Role, section string) *instance {
+	u := &instance{name: name, link: freeAddress(c.t), http: freeAddress(c.t)}
 	text := fmt.Sprintf("role = %q\ninstance = %q\nfailure_domain = \"hala-luka\"\nregion = \"juzna-regija\"\n"+
 		"[listen]\nlink = %q\nhttp = %q\n[platform]\nkey_value = \"http://%s\"\ninstances = \"http://%s\"\n%s",
 		role, name, u.link, u.http, c.kv, c.instancesAddr, section)
 	u.file = filepath.Join(c.dir, name+".toml")
 	assert.NilError(c.t, os.WriteFile(u.file, []byte(text), 0o600))
-	c.list = append(c.list, model.Instance{ID: name, Role: role, Address: u.link, FailureDomain: "hala-luka", Region: "juzna-regija"})
-	c.boot(u)
+	c.instances = append(c.instances, model.Instance{ID: name, Role: role, Address: u.link, FailureDomain: "hala-luka", Region: "juzna-regija"})
+	c.launch(u)
 	return u
 }
 
 // boot starts a unit, or starts it again after it ended.
-func (c *cluster) boot(u *unit) {
+func (c *cluster) launch(u *instance) {
 	u.process = start(c.t, "skylarkwoodd", "--settings", u.file)
 }
 
 func (c *cluster) publish() {
-	c.control(c.instancesAddr, c.list)
+	c.postControl(c.instancesAddr, c.instances)
 }
 
-func (c *cluster) control(addr string, v any) {
+func (c *cluster) postControl(addr string, v any) {
 	raw, err := json.Marshal(v)
 	assert.NilError(c.t, err)
 	c.eventually("control of "+addr, func() bool {
@@ -250,10 +250,10 @@
 	})
 }
 
-func (c *cluster) faults(f standin.KVFaults) { c.control(c.kv, f) }
+func (c *cluster) setStoreFaults(f standin.KVFaults) { c.postControl(c.kv, f) }
 
 // read gets a stand-in's own record.
-func (c *cluster) read(addr, query string, v any) {
+func (c *cluster) getControl(addr, query string, v any) {
 	rep, err := http.Get("http://" + addr + "/control" + query)
 	assert.NilError(c.t, err)
 	defer rep.Body.Close()
@@ -267,7 +267,7 @@
 			return poll.Success()
 		}
 		return poll.Continue("%s", what)
-	}, poll.WithTimeout(patience), poll.WithDelay(20*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(20*time.Millisecond))
 }
 
 func (c *cluster) client(entry int) *ctl.Client {
@@ -278,17 +278,17 @@
 	c.t.Helper()
 	for i := range c.entries {
 		c.eventually("entry meets all", func() bool {
-			return c.client(i).ReachableInstances(context.Background()) == len(c.list)
+			return c.client(i).ReachableInstances(context.Background()) == len(c.instances)
 		})
 	}
 }
 
-func (c *cluster) seed() {
+func (c *cluster) putTemplate() {
 	c.t.Helper()
 	c.set(&v1.SetTemplateRequest{
 		Template: &v1.Template{Customer: customer, Rules: []*v1.ServiceRule{
-			{Service: sheets, Priority: 5, DefaultTimeoutMs: patience.Milliseconds()},
-			{Service: notices, Priority: 7, DefaultTimeoutMs: patience.Milliseconds()},
+			{Service: sheets, Priority: 5, DefaultTimeoutMs: waitTimeout.Milliseconds()},
+			{Service: notices, Priority: 7, DefaultTimeoutMs: waitTimeout.Milliseconds()},
 		}},
 		Author: "test",
 	})
@@ -296,14 +296,14 @@
 
 func (c *cluster) set(m *v1.SetTemplateRequest) *v1.SetTemplateResponse {
 	c.t.Helper()
-	m.WaitMs = patience.Milliseconds()
+	m.WaitMs = waitTimeout.Milliseconds()
 	rep, err := c.client(0).Operators.SetTemplate(context.Background(), connect.NewRequest(m))
 	assert.NilError(c.t, err)
 	return rep.Msg
 }
 
 // reference is the answer of a model that ran each layer once, in order.
-func reference(prompt string, tokens int) string {
+func referenceAnswer(prompt string, tokens int) string {
 	words := strings.SplitAfter(prompt, " ")
 	in := make([][]byte, 0, len(words))
 	for _, w := range words {
@@ -314,13 +314,13 @@
 
 // onWrite calls a function once, after so many bytes of the answer came.
 type onWrite struct {
-	after int
-	do    func()
+	remaining int
+	do        func()
 }
 
 func (o *onWrite) Write(p []byte) (int, error) {
-	o.after -= len(p)
-	if o.after <= 0 && o.do != nil {
+	o.remaining -= len(p)
+	if o.remaining <= 0 && o.do != nil {
 		o.do()
 		o.do = nil
 	}
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -26,9 +26,9 @@
 // While the key-value service is out, a notice that must not be repeated cannot
 // be made safe: it is refused at once, "not run", with when to come back. A
 // sheet, which may be repeated, goes on. After the outage notices run again.
-func TestNoticeWhileStoreIsOut(t *testing.T) {
+func TestNoticeDuringStoreOutageIsNotRun(t *testing.T) {
 	c := newCluster(t, 2, stages(1), 1)
-	c.faults(standin.KVFaults{Outage: true})
+	c.setStoreFaults(standin.KVFaults{Outage: true})
 	id := newID()
 	res, err := c.client(0).Submit(context.Background(), notice(id), io.Discard)
 	assert.NilError(t, err)
@@ -41,7 +41,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, res.Outcome.State, v1.OutcomeState_OUTCOME_STATE_RAN, res.Outcome.Cause)
 
-	c.faults(standin.KVFaults{})
+	c.setStoreFaults(standin.KVFaults{})
 	id = newID()
 	res, err = c.client(0).Submit(context.Background(), notice(id), io.Discard)
 	assert.NilError(t, err)
@@ -52,10 +52,10 @@
 // The write of the intent takes effect and its answer is lost. The entry reads
 // back, finds its own grant and hands over: the caller sees one confirmation,
 // the plain service one call.
-func TestNoticeWhoseIntentAnswerIsLost(t *testing.T) {
+func TestNoticeRunsOnceWhenIntentResponseIsLost(t *testing.T) {
 	c := newCluster(t, 2, nil, 1)
 	for i := 0; i < 4; i++ {
-		c.faults(standin.KVFaults{LoseAnswers: 1})
+		c.setStoreFaults(standin.KVFaults{LoseAnswers: 1})
 		id := newID()
 		res, err := c.client(i%2).Submit(context.Background(), notice(id), io.Discard)
 		assert.NilError(t, err)
@@ -68,7 +68,7 @@
 // notice again through the other entry. That one finds the intent in the
 // ledger, gets no word from the dead entry and asks the gate, which kept the
 // answer. The plain service has carried it out once.
-func TestNoticeAfterItsEntryDied(t *testing.T) {
+func TestNoticeResentAfterEntryKilledRunsOnce(t *testing.T) {
 	c := newCluster(t, 2, nil, 1)
 	id := newID()
 	res, err := c.client(0).Submit(context.Background(), notice(id), io.Discard)
@@ -84,11 +84,11 @@
 // A caller sends a notice; while the plain service works on it the sidecar is
 // killed. Nobody can tell any more whether it ran, so the caller is told "cut
 // off, may have run", and sending it again never runs it a second time.
-func TestNoticeWhoseGateDied(t *testing.T) {
+func TestNoticeIsCutOffWhenSidecarIsKilled(t *testing.T) {
 	c := newCluster(t, 2, nil, 0)
-	addr := address(t)
+	addr := freeAddress(t)
 	start(t, "skylark-standin", "--listen", addr, "plain", "--time", "1h")
-	c.plains = append(c.plains, addr)
+	c.plainServers = append(c.plainServers, addr)
 	side := c.addSidecar("service = \"dispecer\"\nkind = \"plain\"", addr)
 	c.publish()
 	c.waitReady()
@@ -115,7 +115,7 @@
 		return c.plainCount(id) == 1
 	})
 	side.kill()
-	c.boot(side)
+	c.launch(side)
 	out := <-done
 	assert.Equal(t, out.State, v1.OutcomeState_OUTCOME_STATE_CUT_OFF, out.Cause)
 	assert.Assert(t, out.MayHaveRun)
@@ -129,7 +129,7 @@
 // An entry is frozen while it acts for the ledger; the other entry acts in its
 // place and grants a notice. Thawed, the first one swaps against a version that
 // is gone and fails: sending the same notice there runs nothing again.
-func TestNoticeAcrossFrozenLedgerOwner(t *testing.T) {
+func TestNoticeRunsOnceWhenEntryIsFrozen(t *testing.T) {
 	c := newCluster(t, 2, nil, 1)
 	c.entries[0].signal(syscall.SIGSTOP)
 	var ids []string
@@ -154,7 +154,7 @@
 
 // An id older than the ledger's memory cannot be vouched for. It is refused,
 // since nobody could tell whether it ran before.
-func TestNoticeWithOldID(t *testing.T) {
+func TestNoticeWithOldIDIsRefused(t *testing.T) {
 	c := newCluster(t, 1, nil, 1)
 	old := oldID(time.Hour)
 	_, err := c.client(0).Submit(context.Background(), notice(old), io.Discard)
--- a/test/integration/stop_test.go
+++ b/test/integration/stop_test.go
@@ -24,7 +24,7 @@
 	return ulid.MustNew(ulid.Timestamp(time.Now().Add(-age)), ulid.DefaultEntropy()).String()
 }
 
-func ready(u *unit) bool {
+func ready(u *instance) bool {
 	rep, err := http.Get("http://" + u.http + "/readyz")
 	if err != nil {
 		return false
@@ -37,30 +37,30 @@
 // The caller's sheet stalls, the owner finds the silence, replaces the stage,
 // and the caller gets the whole answer. Thawed, the stage's late messages carry
 // an old epoch and change nothing.
-func TestStageFrozenInTheMiddle(t *testing.T) {
+func TestSheetContinuesAfterStageIsFrozen(t *testing.T) {
 	c := newCluster(t, 1, stages(2), 0)
-	var frozen *unit
-	w := &onWrite{after: 200, do: func() {
-		frozen = c.chainUnit("frozen", 1)
+	var frozen *instance
+	w := &onWrite{remaining: 200, do: func() {
+		frozen = c.stageSidecar("frozen", 1)
 		frozen.signal(syscall.SIGSTOP)
 	}}
 	res, err := c.client(0).Submit(context.Background(), sheet("frozen", 200), w)
 	assert.NilError(t, err)
 	assert.Equal(t, res.Outcome.State, v1.OutcomeState_OUTCOME_STATE_RAN, res.Outcome.Cause)
-	assert.Equal(t, string(res.Response), reference(prompt, 200))
+	assert.Equal(t, string(res.Response), referenceAnswer(prompt, 200))
 	frozen.signal(syscall.SIGCONT)
 	c.waitReady()
 	res, err = c.client(0).Submit(context.Background(), sheet("after", 30), io.Discard)
 	assert.NilError(t, err)
-	assert.Equal(t, string(res.Response), reference(prompt, 30))
+	assert.Equal(t, string(res.Response), referenceAnswer(prompt, 30))
 }
 
 // The only chain is lost in the middle of a sheet, and no other engine holds
 // those layers. The caller is told at once that it was cut off and may have
 // run, with when to come back.
-func TestSheetCutOffWithoutReplacement(t *testing.T) {
+func TestSheetIsCutOffWithoutReplacementStage(t *testing.T) {
 	c := newCluster(t, 1, stages(1), 0)
-	w := &onWrite{after: 100, do: func() { c.killStage("doomed", 1) }}
+	w := &onWrite{remaining: 100, do: func() { c.killStage("doomed", 1) }}
 	res, err := c.client(0).Submit(context.Background(), sheet("doomed", 300), w)
 	assert.NilError(t, err)
 	assert.Equal(t, res.Outcome.State, v1.OutcomeState_OUTCOME_STATE_CUT_OFF)
@@ -77,7 +77,7 @@
 // burst. Callers in progress get their whole answers, later ones go to the rest
 // or are refused "not run"; none is cut off, and every process ends by itself
 // with exit code 0.
-func TestPlannedStopsDuringBurst(t *testing.T) {
+func TestPlannedStopsDuringBurstCutOffNothing(t *testing.T) {
 	c := newCluster(t, 2, stages(2), 0)
 	var wg sync.WaitGroup
 	stopped := make(chan struct{})
@@ -93,27 +93,27 @@
 				return
 			}
 			assert.Check(t, res.Outcome.State == v1.OutcomeState_OUTCOME_STATE_RAN, "%d: %s", i, res.Outcome.Cause)
-			assert.Check(t, string(res.Response) == reference(prompt, 60))
+			assert.Check(t, string(res.Response) == referenceAnswer(prompt, 60))
 		}()
 	}
 	first := make(chan struct{})
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		w := &onWrite{after: 1, do: func() { close(first) }}
+		w := &onWrite{remaining: 1, do: func() { close(first) }}
 		res, err := c.client(0).Submit(context.Background(), sheet("at-leaving-entry", 300), w)
 		if assert.Check(t, err) {
-			assert.Check(t, string(res.Response) == reference(prompt, 300))
+			assert.Check(t, string(res.Response) == referenceAnswer(prompt, 300))
 		}
 	}()
 	<-first
-	leaving := append([]*unit{c.entries[0]}, c.sidecars[:3]...)
-	for _, u := range leaving {
+	draining := append([]*instance{c.entries[0]}, c.sidecars[:3]...)
+	for _, u := range draining {
 		u.signal(syscall.SIGTERM)
 	}
 	close(stopped)
 	wg.Wait()
-	for _, u := range leaving {
+	for _, u := range draining {
 		<-u.done
 		assert.Equal(t, u.code, 0, u.name)
 	}
@@ -123,29 +123,29 @@
 // other engine holds its layers, so a stop that did not wait would cut the
 // sheet off. The caller gets the whole answer, on the first epoch, and then the
 // process ends.
-func TestPlannedStopOfTheOnlyChain(t *testing.T) {
+func TestPlannedStopOfOnlyChainCompletesSheet(t *testing.T) {
 	c := newCluster(t, 1, stages(1), 0)
-	var leaving *unit
-	w := &onWrite{after: 100, do: func() {
-		leaving = c.chainUnit("long", 1)
-		leaving.signal(syscall.SIGTERM)
+	var draining *instance
+	w := &onWrite{remaining: 100, do: func() {
+		draining = c.stageSidecar("long", 1)
+		draining.signal(syscall.SIGTERM)
 	}}
 	const long = 1000
 	res, err := c.client(0).Submit(context.Background(), sheet("long", long), w)
 	assert.NilError(t, err)
 	assert.Equal(t, res.Outcome.State, v1.OutcomeState_OUTCOME_STATE_RAN, res.Outcome.Cause)
-	assert.Equal(t, string(res.Response), reference(prompt, long))
+	assert.Equal(t, string(res.Response), referenceAnswer(prompt, long))
 	assert.Assert(t, strings.HasSuffix(res.Outcome.Evidence, "epoch 1"), res.Outcome.Evidence)
-	<-leaving.done
-	assert.Equal(t, leaving.code, 0)
+	<-draining.done
+	assert.Equal(t, draining.code, 0)
 }
 
 // A caller hangs up and its entry is told to stop. The entry finishes the
 // request all the same before it ends: another entry can tell that it ran.
-func TestPlannedStopAfterCallerHungUp(t *testing.T) {
+func TestPlannedStopAfterCallerHungUpCompletesSheet(t *testing.T) {
 	c := newCluster(t, 2, stages(1), 0)
 	ctx, hangUp := context.WithCancel(context.Background())
-	w := &onWrite{after: 100, do: func() {
+	w := &onWrite{remaining: 100, do: func() {
 		c.entries[0].signal(syscall.SIGTERM)
 		hangUp()
 	}}
@@ -160,24 +160,24 @@
 
 // A sidecar that leaves is still in the instance list, which lags. Its gate
 // refuses, and no sheet accepted after the word spread starts there.
-func TestLeavingSidecarGetsNoNewWork(t *testing.T) {
+func TestDrainingSidecarGetsNoNewSheets(t *testing.T) {
 	c := newCluster(t, 1, stages(2), 0)
 	// A long sheet keeps the leaving process alive.
-	hold := make(chan struct{})
+	streaming := make(chan struct{})
 	go func() {
-		w := &onWrite{after: 1, do: func() { close(hold) }}
+		w := &onWrite{remaining: 1, do: func() { close(streaming) }}
 		_, _ = c.client(0).Submit(context.Background(), sheet("hold", 2000), w)
 	}()
-	<-hold
-	leaving := c.chainUnit("hold", 0)
-	leaving.signal(syscall.SIGTERM)
+	<-streaming
+	draining := c.stageSidecar("hold", 0)
+	draining.signal(syscall.SIGTERM)
 	c.eventually("leaving is known", func() bool {
 		rep, err := c.client(0).Operators.GetStatus(context.Background(), connect.NewRequest(&v1.GetStatusRequest{}))
 		if err != nil {
 			return false
 		}
 		for _, in := range rep.Msg.Instances {
-			if in.Instance == leaving.name {
+			if in.Instance == draining.name {
 				return in.Leaving
 			}
 		}
@@ -190,14 +190,14 @@
 		assert.Equal(t, res.Outcome.State, v1.OutcomeState_OUTCOME_STATE_RAN, res.Outcome.Cause)
 		events, _ := c.timeline(0, id)
 		for _, e := range events {
-			assert.Assert(t, e.Instance != leaving.name, "%s at %s", e.Kind, e.Instance)
+			assert.Assert(t, e.Instance != draining.name, "%s at %s", e.Kind, e.Instance)
 		}
 	}
 }
 
 // Two operators change the same template on the same revision. One wins, the
 // other gets a conflict that shows the winner's change.
-func TestOperatorsRace(t *testing.T) {
+func TestConcurrentTemplateChangesConflict(t *testing.T) {
 	c := newCluster(t, 2, nil, 1)
 	results := make([]error, 2)
 	var wg sync.WaitGroup
@@ -213,15 +213,15 @@
 		}()
 	}
 	wg.Wait()
-	won := 0
+	succeeded := 0
 	for _, err := range results {
 		if err == nil {
-			won++
+			succeeded++
 			continue
 		}
 		assert.Equal(t, connect.CodeOf(err), connect.CodeAborted)
 	}
-	assert.Equal(t, won, 1)
+	assert.Equal(t, succeeded, 1)
 }
 
 // An operator's change is accepted though the answers of the service are lost,
@@ -229,10 +229,10 @@
 // thawed it never serves by the old template.
 func TestTemplateChangeWithFrozenEntry(t *testing.T) {
 	c := newCluster(t, 2, nil, 1)
-	c.faults(standin.KVFaults{LoseAnswers: 2})
+	c.setStoreFaults(standin.KVFaults{LoseAnswers: 2})
 	rep := c.set(&v1.SetTemplateRequest{
 		Template: &v1.Template{Customer: customer, Rules: []*v1.ServiceRule{
-			{Service: notices, DefaultTimeoutMs: patience.Milliseconds()}}},
+			{Service: notices, DefaultTimeoutMs: waitTimeout.Milliseconds()}}},
 		ExpectedRevision: 1,
 		Author:           "first",
 	})
@@ -263,7 +263,7 @@
 // from its peers and serves.
 func TestEntryStartsDuringOutage(t *testing.T) {
 	c := newCluster(t, 1, stages(1), 0)
-	c.faults(standin.KVFaults{Outage: true})
+	c.setStoreFaults(standin.KVFaults{Outage: true})
 	c.addEntry()
 	c.publish()
 	c.waitReady()
