--- a/test/integration/capacity_test.go
+++ b/test/integration/capacity_test.go
@@ -19,16 +19,16 @@
 )
 
 var (
-	sizesFlag  = flag.String("sizes", "3", "numbers of sidecars to measure with")
-	windowFlag = flag.Duration("window", 2*time.Second, "time of each measurement")
-	rateFlag   = flag.Float64("rate", 20, "requests a second under load")
+	sizesFlag  = flag.String("sizes", "3", "numbers of sidecars to measure, separated by spaces")
+	windowFlag = flag.Duration("window", 2*time.Second, "duration of each measurement")
+	rateFlag   = flag.Float64("rate", 20, "requests per second under load")
 )
 
-// use is what one process has used so far.
+// usage is what one process has used since it started.
 type usage struct {
 	cpu   time.Duration
 	rss   int64 // bytes
-	links int64 // bytes over links
+	links int64 // bytes transferred over links
 }
 
 func (u *instance) usage(t *testing.T) usage {
@@ -37,7 +37,8 @@
 	return usage{cpu: cpuOf(t, pid), rss: rssOf(t, pid), links: linkBytes(t, u)}
 }
 
-// cpuOf reads user and system time; the kernel counts in hundredths of a second.
+// cpuOf returns the user and system time of a process, which the kernel counts in
+// hundredths of a second.
 func cpuOf(t *testing.T, pid int) time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	assert.NilError(t, err)
@@ -73,11 +74,11 @@
 	return 0
 }
 
-// spent is the mean use of some processes over a window.
+// meanUsage is the mean usage per process over a period.
 type meanUsage struct {
 	cpuShare float64 // of one core
 	rss      float64 // MB
-	links    float64 // bytes a second
+	links    float64 // bytes per second
 }
 
 func (c *cluster) measureUsage(instances []*instance, do func()) meanUsage {
@@ -99,8 +100,8 @@
 	return s
 }
 
-// addShared starts sidecars beside three engines that they share: at rest only
-// the sidecars are measured, and one engine for each would fill the machine.
+// addSidecarsSharingEngines starts n sidecars that share three engines. One engine per
+// sidecar would overload the machine, and only sidecars are measured.
 func (c *cluster) addSidecarsSharingEngines(n int) {
 	var engines []string
 	for from := 0; from < layers; from += 4 {
@@ -115,7 +116,7 @@
 }
 
 // TestCapacity prints what entries and sidecars use at rest and under load, for
-// the slopes of docs/CAPACITY.md:
+// docs/CAPACITY.md:
 //
 //	go test ./test/integration -run Capacity -v -args -sizes "4 16 64 128" -window 10s -rate 60
 func TestCapacity(t *testing.T) {
