--- a/test/integration/harness_test.go
+++ b/test/integration/harness_test.go
@@ -1,5 +1,5 @@
-// Package integration runs the system as separate processes and brings about
-// the failures that callers must not notice, or must be told truly about.
+// Package integration runs the system as separate processes and tests how it handles
+// failures.
 package integration
 
 import (
@@ -34,7 +34,7 @@
 	sheets      = "planer-rundi"
 	notices     = "dispecer"
 	layers      = 12
-	waitTimeout = 30 * time.Second // bounds a wait; nothing is asserted about it
+	waitTimeout = 30 * time.Second
 )
 
 var bin string
@@ -60,7 +60,6 @@
 	return m.Run()
 }
 
-// process is one started program.
 type process struct {
 	cmd  *exec.Cmd
 	log  *lockedBuffer
@@ -117,13 +116,13 @@
 	<-p.done
 }
 
-// unit is one daemon with its settings.
+// instance is one daemon with its settings.
 type instance struct {
 	*process
 	name, link, http, file string
 }
 
-// cluster is the whole system of one test.
+// cluster is the system under test.
 type cluster struct {
 	t                 *testing.T
 	dir               string
@@ -131,7 +130,7 @@
 	instances         []model.Instance
 	entries           []*instance
 	sidecars          []*instance
-	engines           []string // addresses, by sidecar
+	engines           []string // addresses of the engines' stand-ins
 	plainServers      []string
 }
 
@@ -142,8 +141,8 @@
 	return a
 }
 
-// newCluster starts the platform, entries, and for each range of layers so many
-// engines with their sidecars, and so many plain services with theirs.
+// newCluster starts the platform, the entries, one engine with its sidecar per range,
+// and plain services with their sidecars.
 func newCluster(t *testing.T, entries int, layerRanges []model.LayerRange, plainServers int) *cluster {
 	t.Helper()
 	c := &cluster{t: t, dir: t.TempDir(), kv: freeAddress(t), instancesAddr: freeAddress(t)}
@@ -167,10 +166,11 @@
 	return c
 }
 
-// waitOnce waits until the gates are old enough for notices.
+// waitNonRepeatable waits until a notice runs: gates refuse non-repeatable requests
+// for a while after their start.
 func (c *cluster) waitNonRepeatable() {
 	c.t.Helper()
-	c.eventually("gates take notices", func() bool {
+	c.eventually("gates accept notices", func() bool {
 		res, err := c.client(0).Submit(context.Background(), notice(newID()), io.Discard)
 		return err == nil && res.Outcome.State == v1.OutcomeState_OUTCOME_STATE_RAN
 	})
@@ -228,7 +228,7 @@
 	return u
 }
 
-// boot starts a unit, or starts it again after it ended.
+// launch starts an instance, or restarts it after its process exited.
 func (c *cluster) launch(u *instance) {
 	u.process = start(c.t, "skylarkwoodd", "--settings", u.file)
 }
@@ -240,7 +240,7 @@
 func (c *cluster) postControl(addr string, v any) {
 	raw, err := json.Marshal(v)
 	assert.NilError(c.t, err)
-	c.eventually("control of "+addr, func() bool {
+	c.eventually("control request to "+addr, func() bool {
 		rep, err := http.Post("http://"+addr+"/control", "application/json", bytes.NewReader(raw))
 		if err != nil {
 			return false
@@ -252,7 +252,7 @@
 
 func (c *cluster) setStoreFaults(f standin.KVFaults) { c.postControl(c.kv, f) }
 
-// read gets a stand-in's own record.
+// getControl reads what a stand-in recorded.
 func (c *cluster) getControl(addr, query string, v any) {
 	rep, err := http.Get("http://" + addr + "/control" + query)
 	assert.NilError(c.t, err)
@@ -277,7 +277,7 @@
 func (c *cluster) waitReady() {
 	c.t.Helper()
 	for i := range c.entries {
-		c.eventually("entry meets all", func() bool {
+		c.eventually("entry reaches all instances", func() bool {
 			return c.client(i).ReachableInstances(context.Background()) == len(c.instances)
 		})
 	}
@@ -302,7 +302,7 @@
 	return rep.Msg
 }
 
-// reference is the answer of a model that ran each layer once, in order.
+// referenceAnswer returns the answer of a model that runs each layer once, in order.
 func referenceAnswer(prompt string, tokens int) string {
 	words := strings.SplitAfter(prompt, " ")
 	in := make([][]byte, 0, len(words))
@@ -312,7 +312,7 @@
 	return string(bytes.Join(standin.ReferenceOutput(in, layers, tokens), nil))
 }
 
-// onWrite calls a function once, after so many bytes of the answer came.
+// onWrite calls do once, when the remaining bytes of the answer have been written.
 type onWrite struct {
 	remaining int
 	do        func()
