--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// While the key-value service is out, a notice that must not be repeated cannot
-// be made safe: it is refused at once, "not run", with when to come back. A
-// sheet, which may be repeated, goes on. After the outage notices run again.
+// Guards against running a notice that the key-value service cannot make safe. During
+// an outage a notice must be refused as not run with a retry time, while a repeatable
+// sheet must run.
 func TestNoticeDuringStoreOutageIsNotRun(t *testing.T) {
 	c := newCluster(t, 2, stages(1), 1)
 	c.setStoreFaults(standin.KVFaults{Outage: true})
@@ -49,9 +49,8 @@
 	assert.Equal(t, c.plainCount(id), 1)
 }
 
-// The write of the intent takes effect and its answer is lost. The entry reads
-// back, finds its own grant and hands over: the caller sees one confirmation,
-// the plain service one call.
+// Guards against losing or repeating a notice when the write of its intent succeeds
+// but the response to the write is lost.
 func TestNoticeRunsOnceWhenIntentResponseIsLost(t *testing.T) {
 	c := newCluster(t, 2, nil, 1)
 	for i := 0; i < 4; i++ {
@@ -64,10 +63,8 @@
 	}
 }
 
-// A caller sends a notice; its entry is frozen, killed, and the caller sends the
-// notice again through the other entry. That one finds the intent in the
-// ledger, gets no word from the dead entry and asks the gate, which kept the
-// answer. The plain service has carried it out once.
+// Guards against running a notice again when it is resent through another entry after
+// its entry was killed. The other entry must return the answer that the gate kept.
 func TestNoticeResentAfterEntryKilledRunsOnce(t *testing.T) {
 	c := newCluster(t, 2, nil, 1)
 	id := newID()
@@ -81,9 +78,8 @@
 	assert.Equal(t, c.plainCount(id), 1)
 }
 
-// A caller sends a notice; while the plain service works on it the sidecar is
-// killed. Nobody can tell any more whether it ran, so the caller is told "cut
-// off, may have run", and sending it again never runs it a second time.
+// Guards against running a notice again after its sidecar was killed during execution.
+// The outcome must be "cut off, may have run", also when the notice is resent.
 func TestNoticeIsCutOffWhenSidecarIsKilled(t *testing.T) {
 	c := newCluster(t, 2, nil, 0)
 	addr := freeAddress(t)
@@ -92,8 +88,8 @@
 	side := c.addSidecar("service = \"dispecer\"\nkind = \"plain\"", addr)
 	c.publish()
 	c.waitReady()
-	// A gate takes only notices made after its start, so the first ones come
-	// back "not run".
+	// A gate refuses notices made before its start, so the first ones may be "not
+	// run".
 	var id string
 	done := make(chan *v1.Outcome, 1)
 	send := func() {
@@ -126,9 +122,8 @@
 	assert.Equal(t, c.plainCount(id), 1)
 }
 
-// An entry is frozen while it acts for the ledger; the other entry acts in its
-// place and grants a notice. Thawed, the first one swaps against a version that
-// is gone and fails: sending the same notice there runs nothing again.
+// Guards against running notices again at an entry that was frozen while the other
+// entry recorded them in the ledger.
 func TestNoticeRunsOnceWhenEntryIsFrozen(t *testing.T) {
 	c := newCluster(t, 2, nil, 1)
 	c.entries[0].signal(syscall.SIGSTOP)
@@ -141,7 +136,7 @@
 		ids = append(ids, id)
 	}
 	c.entries[0].signal(syscall.SIGCONT)
-	c.eventually("thawed entry serves", func() bool {
+	c.eventually("resumed entry is ready", func() bool {
 		return ready(c.entries[0])
 	})
 	for _, id := range ids {
@@ -152,8 +147,8 @@
 	}
 }
 
-// An id older than the ledger's memory cannot be vouched for. It is refused,
-// since nobody could tell whether it ran before.
+// Guards against running a notice whose ID is older than the ledger's records: it may
+// have run before.
 func TestNoticeWithOldIDIsRefused(t *testing.T) {
 	c := newCluster(t, 1, nil, 1)
 	old := oldID(time.Hour)
