--- a/test/integration/path_test.go
+++ b/test/integration/path_test.go
@@ -35,9 +35,8 @@
 	return rep.Msg.Events, rep.Msg.Unreachable
 }
 
-// A caller sends a sheet to one entry. Its answer is the one that a model gives
-// whose layers run once and in order; the time line names entry and all three
-// stages; the other entry tells the outcome too.
+// Guards against a wrong answer over three stages, an incomplete timeline, and an
+// outcome that the other entry does not know.
 func TestSheetRunsThroughThreeStages(t *testing.T) {
 	c := newCluster(t, 2, stages(1), 1)
 	res, err := c.client(0).Submit(context.Background(), sheet("sheet-1", 40), io.Discard)
@@ -51,7 +50,7 @@
 	for _, e := range events {
 		seen[e.Instance] = true
 	}
-	assert.Equal(t, len(seen), 4, "instances in the time line: %v", seen)
+	assert.Equal(t, len(seen), 4, "instances in the timeline: %v", seen)
 	assert.Equal(t, events[0].Kind, "accepted")
 
 	rep, err := c.client(1).Requests.GetOutcome(context.Background(),
@@ -60,9 +59,8 @@
 	assert.Equal(t, rep.Msg.Outcome.State, v1.OutcomeState_OUTCOME_STATE_RAN)
 }
 
-// A caller reads a sheet. In the middle of it the sidecar of a stage is killed.
-// The owner raises the epoch, another instance rebuilds the lost layers, and
-// the caller gets the whole answer, each token once.
+// Guards against an incomplete answer or repeated tokens after a sidecar of the chain
+// is killed during a sheet.
 func TestSheetContinuesAfterStageIsKilled(t *testing.T) {
 	c := newCluster(t, 1, stages(2), 0)
 	for i, name := range []string{"first", "middle", "last"} {
@@ -80,14 +78,14 @@
 	}
 }
 
-// killStage kills the sidecar at a place of a request's chain.
+// killStage kills the sidecar at a position of a request's first chain.
 func (c *cluster) killStage(id string, position int) *instance {
 	u := c.stageSidecar(id, position)
 	u.kill()
 	return u
 }
 
-// chainUnit finds the sidecar at a place of a request's first chain.
+// stageSidecar returns the sidecar at a position of a request's first chain.
 func (c *cluster) stageSidecar(id string, position int) *instance {
 	c.t.Helper()
 	events, _ := c.timeline(0, id)
@@ -103,13 +101,12 @@
 			}
 		}
 	}
-	c.t.Fatalf("no chain of %s in its time line", id)
+	c.t.Fatalf("timeline of %s holds no chain", id)
 	return nil
 }
 
-// A caller sends a notice that must not be repeated, then sends it again
-// through the other entry. The second answer is the first one's; the plain
-// service has carried it out once.
+// Guards against running a notice again when the caller resends it through another
+// entry. Both must return the same answer.
 func TestNoticeResentThroughOtherEntryRunsOnce(t *testing.T) {
 	c := newCluster(t, 2, nil, 2)
 	id := newID()
@@ -125,7 +122,8 @@
 	assert.Equal(t, c.plainCount(id), 1)
 }
 
-// plainCount sums what the plain services themselves counted of a request.
+// plainCount returns how often the plain services executed a request, by their own
+// counts.
 func (c *cluster) plainCount(id string) int {
 	n := 0
 	for _, addr := range c.plainServers {
@@ -136,28 +134,27 @@
 	return n
 }
 
-// A caller reads a sheet and its entry is killed. The caller comes back to
-// another entry with the same id and gets the whole answer; the dead entry's run
-// still stands at the gates and must not mix with the new one.
+// Guards against mixing two runs of a sheet: its entry is killed, and the caller
+// resends it through another entry while the gates still hold the first run.
 func TestSheetResentAfterEntryIsKilled(t *testing.T) {
 	c := newCluster(t, 2, stages(2), 0)
 	w := &onWrite{remaining: 200, do: func() { c.entries[0].kill() }}
 	_, err := c.client(0).Submit(context.Background(), sheet("orphan", 300), w)
-	assert.Assert(t, err != nil, "the stream broke with the entry")
+	assert.Assert(t, err != nil, "the stream outlived its entry")
 	res, err := c.client(1).Submit(context.Background(), sheet("orphan", 300), io.Discard)
 	assert.NilError(t, err)
 	assert.Equal(t, res.Outcome.State, v1.OutcomeState_OUTCOME_STATE_RAN, res.Outcome.Cause)
 	assert.Equal(t, string(res.Response), referenceAnswer(prompt, 300))
 }
 
-// A sheet that must not be repeated loses a stage in the middle. Another engine
-// holds the same layers, but would run them a second time: the caller is told at
-// once that the sheet was cut off, and sending it again runs nothing more.
+// Guards against running layers of a non-repeatable sheet again when a stage is
+// killed, although another engine holds the same layers. The sheet must be cut off,
+// also when it is resent.
 func TestNonRepeatableSheetIsCutOffWhenStageIsKilled(t *testing.T) {
 	c := newCluster(t, 2, stages(2), 0)
 	var request *v1.SubmitRequest
 	var res ctl.Result
-	// Gates take only what was made after their start.
+	// Gates refuse non-repeatable requests made before their start.
 	c.eventually("the sheet starts", func() bool {
 		request = sheet(newID(), 300)
 		request.NotRepeatable = true
@@ -176,7 +173,8 @@
 	assert.Equal(t, c.engineRuns(request.RequestId), before)
 }
 
-// engineRuns sums what the engines themselves counted of a request.
+// engineRuns returns how many positions of a request the engines ran, by their own
+// counts.
 func (c *cluster) engineRuns(id string) int64 {
 	n := int64(0)
 	for _, addr := range c.engines {
@@ -187,9 +185,8 @@
 	return n
 }
 
-// A sheet crosses six stages. Its time line, asked of the other entry, holds all
-// seven processes in causal order: no stage starts before its gate opened, nor
-// before the stage in front of it.
+// Guards against a timeline that lacks events or breaks causal order: no stage may
+// start before its gate opened or before the previous stage started.
 func TestTimelineKeepsCausalOrder(t *testing.T) {
 	var layerRanges []model.LayerRange
 	for from := 0; from < layers; from += 2 {
