--- a/test/integration/stop_test.go
+++ b/test/integration/stop_test.go
@@ -33,10 +33,8 @@
 	return rep.StatusCode == http.StatusOK
 }
 
-// A stage is frozen, not killed: its connections stay open and nothing answers.
-// The caller's sheet stalls, the owner finds the silence, replaces the stage,
-// and the caller gets the whole answer. Thawed, the stage's late messages carry
-// an old epoch and change nothing.
+// Guards against a stalled sheet when a stage is frozen and its connections stay open.
+// The stage must be replaced, and its late messages must have no effect.
 func TestSheetContinuesAfterStageIsFrozen(t *testing.T) {
 	c := newCluster(t, 1, stages(2), 0)
 	var frozen *instance
@@ -55,9 +53,9 @@
 	assert.Equal(t, string(res.Response), referenceAnswer(prompt, 30))
 }
 
-// The only chain is lost in the middle of a sheet, and no other engine holds
-// those layers. The caller is told at once that it was cut off and may have
-// run, with when to come back.
+// Guards against a caller that waits although the lost stage has no replacement. The
+// sheet must be cut off with a retry time, and the next one must be refused as not
+// run.
 func TestSheetIsCutOffWithoutReplacementStage(t *testing.T) {
 	c := newCluster(t, 1, stages(1), 0)
 	w := &onWrite{remaining: 100, do: func() { c.killStage("doomed", 1) }}
@@ -73,10 +71,8 @@
 	assert.Assert(t, res.Outcome.RetryAfterMs > 0)
 }
 
-// Every sidecar of one chain and an entry are told to stop in the middle of a
-// burst. Callers in progress get their whole answers, later ones go to the rest
-// or are refused "not run"; none is cut off, and every process ends by itself
-// with exit code 0.
+// Guards against cutting off sheets when an entry and every sidecar of one chain stop
+// as planned during a burst. Each process must exit with code 0.
 func TestPlannedStopsDuringBurstCutOffNothing(t *testing.T) {
 	c := newCluster(t, 2, stages(2), 0)
 	var wg sync.WaitGroup
@@ -119,10 +115,8 @@
 	}
 }
 
-// A sidecar of the only chain is told to stop in the middle of a long sheet. No
-// other engine holds its layers, so a stop that did not wait would cut the
-// sheet off. The caller gets the whole answer, on the first epoch, and then the
-// process ends.
+// Guards against cutting off a long sheet when a sidecar of the only chain stops as
+// planned. The sheet must complete on its first epoch before the process exits.
 func TestPlannedStopOfOnlyChainCompletesSheet(t *testing.T) {
 	c := newCluster(t, 1, stages(1), 0)
 	var draining *instance
@@ -140,8 +134,8 @@
 	assert.Equal(t, draining.code, 0)
 }
 
-// A caller hangs up and its entry is told to stop. The entry finishes the
-// request all the same before it ends: another entry can tell that it ran.
+// Guards against losing a request whose caller hung up and whose entry then stops as
+// planned: it must run to its end and its outcome must be known to the other entry.
 func TestPlannedStopAfterCallerHungUpCompletesSheet(t *testing.T) {
 	c := newCluster(t, 2, stages(1), 0)
 	ctx, hangUp := context.WithCancel(context.Background())
@@ -158,11 +152,11 @@
 	assert.Equal(t, rep.Msg.Outcome.State, v1.OutcomeState_OUTCOME_STATE_RAN)
 }
 
-// A sidecar that leaves is still in the instance list, which lags. Its gate
-// refuses, and no sheet accepted after the word spread starts there.
+// Guards against starting sheets at a draining sidecar that the instance list still
+// holds.
 func TestDrainingSidecarGetsNoNewSheets(t *testing.T) {
 	c := newCluster(t, 1, stages(2), 0)
-	// A long sheet keeps the leaving process alive.
+	// A long sheet keeps the draining process running.
 	streaming := make(chan struct{})
 	go func() {
 		w := &onWrite{remaining: 1, do: func() { close(streaming) }}
@@ -171,7 +165,7 @@
 	<-streaming
 	draining := c.stageSidecar("hold", 0)
 	draining.signal(syscall.SIGTERM)
-	c.eventually("leaving is known", func() bool {
+	c.eventually("entry knows that the sidecar is draining", func() bool {
 		rep, err := c.client(0).Operators.GetStatus(context.Background(), connect.NewRequest(&v1.GetStatusRequest{}))
 		if err != nil {
 			return false
@@ -195,8 +189,8 @@
 	}
 }
 
-// Two operators change the same template on the same revision. One wins, the
-// other gets a conflict that shows the winner's change.
+// Guards against losing a change when two operators change the same template revision:
+// one must succeed and the other must get a conflict.
 func TestConcurrentTemplateChangesConflict(t *testing.T) {
 	c := newCluster(t, 2, nil, 1)
 	results := make([]error, 2)
@@ -224,9 +218,9 @@
 	assert.Equal(t, succeeded, 1)
 }
 
-// An operator's change is accepted though the answers of the service are lost,
-// and is in force everywhere; a frozen entry is named as missing, and once
-// thawed it never serves by the old template.
+// Guards against a template change that fails because store responses are lost, or
+// that a frozen entry ignores after it resumes. While frozen, the entry must be
+// reported as missing.
 func TestTemplateChangeWithFrozenEntry(t *testing.T) {
 	c := newCluster(t, 2, nil, 1)
 	c.setStoreFaults(standin.KVFaults{LoseAnswers: 2})
@@ -249,7 +243,7 @@
 	assert.DeepEqual(t, second.Msg.Missing, []string{c.entries[1].name})
 
 	c.entries[1].signal(syscall.SIGCONT)
-	c.eventually("refusal by the thawed entry", func() bool {
+	c.eventually("resumed entry refuses the notice", func() bool {
 		res, err := ctl.NewClient("http://"+c.entries[1].http).Submit(context.Background(), notice(newID()), io.Discard)
 		if err == nil {
 			assert.Check(t, res.Outcome.State == v1.OutcomeState_OUTCOME_STATE_NOT_RUN, "served by the old template: %v", res.Outcome)
@@ -259,8 +253,8 @@
 	})
 }
 
-// An entry starts while the key-value service is out. It takes the templates
-// from its peers and serves.
+// Guards against an entry that cannot start during an outage of the key-value service:
+// it must get the templates from its peers.
 func TestEntryStartsDuringOutage(t *testing.T) {
 	c := newCluster(t, 1, stages(1), 0)
 	c.setStoreFaults(standin.KVFaults{Outage: true})
