--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -30,31 +30,31 @@
 )
 
 const (
-	layers      = 9
-	perEngine   = 3
-	copies      = 3
-	prompt      = "check the basin before the shift "
-	settleTime  = 90 * time.Second // after the last failure, longer than any deadline
-	tokensWant  = 40
-	promptParts = 6
+	layers          = 9
+	layersPerEngine = 3
+	replicas        = 3
+	prompt          = "check the basin before the shift "
+	settleTime      = 90 * time.Second // after the last failure, longer than any deadline
+	maxTokens       = 40
+	promptParts     = 6
 )
 
 // told is what one caller was told of one submission.
-type told struct {
-	key     model.RequestKey
-	service string
-	once    bool
-	outcome model.Outcome
-	answer  []byte
-	entry   string
+type callerResult struct {
+	key           model.RequestKey
+	service       string
+	notRepeatable bool
+	outcome       model.Outcome
+	answer        []byte
+	entry         string
 }
 
 // record collects what callers were told.
-type record struct {
-	mu   sync.Mutex
-	all  []told
-	lost int // callers whose entry died with no answer
-	none int // submissions refused before acceptance
+type resultLog struct {
+	mu           sync.Mutex
+	all          []callerResult
+	disconnected int // callers whose entry died with no answer
+	rejected     int // submissions refused before acceptance
 }
 
 // Entries and sidecars are killed, frozen, cut off and replaced at random while
@@ -80,15 +80,15 @@
 	defer stop()
 	w := newWorld(ctx, t, seed)
 	time.Sleep(2*world.Heartbeat + gate.MinIncarnationLead)
-	rec := &record{}
+	rec := &resultLog{}
 	var callers sync.WaitGroup
 	end := time.Now().Add(*durationFlag)
 	var failures sync.WaitGroup
-	failures.Go(func() { chaos(w, rand.New(rand.NewPCG(seed, 3)), end) })
+	failures.Go(func() { injectFailures(w, rand.New(rand.NewPCG(seed, 3)), end) })
 	for n := 0; time.Now().Before(end); n++ {
 		time.Sleep(time.Duration(rnd.IntN(100)) * time.Millisecond)
-		kind, at, pause, hurry := rnd.IntN(4), rnd.IntN(3), resendPause(rnd), rnd.IntN(2) == 0
-		callers.Go(func() { call(w, rec, n, kind, at, pause, hurry) })
+		kind, at, pause, shortTimeout := rnd.IntN(4), rnd.IntN(3), resendPause(rnd), rnd.IntN(2) == 0
+		callers.Go(func() { call(w, rec, n, kind, at, pause, shortTimeout) })
 	}
 	failures.Wait()
 	callers.Wait()
@@ -108,16 +108,16 @@
 		Entries: []string{"a", "b", "c"},
 		Link:    func(_, _ string) world.Link { return world.Link{Delay: time.Millisecond} },
 	}
-	for i := 0; i < copies*layers/perEngine; i++ {
-		from := i % (layers / perEngine) * perEngine
+	for i := 0; i < replicas*layers/layersPerEngine; i++ {
+		from := i % (layers / layersPerEngine) * layersPerEngine
 		cfg.Engines = append(cfg.Engines, world.EngineSpec{
-			Range:    model.LayerRange{From: from, To: from + perEngine},
+			Range:    model.LayerRange{From: from, To: from + layersPerEngine},
 			StepTime: time.Millisecond,
 			Batch:    64,
 			Sessions: 16,
 		})
 	}
-	for i := 0; i < copies; i++ {
+	for i := 0; i < replicas; i++ {
 		cfg.Plains = append(cfg.Plains, world.PlainSpec{Time: 30 * time.Millisecond, Places: 16})
 	}
 	w, err := world.New(ctx, cfg)
@@ -128,45 +128,45 @@
 // resendPause is how long a caller waits before it sends a notice again: a
 // moment, or long after its own deadline.
 func resendPause(rnd *rand.Rand) time.Duration {
-	const moment, long = 3 * time.Second, 60 * time.Second
+	const short, long = 3 * time.Second, 60 * time.Second
 	if rnd.IntN(2) == 0 {
-		return time.Duration(rnd.Int64N(int64(moment)))
+		return time.Duration(rnd.Int64N(int64(short)))
 	}
 	return time.Duration(rnd.Int64N(int64(long)))
 }
 
 // call is one caller: a sheet, a plain call, or a notice that must not be
 // repeated and is sent twice, through two entries.
-func call(w *world.World, rec *record, n, kind, at int, pause time.Duration, hurry bool) {
-	ask := owner.Submission{Customer: world.Customer, ID: daemon.NewID(), Service: world.Notices, Body: fmt.Appendf(nil, "body %d", n)}
+func call(w *world.World, rec *resultLog, n, kind, at int, pause time.Duration, shortTimeout bool) {
+	submission := owner.Submission{Customer: world.Customer, ID: daemon.NewID(), Service: world.Notices, Body: fmt.Appendf(nil, "body %d", n)}
 	switch kind {
 	case 0, 1:
-		ask.Service = world.Sheets
-		ask.Body = []byte(prompt)
-		ask.MaxTokens = tokensWant
-		submit(w, rec, ask, at)
+		submission.Service = world.Sheets
+		submission.Body = []byte(prompt)
+		submission.MaxTokens = maxTokens
+		submit(w, rec, submission, at)
 	case 2:
-		submit(w, rec, ask, at)
+		submit(w, rec, submission, at)
 	default:
-		ask.NotRepeatable = true
-		if hurry {
-			ask.Timeout = time.Second
+		submission.NotRepeatable = true
+		if shortTimeout {
+			submission.Timeout = time.Second
 		}
 		var both sync.WaitGroup
-		both.Go(func() { submit(w, rec, ask, at) })
+		both.Go(func() { submit(w, rec, submission, at) })
 		time.Sleep(pause)
-		both.Go(func() { submit(w, rec, ask, at+1) })
+		both.Go(func() { submit(w, rec, submission, at+1) })
 		both.Wait()
 	}
 }
 
-func submit(w *world.World, rec *record, ask owner.Submission, at int) {
+func submit(w *world.World, rec *resultLog, submission owner.Submission, at int) {
 	e := w.Entry(at)
-	req, err := e.Owner.Submit(ask)
+	req, err := e.Owner.Submit(submission)
 	if err != nil {
 		rec.mu.Lock()
 		defer rec.mu.Unlock()
-		rec.none++
+		rec.rejected++
 		return
 	}
 	var answer []byte
@@ -175,13 +175,13 @@
 		if err != nil {
 			rec.mu.Lock()
 			defer rec.mu.Unlock()
-			rec.lost++
+			rec.disconnected++
 			return
 		}
 		if outcome.Final() {
 			rec.mu.Lock()
 			defer rec.mu.Unlock()
-			rec.all = append(rec.all, told{req.Key, ask.Service, ask.NotRepeatable, outcome, answer, e.Addr})
+			rec.all = append(rec.all, callerResult{req.Key, submission.Service, submission.NotRepeatable, outcome, answer, e.Addr})
 			return
 		}
 		answer = append(answer, bytes.Join(parts, nil)...)
@@ -190,7 +190,7 @@
 }
 
 // chaos brings failures about until the end, then mends all.
-func chaos(w *world.World, rnd *rand.Rand, end time.Time) {
+func injectFailures(w *world.World, rnd *rand.Rand, end time.Time) {
 	var stops sync.WaitGroup
 	defer stops.Wait()
 	for n := 0; time.Now().Before(end); n++ {
@@ -198,7 +198,7 @@
 		u := w.Sidecars[rnd.IntN(len(w.Sidecars))]
 		other := w.Sidecars[rnd.IntN(len(w.Sidecars))]
 		for both := rnd.IntN(2); both >= 0; both-- {
-			fail(w, &stops, rnd, n, u, other)
+			injectFailure(w, &stops, rnd, n, u, other)
 		}
 	}
 	w.KV.SetFaults(standin.KVFaults{})
@@ -210,7 +210,7 @@
 	}
 }
 
-func fail(w *world.World, stops *sync.WaitGroup, rnd *rand.Rand, n int, u, other *world.Sidecar) {
+func injectFailure(w *world.World, stops *sync.WaitGroup, rnd *rand.Rand, n int, u, other *world.Sidecar) {
 	d := time.Duration(rnd.IntN(8000)) * time.Millisecond
 	e := w.Entry(rnd.IntN(3))
 	switch rnd.IntN(9) {
@@ -250,7 +250,7 @@
 }
 
 // ran is the backends' own count of a request.
-func ran(w *world.World, key model.RequestKey) int64 {
+func executions(w *world.World, key model.RequestKey) int64 {
 	n := int64(0)
 	for _, u := range w.Sidecars {
 		if u.Engine != nil {
@@ -262,12 +262,12 @@
 	return n
 }
 
-func (r *record) check(t *testing.T, w *world.World) {
+func (r *resultLog) check(t *testing.T, w *world.World) {
 	in := bytes.SplitAfter([]byte(prompt), []byte(" "))
-	want := bytes.Join(standin.ReferenceOutput(in[:promptParts], layers, tokensWant), nil)
+	want := bytes.Join(standin.ReferenceOutput(in[:promptParts], layers, maxTokens), nil)
 	counts := map[model.State]int{}
 	for _, c := range r.all {
-		n := ran(w, c.key)
+		n := executions(w, c.key)
 		counts[c.outcome.State]++
 		switch c.outcome.State {
 		case model.Ran:
@@ -281,11 +281,11 @@
 		default:
 			t.Errorf("%v: outcome %q is not final", c.key, c.outcome.State)
 		}
-		if c.once {
+		if c.notRepeatable {
 			assert.Check(t, n <= 1, "%v ran %d times", c.key, n)
 		}
 	}
 	t.Logf("told %d: ran %d, not run %d, cut off %d; entry died %d; refused %d; messages %d; store calls %+v",
-		len(r.all), counts[model.Ran], counts[model.NotRun], counts[model.CutOff], r.lost, r.none, w.Net.Sent(), w.KV.Calls())
+		len(r.all), counts[model.Ran], counts[model.NotRun], counts[model.CutOff], r.disconnected, r.rejected, w.Net.Sent(), w.KV.Calls())
 	assert.Check(t, counts[model.Ran] > len(r.all)/2, "most requests ran")
 }
