--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,5 +1,5 @@
-// Package soak drives the decisions through long randomised schedules of
-// failures and compares what callers were told with what the backends counted.
+// Package soak runs random schedules of failures in virtual time and compares what
+// callers were told with what the backends executed.
 package soak
 
 import (
@@ -24,9 +24,9 @@
 )
 
 var (
-	seedFlag     = flag.Uint64("seed", 0, "first seed of the soak; 0 takes the usual ones")
-	runsFlag     = flag.Int("runs", 3, "how many seeds the soak goes through")
-	durationFlag = flag.Duration("virtual", 2*time.Minute, "virtual time of each run under failure")
+	seedFlag     = flag.Uint64("seed", 0, "first seed; 0 starts at seed 1")
+	runsFlag     = flag.Int("runs", 3, "number of seeds")
+	durationFlag = flag.Duration("virtual", 2*time.Minute, "virtual duration of each run under failures")
 )
 
 const (
@@ -34,12 +34,12 @@
 	layersPerEngine = 3
 	replicas        = 3
 	prompt          = "check the basin before the shift "
-	settleTime      = 90 * time.Second // after the last failure, longer than any deadline
+	settleTime      = 90 * time.Second // longer than any deadline
 	maxTokens       = 40
 	promptParts     = 6
 )
 
-// told is what one caller was told of one submission.
+// callerResult is the result of one submission as its caller got it.
 type callerResult struct {
 	key           model.RequestKey
 	service       string
@@ -49,19 +49,18 @@
 	entry         string
 }
 
-// record collects what callers were told.
+// resultLog collects the results of all submissions.
 type resultLog struct {
 	mu           sync.Mutex
 	all          []callerResult
-	disconnected int // callers whose entry died with no answer
-	rejected     int // submissions refused before acceptance
+	disconnected int // callers whose entry was killed before the outcome
+	rejected     int // submissions rejected before acceptance
 }
 
-// Entries and sidecars are killed, frozen, cut off and replaced at random while
-// the store is out, slow or loses answers, twice and together. Whatever callers
-// were told is true by the backends' own counts: whole answers, "not run" only
-// where nothing ran, at most one run where repeating is forbidden; and every
-// request that kept its entry has one final outcome.
+// Guards against wrong outcomes while entries, sidecars, links and the store fail at
+// random. Answers must be complete, "not run" requests must not have run,
+// non-repeatable requests must run at most once, and each request must have one final
+// outcome unless its entry was killed.
 func TestSoak(t *testing.T) {
 	first := *seedFlag
 	if first == 0 {
@@ -96,11 +95,11 @@
 	rec.check(t, w)
 	stop()
 	w.Close()
-	time.Sleep(settleTime) // let what waits for deadlines end
+	time.Sleep(settleTime) // lets pending deadlines expire
 }
 
-// newWorld lays out three entries, three engines for each range of layers and
-// three plain services.
+// newWorld creates three entries, three engines per range of layers and three plain
+// services.
 func newWorld(ctx context.Context, t *testing.T, seed uint64) *world.World {
 	cfg := world.Config{
 		Seed:    seed,
@@ -125,8 +124,8 @@
 	return w
 }
 
-// resendPause is how long a caller waits before it sends a notice again: a
-// moment, or long after its own deadline.
+// resendPause returns how long a caller waits before it resends a notice: up to 3 s,
+// or up to 60 s, which may exceed its deadline.
 func resendPause(rnd *rand.Rand) time.Duration {
 	const short, long = 3 * time.Second, 60 * time.Second
 	if rnd.IntN(2) == 0 {
@@ -135,8 +134,8 @@
 	return time.Duration(rnd.Int64N(int64(long)))
 }
 
-// call is one caller: a sheet, a plain call, or a notice that must not be
-// repeated and is sent twice, through two entries.
+// call is one caller. It submits a sheet, a plain call, or a non-repeatable notice,
+// which it submits twice, through two entries.
 func call(w *world.World, rec *resultLog, n, kind, at int, pause time.Duration, shortTimeout bool) {
 	submission := owner.Submission{Customer: world.Customer, ID: daemon.NewID(), Service: world.Notices, Body: fmt.Appendf(nil, "body %d", n)}
 	switch kind {
@@ -189,7 +188,7 @@
 	}
 }
 
-// chaos brings failures about until the end, then mends all.
+// injectFailures injects random failures until end, then clears them.
 func injectFailures(w *world.World, rnd *rand.Rand, end time.Time) {
 	var stops sync.WaitGroup
 	defer stops.Wait()
@@ -249,7 +248,8 @@
 	}
 }
 
-// ran is the backends' own count of a request.
+// executions returns the backends' own count of executions of a request: positions at
+// engines, calls at plain services.
 func executions(w *world.World, key model.RequestKey) int64 {
 	n := int64(0)
 	for _, u := range w.Sidecars {
@@ -271,21 +271,21 @@
 		counts[c.outcome.State]++
 		switch c.outcome.State {
 		case model.Ran:
-			assert.Check(t, n > 0, "%v told ran, nothing ran: %+v", c.key, c.outcome)
+			assert.Check(t, n > 0, "%v: outcome is ran but nothing was executed: %+v", c.key, c.outcome)
 			if c.service == world.Sheets {
-				assert.Check(t, bytes.Equal(c.answer, want), "%v: answer is not the whole answer", c.key)
+				assert.Check(t, bytes.Equal(c.answer, want), "%v: answer is incomplete or wrong", c.key)
 			}
 		case model.NotRun:
-			assert.Check(t, n == 0, "%v told not run by %s, ran %d: %+v", c.key, c.entry, n, c.outcome)
+			assert.Check(t, n == 0, "%v: outcome is not run at %s but %d executions were counted: %+v", c.key, c.entry, n, c.outcome)
 		case model.CutOff:
 		default:
 			t.Errorf("%v: outcome %q is not final", c.key, c.outcome.State)
 		}
 		if c.notRepeatable {
-			assert.Check(t, n <= 1, "%v ran %d times", c.key, n)
+			assert.Check(t, n <= 1, "%v: not repeatable but ran %d times", c.key, n)
 		}
 	}
-	t.Logf("told %d: ran %d, not run %d, cut off %d; entry died %d; refused %d; messages %d; store calls %+v",
+	t.Logf("results %d: ran %d, not run %d, cut off %d; entry killed %d; rejected %d; messages %d; store calls %+v",
 		len(r.all), counts[model.Ran], counts[model.NotRun], counts[model.CutOff], r.disconnected, r.rejected, w.Net.Sent(), w.KV.Calls())
-	assert.Check(t, counts[model.Ran] > len(r.all)/2, "most requests ran")
+	assert.Check(t, counts[model.Ran] > len(r.all)/2, "at most half of the requests ran")
 }
