--- a/bench/baseline_test.go
+++ b/bench/baseline_test.go
@@ -12,30 +12,30 @@
 )
 
 // choose picks one of the members that hold the next range.
-type choose func(members []membership.Member) membership.Member
+type pickFunc func(members []membership.Member) membership.Member
 
 // baseline builds a chain range by range with one simple rule.
 type baseline struct {
 	*routing.Router
-	pick choose
+	pick pickFunc
 }
 
-func (b baseline) Chain(ask routing.ChainRequest) ([]routing.Stage, error) {
+func (b baseline) Chain(request routing.ChainRequest) ([]routing.Stage, error) {
 	var chain []routing.Stage
-	all, need := b.Candidates(ask.Service), ask.Layers
-	for at := need.From; at < need.To; {
-		var fit []membership.Member
+	all, layerRange := b.Candidates(request.Service), request.Layers
+	for fromLayer := layerRange.From; fromLayer < layerRange.To; {
+		var matching []membership.Member
 		for _, m := range all {
-			if m.Backend.Range.From == at && m.Backend.Range.To <= need.To && !ask.Avoid[m.Instance.Address] {
-				fit = append(fit, m)
+			if m.Backend.Range.From == fromLayer && m.Backend.Range.To <= layerRange.To && !request.Avoid[m.Instance.Address] {
+				matching = append(matching, m)
 			}
 		}
-		if len(fit) == 0 {
-			return nil, fault.New(fault.NoCapacity, "nobody holds layer %d", at)
+		if len(matching) == 0 {
+			return nil, fault.New(fault.NoCapacity, "nobody holds layer %d", fromLayer)
 		}
-		m := b.pick(fit)
+		m := b.pick(matching)
 		chain = append(chain, routing.Stage{Member: m, Range: m.Backend.Range})
-		at = m.Backend.Range.To
+		fromLayer = m.Backend.Range.To
 	}
 	return chain, nil
 }
@@ -44,7 +44,7 @@
 	return members[rand.IntN(len(members))]
 }
 
-func roundRobin() choose {
+func roundRobin() pickFunc {
 	var n atomic.Int64
 	return func(members []membership.Member) membership.Member {
 		return members[int(n.Add(1))%len(members)]
@@ -65,17 +65,17 @@
 	router func(*membership.Table, routing.Links) owner.Router
 }
 
-func withRule(rule func() choose) func(*membership.Table, routing.Links) owner.Router {
+func withPicker(newPicker func() pickFunc) func(*membership.Table, routing.Links) owner.Router {
 	return func(t *membership.Table, l routing.Links) owner.Router {
-		return baseline{routing.New(t, l, time.Now, nil), rule()}
+		return baseline{routing.New(t, l, time.Now, nil), newPicker()}
 	}
 }
 
 func policies() []policy {
 	return []policy{
-		{"random", withRule(func() choose { return random })},
-		{"round-robin", withRule(roundRobin)},
-		{"two-choices", withRule(func() choose { return twoChoices })},
+		{"random", withPicker(func() pickFunc { return random })},
+		{"round-robin", withPicker(roundRobin)},
+		{"two-choices", withPicker(func() pickFunc { return twoChoices })},
 		{"present", nil},
 	}
 }
--- a/bench/fairness_test.go
+++ b/bench/fairness_test.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	others     = 9
-	othersLoad = 0.4 // of the bound, all together
-	floodLoad  = 2.6
+	otherCustomers     = 9
+	otherCustomersLoad = 0.4 // of the bound, all together
+	floodLoad          = 2.6
 	// onset is how long the flood's first requests, let in while the engines
 	// were empty, keep their places.
-	onset = 5 * time.Second
+	floodWarmUp = 5 * time.Second
 )
 
 // flooded measures what the other customers get while one sends so much.
-func flooded(t *testing.T, flood float64) (others *tally) {
+func measureFlood(t *testing.T, flood float64) (otherCustomers *measurements) {
 	specs := engines()
 	limit := bound(specs) / positions
 	synctest.Test(t, func(t *testing.T) {
@@ -33,26 +33,26 @@
 		w, err := world.New(ctx, world.Config{
 			Seed:      1,
 			Layers:    layers,
-			Entries:   places,
+			Entries:   failureDomains,
 			Engines:   specs,
-			Link:      between,
+			Link:      linkBetween,
 			Customers: names,
 		})
 		assert.NilError(t, err)
-		time.Sleep(settle)
-		from := time.Now().Add(onset)
-		others = newTally(from, from.Add(*measureFlag))
-		noise := newTally(from, others.end)
+		time.Sleep(settleTime)
+		from := time.Now().Add(floodWarmUp)
+		otherCustomers = newMeasurements(from, from.Add(*measureFlag))
+		floodMeasurements := newMeasurements(from, otherCustomers.end)
 		var all sync.WaitGroup
 		for i, name := range names {
 			all.Go(func() {
 				rnd := rand.New(rand.NewPCG(uint64(i), 1))
-				arrivals(w, name, othersLoad*limit/float64(len(names)), rnd, others.end, others)
+				arrivals(w, name, otherCustomersLoad*limit/float64(len(names)), rnd, otherCustomers.end, otherCustomers)
 			})
 		}
 		if flood > 0 {
 			all.Go(func() {
-				arrivals(w, world.Customer, flood*limit, rand.New(rand.NewPCG(99, 1)), others.end, noise)
+				arrivals(w, world.Customer, flood*limit, rand.New(rand.NewPCG(99, 1)), otherCustomers.end, floodMeasurements)
 			})
 		}
 		all.Wait()
@@ -60,12 +60,12 @@
 		w.Close()
 		time.Sleep(time.Minute)
 	})
-	return others
+	return otherCustomers
 }
 
 func customers() []string {
 	var out []string
-	for i := 0; i < others; i++ {
+	for i := 0; i < otherCustomers; i++ {
 		out = append(out, fmt.Sprint("small-", i))
 	}
 	return out
@@ -76,16 +76,16 @@
 // once its onset is over. The goal is a twentieth; CI counts some 180 requests only,
 // and so asserts a tenth.
 func TestFlood(t *testing.T) {
-	var quiet, flood *tally
+	var quiet, flood *measurements
 	t.Run("runs", func(t *testing.T) {
-		t.Run("quiet", func(t *testing.T) { t.Parallel(); quiet = flooded(t, 0) })
-		t.Run("flood", func(t *testing.T) { t.Parallel(); flood = flooded(t, floodLoad) })
+		t.Run("quiet", func(t *testing.T) { t.Parallel(); quiet = measureFlood(t, 0) })
+		t.Run("flood", func(t *testing.T) { t.Parallel(); flood = measureFlood(t, floodLoad) })
 	})
-	for name, got := range map[string]*tally{"quiet": quiet, "flood": flood} {
+	for name, got := range map[string]*measurements{"quiet": quiet, "flood": flood} {
 		t.Logf("%s: others got %d tokens; first token p95 %.0f ms; between p95 %.0f ms; %v",
-			name, got.tokens, ms(got.first, 95), ms(got.between, 95), got.outcomes)
+			name, got.tokens, ms(got.first, 95), ms(got.interTokenDelay, 95), got.outcomes)
 	}
-	kept := float64(flood.outcomes["ran"]) / float64(quiet.outcomes["ran"])
-	t.Logf("others kept %.3f of their goodput", kept)
-	assert.Assert(t, kept > 0.9)
+	goodputRatio := float64(flood.outcomes["ran"]) / float64(quiet.outcomes["ran"])
+	t.Logf("others kept %.3f of their goodput", goodputRatio)
+	assert.Assert(t, goodputRatio > 0.9)
 }
--- a/bench/fleet_test.go
+++ b/bench/fleet_test.go
@@ -21,9 +21,9 @@
 )
 
 // The four places. The fourth is far: its links are a hundred times slower.
-var places = []string{"hala-luka", "hala-solin", "hala-kastela", "daleko"}
+var failureDomains = []string{"hala-luka", "hala-solin", "hala-kastela", "daleko"}
 
-func between(from, to string) world.Link {
+func linkBetween(from, to string) world.Link {
 	far := from == "daleko" || to == "daleko"
 	switch {
 	case from == to:
@@ -42,9 +42,9 @@
 	var out []world.EngineSpec
 	for i := 0; i < 33; i++ {
 		rng := ranges[i%3]
-		place := places[(i*i/3+i%3)%4]
+		domain := failureDomains[(i*i/3+i%3)%4]
 		out = append(out, world.EngineSpec{
-			Domain:   place,
+			Domain:   domain,
 			Range:    rng,
 			StepTime: speeds[(i/3+i%5)%3],
 			Batch:    batch,
@@ -61,6 +61,6 @@
 		rate := float64(s.Batch) / (s.StepTime.Seconds() * float64(s.Range.Len()))
 		groups = append(groups, flow.Group{Domain: s.Domain, Range: s.Range, Rate: rate})
 	}
-	rate := func(a, b string) float64 { return between(a, b).Rate }
+	rate := func(a, b string) float64 { return linkBetween(a, b).Rate }
 	return flow.Solve(groups, layers, rate, flow.FinePrecision).UpperBound
 }
--- a/bench/ledger_test.go
+++ b/bench/ledger_test.go
@@ -19,15 +19,15 @@
 
 // ledgerCost records notices at a rate, each shard at one of four entries, with
 // a store that answers in five milliseconds.
-func ledgerCost(t *testing.T, perSecond float64) (swaps, gets float64, latency *hdrhistogram.Histogram) {
+func ledgerCost(t *testing.T, requestsPerSecond float64) (swaps, gets float64, latency *hdrhistogram.Histogram) {
 	const entries, seconds, budget = 4, 10, 50
 	latency = hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 	synctest.Test(t, func(t *testing.T) {
 		kv := standin.NewKV()
 		kv.SetFaults(standin.KVFaults{Delay: 5 * time.Millisecond})
-		var actors []*ledger.Ledger
+		var ledgers []*ledger.Ledger
 		for i := 0; i < entries; i++ {
-			actors = append(actors, ledger.New(kv, time.Now, rate.NewLimiter(budget, 5)))
+			ledgers = append(ledgers, ledger.New(kv, time.Now, rate.NewLimiter(budget, 5)))
 		}
 		rnd := rand.New(rand.NewPCG(1, 1))
 		end := time.Now().Add(seconds * time.Second)
@@ -35,13 +35,13 @@
 		var mu sync.Mutex
 		n := 0
 		for time.Now().Before(end) {
-			time.Sleep(time.Duration(rnd.ExpFloat64() / perSecond * float64(time.Second)))
+			time.Sleep(time.Duration(rnd.ExpFloat64() / requestsPerSecond * float64(time.Second)))
 			n++
 			all.Go(func() {
 				id := daemon.NewID()
 				key := "c/" + id
 				began := time.Now()
-				_, err := actors[ledger.ShardOf(key)%entries].Record(context.Background(), ledger.Intent{Key: key, Grant: id}, id)
+				_, err := ledgers[ledger.ShardOf(key)%entries].Record(context.Background(), ledger.Intent{Key: key, Grant: id}, id)
 				assert.Check(t, err)
 				mu.Lock()
 				defer mu.Unlock()
@@ -59,10 +59,10 @@
 // the key-value service and in time. One write for each key is the baseline: one
 // call and one round trip of five milliseconds, at any rate.
 func TestLedgerCost(t *testing.T) {
-	for _, perSecond := range []float64{10, 100, 800} {
-		swaps, gets, latency := ledgerCost(t, perSecond)
+	for _, requestsPerSecond := range []float64{10, 100, 800} {
+		swaps, gets, latency := ledgerCost(t, requestsPerSecond)
 		t.Logf("%4.0f notices/s: %.3f writes and %.3f reads a notice (%.0f writes/s); added p50 %.0f p95 %.0f ms",
-			perSecond, swaps, gets, swaps*perSecond, ms(latency, 50), ms(latency, 95))
+			requestsPerSecond, swaps, gets, swaps*requestsPerSecond, ms(latency, 50), ms(latency, 95))
 		assert.Assert(t, swaps <= 1.01, "more writes than one for each key")
 	}
 }
--- a/bench/recovery_test.go
+++ b/bench/recovery_test.go
@@ -19,13 +19,13 @@
 )
 
 // blow is one way to lose a stage in the middle of a request.
-type blow struct {
-	name string
-	hit  func(w *world.World, u, next *world.Sidecar)
+type stageFailure struct {
+	name   string
+	inject func(w *world.World, u, next *world.Sidecar)
 }
 
-func blows() []blow {
-	return []blow{
+func stageFailures() []stageFailure {
+	return []stageFailure{
 		{"kill", func(w *world.World, u, _ *world.Sidecar) { w.KillSidecar(u) }},
 		{"freeze", func(w *world.World, u, _ *world.Sidecar) { w.Net.Freeze(u.Addr, time.Minute) }},
 		{"cut", func(w *world.World, u, next *world.Sidecar) { w.Net.SetCut(u.Addr, next.Addr, true) }},
@@ -34,28 +34,28 @@
 
 // recovery is one run's figures.
 type recovery struct {
-	gaps    *hdrhistogram.Histogram // the longest wait for a token after the blow
-	fresh   time.Duration           // first token of a request as long as what was done
-	rebuilt int64                   // positions that replacements ran
-	rerun   int64                   // positions that survivors ran a second time
+	gaps       *hdrhistogram.Histogram // the longest wait for a token after the blow
+	firstToken time.Duration           // first token of a request as long as what was done
+	rebuilt    int64                   // positions that replacements ran
+	reexecuted int64                   // positions that survivors ran a second time
 }
 
 const (
-	runs       = 12
-	recoverLen = 40 // tokens of each request
-	hitAt      = 20
+	runs          = 12
+	requestTokens = 40 // tokens of each request
+	failAtToken   = 20
 )
 
 // recoverRuns sends one request after the other over two engines for each range
 // of layers, and strikes a stage of each in the middle.
-func recoverRuns(t *testing.T, b blow, prompt int) recovery {
+func measureRecovery(t *testing.T, b stageFailure, prompt int) recovery {
 	out := recovery{gaps: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		cfg := world.Config{Seed: 1, Layers: layers, Entries: places[:2], Link: between}
+		cfg := world.Config{Seed: 1, Layers: layers, Entries: failureDomains[:2], Link: linkBetween}
 		for i := 0; i < 9; i++ {
 			cfg.Engines = append(cfg.Engines, world.EngineSpec{
-				Domain:       places[i/3],
+				Domain:       failureDomains[i/3],
 				Range:        model.LayerRange{From: i % 3 * 4, To: i%3*4 + 4},
 				StepTime:     2500 * time.Microsecond,
 				PositionTime: 50 * time.Microsecond,
@@ -65,19 +65,19 @@
 		}
 		w, err := world.New(ctx, cfg)
 		assert.NilError(t, err)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		rnd := rand.New(rand.NewPCG(1, 1))
 		for n := 0; n < runs; n++ {
-			out.one(t, w, b, prompt, rnd.IntN(3))
+			out.measureOne(t, w, b, prompt, rnd.IntN(3))
 			time.Sleep(2 * time.Minute) // the struck stage comes back
 			for _, u := range w.Sidecars {
 				for _, v := range w.Sidecars {
 					w.Net.SetCut(u.Addr, v.Addr, false)
 				}
 			}
-			time.Sleep(settle)
+			time.Sleep(settleTime)
 		}
-		out.fresh = firstToken(t, w, prompt+hitAt)
+		out.firstToken = timeToFirstToken(t, w, prompt+failAtToken)
 		stop()
 		w.Close()
 		time.Sleep(2 * time.Minute)
@@ -85,7 +85,7 @@
 	return out
 }
 
-func ask(prompt, tokens int) owner.Submission {
+func newSubmission(prompt, tokens int) owner.Submission {
 	body := bytes.Repeat([]byte("word "), prompt)
 	return owner.Submission{
 		Customer:  world.Customer,
@@ -99,11 +99,11 @@
 
 // one sends a request, strikes a stage at a token, and takes the longest wait
 // for a token after that.
-func (r *recovery) one(t *testing.T, w *world.World, b blow, prompt, place int) {
-	req, err := w.Entry(0).Owner.Submit(ask(prompt, recoverLen))
+func (r *recovery) measureOne(t *testing.T, w *world.World, b stageFailure, prompt, position int) {
+	req, err := w.Entry(0).Owner.Submit(newSubmission(prompt, requestTokens))
 	assert.NilError(t, err)
-	var last time.Time
-	longest := time.Duration(0)
+	var lastToken time.Time
+	maxGap := time.Duration(0)
 	for pos := int64(0); ; {
 		parts, o, err := req.Next(context.Background(), pos)
 		assert.NilError(t, err)
@@ -112,18 +112,18 @@
 			break
 		}
 		pos += int64(len(parts))
-		if !last.IsZero() {
-			longest = max(longest, time.Since(last))
-			last = time.Now()
+		if !lastToken.IsZero() {
+			maxGap = max(maxGap, time.Since(lastToken))
+			lastToken = time.Now()
 		}
-		if last.IsZero() && pos >= hitAt {
+		if lastToken.IsZero() && pos >= failAtToken {
 			chain := chainOf(w, req.Key)
 			assert.Equal(t, len(chain), 3)
-			b.hit(w, chain[place], chain[(place+1)%3])
-			last = time.Now()
+			b.inject(w, chain[position], chain[(position+1)%3])
+			lastToken = time.Now()
 		}
 	}
-	_ = r.gaps.RecordValue(max(longest.Microseconds(), 1))
+	_ = r.gaps.RecordValue(max(maxGap.Microseconds(), 1))
 	r.count(w, req.Key, prompt)
 }
 
@@ -142,26 +142,26 @@
 
 // count compares what the engines ran with what one run of each layer takes.
 func (r *recovery) count(w *world.World, key model.RequestKey, prompt int) {
-	once := int64(prompt + recoverLen - 1)
+	once := int64(prompt + requestTokens - 1)
 	for from := 0; from < layers; from += 4 {
-		total, most := int64(0), int64(0)
+		total, maxPositions := int64(0), int64(0)
 		for _, u := range w.Sidecars {
 			if u.Engine.Range().From != from {
 				continue
 			}
 			n := u.Engine.PositionsRun(key.String() + "#")
 			total += n
-			most = max(most, n)
+			maxPositions = max(maxPositions, n)
 		}
 		r.rebuilt += total - once
-		r.rerun += max(0, most-once)
+		r.reexecuted += max(0, maxPositions-once)
 	}
 }
 
 // firstToken is what starting the chain anew would cost at the same length.
-func firstToken(t *testing.T, w *world.World, prompt int) time.Duration {
+func timeToFirstToken(t *testing.T, w *world.World, prompt int) time.Duration {
 	began := time.Now()
-	req, err := w.Entry(0).Owner.Submit(ask(prompt, 1))
+	req, err := w.Entry(0).Owner.Submit(newSubmission(prompt, 1))
 	assert.NilError(t, err)
 	_, _, err = req.Next(context.Background(), 0)
 	assert.NilError(t, err)
@@ -174,14 +174,14 @@
 // surviving engine ran a position twice.
 func TestRecovery(t *testing.T) {
 	t.Run("runs", func(t *testing.T) {
-		for _, b := range blows() {
+		for _, b := range stageFailures() {
 			for _, prompt := range []int{16, 1024} {
 				t.Run(fmt.Sprintf("%s-%d", b.name, prompt), func(t *testing.T) {
 					t.Parallel()
-					r := recoverRuns(t, b, prompt)
-					assert.Equal(t, r.rerun, int64(0), "survivors ran positions again")
+					r := measureRecovery(t, b, prompt)
+					assert.Equal(t, r.reexecuted, int64(0), "survivors ran positions again")
 					t.Logf("%-6s context %4d: next token p50 %.0f p95 %.0f max %.0f ms; anew %.0f ms; replacements ran %d positions over %d losses",
-						b.name, prompt, ms(r.gaps, 50), ms(r.gaps, 95), ms(r.gaps, 100), float64(r.fresh.Microseconds())/1000, r.rebuilt, runs)
+						b.name, prompt, ms(r.gaps, 50), ms(r.gaps, 95), ms(r.gaps, 100), float64(r.firstToken.Microseconds())/1000, r.rebuilt, runs)
 				})
 			}
 		}
--- a/bench/retry_test.go
+++ b/bench/retry_test.go
@@ -19,23 +19,23 @@
 
 // domainLoss sends calls to a plain service in three failure domains while one
 // of them goes silent, and counts what the service was asked to do.
-func domainLoss(t *testing.T) (sent, executed int, outcomes map[string]int) {
-	const perSecond, seconds, lostAt = 200, 20, 5
+func measureDomainLoss(t *testing.T) (sent, executed int, outcomes map[string]int) {
+	const requestsPerSecond, seconds, failAtSecond = 200, 20, 5
 	outcomes = map[string]int{}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		cfg := world.Config{Seed: 1, Layers: 1, Entries: places[:2], Link: between}
+		cfg := world.Config{Seed: 1, Layers: 1, Entries: failureDomains[:2], Link: linkBetween}
 		for i := 0; i < 6; i++ {
-			cfg.Plains = append(cfg.Plains, world.PlainSpec{Domain: places[i%3], Time: 20 * time.Millisecond, Places: 16})
+			cfg.Plains = append(cfg.Plains, world.PlainSpec{Domain: failureDomains[i%3], Time: 20 * time.Millisecond, Places: 16})
 		}
 		w, err := world.New(ctx, cfg)
 		assert.NilError(t, err)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		rnd := rand.New(rand.NewPCG(1, 1))
 		began := time.Now()
-		time.AfterFunc(lostAt*time.Second, func() {
+		time.AfterFunc(failAtSecond*time.Second, func() {
 			for _, u := range w.Sidecars {
-				if u.Domain == places[0] {
+				if u.Domain == failureDomains[0] {
 					w.Net.Freeze(u.Addr, time.Minute)
 				}
 			}
@@ -43,7 +43,7 @@
 		var all sync.WaitGroup
 		var mu sync.Mutex
 		for time.Since(began) < seconds*time.Second {
-			time.Sleep(time.Duration(rnd.ExpFloat64() / perSecond * float64(time.Second)))
+			time.Sleep(time.Duration(rnd.ExpFloat64() / requestsPerSecond * float64(time.Second)))
 			sent++
 			n := sent
 			all.Go(func() {
@@ -79,7 +79,7 @@
 // what became of the calls and asserts that the service was asked to do no more
 // than a tenth beyond what callers sent.
 func TestDomainLoss(t *testing.T) {
-	sent, executed, outcomes := domainLoss(t)
+	sent, executed, outcomes := measureDomainLoss(t)
 	t.Logf("sent %d, executed %d (%.3f); %v", sent, executed, float64(executed)/float64(sent), outcomes)
 	assert.Assert(t, float64(executed) <= 1.1*float64(sent))
 }
--- a/bench/throughput_test.go
+++ b/bench/throughput_test.go
@@ -32,37 +32,37 @@
 const deadline = 30 * time.Second
 
 // settle lets the parts meet before anything is sent.
-const settle = 2 * world.Heartbeat
+const settleTime = 2 * world.Heartbeat
 
 // tally is what one run counted.
-type tally struct {
-	mu        sync.Mutex
-	tokens    int64 // that came in the counted time
-	first     *hdrhistogram.Histogram
-	between   *hdrhistogram.Histogram
-	outcomes  map[string]int
-	from, end time.Time
+type measurements struct {
+	mu              sync.Mutex
+	tokens          int64 // that came in the counted time
+	first           *hdrhistogram.Histogram
+	interTokenDelay *hdrhistogram.Histogram
+	outcomes        map[string]int
+	from, end       time.Time
 }
 
-func newTally(from, end time.Time) *tally {
-	const most = int64(time.Hour / time.Microsecond)
-	return &tally{
-		first:    hdrhistogram.New(1, most, 3),
-		between:  hdrhistogram.New(1, most, 3),
-		outcomes: map[string]int{},
-		from:     from,
-		end:      end,
+func newMeasurements(from, end time.Time) *measurements {
+	const maxMicroseconds = int64(time.Hour / time.Microsecond)
+	return &measurements{
+		first:           hdrhistogram.New(1, maxMicroseconds, 3),
+		interTokenDelay: hdrhistogram.New(1, maxMicroseconds, 3),
+		outcomes:        map[string]int{},
+		from:            from,
+		end:             end,
 	}
 }
 
-func (t *tally) token(at time.Time, n int, since time.Duration, first bool) {
+func (t *measurements) token(at time.Time, n int, since time.Duration, first bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if at.Before(t.from) || at.After(t.end) {
 		return
 	}
 	t.tokens += int64(n)
-	h := t.between
+	h := t.interTokenDelay
 	if first {
 		h = t.first
 	}
@@ -70,7 +70,7 @@
 }
 
 // outcome counts a request that was sent in the counted time.
-func (t *tally) outcome(began time.Time, o model.Outcome) {
+func (t *measurements) outcome(began time.Time, o model.Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if began.Before(t.from) {
@@ -84,7 +84,7 @@
 }
 
 // sheet is one caller that reads its answer as it comes.
-func sheet(w *world.World, entry int, customer string, t *tally) {
+func sheet(w *world.World, entry int, customer string, t *measurements) {
 	body := bytes.Repeat([]byte("word "), promptParts)
 	began := time.Now()
 	e := w.Entry(entry)
@@ -118,43 +118,43 @@
 }
 
 // arrivals starts callers in open loop, by a Poisson process.
-func arrivals(w *world.World, customer string, perSecond float64, rnd *rand.Rand, end time.Time, t *tally) {
+func arrivals(w *world.World, customer string, requestsPerSecond float64, rnd *rand.Rand, end time.Time, t *measurements) {
 	var callers sync.WaitGroup
 	for n := 0; time.Now().Before(end); n++ {
-		time.Sleep(time.Duration(rnd.ExpFloat64() / perSecond * float64(time.Second)))
-		callers.Go(func() { sheet(w, n%len(places), customer, t) })
+		time.Sleep(time.Duration(rnd.ExpFloat64() / requestsPerSecond * float64(time.Second)))
+		callers.Go(func() { sheet(w, n%len(failureDomains), customer, t) })
 	}
 	callers.Wait()
 }
 
-func measure(t *testing.T, p policy, load float64) (*tally, float64) {
+func measure(t *testing.T, p policy, load float64) (*measurements, float64) {
 	specs := engines()
-	limit := bound(specs)
-	var out *tally
+	maxRate := bound(specs)
+	var out *measurements
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
 		w, err := world.New(ctx, world.Config{
 			Seed:    1,
 			Layers:  layers,
-			Entries: places,
+			Entries: failureDomains,
 			Engines: specs,
-			Link:    between,
+			Link:    linkBetween,
 			Router:  p.router,
 		})
 		assert.NilError(t, err)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		from := time.Now().Add(*warmFlag)
 		if *debugFlag {
-			go debug(t, w, p, from)
+			go logUsage(t, w, p, from)
 		}
-		out = newTally(from, from.Add(*measureFlag))
-		arrivals(w, world.Customer, load*limit/positions, rand.New(rand.NewPCG(1, 1)), out.end, out)
+		out = newMeasurements(from, from.Add(*measureFlag))
+		arrivals(w, world.Customer, load*maxRate/positions, rand.New(rand.NewPCG(1, 1)), out.end, out)
 		stop()
 		w.Close()
 		time.Sleep(time.Minute)
 	})
 	tokens := float64(out.tokens) / measureFlag.Seconds()
-	return out, tokens / (limit * tokensWanted / positions)
+	return out, tokens / (maxRate * tokensWanted / positions)
 }
 
 // The figures of docs/design are taken with
@@ -183,7 +183,7 @@
 				got, r := measure(t, p, load)
 				ratio[i] = r
 				t.Logf("load %.2f %-12s %.3f of the bound; first token p50 %.0f p95 %.0f ms; between p95 %.0f ms; %v",
-					load, p.name, r, ms(got.first, 50), ms(got.first, 95), ms(got.between, 95), got.outcomes)
+					load, p.name, r, ms(got.first, 50), ms(got.first, 95), ms(got.interTokenDelay, 95), got.outcomes)
 			})
 		}
 	})
@@ -202,7 +202,7 @@
 }
 
 // debug prints the use of engine groups and links in the counted time.
-func debug(t *testing.T, w *world.World, p policy, from time.Time) {
+func logUsage(t *testing.T, w *world.World, p policy, from time.Time) {
 	time.Sleep(time.Until(from))
 	runs := func() []int64 {
 		var out []int64
@@ -224,7 +224,7 @@
 		t.Logf("%s: %-24s %6.0f of %6.0f positions/s", p.name, k, used[k], rate[k])
 	}
 	for k, n := range links2 {
-		if r := between(k[0], k[1]).Rate; n > 0 {
+		if r := linkBetween(k[0], k[1]).Rate; n > 0 {
 			t.Logf("%s: %-24s %6.0f of %6.0f positions/s", p.name, k[0]+">"+k[1], float64(n-links[k])/measureFlag.Seconds(), r)
 		}
 	}
--- a/bench/transport_test.go
+++ b/bench/transport_test.go
@@ -17,7 +17,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/transport/link"
 )
 
-func newStamp(self string) *link.Metadata {
+func newMetadata(self string) *link.Metadata {
 	return &link.Metadata{
 		Clock:               hlc.New(time.Now),
 		Revision:            func() int64 { return 1 },
@@ -26,7 +26,7 @@
 	}
 }
 
-func oneForward() wire.Forward {
+func newForward() wire.Forward {
 	key := wire.RunKey{RequestKey: model.RequestKey{Customer: "skola-manus", ID: "01M8VY6QR820EVP4AZJGZMYMWQ"}, Run: "01M8VY6QR820EVP4AZJGZMYMWR"}
 	return wire.Forward{Key: key, Epoch: 1, Position: 100, Data: [][]byte{make([]byte, 8)}}
 }
@@ -37,24 +37,24 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
 	ctx, stop := context.WithCancel(context.Background())
-	got := make(chan struct{}, 1024)
-	srv := link.NewServer(newStamp(l.Addr().String()))
+	received := make(chan struct{}, 1024)
+	srv := link.NewServer(newMetadata(l.Addr().String()))
 	srv.Register("bench.forward", link.Handle(func(context.Context, string, wire.Forward) (struct{}, error) {
-		got <- struct{}{}
+		received <- struct{}{}
 		return struct{}{}, nil
 	}))
 	done := make(chan error, 1)
 	go func() { done <- srv.Serve(ctx, l) }()
-	pool := link.NewPool(newStamp("me"))
+	pool := link.NewPool(newMetadata("me"))
 	b.Cleanup(func() { pool.Close(); stop(); <-done })
-	msg := oneForward()
+	msg := newForward()
 	go func() {
 		for i := 0; i < b.N; i++ {
 			_ = pool.Notify(ctx, l.Addr().String(), "bench.forward", msg)
 		}
 	}()
 	for i := 0; i < b.N; i++ {
-		<-got
+		<-received
 	}
 }
 
@@ -62,12 +62,12 @@
 // a message of the platform's protocol that holds as much.
 func BenchmarkForwardByStream(b *testing.B) {
 	const path = "/bench/Forward"
-	got := make(chan struct{}, 1024)
+	received := make(chan struct{}, 1024)
 	mux := http.NewServeMux()
 	mux.Handle(path, connect.NewClientStreamHandler(path,
 		func(_ context.Context, s *connect.ClientStream[platformv1.StepRequest]) (*connect.Response[platformv1.StepResponse], error) {
 			for s.Receive() {
-				got <- struct{}{}
+				received <- struct{}{}
 			}
 			return connect.NewResponse(&platformv1.StepResponse{}), s.Err()
 		}))
@@ -78,7 +78,7 @@
 	b.Cleanup(func() { _ = srv.Close() })
 	c := connect.NewClient[platformv1.StepRequest, platformv1.StepResponse](http.DefaultClient, "http://"+l.Addr().String()+path)
 	stream := c.CallClientStream(context.Background())
-	f := oneForward()
+	f := newForward()
 	msg := &platformv1.StepRequest{Session: f.Key.String(), Position: f.Position, Fence: f.Epoch, Inputs: f.Data}
 	go func() {
 		for i := 0; i < b.N; i++ {
@@ -86,7 +86,7 @@
 		}
 	}()
 	for i := 0; i < b.N; i++ {
-		<-got
+		<-received
 	}
 	_, _ = stream.CloseAndReceive()
 }
