--- a/bench/baseline_test.go
+++ b/bench/baseline_test.go
@@ -11,10 +11,10 @@
 	"github.com/skylarkwood/skylarkwood/internal/protocol/owner"
 )
 
-// choose picks one of the members that hold the next range.
+// pickFunc returns one of the members that hold the next layer range.
 type pickFunc func(members []membership.Member) membership.Member
 
-// baseline builds a chain range by range with one simple rule.
+// baseline builds a chain range by range, with one pickFunc for every stage.
 type baseline struct {
 	*routing.Router
 	pick pickFunc
@@ -31,7 +31,7 @@
 			}
 		}
 		if len(matching) == 0 {
-			return nil, fault.New(fault.NoCapacity, "nobody holds layer %d", fromLayer)
+			return nil, fault.New(fault.NoCapacity, "no engine holds a range that starts at layer %d", fromLayer)
 		}
 		m := b.pick(matching)
 		chain = append(chain, routing.Stage{Member: m, Range: m.Backend.Range})
@@ -59,7 +59,7 @@
 	return a
 }
 
-// policy is one way of choosing chains; router nil is the product's own.
+// policy is a way to choose chains. A nil router selects the production router.
 type policy struct {
 	name   string
 	router func(*membership.Table, routing.Links) owner.Router
