--- a/bench/fairness_test.go
+++ b/bench/fairness_test.go
@@ -16,14 +16,15 @@
 
 const (
 	otherCustomers     = 9
-	otherCustomersLoad = 0.4 // of the bound, all together
+	otherCustomersLoad = 0.4 // as a fraction of the bound, for all together
 	floodLoad          = 2.6
-	// onset is how long the flood's first requests, let in while the engines
-	// were empty, keep their places.
+	// floodWarmUp is how long the flood's first requests, which were admitted while
+	// the engines were idle, still run.
 	floodWarmUp = 5 * time.Second
 )
 
-// flooded measures what the other customers get while one sends so much.
+// measureFlood returns what the other customers get while one customer sends flood
+// times the bound.
 func measureFlood(t *testing.T, flood float64) (otherCustomers *measurements) {
 	specs := engines()
 	limit := bound(specs) / positions
@@ -71,10 +72,9 @@
 	return out
 }
 
-// TestFlood: one customer sends 2.6 times what the engines can carry; nine
-// others send 0.4 times it together. It prints what the flood costs the others
-// once its onset is over. The goal is a twentieth; CI counts some 180 requests only,
-// and so asserts a tenth.
+// TestFlood checks that a customer who sends 2.6 times the bound costs the other
+// customers, who send 0.4 times the bound together, less than a tenth of their goodput
+// once the warm-up is over.
 func TestFlood(t *testing.T) {
 	var quiet, flood *measurements
 	t.Run("runs", func(t *testing.T) {
@@ -82,10 +82,10 @@
 		t.Run("flood", func(t *testing.T) { t.Parallel(); flood = measureFlood(t, floodLoad) })
 	})
 	for name, got := range map[string]*measurements{"quiet": quiet, "flood": flood} {
-		t.Logf("%s: others got %d tokens; first token p95 %.0f ms; between p95 %.0f ms; %v",
+		t.Logf("%s: other customers got %d tokens; first token p95 %.0f ms; between tokens p95 %.0f ms; %v",
 			name, got.tokens, ms(got.first, 95), ms(got.interTokenDelay, 95), got.outcomes)
 	}
 	goodputRatio := float64(flood.outcomes["ran"]) / float64(quiet.outcomes["ran"])
-	t.Logf("others kept %.3f of their goodput", goodputRatio)
+	t.Logf("other customers kept %.3f of their goodput", goodputRatio)
 	assert.Assert(t, goodputRatio > 0.9)
 }
