--- a/bench/fleet_test.go
+++ b/bench/fleet_test.go
@@ -1,6 +1,6 @@
-// Package bench holds repeatable experiments on the decisions: the present
-// policy beside baselines and the bound, in one run and in virtual time, so that
-// the figures do not depend on how busy the machine is.
+// Package bench holds repeatable experiments that compare the production policy with
+// baselines and an upper bound. They run in virtual time, so that the results do not
+// depend on the machine's load.
 package bench
 
 import (
@@ -15,12 +15,12 @@
 	layers       = 12
 	promptParts  = 16
 	tokensWanted = 24
-	positions    = promptParts + tokensWanted - 1 // a request's positions
+	positions    = promptParts + tokensWanted - 1 // positions per request
 	sessions     = 256
 	batch        = 16
 )
 
-// The four places. The fourth is far: its links are a hundred times slower.
+// The links of the last failure domain are a hundred times slower.
 var failureDomains = []string{"hala-luka", "hala-solin", "hala-kastela", "daleko"}
 
 func linkBetween(from, to string) world.Link {
@@ -34,8 +34,8 @@
 	return world.Link{Delay: 300 * time.Microsecond, Rate: 6_000}
 }
 
-// engines lays out 33 engines of three speeds over the places. Ranges and
-// speeds are spread unevenly, so that no place holds a balanced model.
+// engines returns 33 engines of three speeds over all failure domains. Layer ranges
+// and speeds are spread unevenly, so that no failure domain holds a balanced model.
 func engines() []world.EngineSpec {
 	speeds := []time.Duration{2500 * time.Microsecond, 5 * time.Millisecond, 10 * time.Millisecond}
 	ranges := []model.LayerRange{{From: 0, To: 4}, {From: 4, To: 8}, {From: 8, To: 12}}
@@ -54,7 +54,8 @@
 	return out
 }
 
-// bound is the most positions a second that engines and links can carry.
+// bound returns an upper bound on the positions per second that engines and links can
+// process.
 func bound(specs []world.EngineSpec) float64 {
 	var groups []flow.Group
 	for _, s := range specs {
