--- a/bench/ledger_test.go
+++ b/bench/ledger_test.go
@@ -17,8 +17,9 @@
 	"github.com/skylarkwood/skylarkwood/internal/standin"
 )
 
-// ledgerCost records notices at a rate, each shard at one of four entries, with
-// a store that answers in five milliseconds.
+// ledgerCost records notices at a rate, spreads the ledger's shards over four entries,
+// and uses a store with a latency of 5 ms. It returns writes and reads per notice, and
+// the added latency in microseconds.
 func ledgerCost(t *testing.T, requestsPerSecond float64) (swaps, gets float64, latency *hdrhistogram.Histogram) {
 	const entries, seconds, budget = 4, 10, 50
 	latency = hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
@@ -55,14 +56,13 @@
 	return swaps, gets, latency
 }
 
-// TestLedgerCost prints what a request that is not repeatable costs in calls to
-// the key-value service and in time. One write for each key is the baseline: one
-// call and one round trip of five milliseconds, at any rate.
+// TestLedgerCost prints what a non-repeatable request costs in calls to the key-value
+// service and in time. The baseline is one write of 5 ms per request.
 func TestLedgerCost(t *testing.T) {
 	for _, requestsPerSecond := range []float64{10, 100, 800} {
 		swaps, gets, latency := ledgerCost(t, requestsPerSecond)
-		t.Logf("%4.0f notices/s: %.3f writes and %.3f reads a notice (%.0f writes/s); added p50 %.0f p95 %.0f ms",
+		t.Logf("%4.0f notices/s: %.3f writes and %.3f reads per notice (%.0f writes/s); added latency p50 %.0f p95 %.0f ms",
 			requestsPerSecond, swaps, gets, swaps*requestsPerSecond, ms(latency, 50), ms(latency, 95))
-		assert.Assert(t, swaps <= 1.01, "more writes than one for each key")
+		assert.Assert(t, swaps <= 1.01, "more than one write per key")
 	}
 }
