--- a/bench/recovery_test.go
+++ b/bench/recovery_test.go
@@ -18,7 +18,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/standin/world"
 )
 
-// blow is one way to lose a stage in the middle of a request.
+// stageFailure is a way to lose a stage during a request.
 type stageFailure struct {
 	name   string
 	inject func(w *world.World, u, next *world.Sidecar)
@@ -32,22 +32,22 @@
 	}
 }
 
-// recovery is one run's figures.
+// recovery holds the results of one run.
 type recovery struct {
-	gaps       *hdrhistogram.Histogram // the longest wait for a token after the blow
-	firstToken time.Duration           // first token of a request as long as what was done
-	rebuilt    int64                   // positions that replacements ran
-	reexecuted int64                   // positions that survivors ran a second time
+	gaps       *hdrhistogram.Histogram // longest wait for a token after the failure, us
+	firstToken time.Duration           // time to first token of a request of the same length
+	rebuilt    int64                   // positions run by replacement engines
+	reexecuted int64                   // positions run twice by surviving engines
 }
 
 const (
 	runs          = 12
-	requestTokens = 40 // tokens of each request
+	requestTokens = 40 // tokens per request
 	failAtToken   = 20
 )
 
-// recoverRuns sends one request after the other over two engines for each range
-// of layers, and strikes a stage of each in the middle.
+// measureRecovery sends requests one after the other, with two engines per layer
+// range, and fails a random stage during each.
 func measureRecovery(t *testing.T, b stageFailure, prompt int) recovery {
 	out := recovery{gaps: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)}
 	synctest.Test(t, func(t *testing.T) {
@@ -69,7 +69,7 @@
 		rnd := rand.New(rand.NewPCG(1, 1))
 		for n := 0; n < runs; n++ {
 			out.measureOne(t, w, b, prompt, rnd.IntN(3))
-			time.Sleep(2 * time.Minute) // the struck stage comes back
+			time.Sleep(2 * time.Minute) // the failed stage recovers
 			for _, u := range w.Sidecars {
 				for _, v := range w.Sidecars {
 					w.Net.SetCut(u.Addr, v.Addr, false)
@@ -97,8 +97,8 @@
 	}
 }
 
-// one sends a request, strikes a stage at a token, and takes the longest wait
-// for a token after that.
+// measureOne sends a request, fails a stage after failAtToken tokens, and records the
+// longest wait for a token after that.
 func (r *recovery) measureOne(t *testing.T, w *world.World, b stageFailure, prompt, position int) {
 	req, err := w.Entry(0).Owner.Submit(newSubmission(prompt, requestTokens))
 	assert.NilError(t, err)
@@ -127,7 +127,7 @@
 	r.count(w, req.Key, prompt)
 }
 
-// chainOf finds the sidecars that have run a request, in layer order.
+// chainOf returns the sidecars that ran a request, in layer order.
 func chainOf(w *world.World, key model.RequestKey) []*world.Sidecar {
 	chain := make([]*world.Sidecar, 0, 3)
 	for from := 0; from < layers; from += 4 {
@@ -140,7 +140,7 @@
 	return chain
 }
 
-// count compares what the engines ran with what one run of each layer takes.
+// count adds the positions that the engines ran beyond one run of each layer.
 func (r *recovery) count(w *world.World, key model.RequestKey, prompt int) {
 	once := int64(prompt + requestTokens - 1)
 	for from := 0; from < layers; from += 4 {
@@ -158,7 +158,8 @@
 	}
 }
 
-// firstToken is what starting the chain anew would cost at the same length.
+// timeToFirstToken returns the time to the first token of a new request with a prompt
+// of the given length.
 func timeToFirstToken(t *testing.T, w *world.World, prompt int) time.Duration {
 	began := time.Now()
 	req, err := w.Entry(0).Owner.Submit(newSubmission(prompt, 1))
@@ -168,10 +169,9 @@
 	return time.Since(began)
 }
 
-// TestRecovery prints the time from the loss of a stage to the next token, for
-// short and long contexts, beside the first token of a request of the same
-// length: a chain started anew, which runs every layer again. It asserts that no
-// surviving engine ran a position twice.
+// TestRecovery prints the time from the loss of a stage to the next token, for short
+// and long contexts, beside the time to the first token of a new request of the same
+// length. It checks that no surviving engine ran a position twice.
 func TestRecovery(t *testing.T) {
 	t.Run("runs", func(t *testing.T) {
 		for _, b := range stageFailures() {
@@ -179,8 +179,8 @@
 				t.Run(fmt.Sprintf("%s-%d", b.name, prompt), func(t *testing.T) {
 					t.Parallel()
 					r := measureRecovery(t, b, prompt)
-					assert.Equal(t, r.reexecuted, int64(0), "survivors ran positions again")
-					t.Logf("%-6s context %4d: next token p50 %.0f p95 %.0f max %.0f ms; anew %.0f ms; replacements ran %d positions over %d losses",
+					assert.Equal(t, r.reexecuted, int64(0), "surviving engines ran positions twice")
+					t.Logf("%-6s context %4d: next token p50 %.0f p95 %.0f max %.0f ms; new request %.0f ms; replacements ran %d positions over %d failures",
 						b.name, prompt, ms(r.gaps, 50), ms(r.gaps, 95), ms(r.gaps, 100), float64(r.firstToken.Microseconds())/1000, r.rebuilt, runs)
 				})
 			}
