--- a/bench/transport_test.go
+++ b/bench/transport_test.go
@@ -31,8 +31,8 @@
 	return wire.Forward{Key: key, Epoch: 1, Position: 100, Data: [][]byte{make([]byte, 8)}}
 }
 
-// BenchmarkForwardByLink is one position from stage to stage as a jsonrpc2
-// notification: both ends, processor time of the two together.
+// BenchmarkForwardByLink measures one position sent between stages as a jsonrpc2
+// notification, with both ends in this process.
 func BenchmarkForwardByLink(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
@@ -58,8 +58,7 @@
 	}
 }
 
-// BenchmarkForwardByStream is the same as a message of a Connect stream, with
-// a message of the platform's protocol that holds as much.
+// BenchmarkForwardByStream measures a message of the same content on a Connect stream.
 func BenchmarkForwardByStream(b *testing.B) {
 	const path = "/bench/Forward"
 	received := make(chan struct{}, 1024)
