--- a/test/faultsoak/promise_test.go
+++ b/test/faultsoak/promise_test.go
@@ -23,8 +23,7 @@
 	response
 }
 
-// resultCounts counts requests by result. Only allowed results are counted beside
-// requests.
+// resultCounts counts requests, in total and by each result that is allowed.
 type resultCounts struct {
 	requests, served, refused, truncated int
 	killed                               int // no response because the process was killed
@@ -65,7 +64,7 @@
 // server gets a response on its connection, unless the router's process was killed. A
 // connection that was idle for less than four fifths of the idle limit is open, unless
 // the router was stopped or paused. Failures of backend servers, the store and links
-// are no excuse, since the router can refuse.
+// are no exception, since the router can refuse requests.
 func (s *site) checkResponse(q sentRequest, n *resultCounts) {
 	arrived := s.fleet.Arrivals(q.attempt)
 	switch {
