--- a/bench/throughput_test.go
+++ b/bench/throughput_test.go
@@ -22,55 +22,56 @@
 )
 
 var (
-	warmFlag    = flag.Duration("warm", time.Second, "virtual time before counting")
-	measureFlag = flag.Duration("measure", 3*time.Second, "virtual time counted")
-	debugFlag   = flag.Bool("debug", false, "print how much each engine group and link was used")
-	loadsFlag   = flag.String("loads", "0.5", "offered loads as parts of the bound")
+	warmFlag    = flag.Duration("warm", time.Second, "virtual time before the measurement")
+	measureFlag = flag.Duration("measure", 3*time.Second, "virtual time of the measurement")
+	debugFlag   = flag.Bool("debug", false, "print the usage of each engine group and link")
+	loadsFlag   = flag.String("loads", "0.5", "offered loads as fractions of the bound, separated by spaces")
 )
 
-// deadline is far above a request's time without load.
+// deadline is far above the time that a request takes without load.
 const deadline = 30 * time.Second
 
-// settle lets the parts meet before anything is sent.
-const settle = 2 * world.Heartbeat
-
-// tally is what one run counted.
-type tally struct {
-	mu        sync.Mutex
-	tokens    int64 // that came in the counted time
-	first     *hdrhistogram.Histogram
-	between   *hdrhistogram.Histogram
-	outcomes  map[string]int
-	from, end time.Time
+// settleTime lets all instances discover each other.
+const settleTime = 2 * world.Heartbeat
+
+// measurements holds what one run measured between from and end. Histograms are in
+// microseconds.
+type measurements struct {
+	mu              sync.Mutex
+	tokens          int64 // delivered between from and end
+	first           *hdrhistogram.Histogram
+	interTokenDelay *hdrhistogram.Histogram
+	outcomes        map[string]int
+	from, end       time.Time
 }
 
-func newTally(from, end time.Time) *tally {
-	const most = int64(time.Hour / time.Microsecond)
-	return &tally{
-		first:    hdrhistogram.New(1, most, 3),
-		between:  hdrhistogram.New(1, most, 3),
-		outcomes: map[string]int{},
-		from:     from,
-		end:      end,
+func newMeasurements(from, end time.Time) *measurements {
+	const maxMicroseconds = int64(time.Hour / time.Microsecond)
+	return &measurements{
+		first:           hdrhistogram.New(1, maxMicroseconds, 3),
+		interTokenDelay: hdrhistogram.New(1, maxMicroseconds, 3),
+		outcomes:        map[string]int{},
+		from:            from,
+		end:             end,
 	}
 }
 
-func (t *tally) token(at time.Time, n int, since time.Duration, first bool) {
+func (t *measurements) token(at time.Time, n int, since time.Duration, first bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if at.Before(t.from) || at.After(t.end) {
 		return
 	}
 	t.tokens += int64(n)
-	h := t.between
+	h := t.interTokenDelay
 	if first {
 		h = t.first
 	}
 	_ = h.RecordValue(max(since.Microseconds()/int64(n), 1))
 }
 
-// outcome counts a request that was sent in the counted time.
-func (t *tally) outcome(began time.Time, o model.Outcome) {
+// outcome counts a request that was sent at or after from.
+func (t *measurements) outcome(began time.Time, o model.Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if began.Before(t.from) {
@@ -83,8 +84,8 @@
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
-// sheet is one caller that reads its answer as it comes.
-func sheet(w *world.World, entry int, customer string, t *tally) {
+// sheet is one caller, who reads the answer as a stream.
+func sheet(w *world.World, entry int, customer string, t *measurements) {
 	body := bytes.Repeat([]byte("word "), promptParts)
 	began := time.Now()
 	e := w.Entry(entry)
@@ -117,53 +118,52 @@
 	}
 }
 
-// arrivals starts callers in open loop, by a Poisson process.
-func arrivals(w *world.World, customer string, perSecond float64, rnd *rand.Rand, end time.Time, t *tally) {
+// arrivals starts callers in an open loop, as a Poisson process.
+func arrivals(w *world.World, customer string, requestsPerSecond float64, rnd *rand.Rand, end time.Time, t *measurements) {
 	var callers sync.WaitGroup
 	for n := 0; time.Now().Before(end); n++ {
-		time.Sleep(time.Duration(rnd.ExpFloat64() / perSecond * float64(time.Second)))
-		callers.Go(func() { sheet(w, n%len(places), customer, t) })
+		time.Sleep(time.Duration(rnd.ExpFloat64() / requestsPerSecond * float64(time.Second)))
+		callers.Go(func() { sheet(w, n%len(failureDomains), customer, t) })
 	}
 	callers.Wait()
 }
 
-func measure(t *testing.T, p policy, load float64) (*tally, float64) {
+func measure(t *testing.T, p policy, load float64) (*measurements, float64) {
 	specs := engines()
-	limit := bound(specs)
-	var out *tally
+	maxRate := bound(specs)
+	var out *measurements
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
 		w, err := world.New(ctx, world.Config{
 			Seed:    1,
 			Layers:  layers,
-			Entries: places,
+			Entries: failureDomains,
 			Engines: specs,
-			Link:    between,
+			Link:    linkBetween,
 			Router:  p.router,
 		})
 		assert.NilError(t, err)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		from := time.Now().Add(*warmFlag)
 		if *debugFlag {
-			go debug(t, w, p, from)
+			go logUsage(t, w, p, from)
 		}
-		out = newTally(from, from.Add(*measureFlag))
-		arrivals(w, world.Customer, load*limit/positions, rand.New(rand.NewPCG(1, 1)), out.end, out)
+		out = newMeasurements(from, from.Add(*measureFlag))
+		arrivals(w, world.Customer, load*maxRate/positions, rand.New(rand.NewPCG(1, 1)), out.end, out)
 		stop()
 		w.Close()
 		time.Sleep(time.Minute)
 	})
 	tokens := float64(out.tokens) / measureFlag.Seconds()
-	return out, tokens / (limit * tokensWanted / positions)
+	return out, tokens / (maxRate * tokensWanted / positions)
 }
 
-// The figures of docs/design are taken with
+// TestThroughput prints, for each policy and offered load, the delivered tokens per
+// second as a fraction of the bound, and latencies. It checks that the production
+// policy delivers at least 0.99 times the tokens of the random one. The figures in
+// docs/design are taken with
 //
 //	go test ./bench -v -run Throughput -args -loads "0.5 0.9 1.3 3" -warm 6s -measure 8s
-//
-// and CI runs a short one. TestThroughput prints, for each policy and offered load, the tokens delivered
-// a second as a part of the bound, and latencies. It asserts only that the
-// present policy is no worse than the random one.
 func TestThroughput(t *testing.T) {
 	t.Logf("bound %.0f positions/s, %.0f tokens/s, %.1f requests/s",
 		bound(engines()), bound(engines())*tokensWanted/positions, bound(engines())/positions)
@@ -172,7 +172,7 @@
 	}
 }
 
-// compare runs the policies side by side, each in a world of its own.
+// compare runs every policy in a world of its own.
 func compare(t *testing.T, load float64) {
 	all := policies()
 	ratio := make([]float64, len(all))
@@ -182,12 +182,12 @@
 				t.Parallel()
 				got, r := measure(t, p, load)
 				ratio[i] = r
-				t.Logf("load %.2f %-12s %.3f of the bound; first token p50 %.0f p95 %.0f ms; between p95 %.0f ms; %v",
-					load, p.name, r, ms(got.first, 50), ms(got.first, 95), ms(got.between, 95), got.outcomes)
+				t.Logf("load %.2f %-12s %.3f of the bound; first token p50 %.0f p95 %.0f ms; between tokens p95 %.0f ms; %v",
+					load, p.name, r, ms(got.first, 50), ms(got.first, 95), ms(got.interTokenDelay, 95), got.outcomes)
 			})
 		}
 	})
-	assert.Assert(t, ratio[len(all)-1] >= ratio[0]*0.99, "the present policy is worse than the random one")
+	assert.Assert(t, ratio[len(all)-1] >= ratio[0]*0.99, "the production policy is worse than the random one")
 }
 
 func parseLoads(t *testing.T) []float64 {
@@ -201,8 +201,8 @@
 	return out
 }
 
-// debug prints the use of engine groups and links in the counted time.
-func debug(t *testing.T, w *world.World, p policy, from time.Time) {
+// logUsage prints the usage of engine groups and links during the measurement.
+func logUsage(t *testing.T, w *world.World, p policy, from time.Time) {
 	time.Sleep(time.Until(from))
 	runs := func() []int64 {
 		var out []int64
@@ -224,7 +224,7 @@
 		t.Logf("%s: %-24s %6.0f of %6.0f positions/s", p.name, k, used[k], rate[k])
 	}
 	for k, n := range links2 {
-		if r := between(k[0], k[1]).Rate; n > 0 {
+		if r := linkBetween(k[0], k[1]).Rate; n > 0 {
 			t.Logf("%s: %-24s %6.0f of %6.0f positions/s", p.name, k[0]+">"+k[1], float64(n-links[k])/measureFlag.Seconds(), r)
 		}
 	}
--- a/test/faultsoak/proxy_test.go
+++ b/test/faultsoak/proxy_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// mode is what a proxy does with the connections through it.
+// mode is how a proxy treats its connections.
 type mode int32
 
 const (
-	pass    mode = iota
-	delay        // holds each piece back for a while
-	silent       // passes nothing, and closes nothing
-	deafIn       // passes nothing towards the target
-	deafOut      // passes nothing back
-	modes
+	pass            mode = iota
+	delay                // delays each chunk
+	blockBoth            // forwards nothing in either direction
+	blockToTarget        // forwards nothing to the target
+	blockFromTarget      // forwards nothing from the target
+	modeCount
 )
 
-const heldBack = 60 * time.Millisecond
+const addedDelay = 60 * time.Millisecond
 
-// proxy stands before one address on loopback.
+// proxy forwards connections to one address on loopback.
 type proxy struct {
 	l      net.Listener
 	target string
@@ -66,8 +66,8 @@
 	p.conns[t] = true
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.pump(t, c, deafIn) })
-	both.Go(func() { p.pump(c, t, deafOut) })
+	both.Go(func() { p.forward(t, c, blockToTarget) })
+	both.Go(func() { p.forward(c, t, blockFromTarget) })
 	both.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,17 +77,17 @@
 	t.Close()
 }
 
-// pump copies one way until an end closes. What comes while its way is cut is
-// held, and passed on when the way is open again, as by a network.
-func (p *proxy) pump(to, from net.Conn, cut mode) {
+// forward copies from one connection to the other until either closes. Data that
+// arrives while the direction is blocked is held and forwarded later.
+func (p *proxy) forward(to, from net.Conn, blockedBy mode) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		for m := mode(p.mode.Load()); n > 0 && (m == silent || m == cut); m = mode(p.mode.Load()) {
+		for m := mode(p.mode.Load()); n > 0 && (m == blockBoth || m == blockedBy); m = mode(p.mode.Load()) {
 			time.Sleep(5 * time.Millisecond)
 		}
 		if mode(p.mode.Load()) == delay {
-			time.Sleep(heldBack)
+			time.Sleep(addedDelay)
 		}
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
@@ -98,12 +98,11 @@
 			break
 		}
 	}
-	// Passes an end on as an end, and a reset as a reset.
 	to.Close()
 	from.Close()
 }
 
-// reset breaks every connection through the proxy.
+// reset resets every connection through the proxy.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/test/faultsoak/soak_test.go
+++ b/test/faultsoak/soak_test.go
@@ -1,7 +1,7 @@
-// Package faultsoak runs routers as separate processes before the platform's
-// stand-ins and injects faults from outside: proxies that delay, reset, silence or
-// cut one way, signals, a store and engines that misbehave. While it runs it
-// checks what callers and backend servers see.
+// Package faultsoak runs routers as separate processes against stand-ins for the
+// platform and injects faults: proxies that delay, reset or block connections,
+// signals, and failures of the store and the engines. It checks what callers and
+// backend servers observe.
 package faultsoak
 
 import (
@@ -15,133 +15,134 @@
 )
 
 var (
-	first    = flag.Uint64("seed", 2, "first seed")
-	seeds    = flag.Int("seeds", 1, "how many seeds")
-	only     = flag.Bool("only", false, "leave the regressions out")
-	together = flag.Int("together", 2, "seeds at a time")
-	lasts    = flag.Duration("lasts", 6*time.Second, "how long faults are injected, for each seed")
-	routers  = flag.Int("routers", 3, "router processes")
-	callers  = flag.Int("callers", 12, "callers at a time")
-	resting  = flag.Int("resting", 60, "callers beside them whose connections rest between requests")
-	procs    = flag.Int("procs", 1, "GOMAXPROCS of each router; 0 leaves it alone")
-	busy     = flag.Int("busy", 0, "processes beside that only use up processor time")
+	firstSeed       = flag.Uint64("seed", 2, "first seed")
+	seeds           = flag.Int("seeds", 1, "number of seeds")
+	skipRegressions = flag.Bool("only", false, "skip the regression seeds")
+	parallel        = flag.Int("together", 2, "seeds to run in parallel")
+	faultDuration   = flag.Duration("lasts", 6*time.Second, "duration of fault injection per seed")
+	routers         = flag.Int("routers", 3, "number of router processes")
+	callers         = flag.Int("callers", 12, "number of busy callers")
+	resting         = flag.Int("resting", 60, "number of additional callers whose connections idle between requests")
+	procs           = flag.Int("procs", 1, "GOMAXPROCS of each router; 0 keeps the default")
+	busy            = flag.Int("busy", 0, "number of additional processes that only use processor time")
 )
 
-// regressions are seeds that failed once, each with its cause. A seed draws the
-// faults and the requests; when they meet depends on the machine.
+// regressions are seeds that once failed, with the cause. A seed determines faults and
+// requests, but not their exact timing.
 var regressions = []struct {
 	seed    uint64
 	resting int
 	cause   string
 }{
-	{1, 60, "the idle timer closed a connection whose next request had just been taken over"},
-	{9300, 400, "the timer of heads refused a request that had just been taken over, as not run"},
-	{9301, 400, "a raised idle limit did not hold for connections that rested already"},
+	{1, 60, "idle timer closed a connection whose next request had just been accepted"},
+	{9300, 400, "header timer refused a request that had just been accepted, as not run"},
+	{9301, 400, "raised idle limit did not apply to connections that were already idle"},
 }
 
-// TestFaultSoak plays the regressions and the seeds asked for, two at a time: a
-// seed spends most of its time waiting.
+// TestFaultSoak runs the regression seeds and the requested seeds, several in
+// parallel.
 func TestFaultSoak(t *testing.T) {
 	if testing.Short() {
-		t.Skip("the soak takes half a minute")
+		t.Skip("soak takes about half a minute")
 	}
-	turns := make(chan struct{}, *together)
-	play := func(seed uint64, resting int) {
+	slots := make(chan struct{}, *parallel)
+	runSeed := func(seed uint64, resting int) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			turns <- struct{}{}
-			defer func() { <-turns }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			soak(t, seed, resting)
 		})
 	}
-	if !*only {
+	if !*skipRegressions {
 		for _, r := range regressions {
-			play(r.seed, r.resting)
+			runSeed(r.seed, r.resting)
 		}
 	}
 	for i := range uint64(*seeds) {
-		play(*first+i, *resting)
+		runSeed(*firstSeed+i, *resting)
 	}
 }
 
 func soak(t *testing.T, seed uint64, resting int) {
 	s := newSite(t, rand.New(rand.NewPCG(seed, seed)))
 	defer s.close()
-	defer s.beside(*busy)()
-	end := time.Now().Add(*lasts)
+	defer s.startBusyProcesses(*busy)()
+	end := time.Now().Add(*faultDuration)
 	var all sync.WaitGroup
 	for i := range *callers + resting {
 		c := &client{site: s, rnd: rand.New(rand.NewPCG(seed, s.rnd.Uint64()))}
 		all.Go(func() {
 			for time.Now().Before(end) {
 				if i >= *callers {
-					c.rest()
+					c.waitIdle()
 				}
-				c.step()
+				c.sendRandom()
 			}
-			c.drop()
+			c.closeConn()
 		})
 	}
 	for time.Now().Before(end) {
-		s.fault()
-		time.Sleep(s.untilNext())
+		s.injectFault()
+		time.Sleep(s.faultInterval())
 	}
 	all.Wait()
-	s.heal()
-	s.recovered()
+	s.clearFaults()
+	s.waitRecovered()
 	s.check()
 	if t.Failed() {
-		t.Fatalf("seed %d failed; logs of the routers: %s", seed, s.keepLogs())
+		t.Fatalf("seed %d failed; router logs are in %s", seed, s.logDir())
 	}
 }
 
-// untilNext is the time between two faults; some come in series.
-func (s *site) untilNext() time.Duration {
+// faultInterval returns the time until the next fault. A quarter of the faults follow
+// in quick succession.
+func (s *site) faultInterval() time.Duration {
 	if s.rnd.IntN(4) == 0 {
 		return time.Duration(s.rnd.IntN(20)) * time.Millisecond
 	}
 	return time.Duration(50+s.rnd.IntN(400)) * time.Millisecond
 }
 
-// fault injects one fault, which ends by itself after a while. Several overlap.
-func (s *site) fault() {
-	during := time.Duration(200+s.rnd.IntN(1800)) * time.Millisecond
+// injectFault injects one random fault, which ends after a while. Faults may overlap.
+func (s *site) injectFault() {
+	duration := time.Duration(200+s.rnd.IntN(1800)) * time.Millisecond
 	kinds := []func(time.Duration){
-		s.breakLink, s.breakLink, s.resetLink, s.resetLink, s.breakStore, s.loseWrites, s.compact,
-		s.killEngine, s.killEngine, s.leaveEngine, s.confuseEngine, s.confuseEngine, s.confusePlain, s.confusePlain,
-		s.killRouter, s.stopRouter, s.pauseRouter, s.hangUp, s.reconfigure,
-		s.changeIdle, s.changeIdle, s.changeIdle, s.changeAndStrike,
-		s.returnEngine, s.returnEngine, s.overwriteEntry,
-		s.copyStore, s.restoreStore,
+		s.impairLink, s.impairLink, s.resetLink, s.resetLink, s.impairStore, s.dropWriteResponses, s.compact,
+		s.killEngine, s.killEngine, s.drainEngine, s.injectEngineFaults, s.injectEngineFaults, s.injectPlainFaults, s.injectPlainFaults,
+		s.killRouter, s.stopRouter, s.pauseRouter, s.sendHangup, s.reconfigure,
+		s.changeIdle, s.changeIdle, s.changeIdle, s.changeAndSignal,
+		s.restartEngineSameID, s.restartEngineSameID, s.overwriteEntry,
+		s.snapshotStore, s.restoreStore,
 	}
-	kinds[s.rnd.IntN(len(kinds))](during)
+	kinds[s.rnd.IntN(len(kinds))](duration)
 }
 
-// recovered waits until every router serves each kind of request again. How
-// long that takes is not what is tested; that it comes is.
-func (s *site) recovered() {
+// waitRecovered waits until every router serves each kind of request and applies the
+// latest key.
+func (s *site) waitRecovered() {
 	s.t.Helper()
 	end := time.Now().Add(40 * time.Second)
 	c := &client{site: s, rnd: s.rnd}
 	for _, r := range s.routers {
 		for _, kind := range []string{"sheet", "notice", "lookup"} {
 			for {
-				c.drop()
-				if rep := c.ask(r, kind); rep.err == nil && rep.status == http.StatusOK {
+				c.closeConn()
+				if rep := c.request(r, kind); rep.err == nil && rep.status == http.StatusOK {
 					break
 				}
 				if time.Now().After(end) {
-					s.t.Errorf("router %s does not serve a %s again", r.name, kind)
+					s.t.Errorf("router %s did not recover: %s request is not served", r.name, kind)
 					return
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
 		}
 	}
-	c.drop()
-	for !s.oldKeyRefused(c) {
+	c.closeConn()
+	for !s.keysUpToDate(c) {
 		if time.Now().After(end) {
-			s.t.Error("a key that was taken away is still served, or the newest is not")
+			s.t.Error("a revoked key is still accepted, or the current key is not")
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/test/fleet/harness_test.go
+++ b/test/fleet/harness_test.go
@@ -1,6 +1,5 @@
-// Package fleet runs routers of the users' platform against its stand-ins, in
-// one process, and brings about what callers must not notice or must be told
-// truly.
+// Package fleet runs routers in one process against stand-ins for the users' platform
+// and tests how they handle failures.
 package fleet
 
 import (
@@ -26,18 +25,19 @@
 )
 
 const (
-	sheets   = "sheets"  // service of model engines
-	notices  = "notices" // plain service
-	patience = 20 * time.Second
-	layers   = 12
+	sheets      = "sheets"  // service with engines
+	notices     = "notices" // service with plain servers
+	waitTimeout = 20 * time.Second
+	layers      = 12
 )
 
-// site is a small site: engines in two domains, two plain servers, routers.
+// site is a test deployment: engines and one plain server in each of two failure
+// domains, and routers.
 type site struct {
 	t       *testing.T
 	store   *standin.Store
 	http    *http.Server
-	addr    string // of the store
+	addr    string // address of the store
 	fleet   *standin.Fleet
 	engines []*standin.Engine
 	plain   []*standin.Engine
@@ -81,47 +81,47 @@
 	s.configure(nil)
 	for _, domain := range []string{"a", "b"} {
 		for _, card := range []string{"fast", "fast", "slow", "slow"} {
-			s.engines = append(s.engines, s.add(sheets, domain, card))
+			s.engines = append(s.engines, s.addServer(sheets, domain, card))
 		}
-		s.plain = append(s.plain, s.add(notices, domain, ""))
+		s.plain = append(s.plain, s.addServer(notices, domain, ""))
 	}
 	for i := range routers {
-		s.start(fmt.Sprintf("r%d", i), []string{"a", "b"}[i%2])
+		s.startRouter(fmt.Sprintf("r%d", i), []string{"a", "b"}[i%2])
 	}
 	s.waitServing()
 	return s
 }
 
-func (s *site) add(service, domain, card string) *standin.Engine {
+func (s *site) addServer(service, domain, card string) *standin.Engine {
 	e, err := s.fleet.Add(service, domain, card, nil)
 	assert.NilError(s.t, err)
 	return e
 }
 
-const firstPort, ports = 20000, 10000
+const firstPort, portCount = 20000, 10000
 
-// nextPort hands out ports below the ephemeral range, so that no listener or
-// connection of a test that runs beside takes one before its router does. Each
-// process begins elsewhere: one would else take the port of a router of another
-// that is just starting again.
+// nextPort is an offset from firstPort. The range lies below the ephemeral ports, so
+// that other tests do not take a port before its router listens. The random start
+// keeps test processes apart: a restarting router must find its port free.
 var nextPort atomic.Int64
 
-func init() { nextPort.Store(rand.Int64N(ports)) }
+func init() { nextPort.Store(rand.Int64N(portCount)) }
 
-func free(t *testing.T) string {
-	for range ports {
-		port := firstPort + nextPort.Add(1)%ports
+func freeAddress(t *testing.T) string {
+	for range portCount {
+		port := firstPort + nextPort.Add(1)%portCount
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err == nil {
 			defer l.Close()
 			return l.Addr().String()
 		}
 	}
-	t.Fatal("no free port")
+	t.Fatal("no free port found")
 	return ""
 }
 
-// configure publishes the operator's next configuration, changed by f.
+// configure publishes a new version of the configuration, modified by f if f is not
+// nil.
 func (s *site) configure(f func(cfg map[string]any)) {
 	s.version += 2
 	route := func(name, prefix, kind, service string) map[string]any {
@@ -153,14 +153,14 @@
 	s.store.Put(platform.ConfigKey, raw)
 }
 
-func (s *site) start(name, domain string) *router {
+func (s *site) startRouter(name, domain string) *router {
 	set := settings.Default()
 	set.Role = model.RoleRouter
 	set.Instance = name
 	set.FailureDomain = domain
-	set.Router.Callers = free(s.t)
-	set.Router.Ready = free(s.t)
-	set.Router.Peers = free(s.t)
+	set.Router.Callers = freeAddress(s.t)
+	set.Router.Ready = freeAddress(s.t)
+	set.Router.Peers = freeAddress(s.t)
 	set.Router.Store = s.addr
 	set.Router.FirstStart = true
 	set.Router.RetrySlack = 200
@@ -190,30 +190,30 @@
 	for _, r := range s.routers {
 		select {
 		case <-r.done:
-		case <-time.After(patience):
-			s.t.Error("a router did not stop")
+		case <-time.After(waitTimeout):
+			s.t.Error("router did not stop in time")
 		}
 	}
 	s.routers = nil
 }
 
-// eventually waits for a state; how long it takes is not what is tested.
+// eventually waits until ok returns true, and fails the test after waitTimeout.
 func (s *site) eventually(what string, ok func() bool) {
 	s.t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for !ok() {
 		if time.Now().After(end) {
-			s.t.Fatalf("not reached: %s", what)
+			s.t.Fatalf("condition not met in time: %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// waitServing waits until each router answers a sheet and a lookup.
+// waitServing waits until every router serves a sheet and a lookup.
 func (s *site) waitServing() {
 	for _, r := range s.routers {
 		s.eventually("router serves", func() bool {
-			return s.call(r, ask{path: "/sheet/x"}).status == http.StatusOK && s.call(r, ask{path: "/lookup/x", method: http.MethodGet}).status == http.StatusOK
+			return s.call(r, requestSpec{path: "/sheet/x"}).status == http.StatusOK && s.call(r, requestSpec{path: "/lookup/x", method: http.MethodGet}).status == http.StatusOK
 		})
 	}
 }
@@ -222,29 +222,30 @@
 
 func newAttempt() string { return fmt.Sprintf("at-%d", attempts.Add(1)) }
 
-// ask is a request of a caller; fields left out get usual values.
-type ask struct {
+// requestSpec describes a caller's request. The attempt is generated if empty, the
+// method defaults to POST and the key to the school's key.
+type requestSpec struct {
 	path, method, key, attempt string
 	deadline                   time.Duration
 	body                       string
 	header                     http.Header
 }
 
-// reply is what a caller got.
-type reply struct {
-	attempt   string
-	status    int
-	body      string
-	signature string
-	after     string
-	err       error // the answer was not whole
+// response is what a caller received.
+type response struct {
+	attempt    string
+	status     int
+	body       string
+	signature  string
+	retryAfter string
+	err        error // the response is missing or incomplete
 }
 
-func (s *site) call(r *router, a ask) reply {
+func (s *site) call(r *router, a requestSpec) response {
 	return s.callCtx(context.Background(), r, a)
 }
 
-func (s *site) callCtx(ctx context.Context, r *router, a ask) reply {
+func (s *site) callCtx(ctx context.Context, r *router, a requestSpec) response {
 	if a.attempt == "" {
 		a.attempt = newAttempt()
 	}
@@ -257,19 +258,19 @@
 	req := a.request(ctx, r.settings.Router.Callers)
 	c, err := net.Dial("tcp", r.settings.Router.Callers)
 	if err != nil {
-		return reply{attempt: a.attempt, err: err}
+		return response{attempt: a.attempt, err: err}
 	}
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(waitTimeout))
 	if err := req.Write(c); err != nil {
-		return reply{attempt: a.attempt, err: err}
+		return response{attempt: a.attempt, err: err}
 	}
-	return readReply(a.attempt, bufio.NewReader(c), req)
+	return readResponse(a.attempt, bufio.NewReader(c), req)
 }
 
-func (a ask) request(ctx context.Context, addr string) *http.Request {
+func (a requestSpec) request(ctx context.Context, addr string) *http.Request {
 	var body io.Reader
 	if a.body != "" {
 		body = io.NopCloser(newReader(a.body))
@@ -305,25 +306,25 @@
 	return n, nil
 }
 
-func readReply(attempt string, br *bufio.Reader, req *http.Request) reply {
+func readResponse(attempt string, br *bufio.Reader, req *http.Request) response {
 	resp, err := http.ReadResponse(br, req)
 	if err != nil {
-		return reply{attempt: attempt, err: err}
+		return response{attempt: attempt, err: err}
 	}
 	body, err := io.ReadAll(resp.Body)
-	return reply{
-		attempt:   attempt,
-		status:    resp.StatusCode,
-		body:      string(body),
-		signature: resp.Header.Get("Response-Signature"),
-		after:     resp.Header.Get("Retry-After"),
-		err:       err,
+	return response{
+		attempt:    attempt,
+		status:     resp.StatusCode,
+		body:       string(body),
+		signature:  resp.Header.Get("Response-Signature"),
+		retryAfter: resp.Header.Get("Retry-After"),
+		err:        err,
 	}
 }
 
-// whole asserts that a sheet was answered completely, each event once and in
+// assertComplete asserts that the response holds each event of a sheet once and in
 // order.
-func (s *site) whole(rep reply) {
+func (s *site) assertComplete(rep response) {
 	s.t.Helper()
 	assert.NilError(s.t, rep.err)
 	assert.Equal(s.t, rep.status, http.StatusOK)
--- a/test/integration/harness_test.go
+++ b/test/integration/harness_test.go
@@ -1,5 +1,5 @@
-// Package integration runs the system as separate processes and brings about
-// the failures that callers must not notice, or must be told truly about.
+// Package integration runs the system as separate processes and tests how it handles
+// failures.
 package integration
 
 import (
@@ -30,11 +30,11 @@
 )
 
 const (
-	customer = "skola-manus"
-	sheets   = "planer-rundi"
-	notices  = "dispecer"
-	layers   = 12
-	patience = 30 * time.Second // bounds a wait; nothing is asserted about it
+	customer    = "skola-manus"
+	sheets      = "planer-rundi"
+	notices     = "dispecer"
+	layers      = 12
+	waitTimeout = 30 * time.Second
 )
 
 var bin string
@@ -60,7 +60,6 @@
 	return m.Run()
 }
 
-// process is one started program.
 type process struct {
 	cmd  *exec.Cmd
 	log  *lockedBuffer
@@ -106,8 +105,8 @@
 }
 
 func tail(s string) string {
-	const most = 4000
-	return s[max(0, len(s)-most):]
+	const maxBytes = 4000
+	return s[max(0, len(s)-maxBytes):]
 }
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
@@ -117,42 +116,42 @@
 	<-p.done
 }
 
-// unit is one daemon with its settings.
-type unit struct {
+// instance is one daemon with its settings.
+type instance struct {
 	*process
 	name, link, http, file string
 }
 
-// cluster is the whole system of one test.
+// cluster is the system under test.
 type cluster struct {
 	t                 *testing.T
 	dir               string
 	kv, instancesAddr string
-	list              []model.Instance
-	entries           []*unit
-	sidecars          []*unit
-	engines           []string // addresses, by sidecar
-	plains            []string
+	instances         []model.Instance
+	entries           []*instance
+	sidecars          []*instance
+	engines           []string // addresses of the engines' stand-ins
+	plainServers      []string
 }
 
-func address(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	a, err := daemon.FreeAddress()
 	assert.NilError(t, err)
 	return a
 }
 
-// newCluster starts the platform, entries, and for each range of layers so many
-// engines with their sidecars, and so many plain services with theirs.
-func newCluster(t *testing.T, entries int, ranges []model.LayerRange, plains int) *cluster {
+// newCluster starts the platform, the entries, one engine with its sidecar per range,
+// and plain services with their sidecars.
+func newCluster(t *testing.T, entries int, layerRanges []model.LayerRange, plainServers int) *cluster {
 	t.Helper()
-	c := &cluster{t: t, dir: t.TempDir(), kv: address(t), instancesAddr: address(t)}
+	c := &cluster{t: t, dir: t.TempDir(), kv: freeAddress(t), instancesAddr: freeAddress(t)}
 	start(t, "skylark-standin", "--listen", c.kv, "kv")
 	start(t, "skylark-standin", "--listen", c.instancesAddr, "instances")
-	for _, r := range ranges {
+	for _, r := range layerRanges {
 		c.addEngine(r)
 	}
-	for i := 0; i < plains; i++ {
+	for i := 0; i < plainServers; i++ {
 		c.addPlain()
 	}
 	for i := 0; i < entries; i++ {
@@ -160,17 +159,18 @@
 	}
 	c.publish()
 	c.waitReady()
-	c.seed()
-	if plains > 0 {
-		c.waitOnce()
+	c.putTemplate()
+	if plainServers > 0 {
+		c.waitNonRepeatable()
 	}
 	return c
 }
 
-// waitOnce waits until the gates are old enough for notices.
-func (c *cluster) waitOnce() {
+// waitNonRepeatable waits until a notice runs: gates refuse non-repeatable requests
+// for a while after their start.
+func (c *cluster) waitNonRepeatable() {
 	c.t.Helper()
-	c.eventually("gates take notices", func() bool {
+	c.eventually("gates accept notices", func() bool {
 		res, err := c.client(0).Submit(context.Background(), notice(newID()), io.Discard)
 		return err == nil && res.Outcome.State == v1.OutcomeState_OUTCOME_STATE_RAN
 	})
@@ -186,8 +186,8 @@
 	return out
 }
 
-func (c *cluster) addEngine(r model.LayerRange) *unit {
-	addr := address(c.t)
+func (c *cluster) addEngine(r model.LayerRange) *instance {
+	addr := freeAddress(c.t)
 	start(c.t, "skylark-standin", "--listen", addr, "engine", "--layers", fmt.Sprint(layers),
 		"--from", fmt.Sprint(r.From), "--to", fmt.Sprint(r.To), "--step", "300us", "--capacity", "32")
 	c.engines = append(c.engines, addr)
@@ -195,52 +195,52 @@
 	return u
 }
 
-func (c *cluster) addPlain() *unit {
-	addr := address(c.t)
+func (c *cluster) addPlain() *instance {
+	addr := freeAddress(c.t)
 	start(c.t, "skylark-standin", "--listen", addr, "plain", "--time", "5ms")
-	c.plains = append(c.plains, addr)
+	c.plainServers = append(c.plainServers, addr)
 	return c.addSidecar(fmt.Sprintf("service = %q\nkind = \"plain\"", notices), addr)
 }
 
-func (c *cluster) addSidecar(section, backend string) *unit {
+func (c *cluster) addSidecar(section, backend string) *instance {
 	name := fmt.Sprintf("sidecar-%d", len(c.sidecars)+1)
 	u := c.daemon(name, model.RoleSidecar, "[sidecar]\n"+section+"\nbackend = \"http://"+backend+"\"\n")
 	c.sidecars = append(c.sidecars, u)
 	return u
 }
 
-func (c *cluster) addEntry() *unit {
+func (c *cluster) addEntry() *instance {
 	name := fmt.Sprintf("entry-%d", len(c.entries)+1)
 	u := c.daemon(name, model.RoleEntry, "[entry]\ndrain_delay = \"100ms\"\n")
 	c.entries = append(c.entries, u)
 	return u
 }
 
-func (c *cluster) daemon(name string, role model.Role, section string) *unit {
-	u := &unit{name: name, link: address(c.t), http: address(c.t)}
+func (c *cluster) daemon(name string, role model.Role, section string) *instance {
+	u := &instance{name: name, link: freeAddress(c.t), http: freeAddress(c.t)}
 	text := fmt.Sprintf("role = %q\ninstance = %q\nfailure_domain = \"hala-luka\"\nregion = \"juzna-regija\"\n"+
 		"[listen]\nlink = %q\nhttp = %q\n[platform]\nkey_value = \"http://%s\"\ninstances = \"http://%s\"\n%s",
 		role, name, u.link, u.http, c.kv, c.instancesAddr, section)
 	u.file = filepath.Join(c.dir, name+".toml")
 	assert.NilError(c.t, os.WriteFile(u.file, []byte(text), 0o600))
-	c.list = append(c.list, model.Instance{ID: name, Role: role, Address: u.link, FailureDomain: "hala-luka", Region: "juzna-regija"})
-	c.boot(u)
+	c.instances = append(c.instances, model.Instance{ID: name, Role: role, Address: u.link, FailureDomain: "hala-luka", Region: "juzna-regija"})
+	c.launch(u)
 	return u
 }
 
-// boot starts a unit, or starts it again after it ended.
-func (c *cluster) boot(u *unit) {
+// launch starts an instance, or restarts it after its process exited.
+func (c *cluster) launch(u *instance) {
 	u.process = start(c.t, "skylarkwoodd", "--settings", u.file)
 }
 
 func (c *cluster) publish() {
-	c.control(c.instancesAddr, c.list)
+	c.postControl(c.instancesAddr, c.instances)
 }
 
-func (c *cluster) control(addr string, v any) {
+func (c *cluster) postControl(addr string, v any) {
 	raw, err := json.Marshal(v)
 	assert.NilError(c.t, err)
-	c.eventually("control of "+addr, func() bool {
+	c.eventually("control request to "+addr, func() bool {
 		rep, err := http.Post("http://"+addr+"/control", "application/json", bytes.NewReader(raw))
 		if err != nil {
 			return false
@@ -250,10 +250,10 @@
 	})
 }
 
-func (c *cluster) faults(f standin.KVFaults) { c.control(c.kv, f) }
+func (c *cluster) setStoreFaults(f standin.KVFaults) { c.postControl(c.kv, f) }
 
-// read gets a stand-in's own record.
-func (c *cluster) read(addr, query string, v any) {
+// getControl reads what a stand-in recorded.
+func (c *cluster) getControl(addr, query string, v any) {
 	rep, err := http.Get("http://" + addr + "/control" + query)
 	assert.NilError(c.t, err)
 	defer rep.Body.Close()
@@ -267,7 +267,7 @@
 			return poll.Success()
 		}
 		return poll.Continue("%s", what)
-	}, poll.WithTimeout(patience), poll.WithDelay(20*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(20*time.Millisecond))
 }
 
 func (c *cluster) client(entry int) *ctl.Client {
@@ -277,18 +277,18 @@
 func (c *cluster) waitReady() {
 	c.t.Helper()
 	for i := range c.entries {
-		c.eventually("entry meets all", func() bool {
-			return c.client(i).ReachableInstances(context.Background()) == len(c.list)
+		c.eventually("entry reaches all instances", func() bool {
+			return c.client(i).ReachableInstances(context.Background()) == len(c.instances)
 		})
 	}
 }
 
-func (c *cluster) seed() {
+func (c *cluster) putTemplate() {
 	c.t.Helper()
 	c.set(&v1.SetTemplateRequest{
 		Template: &v1.Template{Customer: customer, Rules: []*v1.ServiceRule{
-			{Service: sheets, Priority: 5, DefaultTimeoutMs: patience.Milliseconds()},
-			{Service: notices, Priority: 7, DefaultTimeoutMs: patience.Milliseconds()},
+			{Service: sheets, Priority: 5, DefaultTimeoutMs: waitTimeout.Milliseconds()},
+			{Service: notices, Priority: 7, DefaultTimeoutMs: waitTimeout.Milliseconds()},
 		}},
 		Author: "test",
 	})
@@ -296,14 +296,14 @@
 
 func (c *cluster) set(m *v1.SetTemplateRequest) *v1.SetTemplateResponse {
 	c.t.Helper()
-	m.WaitMs = patience.Milliseconds()
+	m.WaitMs = waitTimeout.Milliseconds()
 	rep, err := c.client(0).Operators.SetTemplate(context.Background(), connect.NewRequest(m))
 	assert.NilError(c.t, err)
 	return rep.Msg
 }
 
-// reference is the answer of a model that ran each layer once, in order.
-func reference(prompt string, tokens int) string {
+// referenceAnswer returns the answer of a model that runs each layer once, in order.
+func referenceAnswer(prompt string, tokens int) string {
 	words := strings.SplitAfter(prompt, " ")
 	in := make([][]byte, 0, len(words))
 	for _, w := range words {
@@ -312,15 +312,15 @@
 	return string(bytes.Join(standin.ReferenceOutput(in, layers, tokens), nil))
 }
 
-// onWrite calls a function once, after so many bytes of the answer came.
+// onWrite calls do once, when the remaining bytes of the answer have been written.
 type onWrite struct {
-	after int
-	do    func()
+	remaining int
+	do        func()
 }
 
 func (o *onWrite) Write(p []byte) (int, error) {
-	o.after -= len(p)
-	if o.after <= 0 && o.do != nil {
+	o.remaining -= len(p)
+	if o.remaining <= 0 && o.do != nil {
 		o.do()
 		o.do = nil
 	}
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,5 +1,5 @@
-// Package soak drives the decisions through long randomised schedules of
-// failures and compares what callers were told with what the backends counted.
+// Package soak runs random schedules of failures in virtual time and compares what
+// callers were told with what the backends executed.
 package soak
 
 import (
@@ -24,44 +24,43 @@
 )
 
 var (
-	seedFlag     = flag.Uint64("seed", 0, "first seed of the soak; 0 takes the usual ones")
-	runsFlag     = flag.Int("runs", 3, "how many seeds the soak goes through")
-	durationFlag = flag.Duration("virtual", 2*time.Minute, "virtual time of each run under failure")
+	seedFlag     = flag.Uint64("seed", 0, "first seed; 0 starts at seed 1")
+	runsFlag     = flag.Int("runs", 3, "number of seeds")
+	durationFlag = flag.Duration("virtual", 2*time.Minute, "virtual duration of each run under failures")
 )
 
 const (
-	layers      = 9
-	perEngine   = 3
-	copies      = 3
-	prompt      = "check the basin before the shift "
-	settleTime  = 90 * time.Second // after the last failure, longer than any deadline
-	tokensWant  = 40
-	promptParts = 6
+	layers          = 9
+	layersPerEngine = 3
+	replicas        = 3
+	prompt          = "check the basin before the shift "
+	settleTime      = 90 * time.Second // longer than any deadline
+	maxTokens       = 40
+	promptParts     = 6
 )
 
-// told is what one caller was told of one submission.
-type told struct {
-	key     model.RequestKey
-	service string
-	once    bool
-	outcome model.Outcome
-	answer  []byte
-	entry   string
+// callerResult is the result of one submission as its caller got it.
+type callerResult struct {
+	key           model.RequestKey
+	service       string
+	notRepeatable bool
+	outcome       model.Outcome
+	answer        []byte
+	entry         string
 }
 
-// record collects what callers were told.
-type record struct {
-	mu   sync.Mutex
-	all  []told
-	lost int // callers whose entry died with no answer
-	none int // submissions refused before acceptance
+// resultLog collects the results of all submissions.
+type resultLog struct {
+	mu           sync.Mutex
+	all          []callerResult
+	disconnected int // callers whose entry was killed before the outcome
+	rejected     int // submissions rejected before acceptance
 }
 
-// Entries and sidecars are killed, frozen, cut off and replaced at random while
-// the store is out, slow or loses answers, twice and together. Whatever callers
-// were told is true by the backends' own counts: whole answers, "not run" only
-// where nothing ran, at most one run where repeating is forbidden; and every
-// request that kept its entry has one final outcome.
+// Guards against wrong outcomes while entries, sidecars, links and the store fail at
+// random. Answers must be complete, "not run" requests must not have run,
+// non-repeatable requests must run at most once, and each request must have one final
+// outcome unless its entry was killed.
 func TestSoak(t *testing.T) {
 	first := *seedFlag
 	if first == 0 {
@@ -80,15 +79,15 @@
 	defer stop()
 	w := newWorld(ctx, t, seed)
 	time.Sleep(2*world.Heartbeat + gate.MinIncarnationLead)
-	rec := &record{}
+	rec := &resultLog{}
 	var callers sync.WaitGroup
 	end := time.Now().Add(*durationFlag)
 	var failures sync.WaitGroup
-	failures.Go(func() { chaos(w, rand.New(rand.NewPCG(seed, 3)), end) })
+	failures.Go(func() { injectFailures(w, rand.New(rand.NewPCG(seed, 3)), end) })
 	for n := 0; time.Now().Before(end); n++ {
 		time.Sleep(time.Duration(rnd.IntN(100)) * time.Millisecond)
-		kind, at, pause, hurry := rnd.IntN(4), rnd.IntN(3), resendPause(rnd), rnd.IntN(2) == 0
-		callers.Go(func() { call(w, rec, n, kind, at, pause, hurry) })
+		kind, at, pause, shortTimeout := rnd.IntN(4), rnd.IntN(3), resendPause(rnd), rnd.IntN(2) == 0
+		callers.Go(func() { call(w, rec, n, kind, at, pause, shortTimeout) })
 	}
 	failures.Wait()
 	callers.Wait()
@@ -96,11 +95,11 @@
 	rec.check(t, w)
 	stop()
 	w.Close()
-	time.Sleep(settleTime) // let what waits for deadlines end
+	time.Sleep(settleTime) // lets pending deadlines expire
 }
 
-// newWorld lays out three entries, three engines for each range of layers and
-// three plain services.
+// newWorld creates three entries, three engines per range of layers and three plain
+// services.
 func newWorld(ctx context.Context, t *testing.T, seed uint64) *world.World {
 	cfg := world.Config{
 		Seed:    seed,
@@ -108,16 +107,16 @@
 		Entries: []string{"a", "b", "c"},
 		Link:    func(_, _ string) world.Link { return world.Link{Delay: time.Millisecond} },
 	}
-	for i := 0; i < copies*layers/perEngine; i++ {
-		from := i % (layers / perEngine) * perEngine
+	for i := 0; i < replicas*layers/layersPerEngine; i++ {
+		from := i % (layers / layersPerEngine) * layersPerEngine
 		cfg.Engines = append(cfg.Engines, world.EngineSpec{
-			Range:    model.LayerRange{From: from, To: from + perEngine},
+			Range:    model.LayerRange{From: from, To: from + layersPerEngine},
 			StepTime: time.Millisecond,
 			MaxBatch: 64,
 			Sessions: 16,
 		})
 	}
-	for i := 0; i < copies; i++ {
+	for i := 0; i < replicas; i++ {
 		cfg.Plains = append(cfg.Plains, world.PlainSpec{CallDuration: 30 * time.Millisecond, Places: 16})
 	}
 	w, err := world.New(ctx, cfg)
@@ -125,48 +124,48 @@
 	return w
 }
 
-// resendPause is how long a caller waits before it sends a notice again: a
-// moment, or long after its own deadline.
+// resendPause returns how long a caller waits before it resends a notice: up to 3 s,
+// or up to 60 s, which may exceed its deadline.
 func resendPause(rnd *rand.Rand) time.Duration {
-	const moment, long = 3 * time.Second, 60 * time.Second
+	const short, long = 3 * time.Second, 60 * time.Second
 	if rnd.IntN(2) == 0 {
-		return time.Duration(rnd.Int64N(int64(moment)))
+		return time.Duration(rnd.Int64N(int64(short)))
 	}
 	return time.Duration(rnd.Int64N(int64(long)))
 }
 
-// call is one caller: a sheet, a plain call, or a notice that must not be
-// repeated and is sent twice, through two entries.
-func call(w *world.World, rec *record, n, kind, at int, pause time.Duration, hurry bool) {
-	ask := owner.Submission{Customer: world.Customer, ID: daemon.NewID(), Service: world.Notices, Body: fmt.Appendf(nil, "body %d", n)}
+// call is one caller. It submits a sheet, a plain call, or a non-repeatable notice,
+// which it submits twice, through two entries.
+func call(w *world.World, rec *resultLog, n, kind, at int, pause time.Duration, shortTimeout bool) {
+	submission := owner.Submission{Customer: world.Customer, ID: daemon.NewID(), Service: world.Notices, Body: fmt.Appendf(nil, "body %d", n)}
 	switch kind {
 	case 0, 1:
-		ask.Service = world.Sheets
-		ask.Body = []byte(prompt)
-		ask.MaxTokens = tokensWant
-		submit(w, rec, ask, at)
+		submission.Service = world.Sheets
+		submission.Body = []byte(prompt)
+		submission.MaxTokens = maxTokens
+		submit(w, rec, submission, at)
 	case 2:
-		submit(w, rec, ask, at)
+		submit(w, rec, submission, at)
 	default:
-		ask.NotRepeatable = true
-		if hurry {
-			ask.Timeout = time.Second
+		submission.NotRepeatable = true
+		if shortTimeout {
+			submission.Timeout = time.Second
 		}
 		var both sync.WaitGroup
-		both.Go(func() { submit(w, rec, ask, at) })
+		both.Go(func() { submit(w, rec, submission, at) })
 		time.Sleep(pause)
-		both.Go(func() { submit(w, rec, ask, at+1) })
+		both.Go(func() { submit(w, rec, submission, at+1) })
 		both.Wait()
 	}
 }
 
-func submit(w *world.World, rec *record, ask owner.Submission, at int) {
+func submit(w *world.World, rec *resultLog, submission owner.Submission, at int) {
 	e := w.Entry(at)
-	req, err := e.Owner.Submit(ask)
+	req, err := e.Owner.Submit(submission)
 	if err != nil {
 		rec.mu.Lock()
 		defer rec.mu.Unlock()
-		rec.none++
+		rec.rejected++
 		return
 	}
 	var answer []byte
@@ -175,13 +174,13 @@
 		if err != nil {
 			rec.mu.Lock()
 			defer rec.mu.Unlock()
-			rec.lost++
+			rec.disconnected++
 			return
 		}
 		if outcome.Final() {
 			rec.mu.Lock()
 			defer rec.mu.Unlock()
-			rec.all = append(rec.all, told{req.Key, ask.Service, ask.NotRepeatable, outcome, answer, e.Addr})
+			rec.all = append(rec.all, callerResult{req.Key, submission.Service, submission.NotRepeatable, outcome, answer, e.Addr})
 			return
 		}
 		answer = append(answer, bytes.Join(parts, nil)...)
@@ -189,8 +188,8 @@
 	}
 }
 
-// chaos brings failures about until the end, then mends all.
-func chaos(w *world.World, rnd *rand.Rand, end time.Time) {
+// injectFailures injects random failures until end, then clears them.
+func injectFailures(w *world.World, rnd *rand.Rand, end time.Time) {
 	var stops sync.WaitGroup
 	defer stops.Wait()
 	for n := 0; time.Now().Before(end); n++ {
@@ -198,7 +197,7 @@
 		u := w.Sidecars[rnd.IntN(len(w.Sidecars))]
 		other := w.Sidecars[rnd.IntN(len(w.Sidecars))]
 		for both := rnd.IntN(2); both >= 0; both-- {
-			fail(w, &stops, rnd, n, u, other)
+			injectFailure(w, &stops, rnd, n, u, other)
 		}
 	}
 	w.KV.SetFaults(standin.KVFaults{})
@@ -210,7 +209,7 @@
 	}
 }
 
-func fail(w *world.World, stops *sync.WaitGroup, rnd *rand.Rand, n int, u, other *world.Sidecar) {
+func injectFailure(w *world.World, stops *sync.WaitGroup, rnd *rand.Rand, n int, u, other *world.Sidecar) {
 	d := time.Duration(rnd.IntN(8000)) * time.Millisecond
 	e := w.Entry(rnd.IntN(3))
 	switch rnd.IntN(9) {
@@ -249,8 +248,9 @@
 	}
 }
 
-// ran is the backends' own count of a request.
-func ran(w *world.World, key model.RequestKey) int64 {
+// executions returns the backends' own count of executions of a request: positions at
+// engines, calls at plain services.
+func executions(w *world.World, key model.RequestKey) int64 {
 	n := int64(0)
 	for _, u := range w.Sidecars {
 		if u.Engine != nil {
@@ -262,30 +262,30 @@
 	return n
 }
 
-func (r *record) check(t *testing.T, w *world.World) {
+func (r *resultLog) check(t *testing.T, w *world.World) {
 	in := bytes.SplitAfter([]byte(prompt), []byte(" "))
-	want := bytes.Join(standin.ReferenceOutput(in[:promptParts], layers, tokensWant), nil)
+	want := bytes.Join(standin.ReferenceOutput(in[:promptParts], layers, maxTokens), nil)
 	counts := map[model.State]int{}
 	for _, c := range r.all {
-		n := ran(w, c.key)
+		n := executions(w, c.key)
 		counts[c.outcome.State]++
 		switch c.outcome.State {
 		case model.Ran:
-			assert.Check(t, n > 0, "%v told ran, nothing ran: %+v", c.key, c.outcome)
+			assert.Check(t, n > 0, "%v: outcome is ran but nothing was executed: %+v", c.key, c.outcome)
 			if c.service == world.Sheets {
-				assert.Check(t, bytes.Equal(c.answer, want), "%v: answer is not the whole answer", c.key)
+				assert.Check(t, bytes.Equal(c.answer, want), "%v: answer is incomplete or wrong", c.key)
 			}
 		case model.NotRun:
-			assert.Check(t, n == 0, "%v told not run by %s, ran %d: %+v", c.key, c.entry, n, c.outcome)
+			assert.Check(t, n == 0, "%v: outcome is not run at %s but %d executions were counted: %+v", c.key, c.entry, n, c.outcome)
 		case model.CutOff:
 		default:
 			t.Errorf("%v: outcome %q is not final", c.key, c.outcome.State)
 		}
-		if c.once {
-			assert.Check(t, n <= 1, "%v ran %d times", c.key, n)
+		if c.notRepeatable {
+			assert.Check(t, n <= 1, "%v: not repeatable but ran %d times", c.key, n)
 		}
 	}
-	t.Logf("told %d: ran %d, not run %d, cut off %d; entry died %d; refused %d; messages %d; store calls %+v",
-		len(r.all), counts[model.Ran], counts[model.NotRun], counts[model.CutOff], r.lost, r.none, w.Net.Sent(), w.KV.Calls())
-	assert.Check(t, counts[model.Ran] > len(r.all)/2, "most requests ran")
+	t.Logf("results %d: ran %d, not run %d, cut off %d; entry killed %d; rejected %d; messages %d; store calls %+v",
+		len(r.all), counts[model.Ran], counts[model.NotRun], counts[model.CutOff], r.disconnected, r.rejected, w.Net.Sent(), w.KV.Calls())
+	assert.Check(t, counts[model.Ran] > len(r.all)/2, "at most half of the requests ran")
 }
