--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -1,5 +1,5 @@
-// Package ctl holds the commands of skylarkctl and the few pieces that the
-// daemon's dev mode prints with.
+// Package ctl implements the commands of skylarkctl. The daemon's dev mode uses its client and
+// its output functions.
 package ctl
 
 import (
@@ -14,13 +14,13 @@
 	"github.com/skylarkwood/skylarkwood/api/skylarkwood/v1/skylarkwoodv1connect"
 )
 
-// Client talks to one entry.
+// Client sends requests to one entry.
 type Client struct {
 	Requests  skylarkwoodv1connect.RequestServiceClient
 	Operators skylarkwoodv1connect.OperatorServiceClient
 }
 
-// NewClient makes a client of the entry at a base URL.
+// NewClient returns a client of the entry with a base URL.
 func NewClient(url string) *Client {
 	hc := &http.Client{}
 	return &Client{
@@ -29,15 +29,15 @@
 	}
 }
 
-// Result is a request's answer and what became of it.
+// Result is the response to a request and its outcome.
 type Result struct {
-	ID      string
-	Response  []byte
-	Outcome *v1.Outcome
+	ID       string
+	Response []byte
+	Outcome  *v1.Outcome
 }
 
-// Submit sends a request and reads its whole answer, copying it to w as it
-// comes. An error means that the stream broke before an outcome came.
+// Submit sends a request and returns its whole response. It also copies the response to w as it
+// arrives. It returns an error if the stream ended before the outcome arrived.
 func (c *Client) Submit(ctx context.Context, m *v1.SubmitRequest, w io.Writer) (Result, error) {
 	var res Result
 	stream, err := c.Requests.Submit(ctx, connect.NewRequest(m))
@@ -53,7 +53,7 @@
 		if len(msg.Data) > 0 {
 			res.Response = append(res.Response, msg.Data...)
 			if _, err := w.Write(msg.Data); err != nil {
-				return res, errors.Wrap(err, "write answer")
+				return res, errors.Wrap(err, "write response")
 			}
 		}
 		if msg.Outcome != nil {
@@ -64,12 +64,12 @@
 		return res, err
 	}
 	if res.Outcome == nil {
-		return res, errors.Errorf("stream of request %s ended without an outcome: ask for it", res.ID)
+		return res, errors.Errorf("stream of request %s ended without an outcome; query it with skylarkctl outcome", res.ID)
 	}
 	return res, nil
 }
 
-// ReachableInstances counts the instances that the entry has met, itself included.
+// ReachableInstances returns the number of instances that the entry reaches, itself included.
 func (c *Client) ReachableInstances(ctx context.Context) int {
 	rep, err := c.Operators.GetStatus(ctx, connect.NewRequest(&v1.GetStatusRequest{}))
 	if err != nil {
--- a/internal/ctl/command.go
+++ b/internal/ctl/command.go
@@ -12,18 +12,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Exit codes, for scripts.
+// Exit codes of skylarkctl.
 const (
 	exitOK       = 0
-	exitFailed   = 1 // the command could not be carried out
+	exitFailed   = 1 // the command failed
 	exitUsage    = 2
-	exitNotRun   = 3 // the request provably did not run
+	exitNotRun   = 3 // the request did not run
 	exitCutOff   = 4 // the request may have run
-	exitConflict = 5 // another operator changed the template first
+	exitConflict = 5 // the template was changed meanwhile
 	exitPartial  = 6 // accepted, but not yet in force everywhere
 )
 
-// exitError is an error with an exit code of its own.
+// exitError is an error with an exit code.
 type exitError struct {
 	code int
 	msg  string
@@ -31,7 +31,7 @@
 
 func (e *exitError) Error() string { return e.msg }
 
-// app is what all commands share.
+// app holds the streams and options that all commands share.
 type app struct {
 	in       io.Reader
 	out, err io.Writer
@@ -39,7 +39,7 @@
 	output   string
 }
 
-// Main runs skylarkctl and gives the exit code.
+// Main runs skylarkctl and returns its exit code.
 func Main(args []string, in io.Reader, out, errOut io.Writer) int {
 	a := &app{in: in, out: out, err: errOut}
 	root := a.root()
@@ -52,7 +52,7 @@
 func (a *app) root() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "skylarkctl",
-		Short:         "Send requests, ask what became of them, change templates",
+		Short:         "Send requests, query their outcomes, change templates",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
@@ -64,7 +64,7 @@
 	}
 	f := root.PersistentFlags()
 	f.StringVar(&a.entry, "entry", "http://127.0.0.1:7400", "base URL of an entry")
-	f.StringVarP(&a.output, "output", "o", "text", "text for people, json for programs")
+	f.StringVarP(&a.output, "output", "o", "text", "output format: text or json")
 	root.AddCommand(a.newRequest(), a.newOutcome(), a.newTimeline(), a.newTemplate(), a.newStatus(), a.newSettings(), a.newLoad(), a.newExperiment())
 	return root
 }
@@ -73,7 +73,7 @@
 	if err == nil {
 		return exitOK
 	}
-	fmt.Fprintln(a.err, "skylarkctl:", explain(err))
+	fmt.Fprintln(a.err, "skylarkctl:", errorText(err))
 	var e *exitError
 	if errors.As(err, &e) {
 		return e.code
@@ -81,15 +81,15 @@
 	return exitFailed
 }
 
-// explain says what a person can do about an error.
-func explain(err error) string {
+// errorText returns the text of an error and, if known, what to do about it.
+func errorText(err error) string {
 	var ce *connect.Error
 	if !errors.As(err, &ce) {
 		return err.Error()
 	}
 	msg := ce.Message()
 	if after := ce.Meta().Get("retry-after-ms"); after != "" {
-		msg += " (come back after " + after + " ms)"
+		msg += " (retry after " + after + " ms)"
 	}
 	if ce.Code() == connect.CodeUnavailable && ce.Meta().Get("skylarkwood-kind") == "" {
 		msg += " (is --entry right?)"
@@ -99,7 +99,7 @@
 
 func (a *app) client() *Client { return NewClient(a.entry) }
 
-// show prints a message as JSON, or as text by the given function.
+// show writes a message as JSON or, with text, as plain text.
 func (a *app) show(m proto.Message, text func(io.Writer)) error {
 	if a.output != "json" {
 		text(a.out)
@@ -113,8 +113,8 @@
 	return err
 }
 
-// ask makes a Connect call with a plain message.
-func ask[Req, Rep any](ctx context.Context, f func(context.Context, *connect.Request[Req]) (*connect.Response[Rep], error), m *Req) (*Rep, error) {
+// call makes a Connect call.
+func call[Req, Rep any](ctx context.Context, f func(context.Context, *connect.Request[Req]) (*connect.Response[Rep], error), m *Req) (*Rep, error) {
 	rep, err := f(ctx, connect.NewRequest(m))
 	if err != nil {
 		return nil, err
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -18,9 +18,8 @@
 	return code, o.String(), e.String()
 }
 
-// What an operator types wrong gets one line that says what is wrong, and the
-// exit code that scripts go by.
-func TestBadUse(t *testing.T) {
+// Wrong usage must yield an error that names the mistake, and the exit code for it.
+func TestWrongUsage(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.toml")
 	assert.NilError(t, os.WriteFile(bad, []byte("customer = \"c\"\nprioritee = 1\n"), 0o600))
@@ -34,7 +33,7 @@
 		{"customer missing", []string{"outcome", "r1"}, "customer", exitFailed},
 		{"unknown key in a template", []string{"template", "set", bad, "--author", "a"}, "prioritee: unknown key", exitFailed},
 		{"no such settings", []string{"settings", "check", filepath.Join(dir, "none")}, "no such file", exitFailed},
-		{"nobody at the entry", []string{"status", "--entry", "http://127.0.0.1:1"}, "is --entry right?", exitFailed},
+		{"entry unreachable", []string{"status", "--entry", "http://127.0.0.1:1"}, "is --entry right?", exitFailed},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			code, _, errOut := run(tc.args...)
@@ -44,15 +43,14 @@
 	}
 }
 
-func TestSettingsCheck(t *testing.T) {
+func TestSettingsCheckAcceptsExample(t *testing.T) {
 	code, out, errOut := run("settings", "check", "../../examples/split/entry.toml")
 	assert.Equal(t, code, exitOK, errOut)
 	assert.Assert(t, strings.Contains(out, "entry entry-1, in order"))
 }
 
-// The templates of the examples are read as they stand, and what `get` prints
-// is read back the same.
-func TestTemplateRoundTrip(t *testing.T) {
+// Guards against templates that change when they are printed and read again.
+func TestPrintedTemplateReadsBack(t *testing.T) {
 	files, err := filepath.Glob("../../examples/*/template-*.toml")
 	assert.NilError(t, err)
 	assert.Equal(t, len(files), 2)
--- a/internal/ctl/experiment.go
+++ b/internal/ctl/experiment.go
@@ -9,9 +9,9 @@
 	"github.com/skylarkwood/skylarkwood/internal/experiment"
 )
 
-// newExperiment compares plans; it needs no running system.
+// newExperiment returns the command group that compares plans. It needs no running system.
 func (a *app) newExperiment() *cobra.Command {
-	cmd := &cobra.Command{Use: "experiment", Short: "Try out decisions without a running system"}
+	cmd := &cobra.Command{Use: "experiment", Short: "Evaluate planning offline, without a running system"}
 	cmd.AddCommand(a.newExperimentPlan())
 	return cmd
 }
@@ -23,7 +23,7 @@
 		Short: "Compare ways to place a model's layers on the engines of a TOML file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			raw, err := a.file(args[0])
+			raw, err := a.readFile(args[0])
 			if err != nil {
 				return err
 			}
--- a/internal/ctl/load.go
+++ b/internal/ctl/load.go
@@ -16,7 +16,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/settings"
 )
 
-// mixFile is a recorded mix as it stands in a TOML file.
+// mixFile is the TOML file with the mix of requests.
 type mixFile struct {
 	Mix []struct {
 		Customer      string  `toml:"customer"`
@@ -33,10 +33,10 @@
 	var mix, path, entries string
 	cmd := &cobra.Command{
 		Use:   "load",
-		Short: "Send an open-loop load and account for every request",
+		Short: "Send an open-loop load and report the outcomes of its requests",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := a.loadMix(mix, &cfg); err != nil {
+			if err := a.readMix(mix, &cfg); err != nil {
 				return err
 			}
 			cfg.Entries = []string{a.entry}
@@ -51,20 +51,20 @@
 	}
 	f := cmd.Flags()
 	f.StringVar(&mix, "mix", "", "TOML file with the mix of requests")
-	f.StringVar(&entries, "entries", "", "base URLs of several entries, with commas between")
-	f.Float64Var(&cfg.Rate, "rate", 10, "requests a second")
-	f.DurationVar(&cfg.Duration, "duration", 10*time.Second, "how long to send")
-	f.Float64Var(&cfg.Burst, "burst", 1, "how many times the rate a burst has")
-	f.DurationVar(&cfg.Period, "period", 10*time.Second, "from one burst to the next")
-	f.DurationVar(&cfg.Timeout, "timeout", 0, "time limit of each request; 0 takes the template's")
-	f.Uint64Var(&cfg.Seed, "seed", 1, "seed of the arrivals")
-	f.StringVar(&path, "report", "", "HTML file to write the report to")
+	f.StringVar(&entries, "entries", "", "base URLs of several entries, separated by commas")
+	f.Float64Var(&cfg.Rate, "rate", 10, "mean requests per second")
+	f.DurationVar(&cfg.Duration, "duration", 10*time.Second, "how long to send requests")
+	f.Float64Var(&cfg.Burst, "burst", 1, "rate during a burst, as a multiple of --rate")
+	f.DurationVar(&cfg.Period, "period", 10*time.Second, "time between the starts of two bursts")
+	f.DurationVar(&cfg.Timeout, "timeout", 0, "timeout of each request; 0 uses the template's")
+	f.Uint64Var(&cfg.Seed, "seed", 1, "random seed of the arrival times")
+	f.StringVar(&path, "report", "", "write the report to this HTML file")
 	_ = cmd.MarkFlagRequired("mix")
 	return cmd
 }
 
-func (a *app) loadMix(path string, cfg *load.Config) error {
-	raw, err := a.file(path)
+func (a *app) readMix(path string, cfg *load.Config) error {
+	raw, err := a.readFile(path)
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 		return errors.Wrap(settings.FormatError(err), path)
 	}
 	if len(m.Mix) == 0 {
-		return errors.Errorf("%s: mix: is empty", path)
+		return errors.Errorf("%s: mix: must not be empty", path)
 	}
 	for i, k := range m.Mix {
 		if k.Weight <= 0 {
@@ -84,13 +84,13 @@
 	return nil
 }
 
-// report is what a measurement shows: tables for people, a page, or its fields.
+// report is the result of a measurement.
 type report interface {
 	Text(w io.Writer)
 	HTML(w io.Writer) error
 }
 
-// showReport prints a report, and writes its page to a file if there is a path.
+// showReport prints a report and, if path is set, writes it to that file as HTML.
 func (a *app) showReport(r report, path string) error {
 	if a.output == "json" {
 		enc := json.NewEncoder(a.out)
@@ -112,6 +112,6 @@
 		f.Close()
 		return err
 	}
-	fmt.Fprintln(a.err, "report in", path)
+	fmt.Fprintln(a.err, "report written to", path)
 	return f.Close()
 }
--- a/internal/ctl/operators.go
+++ b/internal/ctl/operators.go
@@ -25,10 +25,10 @@
 func (a *app) newTemplateGet() *cobra.Command {
 	return &cobra.Command{
 		Use:   "get CUSTOMER",
-		Short: "Print a customer's template as TOML, ready to be edited and set",
+		Short: "Print a customer's template as TOML, as template set reads it",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			rep, err := ask(cmd.Context(), a.client().Operators.GetTemplate, &v1.GetTemplateRequest{Customer: args[0]})
+			rep, err := call(cmd.Context(), a.client().Operators.GetTemplate, &v1.GetTemplateRequest{Customer: args[0]})
 			if err != nil {
 				return err
 			}
@@ -43,7 +43,7 @@
 		Short: "List the customers that have a template",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			rep, err := ask(cmd.Context(), a.client().Operators.ListTemplates, &v1.ListTemplatesRequest{})
+			rep, err := call(cmd.Context(), a.client().Operators.ListTemplates, &v1.ListTemplatesRequest{})
 			if err != nil {
 				return err
 			}
@@ -61,7 +61,7 @@
 		Short: "List the latest changes of a customer's template, newest first",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			rep, err := ask(cmd.Context(), a.client().Operators.GetTemplateHistory, &v1.GetTemplateHistoryRequest{Customer: args[0]})
+			rep, err := call(cmd.Context(), a.client().Operators.GetTemplateHistory, &v1.GetTemplateHistoryRequest{Customer: args[0]})
 			if err != nil {
 				return err
 			}
@@ -84,10 +84,10 @@
 	tw.Flush()
 }
 
-// templateFile is a template as operators write it.
+// templateFile is the TOML form of a template.
 type templateFile struct {
 	Customer string `toml:"customer"`
-	// Revision is the one the change is based on; 0 creates the template.
+	// Revision is the revision that the change is based on; 0 creates the template.
 	Revision   int64             `toml:"revision"`
 	Parameters map[string]string `toml:"parameters,omitempty"`
 	Services   []serviceFile     `toml:"services"`
@@ -147,10 +147,10 @@
 	var wait time.Duration
 	cmd := &cobra.Command{
 		Use:   "set FILE",
-		Short: "Replace a template by a TOML file; FILE may be - for standard input",
+		Short: "Replace a template by a TOML file; - reads standard input",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			raw, err := a.file(args[0])
+			raw, err := a.readFile(args[0])
 			if err != nil {
 				return err
 			}
@@ -163,16 +163,16 @@
 			return a.setTemplate(cmd, m)
 		},
 	}
-	cmd.Flags().StringVar(&author, "author", "", "who makes the change")
-	cmd.Flags().DurationVar(&wait, "wait", 8*time.Second, "how long to wait until it is in force everywhere")
+	cmd.Flags().StringVar(&author, "author", "", "author of the change")
+	cmd.Flags().DurationVar(&wait, "wait", 8*time.Second, "how long to wait until the change is in force everywhere")
 	_ = cmd.MarkFlagRequired("author")
 	return cmd
 }
 
 func (a *app) setTemplate(cmd *cobra.Command, m *v1.SetTemplateRequest) error {
-	rep, err := ask(cmd.Context(), a.client().Operators.SetTemplate, m)
+	rep, err := call(cmd.Context(), a.client().Operators.SetTemplate, m)
 	if connect.CodeOf(err) == connect.CodeAborted {
-		return a.conflict(err)
+		return a.conflictError(err)
 	}
 	if err != nil {
 		return err
@@ -189,29 +189,29 @@
 	return &exitError{exitPartial, "accepted, but not confirmed by " + strings.Join(rep.Missing, ", ")}
 }
 
-// conflict shows the change that came first.
-func (a *app) conflict(err error) error {
+// conflictError prints the template as changed by another operator and returns an exitError.
+func (a *app) conflictError(err error) error {
 	var ce *connect.Error
 	if errors.As(err, &ce) {
 		for _, d := range ce.Details() {
 			if other, derr := d.Value(); derr == nil {
 				if c, ok := other.(*v1.TemplateChange); ok {
-					fmt.Fprintln(a.err, "# the template as it stands now:")
+					fmt.Fprintln(a.err, "# the current template:")
 					printTemplate(a.err, c)
 				}
 			}
 		}
 	}
-	return &exitError{exitConflict, explain(err)}
+	return &exitError{exitConflict, errorText(err)}
 }
 
 func (a *app) newStatus() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Show the instances as one entry sees them",
+		Short: "Show the state of the instances as known to one entry",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			rep, err := ask(cmd.Context(), a.client().Operators.GetStatus, &v1.GetStatusRequest{})
+			rep, err := call(cmd.Context(), a.client().Operators.GetStatus, &v1.GetStatusRequest{})
 			if err != nil {
 				return err
 			}
@@ -259,7 +259,7 @@
 	cmd := &cobra.Command{Use: "settings", Short: "Work with settings files"}
 	cmd.AddCommand(&cobra.Command{
 		Use:   "check FILE...",
-		Short: "Check settings files without starting anything",
+		Short: "Check settings files",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			for _, path := range args {
--- a/internal/ctl/print.go
+++ b/internal/ctl/print.go
@@ -16,7 +16,7 @@
 	v1.OutcomeState_OUTCOME_STATE_CUT_OFF:     "cut off",
 }
 
-// PrintOutcome writes an outcome for a person.
+// PrintOutcome writes an outcome as text.
 func PrintOutcome(w io.Writer, id string, o *v1.Outcome) {
 	fmt.Fprintf(w, "request:  %s\n", id)
 	fmt.Fprintf(w, "outcome:  %s", stateNames[o.State])
@@ -24,22 +24,22 @@
 		fmt.Fprint(w, " (may have run)")
 	}
 	fmt.Fprintln(w)
-	line(w, "kind:     ", o.Kind)
-	line(w, "cause:    ", o.Cause)
-	line(w, "evidence: ", o.Evidence)
-	line(w, "entry:    ", o.Entry)
+	printLine(w, "kind:     ", o.Kind)
+	printLine(w, "cause:    ", o.Cause)
+	printLine(w, "evidence: ", o.Evidence)
+	printLine(w, "entry:    ", o.Entry)
 	if o.RetryAfterMs > 0 {
-		fmt.Fprintf(w, "come back after: %v\n", time.Duration(o.RetryAfterMs)*time.Millisecond)
+		fmt.Fprintf(w, "retry after: %v\n", time.Duration(o.RetryAfterMs)*time.Millisecond)
 	}
 }
 
-func line(w io.Writer, name, value string) {
+func printLine(w io.Writer, name, value string) {
 	if value != "" {
 		fmt.Fprintln(w, name+value)
 	}
 }
 
-// PrintTimeline writes events for a person, in causal order.
+// PrintTimeline writes events as text, in causal order.
 func PrintTimeline(w io.Writer, events []*v1.Event, unreachable []string) {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, e := range events {
@@ -48,6 +48,6 @@
 	}
 	tw.Flush()
 	for _, u := range unreachable {
-		fmt.Fprintf(w, "no answer from %s: what it recorded is missing here\n", u)
+		fmt.Fprintf(w, "no answer from %s: its events are missing\n", u)
 	}
 }
--- a/internal/ctl/requests.go
+++ b/internal/ctl/requests.go
@@ -11,8 +11,8 @@
 	v1 "github.com/skylarkwood/skylarkwood/api/skylarkwood/v1"
 )
 
-// file reads a file, or standard input for "-".
-func (a *app) file(path string) ([]byte, error) {
+// readFile returns the contents of a file, or of standard input if path is "-".
+func (a *app) readFile(path string) ([]byte, error) {
 	if path == "-" {
 		raw, err := io.ReadAll(a.in)
 		return raw, errors.Wrap(err, "read standard input")
@@ -20,21 +20,21 @@
 	return os.ReadFile(path)
 }
 
-// target names a request on the command line.
-type target struct{ customer string }
+// requestTarget holds the flags that identify a request.
+type requestTarget struct{ customer string }
 
-func (t *target) flags(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&t.customer, "customer", "", "customer whose request it is")
+func (t *requestTarget) addFlags(cmd *cobra.Command) {
+	cmd.Flags().StringVar(&t.customer, "customer", "", "customer of the request")
 	_ = cmd.MarkFlagRequired("customer")
 }
 
 func (a *app) newRequest() *cobra.Command {
-	var t target
+	var t requestTarget
 	var timeout time.Duration
 	m := &v1.SubmitRequest{}
 	cmd := &cobra.Command{
 		Use:   "request BODY",
-		Short: "Send one request and print its answer; BODY may be - for standard input",
+		Short: "Send a request and print its response; - reads the body from standard input",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			m.Customer = t.customer
@@ -47,13 +47,13 @@
 			return a.sendRequest(cmd, m)
 		},
 	}
-	t.flags(cmd)
+	t.addFlags(cmd)
 	f := cmd.Flags()
-	f.StringVar(&m.Service, "service", "", "service to reach")
-	f.StringVar(&m.RequestId, "id", "", "request id; give the same one to come back for the answer")
-	f.Int32Var(&m.MaxTokens, "tokens", 0, "tokens wanted from a pipeline service")
-	f.DurationVar(&timeout, "timeout", 0, "how long to wait; 0 takes the template's")
-	f.BoolVar(&m.NotRepeatable, "not-repeatable", false, "run at most once")
+	f.StringVar(&m.Service, "service", "", "service that handles the request")
+	f.StringVar(&m.RequestId, "id", "", "request id; the same id returns the same response")
+	f.Int32Var(&m.MaxTokens, "tokens", 0, "maximum number of tokens of a pipeline service")
+	f.DurationVar(&timeout, "timeout", 0, "timeout of the request; 0 uses the template's")
+	f.BoolVar(&m.NotRepeatable, "not-repeatable", false, "run the request at most once")
 	_ = cmd.MarkFlagRequired("service")
 	return cmd
 }
@@ -62,7 +62,7 @@
 	if arg != "-" {
 		return []byte(arg), nil
 	}
-	return a.file(arg)
+	return a.readFile(arg)
 }
 
 func (a *app) sendRequest(cmd *cobra.Command, m *v1.SubmitRequest) error {
@@ -84,7 +84,7 @@
 	return outcomeError(res.Outcome)
 }
 
-// outcomeError turns an outcome into the exit code for scripts.
+// outcomeError returns an error with the exit code of an outcome, or nil if the request ran.
 func outcomeError(o *v1.Outcome) error {
 	switch o.State {
 	case v1.OutcomeState_OUTCOME_STATE_NOT_RUN:
@@ -96,13 +96,13 @@
 }
 
 func (a *app) newOutcome() *cobra.Command {
-	var t target
+	var t requestTarget
 	cmd := &cobra.Command{
 		Use:   "outcome ID",
-		Short: "Tell what became of a request, and what that rests on",
+		Short: "Print the outcome of a request and its evidence",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			rep, err := ask(cmd.Context(), a.client().Requests.GetOutcome,
+			rep, err := call(cmd.Context(), a.client().Requests.GetOutcome,
 				&v1.GetOutcomeRequest{Customer: t.customer, RequestId: args[0]})
 			if err != nil {
 				return err
@@ -115,18 +115,18 @@
 			})
 		},
 	}
-	t.flags(cmd)
+	t.addFlags(cmd)
 	return cmd
 }
 
 func (a *app) newTimeline() *cobra.Command {
-	var t target
+	var t requestTarget
 	cmd := &cobra.Command{
 		Use:   "timeline ID",
-		Short: "Print the events of a request over all processes, in causal order",
+		Short: "Print the events of a request in all processes, in causal order",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			rep, err := ask(cmd.Context(), a.client().Requests.GetTimeline,
+			rep, err := call(cmd.Context(), a.client().Requests.GetTimeline,
 				&v1.GetTimelineRequest{Customer: t.customer, RequestId: args[0]})
 			if err != nil {
 				return err
@@ -134,6 +134,6 @@
 			return a.show(rep, func(w io.Writer) { PrintTimeline(w, rep.Events, rep.Unreachable) })
 		},
 	}
-	t.flags(cmd)
+	t.addFlags(cmd)
 	return cmd
 }
