--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,5 +1,5 @@
-// Package load sends an open-loop stream of requests to entries, accounts for
-// each, and reports latencies and outcomes.
+// Package load sends an open-loop stream of requests to entries and reports latencies and
+// outcomes.
 package load
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/skylarkwood/skylarkwood/api/skylarkwood/v1/skylarkwoodv1connect"
 )
 
-// RequestKind is one kind of request of the mix.
+// RequestKind is a kind of request in the mix.
 type RequestKind struct {
 	Customer      string  `json:"customer"`
 	Service       string  `json:"service"`
@@ -27,39 +27,39 @@
 	NotRepeatable bool    `json:"not_repeatable,omitempty"`
 }
 
-// Config says what to send.
+// Config defines the load.
 type Config struct {
-	Entries  []string      `json:"entries"` // base URLs, in turn
-	Rate     float64       `json:"rate"`    // requests a second, on average
+	Entries  []string      `json:"entries"` // base URLs, used in rotation
+	Rate     float64       `json:"rate"`    // mean requests per second
 	Duration time.Duration `json:"duration"`
-	// Burst makes the rate swing: Burst times the rate in the first fifth of each
-	// Period, less in the rest; 0 or 1 is steady.
+	// Burst varies the rate: in the first fifth of each Period it is Burst times Rate, and
+	// lower in the rest, so that Rate is the mean. With 0 or 1 the rate is constant.
 	Burst   float64       `json:"burst"`
 	Period  time.Duration `json:"period"`
 	Timeout time.Duration `json:"timeout"`
 	Seed    uint64        `json:"seed"`
-	Mix     []RequestKind        `json:"mix"`
+	Mix     []RequestKind `json:"mix"`
 }
 
-// Report is what came of it. Sent is the sum of the five ends of a request.
+// Report is the result of a run. Sent is the sum of Ran, NotRun, CutOff, NotAccepted and Lost.
 type Report struct {
-	Config      Config         `json:"config"`
-	Sent        int            `json:"sent"`
-	Ran         int            `json:"ran"`
-	NotRun      int            `json:"not_run"`
-	CutOff      int            `json:"cut_off"`
-	NotAccepted int            `json:"not_accepted"`
-	Lost        int            `json:"lost"` // the stream broke before an outcome
-	Kinds       map[string]int `json:"kinds"`
-	Tokens      int64          `json:"tokens"`
-	Seconds     []Second       `json:"seconds"`
-	FirstToken       Latency        `json:"first_token_ms"`
-	BetweenTokens     Latency        `json:"between_tokens_ms"`
-	Total       Latency        `json:"whole_ms"`
-	Goodput float64        `json:"goodput_requests_per_second"`
+	Config        Config         `json:"config"`
+	Sent          int            `json:"sent"`
+	Ran           int            `json:"ran"`
+	NotRun        int            `json:"not_run"`
+	CutOff        int            `json:"cut_off"`
+	NotAccepted   int            `json:"not_accepted"`
+	Lost          int            `json:"lost"` // the stream ended without an outcome
+	Kinds         map[string]int `json:"kinds"`
+	Tokens        int64          `json:"tokens"`
+	Seconds       []Second       `json:"seconds"`
+	FirstToken    Latency        `json:"first_token_ms"`
+	BetweenTokens Latency        `json:"between_tokens_ms"`
+	Total         Latency        `json:"whole_ms"`
+	Goodput       float64        `json:"goodput_requests_per_second"`
 }
 
-// Second is one second of the run, by when requests ended.
+// Second counts the requests that ended in one second of the run.
 type Second struct {
 	Ran    int `json:"ran"`
 	NotRun int `json:"not_run"`
@@ -67,7 +67,7 @@
 	Tokens int `json:"tokens"`
 }
 
-// Latency is a distribution in milliseconds.
+// Latency holds quantiles of a distribution in milliseconds.
 type Latency struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
@@ -75,32 +75,32 @@
 	Max float64 `json:"max"`
 }
 
-// run is a load under way.
+// run is a load in progress.
 type run struct {
 	cfg     Config
 	clients []skylarkwoodv1connect.RequestServiceClient
 	began   time.Time
 
-	mu                    sync.Mutex
-	report                Report
-	first, between, whole *hdrhistogram.Histogram
+	mu                               sync.Mutex
+	report                           Report
+	firstToken, betweenTokens, total *hdrhistogram.Histogram
 }
 
 const maxLatency = int64(10 * time.Minute / time.Microsecond)
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency, 3) }
 
-// Run sends the load and waits for the last answer.
+// Run sends the load and returns when all requests have ended.
 func Run(ctx context.Context, cfg Config) Report {
 	const connections = 512
 	hc := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: connections}}
 	r := &run{
-		cfg:     cfg,
-		began:   time.Now(),
-		report:  Report{Config: cfg, Kinds: map[string]int{}},
-		first:   newHistogram(),
-		between: newHistogram(),
-		whole:   newHistogram(),
+		cfg:           cfg,
+		began:         time.Now(),
+		report:        Report{Config: cfg, Kinds: map[string]int{}},
+		firstToken:    newHistogram(),
+		betweenTokens: newHistogram(),
+		total:         newHistogram(),
 	}
 	for _, url := range cfg.Entries {
 		r.clients = append(r.clients, skylarkwoodv1connect.NewRequestServiceClient(hc, url))
@@ -109,8 +109,8 @@
 	return r.finish()
 }
 
-// send starts requests at times that do not depend on the answers: a system
-// that slows down must not thereby get less to do.
+// send starts requests at times that don't depend on the responses, so that a slow system
+// receives no fewer requests.
 func (r *run) send(ctx context.Context) {
 	rnd := rand.New(rand.NewPCG(r.cfg.Seed, 1))
 	var all sync.WaitGroup
@@ -120,9 +120,9 @@
 		if next.Sub(r.began) >= r.cfg.Duration || !waitUntil(ctx, next) {
 			break
 		}
-		k := r.pick(rnd)
+		k := r.pickKind(rnd)
 		c := r.clients[n%len(r.clients)]
-		all.Go(func() { r.one(ctx, c, k) })
+		all.Go(func() { r.sendOne(ctx, c, k) })
 	}
 	all.Wait()
 }
@@ -138,19 +138,19 @@
 	}
 }
 
-// rateAt is the rate at a time of the run.
+// rateAt returns the rate at a time since the start of the run.
 func (r *run) rateAt(at time.Duration) float64 {
-	const share = 0.2 // of the period that is burst
+	const burstShare = 0.2 // part of a period that is a burst
 	if r.cfg.Burst <= 1 || r.cfg.Period <= 0 {
 		return r.cfg.Rate
 	}
-	if at%r.cfg.Period < time.Duration(share*float64(r.cfg.Period)) {
+	if at%r.cfg.Period < time.Duration(burstShare*float64(r.cfg.Period)) {
 		return r.cfg.Rate * r.cfg.Burst
 	}
-	return max(r.cfg.Rate*(1-share*r.cfg.Burst)/(1-share), r.cfg.Rate/100)
+	return max(r.cfg.Rate*(1-burstShare*r.cfg.Burst)/(1-burstShare), r.cfg.Rate/100)
 }
 
-func (r *run) pick(rnd *rand.Rand) RequestKind {
+func (r *run) pickKind(rnd *rand.Rand) RequestKind {
 	total := 0.0
 	for _, k := range r.cfg.Mix {
 		total += k.Weight
@@ -164,7 +164,7 @@
 	return r.cfg.Mix[len(r.cfg.Mix)-1]
 }
 
-func (r *run) one(ctx context.Context, c skylarkwoodv1connect.RequestServiceClient, k RequestKind) {
+func (r *run) sendOne(ctx context.Context, c skylarkwoodv1connect.RequestServiceClient, k RequestKind) {
 	began := time.Now()
 	stream, err := c.Submit(ctx, connect.NewRequest(&v1.SubmitRequest{
 		Customer:      k.Customer,
@@ -176,7 +176,7 @@
 		NotRepeatable: k.NotRepeatable,
 	}))
 	if err != nil {
-		r.end(began, nil, err)
+		r.recordOutcome(began, nil, err)
 		return
 	}
 	defer stream.Close()
@@ -185,26 +185,26 @@
 	for stream.Receive() {
 		m := stream.Msg()
 		if len(m.Data) > 0 {
-			last, tokens = r.data(m, last, tokens, began)
+			last, tokens = r.recordData(m, last, tokens, began)
 		}
 		if m.Outcome != nil {
 			outcome = m.Outcome
 		}
 	}
-	r.end(began, outcome, stream.Err())
+	r.recordOutcome(began, outcome, stream.Err())
 }
 
-// data takes in a part of an answer. Position tells how many tokens came before
-// it; how many it holds shows with the next.
-func (r *run) data(m *v1.SubmitResponse, last time.Time, tokens int64, began time.Time) (time.Time, int64) {
+// recordData records a part of a response. Position is the number of tokens before this part, so the
+// size of a part is known when the next one arrives.
+func (r *run) recordData(m *v1.SubmitResponse, last time.Time, tokens int64, began time.Time) (time.Time, int64) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if m.Position == 0 {
-		_ = r.first.RecordValue(max(now.Sub(began).Microseconds(), 1))
+		_ = r.firstToken.RecordValue(max(now.Sub(began).Microseconds(), 1))
 	} else {
 		n := max(m.Position-tokens, 1)
-		_ = r.between.RecordValues(max(now.Sub(last).Microseconds()/n, 1), n)
+		_ = r.betweenTokens.RecordValues(max(now.Sub(last).Microseconds()/n, 1), n)
 	}
 	r.report.Tokens++
 	r.second(now).Tokens++
@@ -219,14 +219,14 @@
 	return &r.report.Seconds[i]
 }
 
-func (r *run) end(began time.Time, o *v1.Outcome, err error) {
+func (r *run) recordOutcome(began time.Time, o *v1.Outcome, err error) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Sent++
 	s := r.second(now)
 	switch {
-	case o == nil && connect.CodeOf(err) != connect.CodeUnknown && refused(err):
+	case o == nil && connect.CodeOf(err) != connect.CodeUnknown && isRefusal(err):
 		r.report.NotAccepted++
 		r.report.Kinds[kindOf(err)]++
 	case o == nil:
@@ -234,7 +234,7 @@
 	case o.State == v1.OutcomeState_OUTCOME_STATE_RAN:
 		r.report.Ran++
 		s.Ran++
-		_ = r.whole.RecordValue(max(now.Sub(began).Microseconds(), 1))
+		_ = r.total.RecordValue(max(now.Sub(began).Microseconds(), 1))
 	case o.State == v1.OutcomeState_OUTCOME_STATE_NOT_RUN:
 		r.report.NotRun++
 		s.NotRun++
@@ -246,9 +246,8 @@
 	}
 }
 
-// refused tells whether an entry refused the submission, rather than the stream
-// being lost.
-func refused(err error) bool { return kindOf(err) != "" }
+// isRefusal reports whether an entry refused the request. Otherwise the stream was lost.
+func isRefusal(err error) bool { return kindOf(err) != "" }
 
 func kindOf(err error) string {
 	if ce, ok := err.(*connect.Error); ok {
@@ -260,9 +259,9 @@
 func (r *run) finish() Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.report.FirstToken = latencyOf(r.first)
-	r.report.BetweenTokens = latencyOf(r.between)
-	r.report.Total = latencyOf(r.whole)
+	r.report.FirstToken = latencyOf(r.firstToken)
+	r.report.BetweenTokens = latencyOf(r.betweenTokens)
+	r.report.Total = latencyOf(r.total)
 	r.report.Goodput = float64(r.report.Ran) / r.cfg.Duration.Seconds()
 	return r.report
 }
