--- a/internal/experiment/baselines.go
+++ b/internal/experiment/baselines.go
@@ -7,17 +7,17 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// fullShare is how much of its memory an engine fills with weights where nothing
-// else decides; the rest holds requests.
-const fullShare = 0.75
+// weightShare is the share of an engine's memory that bySize fills with weights. Requests use the
+// rest.
+const weightShare = 0.75
 
-// bySize fills each engine, in the order given, with the layers after those of the
-// one before, and begins anew after the last layer.
+// bySize gives each engine, in the given order, the layers after those of the previous engine.
+// After the last layer it starts again at the first.
 func bySize(spec *model.EngineSpec, engines []placement.Engine) placement.Plan {
 	plan := placement.Plan{}
 	next := 0
 	for _, e := range engines {
-		n := min(int(fullShare*e.Card.MB/spec.LayerMB), placement.MaxLayers(spec, e.Card))
+		n := min(int(weightShare*e.Card.MB/spec.LayerMB), placement.MaxLayers(spec, e.Card))
 		if n <= 0 {
 			continue
 		}
@@ -28,12 +28,11 @@
 	return plan
 }
 
-// equalTokens makes one chain of all engines of a domain, with the same room for
-// tokens at each as far as layers divide; a domain that does not hold the model
-// stays empty.
+// equalTokens plans one chain of all engines of a domain, with about the same token memory in
+// each. A domain that cannot hold the model gets no layers.
 func equalTokens(spec *model.EngineSpec, engines []placement.Engine) placement.Plan {
 	plan := placement.Plan{}
-	for _, group := range domains(engines) {
+	for _, group := range groupByDomain(engines) {
 		if holdsModel(spec, group) {
 			placement.PlanChain(spec, group, plan)
 		}
@@ -41,13 +40,13 @@
 	return plan
 }
 
-// fastApart makes a chain of each card of a domain that holds the whole model, and
-// one of the rest.
-func fastApart(spec *model.EngineSpec, engines []placement.Engine) placement.Plan {
+// separateCards plans a chain for each card type of a domain that can hold the whole model, and one
+// chain for the other engines.
+func separateCards(spec *model.EngineSpec, engines []placement.Engine) placement.Plan {
 	plan := placement.Plan{}
-	for _, group := range domains(engines) {
+	for _, group := range groupByDomain(engines) {
 		var rest []placement.Engine
-		for _, class := range cardsOf(group) {
+		for _, class := range groupByCard(group) {
 			if holdsModel(spec, class) {
 				placement.PlanChain(spec, class, plan)
 			} else {
@@ -61,8 +60,8 @@
 	return plan
 }
 
-// cardsOf groups engines by card, the fastest first.
-func cardsOf(engines []placement.Engine) [][]placement.Engine {
+// groupByCard groups engines by card, fastest card first.
+func groupByCard(engines []placement.Engine) [][]placement.Engine {
 	sorted := append([]placement.Engine(nil), engines...)
 	sort.SliceStable(sorted, func(i, j int) bool { return sorted[i].Card.Pace < sorted[j].Card.Pace })
 	var out [][]placement.Engine
@@ -75,8 +74,7 @@
 	return out
 }
 
-// holdsModel tells whether engines hold all layers together, each within its own
-// memory.
+// holdsModel reports whether the engines together have memory for all layers.
 func holdsModel(spec *model.EngineSpec, engines []placement.Engine) bool {
 	layers := 0
 	for _, e := range engines {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,6 +1,5 @@
-// Package experiment compares ways to place a model's layers on a site's engines,
-// without a network: what each plan bears, and how near that is to what any plan
-// could.
+// Package experiment compares placements of a model's layers on engines, without a network. It
+// computes the capacity of each plan and its share of the upper bound of any plan.
 package experiment
 
 import (
@@ -12,61 +11,61 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// Site is what is placed: the model with its cards, and the engines.
+// Site is a model with its cards, and the engines to place it on.
 type Site struct {
 	Spec    *model.EngineSpec
 	Engines []placement.Engine
 }
 
-// Planner makes a plan of engines that hold nothing.
+// Planner computes a plan for engines that hold no layers yet.
 type Planner struct {
 	Name      string
 	BuildPlan func(*model.EngineSpec, []placement.Engine) placement.Plan
 }
 
-// Result is what one planner's plan bears.
+// Result is the capacity of one planner's plan.
 type Result struct {
 	Planner string
-	// Streams is how many usual requests have room at once, over all domains;
-	// StreamShare is that as a share of the bound of memory.
+	// Streams is the number of mean requests that fit in memory at the same time, over all
+	// domains. StreamShare is its share of the memory bound.
 	Streams, StreamShare float64
-	// Prompts is how many usual prompts are read a second, over all domains;
-	// PromptShare is that as a share of the bound of reading.
+	// Prompts is the number of mean prompts that all domains prefill per second. PromptShare
+	// is its share of the prefill bound.
 	Prompts, PromptShare float64
-	// Domains is what each failure domain bears with its own engines.
+	// Domains is the capacity of each failure domain with its own engines only.
 	Domains []Domain
-	// UncoveredLayers counts layers that nobody holds.
+	// UncoveredLayers is the number of layers that no engine holds.
 	UncoveredLayers int `json:"Bare"`
 }
 
-// Domain is what one failure domain bears without the pipes to others.
+// Domain is the capacity of one failure domain with its own engines only.
 type Domain struct {
 	Name             string
 	Streams, Prompts float64
-	// TokenMS is the least time a token takes through the domain's engines, in
-	// ms, unloaded and without the hops between engines; 0 where layers lack.
+	// TokenMS is the minimum time of a token through the domain's engines in ms, without load
+	// and network. It is 0 if the domain lacks layers.
 	TokenMS float64
-	// MinStages is how many engines the domain's shortest chain has; 0 where layers lack.
-	// Each is one whose loss interrupts the streams of that chain.
+	// MinStages is the number of engines of the domain's shortest chain, or 0 if the domain
+	// lacks layers. The loss of any of them interrupts the streams of that chain.
 	MinStages int `json:"Parts"`
-	// ReplicatedShare is the share of the layers that two engines of the domain hold, or more.
+	// ReplicatedShare is the share of the layers that two or more engines of the domain hold.
 	ReplicatedShare float64 `json:"Twice"`
-	// AfterLoss is how many streams at once the domain bears without the one engine
-	// whose loss costs most.
+	// AfterLoss is the value of Streams for the domain after the loss of the engine that
+	// reduces it most.
 	AfterLoss float64
 }
 
-// Planners are the project's planner and what it is measured against.
+// Planners returns the project's planner and the baselines that it is compared with.
 func Planners() []Planner {
 	return []Planner{
 		{"by size", bySize},
 		{"equal free tokens", equalTokens},
-		{"fast cards apart", fastApart},
+		{"fast cards apart", separateCards},
 		{"planner", placement.BuildPlan},
 	}
 }
 
-// Compare plans a site with each planner.
+// Compare returns the capacity of each planner's plan for a site.
 func Compare(site Site, planners []Planner) []Result {
 	var out []Result
 	for _, p := range planners {
@@ -78,66 +77,66 @@
 func measure(site Site, name string, plan placement.Plan) Result {
 	spec, all := site.Spec, site.Engines
 	memory := placement.MaxFlow(spec, plan, all, placement.MemoryCapacity(spec))
-	reading := placement.MaxFlow(spec, plan, all, placement.PrefillCapacity(spec))
+	prefill := placement.MaxFlow(spec, plan, all, placement.PrefillCapacity(spec))
 	r := Result{
 		Planner:         name,
-		Streams:         memory / usual(spec),
-		StreamShare:     share(memory, placement.MemoryBound(spec, all)),
-		Prompts:         reading / float64(max(spec.UsualPrompt, 1)),
-		PromptShare:     share(reading, placement.PrefillBound(spec, all)),
+		Streams:         memory / meanRequestTokens(spec),
+		StreamShare:     ratio(memory, placement.MemoryBound(spec, all)),
+		Prompts:         prefill / float64(max(spec.UsualPrompt, 1)),
+		PromptShare:     ratio(prefill, placement.PrefillBound(spec, all)),
 		UncoveredLayers: len(placement.UncoveredLayers(spec, plan, all)),
 	}
-	for _, group := range domains(all) {
+	for _, group := range groupByDomain(all) {
 		r.Domains = append(r.Domains, Domain{
 			Name:    group[0].Domain,
-			Streams: placement.MaxFlow(spec, plan, group, placement.MemoryCapacity(spec)) / usual(spec),
+			Streams: placement.MaxFlow(spec, plan, group, placement.MemoryCapacity(spec)) / meanRequestTokens(spec),
 			Prompts: placement.MaxFlow(spec, plan, group, placement.PrefillCapacity(spec)) / float64(max(spec.UsualPrompt, 1)),
 			TokenMS: tokenMS(spec, plan, group),
 
 			MinStages:       placement.MinStages(spec, plan, group),
-			ReplicatedShare: twice(spec, plan, group),
+			ReplicatedShare: replicatedShare(spec, plan, group),
 			AfterLoss:       afterLoss(spec, plan, group),
 		})
 	}
 	return r
 }
 
-func twice(spec *model.EngineSpec, plan placement.Plan, engines []placement.Engine) float64 {
+func replicatedShare(spec *model.EngineSpec, plan placement.Plan, engines []placement.Engine) float64 {
 	n := 0
 	for _, held := range placement.Coverage(spec, plan, engines) {
 		if held >= 2 {
 			n++
 		}
 	}
-	return share(float64(n), float64(spec.Layers))
+	return ratio(float64(n), float64(spec.Layers))
 }
 
-// afterLoss takes the engines out one by one.
+// afterLoss returns the minimum capacity in streams over the losses of one engine.
 func afterLoss(spec *model.EngineSpec, plan placement.Plan, engines []placement.Engine) float64 {
-	least := math.Inf(1)
+	minimum := math.Inf(1)
 	for i := range engines {
 		left := slices.Delete(slices.Clone(engines), i, i+1)
-		least = math.Min(least, placement.MaxFlow(spec, plan, left, placement.MemoryCapacity(spec)))
+		minimum = math.Min(minimum, placement.MaxFlow(spec, plan, left, placement.MemoryCapacity(spec)))
 	}
-	if math.IsInf(least, 1) {
+	if math.IsInf(minimum, 1) {
 		return 0
 	}
-	return least / usual(spec)
+	return minimum / meanRequestTokens(spec)
 }
 
-// usual is what a usual request holds, in tokens.
-func usual(spec *model.EngineSpec) float64 {
+// meanRequestTokens returns the number of tokens of a mean request.
+func meanRequestTokens(spec *model.EngineSpec) float64 {
 	return float64(max(spec.UsualPrompt+spec.UsualAnswer, 1))
 }
 
-func share(of, bound float64) float64 {
+func ratio(of, bound float64) float64 {
 	if bound <= 0 {
 		return 0
 	}
 	return of / bound
 }
 
-// tokenMS adds up each layer at its fastest holder.
+// tokenMS returns the sum of each layer's step time at its fastest engine, in ms.
 func tokenMS(spec *model.EngineSpec, plan placement.Plan, engines []placement.Engine) float64 {
 	layer := spec.StepTime.Seconds() * 1000 / float64(max(spec.Layers, 1))
 	sum := 0.0
@@ -157,8 +156,8 @@
 	return sum
 }
 
-// domains groups engines by failure domain, by name.
-func domains(all []placement.Engine) [][]placement.Engine {
+// groupByDomain groups engines by failure domain, sorted by name.
+func groupByDomain(all []placement.Engine) [][]placement.Engine {
 	sorted := append([]placement.Engine(nil), all...)
 	sort.SliceStable(sorted, func(i, j int) bool { return sorted[i].Domain < sorted[j].Domain })
 	var out [][]placement.Engine
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -20,10 +20,9 @@
 	return site
 }
 
-// Every planner covers the example's layers, fits the memory and stays under the
-// bounds; the project's planner gives each domain more streams of its own than
-// filling engines by size, and faster tokens than one even chain of all cards.
-func TestPlannersCompared(t *testing.T) {
+// Guards against plans that leave layers uncovered or exceed memory, and against a planner
+// that is no better than the baselines.
+func TestPlannerBeatsBaselines(t *testing.T) {
 	site := example(t)
 	byName := map[string]Result{}
 	for _, p := range Planners() {
@@ -42,13 +41,13 @@
 		assert.Assert(t, d.Streams > bySize.Domains[i].Streams, "%s: %.0f streams, by size %.0f", d.Name, d.Streams, bySize.Domains[i].Streams)
 		assert.Assert(t, d.TokenMS < even.Domains[i].TokenMS, "%s: %.1f ms a token, even %.1f", d.Name, d.TokenMS, even.Domains[i].TokenMS)
 		assert.Assert(t, d.MinStages < even.Domains[i].MinStages, "%s: %d engines in a chain, even %d", d.Name, d.MinStages, even.Domains[i].MinStages)
-		assert.Equal(t, even.Domains[i].AfterLoss, 0.0, "one even chain bears no loss")
+		assert.Equal(t, even.Domains[i].AfterLoss, 0.0, "a single chain has no capacity after a loss")
 		assert.Assert(t, d.ReplicatedShare == 1 && d.AfterLoss > 0, "%s: %.2f held twice, %.0f streams after a loss", d.Name, d.ReplicatedShare, d.AfterLoss)
 	}
 }
 
-// Whoever runs the comparison with a wrong file is told which entry is wrong.
-func TestSiteFileIsChecked(t *testing.T) {
+// An error in a site file must name the wrong entry.
+func TestInvalidSiteFileIsRejected(t *testing.T) {
 	raw, err := os.ReadFile("../../examples/plan-site.toml")
 	assert.NilError(t, err)
 	good := string(raw)
@@ -64,9 +63,8 @@
 	}
 }
 
-// A domain whose engines lack layers bears nothing alone; the page shows it and
-// carries names as text.
-func TestReportOfAWeakDomain(t *testing.T) {
+// Guards against capacity reported for a domain that lacks layers, and against unescaped names.
+func TestReportOfIncompleteDomain(t *testing.T) {
 	site := example(t)
 	site.Engines = append(site.Engines, placement.Engine{Address: "x", Domain: "<weak>", Card: site.Spec.Cards[2]})
 	r := Report{Title: "t", Results: Compare(site, Planners())}
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -13,13 +13,13 @@
 	"github.com/skylarkwood/skylarkwood/internal/settings"
 )
 
-// file is a site as it stands in a TOML file.
+// file is the TOML form of a site.
 type file struct {
 	Layers       int     `toml:"layers"`
 	LayerMB      float64 `toml:"layer_mb"`
 	KVTokenBytes float64 `toml:"kv_token_bytes"` // over all layers
-	StepMS       float64 `toml:"step_ms"`        // a token over all layers, pace 1
-	ReadPerS     float64 `toml:"read_per_s"`     // prompt tokens over all layers, read factor 1
+	StepMS       float64 `toml:"step_ms"`        // time of a token over all layers, at pace 1
+	ReadPerS     float64 `toml:"read_per_s"`     // prompt tokens per second over all layers, at read factor 1
 	UsualPrompt  int     `toml:"usual_prompt"`
 	UsualAnswer  int     `toml:"usual_answer"`
 	Cards        []struct {
@@ -35,7 +35,7 @@
 	} `toml:"engines"`
 }
 
-// Read reads a site; an error says what is wrong with the file.
+// Read decodes and checks a site. An error names the wrong key.
 func Read(raw []byte) (Site, error) {
 	var f file
 	if err := toml.NewDecoder(strings.NewReader(string(raw))).DisallowUnknownFields().Decode(&f); err != nil {
@@ -67,7 +67,7 @@
 	}
 	for i, c := range f.Cards {
 		if c.Name == "" || c.MB <= 0 || c.Pace <= 0 || c.ReadFactor <= 0 {
-			return Site{}, errors.Errorf("card[%d]: needs a name, and mb, pace and read_factor above 0", i)
+			return Site{}, errors.Errorf("card[%d]: name must not be empty; mb, pace and read_factor must be above 0", i)
 		}
 		spec.Cards = append(spec.Cards, model.Card{Name: c.Name, MB: c.MB, Pace: c.Pace, ReadFactor: c.ReadFactor})
 	}
@@ -75,7 +75,7 @@
 	for i, g := range f.Engines {
 		card, ok := spec.Card(g.Card)
 		if !ok {
-			return Site{}, errors.Errorf("engines[%d].card: %q is not listed", i, g.Card)
+			return Site{}, errors.Errorf("engines[%d].card: no card is named %q", i, g.Card)
 		}
 		if g.Count <= 0 {
 			return Site{}, errors.Errorf("engines[%d].count: must be above 0", i)
@@ -85,7 +85,7 @@
 		}
 	}
 	if len(s.Engines) == 0 {
-		return Site{}, errors.New("engines: is empty")
+		return Site{}, errors.New("engines: must not be empty")
 	}
 	return s, nil
 }
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// The plot's measures, in pixels.
+// Sizes of the plot in pixels.
 const (
 	barHeight = 18
 	barWidth  = 420
 	nameWidth = 180
 )
 
-// Report is a comparison for people.
+// Report is a comparison of planners.
 type Report struct {
 	Title   string
 	Results []Result
@@ -31,16 +31,16 @@
 }).Parse(`<!doctype html><meta charset="utf-8"><title>{{.Title}}</title>
 <style>body{font:14px sans-serif;margin:2em;max-width:60em}td,th{padding:.2em 1em;text-align:right}th:first-child,td:first-child{text-align:left}svg{background:#f7f7f7}</style>
 <h1>{{.Title}}</h1>
-<table><tr><th>planner</th><th>streams at once</th><th>of the bound</th><th>prompts/s</th><th>of the bound</th><th>bare layers</th></tr>
+<table><tr><th>planner</th><th>streams at once</th><th>of the bound</th><th>prompts/s</th><th>of the bound</th><th>uncovered layers</th></tr>
 {{range .Results}}<tr><td>{{.Planner}}</td><td>{{printf "%.0f" .Streams}}</td><td>{{percent .StreamShare}}</td><td>{{printf "%.0f" .Prompts}}</td><td>{{percent .PromptShare}}</td><td>{{.UncoveredLayers}}</td></tr>{{end}}</table>
 <h2>Streams at once, over all domains</h2>{{streams .}}
-<h2>Prompts read a second, over all domains</h2>{{prompts .}}
+<h2>Prompts per second, over all domains</h2>{{prompts .}}
 <h2>Each failure domain with its own engines</h2>
 <table><tr><th>planner</th><th>domain</th><th>streams at once</th><th>after the worst loss</th><th>prompts/s</th><th>ms a token</th><th>engines in a chain</th><th>layers held twice</th></tr>
 {{range .Results}}{{$p := .Planner}}{{range .Domains}}<tr><td>{{$p}}</td><td>{{.Name}}</td><td>{{printf "%.0f" .Streams}}</td><td>{{printf "%.0f" .AfterLoss}}</td><td>{{printf "%.0f" .Prompts}}</td><td>{{printf "%.1f" .TokenMS}}</td><td>{{.MinStages}}</td><td>{{percent .ReplicatedShare}}</td></tr>{{end}}{{end}}</table>
 `))
 
-// HTML writes the report as one page that needs nothing else.
+// HTML writes the report as a self-contained page.
 func (r Report) HTML(w io.Writer) error { return page.Execute(w, r) }
 
 // Text writes the report as tables.
@@ -57,24 +57,24 @@
 	}
 }
 
-// bars draws one figure of each planner.
-func bars(results []Result, figure func(Result) float64) template.HTML {
-	most := 0.0
+// bars returns an SVG with one value of each planner.
+func bars(results []Result, value func(Result) float64) template.HTML {
+	maxValue := 0.0
 	for _, r := range results {
-		most = max(most, figure(r))
+		maxValue = max(maxValue, value(r))
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, `<svg width="%d" height="%d" role="img">`, nameWidth+barWidth+80, barHeight*len(results)+4)
 	for i, r := range results {
 		width := 0.0
-		if most > 0 {
-			width = figure(r) / most * barWidth
+		if maxValue > 0 {
+			width = value(r) / maxValue * barWidth
 		}
 		y := i*barHeight + 2
 		fmt.Fprintf(&b, `<text x="4" y="%d">%s</text>`, y+barHeight-5, template.HTMLEscapeString(r.Planner))
 		fmt.Fprintf(&b, `<rect x="%d" y="%d" width="%.1f" height="%d" fill="#38a"/>`, nameWidth, y, width, barHeight-4)
-		fmt.Fprintf(&b, `<text x="%.1f" y="%d">%.0f</text>`, nameWidth+width+6, y+barHeight-5, figure(r))
+		fmt.Fprintf(&b, `<text x="%.1f" y="%d">%.0f</text>`, nameWidth+width+6, y+barHeight-5, value(r))
 	}
 	b.WriteString(`</svg>`)
-	return template.HTML(b.String()) // made of numbers and escaped names
+	return template.HTML(b.String()) // contains only numbers and escaped names
 }
