--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const good = `
+const validSettings = `
 role = "sidecar"
 instance = "s1"
 failure_domain = "hala-luka"
@@ -27,14 +27,14 @@
 layers = 24
 `
 
-func TestGood(t *testing.T) {
-	s, err := Parse([]byte(good))
+func TestValidSettings(t *testing.T) {
+	s, err := Parse([]byte(validSettings))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Sidecar.Capacity, Default().Sidecar.Capacity)
 }
 
 // An invalid setting must yield an error of one line that names the key and the reason.
-func TestBad(t *testing.T) {
+func TestInvalidSettingsAreNamed(t *testing.T) {
 	for _, tc := range []struct{ name, old, new, want string }{
 		{"unknown key", `layers = 24`, "layers = 24\nlayer = 3", "sidecar.layer: unknown key"},
 		{"role", `"sidecar"`, `"boss"`, "role: must be"},
@@ -42,13 +42,13 @@
 		{"same address twice", `127.0.0.1:7501`, `127.0.0.1:7500`, "listen.http: must differ"},
 		{"no URL", `http://127.0.0.1:9000`, `127.0.0.1:9000`, "platform.key_value: must be an http URL"},
 		{"no layers", `layers = 24`, ``, "sidecar.layers: must be"},
-		{"impossible limit", `layers = 24`, "layers = 24\ncapacity = 0", "sidecar.capacity: must be at least 1"},
+		{"limit of 0", `layers = 24`, "layers = 24\ncapacity = 0", "sidecar.capacity: must be at least 1"},
 		{"wrong type", `layers = 24`, `layers = "many"`, "sidecar.layers: line"},
 		{"bad duration", `[sidecar]`, "[entry]\ndrain_delay = \"soon\"\n[sidecar]", "drain_delay"},
-		{"link of one end", `[sidecar]`, "[[links]]\nbetween = [\"a\"]\none_way = \"1ms\"\n[sidecar]", "links[0].between: must name two"},
+		{"link with one failure domain", `[sidecar]`, "[[links]]\nbetween = [\"a\"]\none_way = \"1ms\"\n[sidecar]", "links[0].between: must name two"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			_, err := Parse([]byte(strings.Replace(good, tc.old, tc.new, 1)))
+			_, err := Parse([]byte(strings.Replace(validSettings, tc.old, tc.new, 1)))
 			assert.ErrorContains(t, err, tc.want)
 			assert.Assert(t, !strings.Contains(err.Error(), "\n"), "one line: %v", err)
 		})
@@ -56,7 +56,7 @@
 }
 
 // Guards against examples that the daemon rejects.
-func TestExamples(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../examples/*/*.toml")
 	assert.NilError(t, err)
 	assert.Assert(t, len(files) >= 6, "%d examples", len(files))
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestMissingFile(t *testing.T) {
+func TestMissingFileIsReported(t *testing.T) {
 	_, err := Load(filepath.Join(t.TempDir(), "none.toml"))
 	assert.Assert(t, os.IsNotExist(unwrap(err)), "%v", err)
 }
@@ -85,7 +85,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte("role = 1"))
 	if router, err := os.ReadFile("../../examples/router.toml"); err == nil {
 		f.Add(router)
@@ -100,7 +100,7 @@
 }
 
 // The example of a router must be valid, and an error must name an invalid key.
-func TestRouterSettings(t *testing.T) {
+func TestRouterExampleIsValid(t *testing.T) {
 	raw, err := os.ReadFile("../../examples/router.toml")
 	assert.NilError(t, err)
 	s, err := Parse(raw)
@@ -122,7 +122,7 @@
 
 // Guards against a router that rejects fractions, exponents or zeros in its settings and so
 // does not start.
-func TestFiguresAsDeploymentsWriteThem(t *testing.T) {
+func TestNumberNotationsAreAccepted(t *testing.T) {
 	raw, err := os.ReadFile("../../examples/router.toml")
 	assert.NilError(t, err)
 	for _, tc := range []struct {
@@ -146,7 +146,7 @@
 }
 
 // An invalid number must yield an error of one line that names the key and the allowed values.
-func TestFiguresThatAreNone(t *testing.T) {
+func TestInvalidNumbersAreNamed(t *testing.T) {
 	raw, err := os.ReadFile("../../examples/router.toml")
 	assert.NilError(t, err)
 	for _, tc := range []struct{ old, new, want string }{
