--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -32,7 +32,7 @@
 	return map[string]Latency{
 		"first token":    r.FirstToken,
 		"between tokens": r.BetweenTokens,
-		"whole answer":   r.Total,
+		"whole response": r.Total,
 	}
 }
 
@@ -73,7 +73,7 @@
 	for _, l := range []struct {
 		name string
 		Latency
-	}{{"first token", r.FirstToken}, {"between tokens", r.BetweenTokens}, {"whole answer", r.Total}} {
+	}{{"first token", r.FirstToken}, {"between tokens", r.BetweenTokens}, {"whole response", r.Total}} {
 		fmt.Fprintf(w, "%-15s p50 %.1f  p95 %.1f  p99 %.1f  max %.1f ms\n", l.name, l.P50, l.P95, l.P99, l.Max)
 	}
 	for k, n := range r.Kinds {
