--- a/internal/ctl/requests.go
+++ b/internal/ctl/requests.go
@@ -66,11 +66,11 @@
 }
 
 func (a *app) sendRequest(cmd *cobra.Command, m *v1.SubmitRequest) error {
-	answer := a.out
+	response := a.out
 	if a.output == "json" {
-		answer = io.Discard
+		response = io.Discard
 	}
-	res, err := a.client().Submit(cmd.Context(), m, answer)
+	res, err := a.client().Submit(cmd.Context(), m, response)
 	if err != nil {
 		return err
 	}
