--- a/internal/daemon/command/command.go
+++ b/internal/daemon/command/command.go
@@ -164,7 +164,7 @@
 
 func sendDevRequest(ctx context.Context, c *ctl.Client) error {
 	const maxTokens = 24
-	fmt.Print("answer:   ")
+	fmt.Print("response: ")
 	res, err := c.Submit(ctx, &v1.SubmitRequest{
 		Customer:  daemon.DevCustomer,
 		Service:   daemon.DevService,
--- a/internal/daemon/router_test.go
+++ b/internal/daemon/router_test.go
@@ -107,9 +107,9 @@
 		}
 	}
 	close(store.open)
-	answer, err := http.ReadResponse(bufio.NewReader(c), nil)
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
 	assert.NilError(t, err)
-	_, err = io.ReadAll(answer.Body)
+	_, err = io.ReadAll(response.Body)
 	assert.NilError(t, err, "response is truncated")
 	assert.ErrorIs(t, <-ended, syscall.EBADF)
 }
