--- a/internal/daemon/contain.go
+++ b/internal/daemon/contain.go
@@ -11,7 +11,7 @@
 )
 
 // errPanic is the cause of errors from code that panicked.
-var errPanic = errors.New("recovered panic")
+var errPanic = errors.New("recovered from panic")
 
 // recoverPanic must be deferred. It skips an entry of the store whose handling panicked, and
 // the previous state stays. Every router reads the same entries, also after a restart, so
