--- a/internal/transport/link/pool.go
+++ b/internal/transport/link/pool.go
@@ -38,7 +38,7 @@
 type clientConn struct {
 	*jsonrpc2.Conn
 	frames *frames
-	// failed is set after a message was not sent or not answered in time.
+	// failed is set after a message was not sent or got no response before its deadline.
 	failed atomic.Bool
 }
 
@@ -64,7 +64,7 @@
 			conn.failed.Store(true)
 		}
 		if ctx.Err() != nil {
-			return fault.New(fault.Unreachable, "%s to %s: no answer in time", m, addr)
+			return fault.New(fault.Unreachable, "%s to %s: no response before the deadline", m, addr)
 		}
 		return decodeFault(err)
 	}
