--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -227,7 +227,7 @@
 		Catalog:        r.catalog,
 		Health:         r.health,
 		Chooser:        &chains.Chooser{Catalog: r.catalog, Health: r.health, Usage: r.usage, Interconnect: r.interconnect, RouterCount: r.exchange.RouterCount, Self: r.settings.Router.Peers},
-		Memory:         r.usage,
+		Usage:          r.usage,
 		RetryBorrower:  r.exchange.RetryBorrower,
 		WaitQueue:      admission.NewWaitQueue(),
 		BackendClient:  r.backends,
@@ -246,7 +246,7 @@
 		Started:        time.Now(),
 	}
 	rel.SlowdownMonitor = relay.NewSlowdownMonitor()
-	rel.SlowdownMonitor.Memory = r.usage
+	rel.SlowdownMonitor.Usage = r.usage
 	rel.SlowdownMonitor.Catalog = r.catalog
 	rel.SlowdownMonitor.Report = rel.Report
 	rel.SlowdownMonitor.Now = time.Now
--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -89,7 +89,7 @@
 		}
 		stages, result = q.Chooser.Choose(q.admitted.Service, requirements)
 		if result == chains.Found {
-			reservation = q.Memory.Reserve(stages, s.tokens)
+			reservation = q.Usage.Reserve(stages, s.tokens)
 			q.Chooser.RecordStart(q.admitted.Service.Engine, stages, q.promptTokens())
 			if requirements.Resumed {
 				q.Chooser.RecordResume(q.admitted.Service.Engine, stages, s.tokens)
--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -33,7 +33,7 @@
 	prober.Now = time.Now
 	prober.Health = health
 	prober.Catalog = c
-	r := &Relay{Detector: detector.New(time.Now), Catalog: c, Health: health, Chooser: chooser, Memory: memory, WaitQueue: admission.NewWaitQueue(), Suspects: prober, FailureDomain: "a", Now: time.Now,
+	r := &Relay{Detector: detector.New(time.Now), Catalog: c, Health: health, Chooser: chooser, Usage: memory, WaitQueue: admission.NewWaitQueue(), Suspects: prober, FailureDomain: "a", Now: time.Now,
 		Quarantine: quarantine.New(func() time.Duration { return 0 })}
 	q := &request{Relay: r, call: &model.Call{Attempt: "1"}, startTime: time.Now(), avoid: map[model.Incarnation]bool{}}
 	q.admitted = routes.Admission{
@@ -107,8 +107,8 @@
 			_, reservation, f := s.reserveChain(ctx)
 			assert.Assert(t, reservation == nil)
 			assert.Assert(t, f != nil)
-			assert.Equal(t, s.Memory.Used(holder.Incarnation()).Streams, 0.0)
-			assert.Equal(t, s.Memory.Recent(holder.Incarnation()).Streams, 0.0)
+			assert.Equal(t, s.Usage.Used(holder.Incarnation()).Streams, 0.0)
+			assert.Equal(t, s.Usage.Recent(holder.Incarnation()).Streams, 0.0)
 		}
 	})
 }
--- a/internal/protocol/relay/pace.go
+++ b/internal/protocol/relay/pace.go
@@ -27,7 +27,7 @@
 // be. An engine reports its own slowdown. It is polled when a chain through it is slow,
 // and as long as it stays slow.
 type SlowdownMonitor struct {
-	Memory  *chains.UsageTracker
+	Usage   *chains.UsageTracker
 	Catalog *catalog.Catalog
 	Report  func(ctx context.Context, b *model.BackendServer) (model.EngineReport, error)
 	Now     func() time.Time
@@ -53,10 +53,10 @@
 
 // Recheck polls the engines that reported a slowdown when last polled.
 func (m *SlowdownMonitor) Recheck() {
-	for _, inc := range m.Memory.SlowEngines() {
+	for _, inc := range m.Usage.SlowEngines() {
 		b := m.Catalog.Load().Find(inc)
 		if b == nil {
-			m.Memory.RemoveSlowdown(inc)
+			m.Usage.RemoveSlowdown(inc)
 			continue
 		}
 		if m.pollDue(inc) {
@@ -90,10 +90,10 @@
 		klog.V(1).InfoS("engine slowdown not available", "server", b.Incarnation(), "err", err)
 		return
 	}
-	used := m.Memory.Used(b.Incarnation())
+	used := m.Usage.Used(b.Incarnation())
 	klog.InfoS("engine report", "request", request, "server", b.Incarnation(), "usedTokenLayers", report.UsedTokenLayers, "totalTokenLayers", report.TotalTokenLayers,
 		"countedTokenLayers", used.TokenLayers, "countedStreams", used.Streams, "reading", used.PrefillLoad, "inFlight", report.Active, "queued", report.Queued, "slowdown", report.Slowdown)
-	if m.Memory.SetSlowdown(b.Incarnation(), report.Slowdown) {
+	if m.Usage.SetSlowdown(b.Incarnation(), report.Slowdown) {
 		klog.InfoS("engine slowdown changed", "request", request, "server", b.Incarnation(), "factor", report.Slowdown, "eventGap", actual, "planned", planned)
 	}
 }
--- a/internal/protocol/relay/panic_test.go
+++ b/internal/protocol/relay/panic_test.go
@@ -161,7 +161,7 @@
 		defer cancel(nil)
 		engine := s.Catalog.Load().Service("s")[0]
 		stages := []chains.Stage{{Server: engine, Layers: engine.Holds}}
-		w := s.watch(ctx, cancel, stages, s.Memory.Reserve(stages, 1), s.Quarantine.Begin(nil, false))
+		w := s.watch(ctx, cancel, stages, s.Usage.Reserve(stages, 1), s.Quarantine.Begin(nil, false))
 		defer w.stop()
 		<-ctx.Done()
 		synctest.Wait()
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -177,7 +177,7 @@
 		c := catalog.New(time.Now)
 		c.Put(*a.server)
 		p := NewSlowdownMonitor()
-		p.Memory = chains.NewUsageTracker(time.Now)
+		p.Usage = chains.NewUsageTracker(time.Now)
 		p.Catalog = c
 		p.Report = a.report
 		p.Now = time.Now
@@ -186,14 +186,14 @@
 		p.Check(stages, "r", time.Second, time.Millisecond)
 		synctest.Wait()
 		assert.Equal(t, a.reportRequests(), 1, "several streams on one engine poll it once")
-		assert.Equal(t, p.Memory.Slowdown(inc("e")), 3.0)
+		assert.Equal(t, p.Usage.Slowdown(inc("e")), 3.0)
 		a.mu.Lock()
 		a.slow = 1
 		a.mu.Unlock()
 		time.Sleep(slowdownPollInterval)
 		p.Recheck()
 		synctest.Wait()
-		assert.Equal(t, p.Memory.Slowdown(inc("e")), 1.0)
+		assert.Equal(t, p.Usage.Slowdown(inc("e")), 1.0)
 		time.Sleep(slowdownPollInterval)
 		p.Recheck()
 		synctest.Wait()
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -104,7 +104,7 @@
 	Catalog *catalog.Catalog
 	Health  *catalog.Health
 	Chooser *chains.Chooser
-	Memory  *chains.UsageTracker
+	Usage   *chains.UsageTracker
 	// RetryBorrower holds the retry budget and borrows retry tokens from peers.
 	RetryBorrower *limits.RetryBorrower
 	WaitQueue     *admission.WaitQueue
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -107,7 +107,7 @@
 	prober.AnnounceSuspect = func(model.Incarnation, time.Time) {}
 	observer := &retryCounter{}
 	rel := &Relay{
-		Config: current, Catalog: c, Health: health, Memory: memory,
+		Config: current, Catalog: c, Health: health, Usage: memory,
 		Chooser:       &chains.Chooser{Catalog: c, Health: health, Usage: memory, Interconnect: chains.NewInterconnect(time.Now), RouterCount: func() int { return 1 }},
 		WaitQueue:     admission.NewWaitQueue(),
 		RetryBorrower: &limits.RetryBorrower{Budget: limits.NewSharedRetryBudget(0, 100, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
@@ -121,7 +121,7 @@
 		CheckListening: func(context.Context, string) error { return nil },
 	}
 	rel.SlowdownMonitor = NewSlowdownMonitor()
-	rel.SlowdownMonitor.Memory = memory
+	rel.SlowdownMonitor.Usage = memory
 	rel.SlowdownMonitor.Catalog = c
 	rel.SlowdownMonitor.Report = rel.Report
 	rel.SlowdownMonitor.Now = time.Now
@@ -130,7 +130,7 @@
 
 // streamCount returns how many streams hold memory at the engines.
 func (s *fixture) streamCount() float64 {
-	return s.Memory.Used(inc("one")).Streams + s.Memory.Used(inc("two")).Streams
+	return s.Usage.Used(inc("one")).Streams + s.Usage.Used(inc("two")).Streams
 }
 
 func (s *fixture) assertNoEvidence(t *testing.T) {
--- a/internal/protocol/relay/sight_test.go
+++ b/internal/protocol/relay/sight_test.go
@@ -100,8 +100,8 @@
 			log := captureLog(t)
 			s := newFixture(model.Route{Kind: streaming, MaxAttempts: 2, TargetLatency: time.Second}, true, at.do)
 			if at.full {
-				s.Memory.Reserve(s.stages("one")[:1], 1e9)
-				s.Memory.Reserve(s.stages("two")[1:], 1e9)
+				s.Usage.Reserve(s.stages("one")[:1], 1e9)
+				s.Usage.Reserve(s.stages("two")[1:], 1e9)
 			}
 			ctx, disconnect := context.WithCancel(t.Context())
 			time.AfterFunc(100*time.Millisecond, disconnect)
--- a/internal/protocol/relay/watch_test.go
+++ b/internal/protocol/relay/watch_test.go
@@ -54,7 +54,7 @@
 	q.admitted.Route = &route
 	q.admitted.Service = table.Service("s")
 	run, cancel := context.WithCancelCause(t.Context())
-	reservation := s.Memory.Reserve(stages, 100)
+	reservation := s.Usage.Reserve(stages, 100)
 	w := q.watch(run, cancel, stages, reservation, s.Quarantine.Begin(nil, false))
 	t.Cleanup(func() {
 		_ = w.stop()
--- a/internal/transport/link/pool.go
+++ b/internal/transport/link/pool.go
@@ -38,7 +38,7 @@
 type clientConn struct {
 	*jsonrpc2.Conn
 	frames *frames
-	// failed is set after a message was not sent or got no response before its deadline.
+	// failed is set after a message was not sent or got no response.
 	failed atomic.Bool
 }
 
