--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -9,13 +9,13 @@
 	"k8s.io/klog/v2"
 
 	"github.com/skylarkwood/skylarkwood/internal/model"
-	outside "github.com/skylarkwood/skylarkwood/internal/platform"
+	external "github.com/skylarkwood/skylarkwood/internal/platform"
 )
 
 // countedStore counts the calls to the store by kind. Refused and unanswered calls count
 // against the quota too.
 type countedStore struct {
-	outside.Store
+	external.Store
 	metrics *metrics
 	// onNoResponse is called when a lease renewal gets no response. It may be nil.
 	onNoResponse func()
@@ -38,7 +38,7 @@
 	failedSuffix     = "_failed" // appended to the kind
 )
 
-func newCountedStore(store outside.Store, m *metrics) *countedStore {
+func newCountedStore(store external.Store, m *metrics) *countedStore {
 	return &countedStore{Store: store, metrics: m, counts: map[string]int{}}
 }
 
@@ -69,28 +69,28 @@
 }
 
 // Range implements Store.
-func (c *countedStore) Range(ctx context.Context, prefix string) (outside.Page, error) {
+func (c *countedStore) Range(ctx context.Context, prefix string) (external.Page, error) {
 	page, err := c.Store.Range(ctx, prefix)
 	c.count(callRange, err)
 	return page, err
 }
 
 // Get implements Store.
-func (c *countedStore) Get(ctx context.Context, key string) (outside.Item, error) {
+func (c *countedStore) Get(ctx context.Context, key string) (external.Item, error) {
 	it, err := c.Store.Get(ctx, key)
 	c.count(callGet, err)
 	return it, err
 }
 
 // Peek implements Store.
-func (c *countedStore) Peek(ctx context.Context, key string) (outside.Item, error) {
+func (c *countedStore) Peek(ctx context.Context, key string) (external.Item, error) {
 	it, err := c.Store.Peek(ctx, key)
 	c.count(callPeek, err)
 	return it, err
 }
 
 // Watch implements Store.
-func (c *countedStore) Watch(ctx context.Context, prefix string, after model.Revision, wait time.Duration) (outside.Page, error) {
+func (c *countedStore) Watch(ctx context.Context, prefix string, after model.Revision, wait time.Duration) (external.Page, error) {
 	page, err := c.Store.Watch(ctx, prefix, after, wait)
 	kind := callWatchQuiet
 	if len(page.Items) > 0 {
@@ -101,31 +101,31 @@
 }
 
 // Commit implements Store.
-func (c *countedStore) Commit(ctx context.Context, txn outside.Txn) (model.Revision, error) {
+func (c *countedStore) Commit(ctx context.Context, txn external.Txn) (model.Revision, error) {
 	revision, err := c.Store.Commit(ctx, txn)
 	c.count(callCommit, err)
 	return revision, err
 }
 
 // Grant implements Store.
-func (c *countedStore) Grant(ctx context.Context, ttl time.Duration) (outside.LeaseID, time.Duration, error) {
+func (c *countedStore) Grant(ctx context.Context, ttl time.Duration) (external.LeaseID, time.Duration, error) {
 	id, granted, err := c.Store.Grant(ctx, ttl)
 	c.count(callGrant, err)
 	return id, granted, err
 }
 
 // KeepAlive implements Store.
-func (c *countedStore) KeepAlive(ctx context.Context, id outside.LeaseID) error {
+func (c *countedStore) KeepAlive(ctx context.Context, id external.LeaseID) error {
 	err := c.Store.KeepAlive(ctx, id)
 	c.count(callKeepAlive, err)
-	if err != nil && !errors.Is(err, outside.ErrLeaseNotFound) && c.onNoResponse != nil {
+	if err != nil && !errors.Is(err, external.ErrLeaseNotFound) && c.onNoResponse != nil {
 		c.onNoResponse()
 	}
 	return err
 }
 
 // Revoke implements Store.
-func (c *countedStore) Revoke(ctx context.Context, id outside.LeaseID) error {
+func (c *countedStore) Revoke(ctx context.Context, id external.LeaseID) error {
 	err := c.Store.Revoke(ctx, id)
 	c.count(callRevoke, err)
 	return err
--- a/internal/daemon/contain.go
+++ b/internal/daemon/contain.go
@@ -7,7 +7,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/skylarkwood/skylarkwood/internal/model"
-	outside "github.com/skylarkwood/skylarkwood/internal/platform"
+	external "github.com/skylarkwood/skylarkwood/internal/platform"
 )
 
 // errPanic is the cause of errors from code that panicked.
@@ -16,7 +16,7 @@
 // recoverPanic must be deferred. It skips an entry of the store whose handling panicked, and
 // the previous state stays. Every router reads the same entries, also after a restart, so
 // one such entry would end all routers.
-func (s *routerSink) recoverPanic(it outside.Item) {
+func (s *routerSink) recoverPanic(it external.Item) {
 	if cause := recover(); cause != nil {
 		klog.ErrorS(errPanic, "store entry skipped: handling it panicked", "key", it.Key, "revision", it.Revision, "panic", cause, "stack", string(debug.Stack()))
 		s.metrics.countPanic("entry")
--- a/internal/daemon/contain_test.go
+++ b/internal/daemon/contain_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/skylarkwood/skylarkwood/internal/model"
-	outside "github.com/skylarkwood/skylarkwood/internal/platform"
+	external "github.com/skylarkwood/skylarkwood/internal/platform"
 	"github.com/skylarkwood/skylarkwood/internal/settings"
 	"github.com/skylarkwood/skylarkwood/platform"
 )
@@ -24,12 +24,12 @@
 	}
 	sink := (*routerSink)(r)
 	for _, version := range []string{"1", "2"} {
-		sink.Change(outside.Item{Key: platform.ConfigKey, Value: []byte(version), Revision: 5}, 0)
+		sink.Change(external.Item{Key: platform.ConfigKey, Value: []byte(version), Revision: 5}, 0)
 		assert.Equal(t, r.config.Version(), int64(1))
 	}
 	_, err := r.exchange.Decode([]byte("2"))
 	assert.ErrorIs(t, err, errPanic)
-	sink.Reset(outside.Page{Revision: 7, Items: []outside.Item{
+	sink.Reset(external.Page{Revision: 7, Items: []external.Item{
 		{Key: platform.ConfigKey, Value: []byte("2"), Revision: 6},
 		{Key: platform.ConfigKey, Value: []byte("3"), Revision: 7},
 	}}, time.Second)
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -25,7 +25,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/coordination/routes"
 	"github.com/skylarkwood/skylarkwood/internal/hlc"
 	"github.com/skylarkwood/skylarkwood/internal/model"
-	outside "github.com/skylarkwood/skylarkwood/internal/platform"
+	external "github.com/skylarkwood/skylarkwood/internal/platform"
 	"github.com/skylarkwood/skylarkwood/internal/protocol/relay"
 	"github.com/skylarkwood/skylarkwood/internal/settings"
 	"github.com/skylarkwood/skylarkwood/internal/state/replica"
@@ -100,7 +100,7 @@
 }
 
 // NewRouter returns a router that serves once Run is called.
-func NewRouter(s settings.Settings, store outside.Store) *Router {
+func NewRouter(s settings.Settings, store external.Store) *Router {
 	m := newMetrics(s)
 	r := &Router{
 		settings:     s,
--- a/internal/daemon/router_test.go
+++ b/internal/daemon/router_test.go
@@ -14,7 +14,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/skylarkwood/skylarkwood/internal/model"
-	outside "github.com/skylarkwood/skylarkwood/internal/platform"
+	external "github.com/skylarkwood/skylarkwood/internal/platform"
 	"github.com/skylarkwood/skylarkwood/internal/settings"
 	"github.com/skylarkwood/skylarkwood/platform"
 )
@@ -22,26 +22,26 @@
 // emptyStore responds to the first read once open is closed, with a configuration without
 // routes. All other calls fail.
 type emptyStore struct {
-	outside.Store
+	external.Store
 	open chan struct{}
 }
 
-func (s *emptyStore) Range(ctx context.Context, _ string) (outside.Page, error) {
+func (s *emptyStore) Range(ctx context.Context, _ string) (external.Page, error) {
 	select {
 	case <-s.open:
-		return outside.Page{Items: []outside.Item{{Key: platform.ConfigKey, Value: []byte(`{"version":1}`), Revision: 1}}, Revision: 1}, nil
+		return external.Page{Items: []external.Item{{Key: platform.ConfigKey, Value: []byte(`{"version":1}`), Revision: 1}}, Revision: 1}, nil
 	case <-ctx.Done():
-		return outside.Page{}, outside.ErrUnavailable
+		return external.Page{}, external.ErrUnavailable
 	}
 }
 
-func (s *emptyStore) Watch(ctx context.Context, _ string, _ model.Revision, _ time.Duration) (outside.Page, error) {
+func (s *emptyStore) Watch(ctx context.Context, _ string, _ model.Revision, _ time.Duration) (external.Page, error) {
 	<-ctx.Done()
-	return outside.Page{}, outside.ErrUnavailable
+	return external.Page{}, external.ErrUnavailable
 }
 
-func (s *emptyStore) Grant(context.Context, time.Duration) (outside.LeaseID, time.Duration, error) {
-	return 0, 0, outside.ErrUnavailable
+func (s *emptyStore) Grant(context.Context, time.Duration) (external.LeaseID, time.Duration, error) {
+	return 0, 0, external.ErrUnavailable
 }
 
 // failingListener is a listener whose socket fails once broken is closed.
@@ -60,7 +60,7 @@
 	}
 }
 
-func testRouter(t *testing.T, store outside.Store) *Router {
+func testRouter(t *testing.T, store external.Store) *Router {
 	s := settings.Default()
 	s.Role = model.RoleRouter
 	s.Instance = "r"
--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -11,7 +11,7 @@
 	"github.com/skylarkwood/skylarkwood/internal/coordination/catalog"
 	"github.com/skylarkwood/skylarkwood/internal/coordination/leader"
 	"github.com/skylarkwood/skylarkwood/internal/model"
-	outside "github.com/skylarkwood/skylarkwood/internal/platform"
+	external "github.com/skylarkwood/skylarkwood/internal/platform"
 	"github.com/skylarkwood/skylarkwood/platform"
 )
 
@@ -28,7 +28,7 @@
 //
 // Backend servers and quarantine verdicts are applied before the configuration, because
 // requests that wait for the first configuration are sent as soon as it is in force.
-func (s *routerSink) Reset(page outside.Page, grace time.Duration) {
+func (s *routerSink) Reset(page external.Page, grace time.Duration) {
 	servers, malformed := s.decodeServers(page.Items)
 	s.applyConflicts(s.catalog.Replace(servers, malformed, grace))
 	s.mu.Lock()
@@ -50,7 +50,7 @@
 }
 
 // valueOf returns the value and the revision of a key, or zero values if items lack it.
-func valueOf(items []outside.Item, key string) (value []byte, revision model.Revision) {
+func valueOf(items []external.Item, key string) (value []byte, revision model.Revision) {
 	for _, it := range items {
 		if it.Key == key {
 			return it.Value, it.Revision
@@ -61,7 +61,7 @@
 
 // decodeServers decodes the entries of backend servers. malformed holds the revisions of the
 // malformed ones, by server id.
-func (s *routerSink) decodeServers(items []outside.Item) (servers []model.BackendServer, malformed map[string]model.Revision) {
+func (s *routerSink) decodeServers(items []external.Item) (servers []model.BackendServer, malformed map[string]model.Revision) {
 	malformed = map[string]model.Revision{}
 	for _, it := range items {
 		if !strings.HasPrefix(it.Key, platform.ServersPrefix) {
@@ -97,7 +97,7 @@
 }
 
 // Change implements follow.Sink.
-func (s *routerSink) Change(it outside.Item, grace time.Duration) {
+func (s *routerSink) Change(it external.Item, grace time.Duration) {
 	defer s.recoverPanic(it)
 	switch {
 	case it.Key == platform.ConfigKey:
@@ -120,7 +120,7 @@
 // Synced implements follow.Sink.
 func (s *routerSink) Synced(at time.Duration) { s.config.Confirm(at) }
 
-func (s *routerSink) applyConfig(it outside.Item) {
+func (s *routerSink) applyConfig(it external.Item) {
 	if it.Removed {
 		klog.InfoS("configuration removed from the store; it stays in force", "revision", it.Revision)
 		return
@@ -146,7 +146,7 @@
 		"routes", len(cfg.Routes), "customers", len(cfg.Customers))
 }
 
-func (s *routerSink) applyServer(it outside.Item, grace time.Duration) {
+func (s *routerSink) applyServer(it external.Item, grace time.Duration) {
 	id := platform.ServerID(it.Key)
 	if it.Removed {
 		klog.InfoS("backend server entry removed", "server", id, "revision", it.Revision, "grace", grace)
@@ -164,7 +164,7 @@
 	s.applyConflicts(s.catalog.Put(b))
 }
 
-func (s *routerSink) applyMember(it outside.Item) {
+func (s *routerSink) applyMember(it external.Item) {
 	s.mu.Lock()
 	if it.Removed {
 		delete(s.members, it.Key)
--- a/internal/daemon/sink_test.go
+++ b/internal/daemon/sink_test.go
@@ -5,7 +5,7 @@
 
 	"gotest.tools/v3/assert"
 
-	outside "github.com/skylarkwood/skylarkwood/internal/platform"
+	external "github.com/skylarkwood/skylarkwood/internal/platform"
 	"github.com/skylarkwood/skylarkwood/platform"
 )
 
@@ -17,9 +17,9 @@
 	entry := []byte(`{"service":"s","address":"10.0.0.1:80","zone":"z","state":"ready","slots":9}`)
 	r := testRouter(t, &emptyStore{})
 	sink := (*routerSink)(r)
-	sink.Reset(outside.Page{Items: []outside.Item{{Key: key, Value: entry, Revision: back}}, Revision: firstPage}, 0)
-	sink.Change(outside.Item{Key: key, Revision: removed, Removed: true}, 0)
+	sink.Reset(external.Page{Items: []external.Item{{Key: key, Value: entry, Revision: back}}, Revision: firstPage}, 0)
+	sink.Change(external.Item{Key: key, Revision: removed, Removed: true}, 0)
 	assert.Equal(t, len(r.catalog.Load().Service("s")), 1)
-	sink.Change(outside.Item{Key: key, Revision: removedAgain, Removed: true}, 0)
+	sink.Change(external.Item{Key: key, Revision: removedAgain, Removed: true}, 0)
 	assert.Equal(t, len(r.catalog.Load().Service("s")), 0)
 }
