--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -52,7 +52,7 @@
 // waiter is a request that waits for a slot.
 type waiter struct {
 	admitted chan struct{} // closed when the request is admitted
-	dropped  chan struct{} // closed when the request is removed in favour of another
+	dropped  chan struct{} // closed when the request is dropped from the queue
 }
 
 // NewLimiter returns a Limiter without requests in flight.
@@ -82,7 +82,7 @@
 	select {
 	case <-w.admitted:
 	case <-w.dropped:
-		return l.refusal("removed from the queue in favour of another request")
+		return l.refusal("dropped from the queue in favor of another request")
 	case <-timeout.C:
 	case <-ctx.Done():
 	}
@@ -167,7 +167,7 @@
 	select {
 	case <-w.admitted:
 	default:
-		return l.refusalLocked("removed from the queue in favour of another request")
+		return l.refusalLocked("dropped from the queue in favor of another request")
 	}
 	if ctx.Err() == nil {
 		return nil
--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -89,8 +89,8 @@
 	})
 }
 
-// A request of higher priority replaces one of lower priority in a full queue. The replaced one is
-// refused at once.
+// If the queue is full, a request of lower priority is dropped in favor of one of higher
+// priority and refused at once.
 func TestLowPriorityIsDroppedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLimiter(time.Now)
--- a/internal/protocol/gate/gate.go
+++ b/internal/protocol/gate/gate.go
@@ -181,13 +181,13 @@
 }
 
 // ensureCapacity refuses a request that would have to wait if canWait is false, or if
-// the predicted wait exceeds its deadline. If the queue is full, it drops a queued
-// request of lower value, by priority and customer.
+// the expected wait exceeds its deadline. If the queue is full, it drops a queued
+// request of lower priority, or of the same priority and a customer with a larger share.
 func (g *Gate) ensureCapacity(r Request, canWait bool) error {
 	if g.active < g.slots() {
 		return nil
 	}
-	wait := g.predictedWait()
+	wait := g.expectedWait()
 	if !canWait {
 		return g.overloaded(wait)
 	}
@@ -206,14 +206,14 @@
 }
 
 func (g *Gate) overloaded(wait time.Duration) error {
-	e := fault.New(fault.Overloaded, "%d running, %d waiting, predicted wait %v",
+	e := fault.New(fault.Overloaded, "%d running, %d waiting, expected wait %v",
 		g.active, g.queue.Len(), wait.Round(time.Millisecond))
 	e.RetryAfter = wait
 	return e
 }
 
-// predictedWait returns the expected wait of a request that arrives now.
-func (g *Gate) predictedWait() time.Duration {
+// expectedWait returns the expected wait of a request that arrives now.
+func (g *Gate) expectedWait() time.Duration {
 	rounds := float64(g.queue.Len()+1) / float64(max(g.slots(), 1))
 	return max(time.Duration(rounds*float64(g.serviceTime)), time.Millisecond)
 }
--- a/internal/protocol/gate/gate_test.go
+++ b/internal/protocol/gate/gate_test.go
@@ -171,7 +171,7 @@
 	assert.Assert(t, other.granted && !third.granted)
 }
 
-// A request whose predicted wait exceeds its deadline must be refused at once with a
+// A request whose expected wait exceeds its deadline must be refused at once with a
 // retry delay.
 func TestRequestThatWouldWaitTooLongIsRefused(t *testing.T) {
 	c := newClock()
--- a/internal/protocol/sidecar/sidecar.go
+++ b/internal/protocol/sidecar/sidecar.go
@@ -246,7 +246,7 @@
 	case <-ticket.Ready():
 	case <-ticket.Shed():
 		ticket.Finish(nil)
-		return wire.CallReply{}, fault.New(fault.Overloaded, "dropped from the queue for a request of higher value")
+		return wire.CallReply{}, fault.New(fault.Overloaded, "dropped from the queue in favor of another request")
 	case <-ctx.Done():
 		ticket.Finish(nil)
 		return wire.CallReply{}, fault.New(fault.Deadline, "deadline passed while waiting at the gate")
