--- a/internal/coordination/catalog/incarnation.go
+++ b/internal/coordination/catalog/incarnation.go
@@ -33,7 +33,7 @@
 	accept decision = iota
 	// ignore is for a late entry of an older incarnation.
 	ignore
-	// dispute is for an entry whose age only the server itself can tell.
+	// dispute is for an entry whose age must be queried from the server itself.
 	dispute
 	// reject is for an entry that lacks the start time and so was not written by its
 	// server.
@@ -133,12 +133,12 @@
 	// revision is that of the first entry which named the incarnation.
 	revision model.Revision
 	// read is the number of the read of the whole list that returned the entry, 0 if it
-	// was a change. The revisions of entries from one read do not tell which process
+	// was a change. The revisions of entries from one read do not show which process
 	// started first.
 	read int64
 }
 
-// incarnationHistory remembers incarnations after their exit, so that their late
+// incarnationHistory keeps incarnations after their exit, so that their late
 // entries are recognized.
 type incarnationHistory struct {
 	firstSeen map[model.Incarnation]observation
@@ -192,7 +192,7 @@
 	return seen
 }
 
-// PruneExited forgets exited incarnations whose last entry is older than
+// PruneExited removes exited incarnations whose last entry is older than
 // historyRetention.
 func (c *Catalog) PruneExited() {
 	c.mu.Lock()
--- a/internal/coordination/fair/fair_test.go
+++ b/internal/coordination/fair/fair_test.go
@@ -23,7 +23,7 @@
 	next, _ := q.Pop()
 	assert.Equal(t, next, "small-0")
 	_, ok = q.Shed("flood", 3)
-	assert.Assert(t, !ok, "a customer must not displace its own items")
+	assert.Assert(t, !ok, "an item must not be shed for one of the same customer")
 }
 
 func TestPriorityGoesFirstAndIsShedLast(t *testing.T) {
@@ -31,7 +31,7 @@
 	q.Push("low", "a", 1)
 	q.Push("high", "a", 9)
 	_, ok := q.Shed("b", 0)
-	assert.Assert(t, !ok, "a new item of the lowest priority displaces none")
+	assert.Assert(t, !ok, "no item is shed for one of the lowest priority")
 	shed, _ := q.Shed("b", 5)
 	assert.Equal(t, shed, "low")
 	next, _ := q.Pop()
--- a/internal/coordination/flow/flow_test.go
+++ b/internal/coordination/flow/flow_test.go
@@ -19,22 +19,22 @@
 
 func TestKnownFlows(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		groups []Group
-		link   InterconnectRate
-		want   float64
+		name         string
+		groups       []Group
+		interconnect InterconnectRate
+		want         float64
 	}{
 		{"narrowest stage", []Group{{"a", layerRange(0, 4), 10}, {"a", layerRange(4, 8), 7}}, unlimited, 7},
 		{"two second stages", []Group{{"a", layerRange(0, 4), 10}, {"a", layerRange(4, 8), 3}, {"b", layerRange(4, 8), 5}}, unlimited, 8},
 		{"overlapping layers run once", []Group{{"a", layerRange(0, 6), 30}, {"a", layerRange(4, 8), 9}}, unlimited, 18},
 		{"one group holds the whole model", []Group{{"a", layerRange(0, 8), 4}, {"a", layerRange(0, 4), 3}, {"a", layerRange(4, 8), 3}}, unlimited, 7},
 		{"a layer is missing", []Group{{"a", layerRange(0, 3), 10}, {"a", layerRange(4, 8), 10}}, unlimited, 0},
-		{"link used at two boundaries", []Group{{"a", layerRange(0, 2), 10}, {"b", layerRange(2, 4), 10}, {"a", layerRange(4, 6), 10}, {"b", layerRange(6, 8), 10}},
+		{"interconnect used at two boundaries", []Group{{"a", layerRange(0, 2), 10}, {"b", layerRange(2, 4), 10}, {"a", layerRange(4, 6), 10}, {"b", layerRange(6, 8), 10}},
 			func(a, b string) float64 { return 2 }, 1},
-		{"slow link", []Group{{"a", layerRange(0, 4), 10}, {"b", layerRange(4, 8), 10}}, func(a, b string) float64 { return 2 }, 2},
+		{"slow interconnect", []Group{{"a", layerRange(0, 4), 10}, {"b", layerRange(4, 8), 10}}, func(a, b string) float64 { return 2 }, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := Solve(tc.groups, 8, tc.link, FinePrecision)
+			got := Solve(tc.groups, 8, tc.interconnect, FinePrecision)
 			assert.Assert(t, approxEqual(got.Rate, tc.want), "%g, want %g", got.Rate, tc.want)
 		})
 	}
@@ -55,8 +55,8 @@
 				Rate:   float64(rapid.IntRange(1, 100).Draw(rt, "rate")),
 			})
 		}
-		link := func(a, b string) float64 { return math.Inf(1) }
-		plan := Solve(groups, 8, link, FinePrecision)
+		interconnect := func(a, b string) float64 { return math.Inf(1) }
+		plan := Solve(groups, 8, interconnect, FinePrecision)
 		used := make([]float64, len(groups))
 		for _, c := range plan.Chains {
 			next := 0
@@ -70,7 +70,7 @@
 		for i, g := range groups {
 			assert.Assert(rt, used[i] <= g.Rate*(1+1e-9))
 		}
-		best := maxFlow(groups, 8, link)
+		best := maxFlow(groups, 8, interconnect)
 		assert.Assert(rt, approxEqual(plan.Rate, best), "plan %g, maximum flow %g", plan.Rate, best)
 		assert.Assert(rt, best == 0 || plan.UpperBound >= best*(1-1e-6), "bound %g below the maximum flow %g", plan.UpperBound, best)
 	})
@@ -89,13 +89,13 @@
 			groups = append(groups, Group{string(rune('a' + d)), layerRange(from, from+2), float64(10 + d)})
 		}
 	}
-	link := func(a, b string) float64 {
+	interconnect := func(a, b string) float64 {
 		if a == b {
 			return 1000
 		}
 		return 5
 	}
 	for b.Loop() {
-		Solve(groups, 8, link, CoarsePrecision)
+		Solve(groups, 8, interconnect, CoarsePrecision)
 	}
 }
--- a/internal/coordination/follow/follow.go
+++ b/internal/coordination/follow/follow.go
@@ -99,8 +99,8 @@
 	// Replica holds the contents for peers that poll this process. It is nil if none
 	// do.
 	Replica *replica.Replica
-	// PeersLastContact returns when any peer last heard from the store, as far as
-	// known. It is nil if there are no peers.
+	// PeersLastContact returns the last known contact of any peer with the store. It is
+	// nil if there are no peers.
 	PeersLastContact func() time.Duration
 	// Idle reports whether changes may be applied late. If it is nil, they never may.
 	Idle func() bool
@@ -354,7 +354,7 @@
 }
 
 // latestPerKey returns the last change of each key. Decoding a large configuration is
-// slow, so only the last of several is worth it.
+// slow, so earlier changes of a key are skipped.
 func latestPerKey(items []platform.Item) []platform.Item {
 	last := make(map[string]int, len(items))
 	for i, it := range items {
--- a/internal/coordination/follow/news.go
+++ b/internal/coordination/follow/news.go
@@ -15,8 +15,8 @@
 // Updates is the answer of a router that watches the store to one that polls it.
 type Updates struct {
 	replica.Changes
-	// Age is how long before the answer the router last heard from the store. Elapsed
-	// is how long the router had the query by then.
+	// Age is the time from the router's last contact with the store to the answer.
+	// Elapsed is the time from the arrival of the query to the answer.
 	Age, Elapsed time.Duration
 	// Grace is how long removed entries remain valid.
 	Grace time.Duration
--- a/internal/coordination/follow/outage.go
+++ b/internal/coordination/follow/outage.go
@@ -23,9 +23,9 @@
 	f.lastContact.Store(int64(at))
 }
 
-// outage returns for how long no router heard from the store. If a peer heard from it
-// all the time, only this process was cut off. Removed backend servers have exited
-// then, and must not get requests.
+// outage returns for how long no router had contact with the store. If a peer had contact
+// throughout, only this process was disconnected. In that case removed backend servers
+// have exited and must not get requests.
 func (f *Follower) outage(at time.Duration) time.Duration {
 	last := time.Duration(f.lastContact.Load())
 	if f.PeersLastContact != nil {
--- a/internal/coordination/placement/balance.go
+++ b/internal/coordination/placement/balance.go
@@ -148,7 +148,7 @@
 // refused.
 //
 // Only engines whose layers others hold with capacity to spare are moved, those with the
-// slowest cards first. An engine that gives up layers accepts no streams until its running
+// slowest cards first. An engine that unloads layers accepts no streams until its running
 // ones have left, and only then loads. Moving a busy engine costs more than the missing
 // layers.
 //
--- a/internal/coordination/quarantine/run.go
+++ b/internal/coordination/quarantine/run.go
@@ -41,7 +41,7 @@
 
 // Results of a run.
 const (
-	// Inconclusive means that the run says nothing about the request: the caller
+	// Inconclusive means that the run is no evidence about the request: the caller
 	// disconnected, the deadline passed, or the server refused it or did not respond.
 	Inconclusive Result = iota
 	// Completed means that the server sent a whole response, which may be an error.
--- a/internal/coordination/quarantine/trials.go
+++ b/internal/coordination/quarantine/trials.go
@@ -12,9 +12,9 @@
 const trialDuration = time.Second
 
 // Trials grants trials, which are runs of requests restricted to TrialOnly. One router grants
-// them for all routers: the first by rendezvous hashing among those alive. While routers disagree
-// on which one that is, two suspects may run at one server. This can delay a verdict but not make
-// it wrong.
+// them for all routers: the first by rendezvous hashing among the reachable ones. While routers
+// disagree on which one that is, two suspects may run at one server. This can delay a verdict but
+// not make it wrong.
 type Trials struct {
 	tracker *Tracker
 	clock   func() time.Duration
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -98,8 +98,8 @@
 	m.scope.Tagged(map[string]string{"kind": kind}).Counter("store_calls").Inc(1)
 }
 
-// setStoreContact sets whether this router watches the store itself, and the time since it,
-// or the router that it polls, last heard from the store.
+// setStoreContact sets whether this router watches the store itself, and the time since the
+// last contact with the store of this router or the router that it polls.
 func (m *metrics) setStoreContact(watching bool, age time.Duration) {
 	value := 0.0
 	if watching {
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -155,7 +155,7 @@
 	updates.Register(r.links)
 }
 
-// reachableRouters returns the registered routers that were recently heard from.
+// reachableRouters returns the registered routers with a recent heartbeat.
 func (r *Router) reachableRouters() []follow.Router {
 	reachable := r.exchange.ReachablePeers()
 	r.mu.Lock()
--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -453,7 +453,7 @@
 }
 
 // callWithRetry retries an unreachable peer over a new connection, because an open
-// connection may be dead while new ones work. It must be used for idempotent messages
+// connection may be broken while new ones work. It must be used for idempotent messages
 // only.
 func (o *Owner) callWithRetry(ctx context.Context, addr string, m wire.Method, req, rep any) error {
 	err := o.call(ctx, addr, m, req, rep)
--- a/internal/protocol/relay/path.go
+++ b/internal/protocol/relay/path.go
@@ -25,7 +25,7 @@
 	return q.Chooser.TokenTime(spec, stages) * time.Duration(spec.StepsPerPass)
 }
 
-// assess checks the path of a stream whose event is overdue, if the detector asks for it.
+// assess checks the path of a stream whose event is overdue, if the detector requires it.
 func (w *chainWatch) assess(generation int) {
 	a := w.progress.Assess()
 	if a.ReassessAfter > 0 {
--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -77,10 +77,9 @@
 	p.AnnounceSuspect(b.Incarnation(), until)
 }
 
-// Refused implements SuspectTracker. An engine refuses requests while it is full, or
-// because it drains or unloads its layers; its entry may report that only seconds later,
-// or not at all while the store is unavailable. Its report and its health check tell these
-// cases apart. A probe would succeed at once, so the suspicion lasts its full period and
+// Refused implements SuspectTracker. An engine refuses requests while it is full, drains
+// or unloads its layers. Its entry may show the cause only seconds later, or not at all
+// while the store is unavailable. Its report and its health check distinguish the cases. A probe would succeed at once, so the suspicion lasts its full period and
 // peers adopt it.
 func (p *Prober) Refused(b *model.BackendServer, request string, status int) {
 	if p.Health.Suspected(b.Incarnation()) {
--- a/internal/protocol/relay/prober_test.go
+++ b/internal/protocol/relay/prober_test.go
@@ -15,23 +15,23 @@
 	"github.com/skylarkwood/skylarkwood/internal/model"
 )
 
-// fakeEngine answers report requests unless it is dead.
+// fakeEngine answers report requests unless it is unresponsive.
 type fakeEngine struct {
-	mu        sync.Mutex
-	dead      bool
-	slow      float64
-	requests  int
-	announced int // announcements to peers
-	load      model.EngineReport
-	unhealthy bool
-	server    *model.BackendServer
+	mu           sync.Mutex
+	unresponsive bool
+	slow         float64
+	requests     int
+	announced    int // announcements to peers
+	load         model.EngineReport
+	unhealthy    bool
+	server       *model.BackendServer
 }
 
 func (a *fakeEngine) report(context.Context, *model.BackendServer) (model.EngineReport, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.requests++
-	if a.dead {
+	if a.unresponsive {
 		return model.EngineReport{}, errors.New("no response")
 	}
 	out := a.load
@@ -61,10 +61,10 @@
 	return a.requests
 }
 
-func (a *fakeEngine) setDead(dead bool) {
+func (a *fakeEngine) setUnresponsive(unresponsive bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.dead = dead
+	a.unresponsive = unresponsive
 }
 
 func inc(id string) model.Incarnation { return model.Incarnation{ID: id} }
@@ -95,14 +95,14 @@
 // withholding them after it has recovered.
 func TestDeadEngineStaysSuspectedUntilItResponds(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
-		a.setDead(true)
+		a.setUnresponsive(true)
 		p.Unreachable(a.server, "r", nil)
 		for range 40 {
 			time.Sleep(250 * time.Millisecond)
 			assert.Assert(t, p.Health.Suspected(inc("e")))
 		}
 		assert.Assert(t, a.announcementCount() > 2, "peers are notified while the suspicion lasts")
-		a.setDead(false)
+		a.setUnresponsive(false)
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, !p.Health.Suspected(inc("e")))
 	})
@@ -127,13 +127,13 @@
 		p.Unreachable(a.server, "r", nil)
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, !p.Lost(inc("e")), "it responds")
-		a.setDead(true)
+		a.setUnresponsive(true)
 		p.Unreachable(a.server, "r", nil)
 		time.Sleep(700 * time.Millisecond)
 		assert.Assert(t, !p.Lost(inc("e")))
 		time.Sleep(time.Second)
 		assert.Assert(t, p.Lost(inc("e")))
-		a.setDead(false)
+		a.setUnresponsive(false)
 		time.Sleep(time.Second)
 		assert.Assert(t, !p.Lost(inc("e")))
 	})
@@ -158,7 +158,7 @@
 
 func TestRemovedEngineIsNotProbed(t *testing.T) {
 	runProber(t, func(p *Prober, a *fakeEngine) {
-		a.setDead(true)
+		a.setUnresponsive(true)
 		p.Unreachable(a.server, "r", nil)
 		time.Sleep(time.Second)
 		p.Catalog.Remove("e", 2, 0)
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -141,8 +141,8 @@
 				continue
 			}
 		}
-		// A stream that has run is retried until its caller gives up; a new one is refused, as
-		// its caller may retry.
+		// A stream that has run is retried for callerGapTimeout. A new one is refused,
+		// because its caller may retry.
 		if s.runs == 0 || !s.Now().Before(until) || !wait.For(ctx, trialPollInterval) {
 			return nil, nil, s.trialError(v.Exits)
 		}
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -30,8 +30,8 @@
 	maxStalls = 3
 )
 
-// chainWatch watches one run on a chain. If no event arrives in time it asks the first
-// engine, which knows what its streams wait for. A failed engine is replaced in the chain,
+// chainWatch watches one run on a chain. If an event is overdue, it queries the first
+// engine, which reports what its streams wait for. A failed engine is replaced in the chain,
 // so that the other engines keep their token memory. If that fails the run is ended, and
 // the stream resumes on another chain.
 //
--- a/internal/protocol/wire/router.go
+++ b/internal/protocol/wire/router.go
@@ -71,7 +71,7 @@
 type RouterUpdates struct {
 	Revision model.Revision `json:"revision"`
 	Full     bool           `json:"whole,omitempty"`
-	// AgeMS is the time since the sender last heard from the store. ElapsedMS is how
+	// AgeMS is the time since the sender's last contact with the store. ElapsedMS is how
 	// long it took to answer the query. GraceMS is how long removed entries remain
 	// valid.
 	AgeMS     int64 `json:"age"`
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -45,7 +45,7 @@
 // The limits are deadlines of the read that waits for bytes, and only that read closes the
 // connection. A timer could close it right after the next request was read. That request
 // would be forwarded, its caller would get no response, and the backend server would drop
-// the request because its sender is gone.
+// the request because its sender has disconnected.
 type timedConn struct {
 	net.Conn
 	limits func() model.CallerLimits
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -48,7 +48,7 @@
 	// idleFetchDelay replaces fetchDelay until callers' requests arrive. Changes are
 	// applied in larger batches then.
 	idleFetchDelay = 1800 * time.Millisecond
-	// peerTimeout is how long a peer counts as alive after its last heartbeat.
+	// peerTimeout is how long a peer counts as running after its last heartbeat.
 	peerTimeout = 20 * time.Second
 )
 
--- a/internal/transport/peers/quarantine.go
+++ b/internal/transport/peers/quarantine.go
@@ -122,13 +122,13 @@
 // trialCoordinators returns the routers to ask for trials, in order. All routers rank the
 // reachable ones alike by rendezvous hashing.
 func (q *Quarantine) trialCoordinators() []string {
-	alive := []string{q.Exchange.Self}
+	reachable := []string{q.Exchange.Self}
 	for addr := range q.Exchange.ReachablePeers() {
-		alive = append(alive, addr)
+		reachable = append(reachable, addr)
 	}
 	const purpose = "trials"
-	slices.SortFunc(alive, func(a, b string) int { return cmp.Compare(spread.Hash(purpose, a), spread.Hash(purpose, b)) })
-	return alive[:min(len(alive), maxCoordinators)]
+	slices.SortFunc(reachable, func(a, b string) int { return cmp.Compare(spread.Hash(purpose, a), spread.Hash(purpose, b)) })
+	return reachable[:min(len(reachable), maxCoordinators)]
 }
 
 // PersisterRank returns the rank of this router among those that store verdicts. The
