--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -310,7 +310,7 @@
 
 func (o *Owner) reject(sub Submission, err error) error {
 	o.Events.Add(model.RequestKey{Customer: sub.Customer, ID: sub.ID}, events.Rejected, err.Error())
-	klog.V(1).InfoS("Submission refused", "request", sub.ID, "customer", sub.Customer, "service", sub.Service,
+	klog.V(1).InfoS("submission refused", "request", sub.ID, "customer", sub.Customer, "service", sub.Service,
 		"err", err, "instance", o.Instance, "incarnation", o.Incarnation)
 	return err
 }
@@ -357,7 +357,7 @@
 	case model.NotRun:
 		level = 1
 	}
-	klog.V(level).InfoS("Request ended", "request", j.submission.ID, "customer", j.submission.Customer, "service", j.submission.Service,
+	klog.V(level).InfoS("request ended", "request", j.submission.ID, "customer", j.submission.Customer, "service", j.submission.Service,
 		"outcome", out.State, "kind", out.Kind, "cause", out.Cause, "evidence", out.Evidence,
 		"instance", o.Instance, "incarnation", o.Incarnation)
 }
--- a/internal/protocol/sidecar/sidecar.go
+++ b/internal/protocol/sidecar/sidecar.go
@@ -277,7 +277,7 @@
 }
 
 func (s *Sidecar) log(k wire.RunKey, incarnation string) {
-	klog.V(2).InfoS("Request started", "request", k.ID, "customer", k.Customer, "run", k.Run,
+	klog.V(2).InfoS("request started", "request", k.ID, "customer", k.Customer, "run", k.Run,
 		"address", s.address, "incarnation", incarnation)
 }
 
--- a/internal/transport/mesh/config.go
+++ b/internal/transport/mesh/config.go
@@ -230,7 +230,7 @@
 // suspended.
 func (n *Node) CheckReady() error {
 	if !n.configLoaded.Load() {
-		return fault.New(fault.NotReady, "no configuration has been read yet")
+		return fault.New(fault.NotReady, "no configuration loaded yet")
 	}
 	if seen := n.maxSeenRevision.Load(); seen > n.Config.Revision() {
 		return fault.New(fault.StaleConfig, "configuration %d is in force, this instance has %d", seen, n.Config.Revision())
--- a/internal/transport/peers/fetch.go
+++ b/internal/transport/peers/fetch.go
@@ -78,7 +78,7 @@
 func (x *Exchange) handleConfigRequest(_ context.Context, _ string, req wire.RouterConfigRequest) (wire.RouterConfig, error) {
 	raw := x.Config.Raw()
 	if raw == nil {
-		return wire.RouterConfig{}, errors.WithStack(fault.New(fault.NotReady, "no configuration yet"))
+		return wire.RouterConfig{}, errors.WithStack(fault.New(fault.NotReady, "no configuration loaded yet"))
 	}
 	if req.VersionOnly {
 		return wire.RouterConfig{Version: raw.Version}, nil
