--- a/internal/coordination/follow/picker.go
+++ b/internal/coordination/follow/picker.go
@@ -75,7 +75,7 @@
 	return Source{Reason: "no watcher answers"}
 }
 
-// MarkFailed records that a source did not answer or is behind others. It is not picked
+// MarkFailed records that a source did not respond or is behind others. It is not picked
 // for failedSourceDelay.
 func (p *Picker) MarkFailed(s Source) {
 	p.mu.Lock()
--- a/internal/coordination/leader/lease.go
+++ b/internal/coordination/leader/lease.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// renew renews a lease and returns it. It returns the zero lease if the lease has ended, and the
-// lease unchanged if the outcome is unknown.
+// renew renews a lease and returns it. It returns the zero lease if the lease no longer exists,
+// and the lease unchanged if the outcome is unknown.
 func (e *Elector) renew(ctx context.Context, l lease, ttl time.Duration) lease {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -78,7 +78,7 @@
 	case err == nil:
 		return newLease(l.id, began, ttl)
 	case errors.Is(err, platform.ErrLeaseNotFound):
-		klog.InfoS("lease ended", "lease", l.id)
+		klog.InfoS("lease no longer exists", "lease", l.id)
 		return lease{}
 	}
 	klog.V(1).InfoS("failed to renew the lease", "lease", l.id, "err", err)
--- a/internal/coordination/placement/controller.go
+++ b/internal/coordination/placement/controller.go
@@ -87,7 +87,7 @@
 func (c *Controller) ObservePlan(service string, value []byte, revision model.Revision) {
 	plan, err := DecodePlan(value)
 	if err != nil {
-		klog.InfoS("cannot decode stored plan", "service", service, "revision", revision, "err", err)
+		klog.InfoS("stored plan cannot be decoded", "service", service, "revision", revision, "err", err)
 		return
 	}
 	c.acceptPlan(service, storedPlan{plan: plan, revision: revision})
@@ -249,7 +249,7 @@
 	}
 	value, err := json.Marshal(plan)
 	if err != nil {
-		klog.ErrorS(err, "cannot encode plan", "service", service)
+		klog.ErrorS(err, "failed to encode plan", "service", service)
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -259,7 +259,7 @@
 		Put: []platform.Item{{Key: leader.PlanPrefix + service, Value: value}},
 	})
 	if err != nil {
-		klog.InfoS("cannot store plan", "service", service, "token", token, "err", err)
+		klog.InfoS("failed to store plan", "service", service, "token", token, "err", err)
 		return false
 	}
 	klog.InfoS("plan stored", "service", service, "token", token, "revision", revision, "engines", len(plan), "before", len(old.plan))
--- a/internal/coordination/placement/orders.go
+++ b/internal/coordination/placement/orders.go
@@ -18,7 +18,7 @@
 	// connection with its buffers, which matters when thousands of engines start together.
 	maxConcurrentOrders = 64
 	// orderRetryDelay is the delay before the next order to an engine that refused one,
-	// did not answer, or was busy.
+	// did not respond, or was busy.
 	orderRetryDelay = time.Second
 )
 
@@ -157,7 +157,7 @@
 	defer cancel()
 	report, err := c.Engines.Report(ctx, b)
 	if err != nil {
-		klog.InfoS("cannot read engine report before an order", "server", b.Incarnation(), "err", err)
+		klog.InfoS("failed to read engine report before an order", "server", b.Incarnation(), "err", err)
 		c.delayOrder(b.Incarnation(), want, orderRetryDelay)
 		return
 	}
--- a/internal/transport/mesh/mesh.go
+++ b/internal/transport/mesh/mesh.go
@@ -241,7 +241,7 @@
 	if err := n.Pool.Call(ctx, addr, wire.MethodHello, hello, &reply); err != nil {
 		n.Pool.Reset(addr)
 		if n.Table.RecordFailure(addr) {
-			klog.V(1).InfoS("member did not answer a heartbeat", "address", addr, "err", err)
+			klog.V(1).InfoS("member did not respond to a heartbeat", "address", addr, "err", err)
 		}
 		return false
 	}
--- a/internal/transport/peers/quarantine.go
+++ b/internal/transport/peers/quarantine.go
@@ -114,7 +114,7 @@
 		if err == nil {
 			return grant
 		}
-		klog.InfoS("trial coordinator did not answer", "peer", addr, "work", fingerprint, "err", err)
+		klog.InfoS("trial coordinator did not respond", "peer", addr, "work", fingerprint, "err", err)
 	}
 	return quarantine.Grant{}
 }
