--- a/bench/retry_test.go
+++ b/bench/retry_test.go
@@ -27,7 +27,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		cfg := world.Config{Seed: 1, Layers: 1, Entries: failureDomains[:2], Link: linkBetween}
 		for i := 0; i < 6; i++ {
-			cfg.Plains = append(cfg.Plains, world.PlainSpec{Domain: failureDomains[i%3], CallDuration: 20 * time.Millisecond, Places: 16})
+			cfg.Plains = append(cfg.Plains, world.PlainSpec{Domain: failureDomains[i%3], CallDuration: 20 * time.Millisecond, Slots: 16})
 		}
 		w, err := world.New(ctx, cfg)
 		assert.NilError(t, err)
--- a/internal/protocol/owner/intake_test.go
+++ b/internal/protocol/owner/intake_test.go
@@ -22,7 +22,7 @@
 	w, err := world.New(ctx, world.Config{
 		Seed:    1,
 		Entries: []string{"a"},
-		Plains:  []world.PlainSpec{{Domain: "a", CallDuration: time.Second, Places: 64}},
+		Plains:  []world.PlainSpec{{Domain: "a", CallDuration: time.Second, Slots: 64}},
 		Link:    func(string, string) world.Link { return world.Link{Delay: time.Millisecond} },
 	})
 	assert.NilError(t, err)
--- a/internal/standin/world/sidecar.go
+++ b/internal/standin/world/sidecar.go
@@ -24,7 +24,7 @@
 	Engine *standin.Engine
 	Plain  *standin.Plain
 	Domain string
-	places int
+	slots  int
 	spec   EngineSpec
 	gate   *gate.Gate
 	stop   context.CancelFunc
@@ -71,7 +71,7 @@
 	inc := daemon.NewID()
 	clock := hlc.New(time.Now)
 	log := events.New(u.Addr, model.RoleSidecar, inc, clock, 1000)
-	u.gate = gate.New(inc, u.places, queueSize, time.Now)
+	u.gate = gate.New(inc, u.slots, queueSize, time.Now)
 	w.mu.Lock()
 	w.fence++
 	b := sidecar.Backend{Fence: w.fence}
@@ -79,7 +79,7 @@
 	m := backendClient{Engine: u.Engine, Plain: u.Plain, ctx: ctx}
 	if u.Engine != nil {
 		b.Engine = m
-		b.Limiter = limits.NewConcurrencyLimiter(u.spec.MaxBatch, u.places, u.batchTime(), time.Now)
+		b.Limiter = limits.NewConcurrencyLimiter(u.spec.MaxBatch, u.slots, u.batchTime(), time.Now)
 		u.gate.SetConcurrencyLimiter(b.Limiter)
 		if _, err := u.Engine.EndAll(ctx, b.Fence); err != nil {
 			panic(err) // the engine accepts the newest fencing token
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -49,7 +49,7 @@
 type PlainSpec struct {
 	Domain       string
 	CallDuration time.Duration
-	Places       int
+	Slots        int
 }
 
 // Config describes a World.
@@ -96,7 +96,7 @@
 	for _, spec := range cfg.Engines {
 		w.addSidecar(&Sidecar{
 			Domain: spec.Domain,
-			places: spec.Sessions,
+			slots:  spec.Sessions,
 			spec:   spec,
 			Engine: standin.NewEngine(standin.EngineConfig{
 				Range:        spec.Range,
@@ -109,7 +109,7 @@
 		})
 	}
 	for _, spec := range cfg.Plains {
-		w.addSidecar(&Sidecar{Domain: spec.Domain, places: spec.Places, Plain: standin.NewPlain(spec.CallDuration)})
+		w.addSidecar(&Sidecar{Domain: spec.Domain, slots: spec.Slots, Plain: standin.NewPlain(spec.CallDuration)})
 	}
 	for i, domain := range cfg.Entries {
 		e := w.startEntry(fmt.Sprintf("entry-%d", i), domain)
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -117,7 +117,7 @@
 		})
 	}
 	for i := 0; i < replicas; i++ {
-		cfg.Plains = append(cfg.Plains, world.PlainSpec{CallDuration: 30 * time.Millisecond, Places: 16})
+		cfg.Plains = append(cfg.Plains, world.PlainSpec{CallDuration: 30 * time.Millisecond, Slots: 16})
 	}
 	w, err := world.New(ctx, cfg)
 	assert.NilError(t, err)
