--- a/internal/coordination/catalog/incarnation.go
+++ b/internal/coordination/catalog/incarnation.go
@@ -165,7 +165,7 @@
 	return known && newest != inc && own.revision < h.firstSeen[newest].revision
 }
 
-// historyRetention is how long an incarnation is remembered after its last entry. Late
+// historyRetention is how long an incarnation is kept after its last entry. Late
 // writes arrive within some twelve seconds.
 const historyRetention = time.Minute
 
--- a/internal/daemon/malformed.go
+++ b/internal/daemon/malformed.go
@@ -6,8 +6,8 @@
 	// malformedLogInterval is the minimum time between two log lines on the same malformed
 	// entry. Its writer may write it with each heartbeat.
 	malformedLogInterval = time.Minute
-	// maxMalformedEntries is the number of such entries that are remembered. While it is
-	// reached, further entries are not logged.
+	// maxMalformedEntries is the maximum number of such entries that are tracked. While it
+	// is reached, further entries are not logged.
 	maxMalformedEntries = 64
 )
 
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -26,7 +26,8 @@
 	fencingTokenTimeout  = time.Second
 	prepareRetryInterval = 200 * time.Millisecond
 	engineTimeout        = 2 * time.Second
-	// leaveDelay gives entries time to learn from heartbeats that the sidecar is leaving.
+	// leaveDelay is the time in which heartbeats notify the entries that the sidecar is
+	// leaving.
 	leaveDelay = time.Second
 )
 
--- a/internal/protocol/owner/owner.go
+++ b/internal/protocol/owner/owner.go
@@ -146,9 +146,9 @@
 	acceptedAt    time.Time
 	run           string    // empty for a non-repeatable request
 	createdAt     time.Time // time in the id of a non-repeatable request
-	// retainUntil is until when gates must retain the record of the request. It is past
-	// the deadline. For a non-repeatable request it covers the time in which the same id
-	// may still be sent to another entry.
+	// retainUntil is the time until which gates must retain the record of the request. It
+	// is past the deadline. For a non-repeatable request it covers the time in which the
+	// same id may still be sent to another entry.
 	retainUntil time.Time
 }
 
--- a/internal/protocol/relay/acquire.go
+++ b/internal/protocol/relay/acquire.go
@@ -50,7 +50,7 @@
 	return q.admitted.Service.Engine.MeanPromptTokens
 }
 
-// allowResume returns whether the stream may be resumed at another chain, and takes a
+// allowResume reports whether the stream may be resumed at another chain, and takes a
 // retry token for that.
 func (q *request) allowResume(ctx context.Context, err error) bool {
 	if q.runs == 0 {
--- a/internal/protocol/relay/answer.go
+++ b/internal/protocol/relay/answer.go
@@ -51,7 +51,7 @@
 	return true
 }
 
-// promisesNotRun returns whether a status promises that the request did not run.
+// promisesNotRun reports whether a status promises that the request did not run.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -189,7 +189,7 @@
 	}
 }
 
-// mayRetryElsewhere returns whether another server is available and a retry token was
+// mayRetryElsewhere reports whether another server is available and a retry token was
 // granted, which it then keeps for the next send.
 func (q *request) mayRetryElsewhere(run context.Context) bool {
 	if q.leastCostServer() == nil || !q.takeRetryToken(run) {
--- a/internal/protocol/relay/ending.go
+++ b/internal/protocol/relay/ending.go
@@ -47,14 +47,14 @@
 	return connectionLost
 }
 
-// deadlinePassed returns whether a context's deadline has passed. A dial with the same
+// deadlinePassed reports whether a context's deadline has passed. A dial with the same
 // deadline may fail shortly before the context is cancelled.
 func deadlinePassed(ctx context.Context) bool {
 	until, ok := ctx.Deadline()
 	return ok && !time.Now().Before(until)
 }
 
-// countsAsFailure returns whether the end of a run is evidence against its server. It is
+// countsAsFailure reports whether the end of a run is evidence against its server. It is
 // not if the caller disconnected, the router is stopping, or the deadline left the
 // server too little time.
 func (e endReason) countsAsFailure(elapsed time.Duration) bool {
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -94,7 +94,7 @@
 	return s.run(ctx, stages, reservation)
 }
 
-// resumable returns whether another chain can continue the stream. Without event IDs the
+// resumable reports whether another chain can continue the stream. Without event IDs the
 // position of the caller is unknown, and events would be repeated.
 func (s *stream) resumable() bool { return s.events == 0 || s.hasLastEventID }
 
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -52,8 +52,8 @@
 }
 
 // finishReroute ends a rerouting. newStages is the new chain, or nil if the rerouting
-// failed.
-// It returns the generation afterwards, and whether the run continues on the new chain.
+// failed. It returns the generation afterwards, and whether the run continues on the new
+// chain.
 func (w *chainWatch) finishReroute(newStages []chains.Stage) (generation int, rerouted bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/protocol/relay/prober.go
+++ b/internal/protocol/relay/prober.go
@@ -40,7 +40,7 @@
 	Report  func(ctx context.Context, b *model.BackendServer) (model.EngineReport, error)
 	// AnnounceSuspect reports a suspicion to the other routers.
 	AnnounceSuspect func(engine model.Incarnation, until time.Time)
-	// Healthy returns whether a backend server is healthy and not draining.
+	// Healthy reports whether a backend server is healthy and not draining.
 	Healthy func(ctx context.Context, b *model.BackendServer) (bool, error)
 	// AnnounceRefusal reports to the other routers that an engine refuses requests.
 	AnnounceRefusal func(engine model.Incarnation, until time.Time)
@@ -232,7 +232,7 @@
 // probes, before it counts as lost.
 const lostTimeout = 1200 * time.Millisecond
 
-// exitRetention is how long an engine's exit is remembered: longer than the longest
+// exitRetention is how long an engine's exit is recorded: longer than the longest
 // stream that may have run there.
 const exitRetention = time.Minute
 
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -93,7 +93,7 @@
 	// Responded records that an incarnation responded to a report request sent at the
 	// given time.
 	Responded(engine model.Incarnation, requestedAt time.Time)
-	// Lost returns whether an engine's process has exited or has not responded for a
+	// Lost reports whether an engine's process has exited or has not responded for a
 	// long time.
 	Lost(engine model.Incarnation) bool
 }
--- a/internal/protocol/relay/repeat.go
+++ b/internal/protocol/relay/repeat.go
@@ -6,7 +6,7 @@
 	"k8s.io/klog/v2"
 )
 
-// retryable returns whether the request may be sent again at all.
+// retryable reports whether the request may be sent again at all.
 func (q *request) retryable() bool {
 	if q.runs >= q.admitted.Route.MaxAttempts || q.sends >= maxSends {
 		return false
@@ -14,7 +14,7 @@
 	return q.runs == 0 || q.admitted.Idempotent()
 }
 
-// allowRetry returns whether the request may be sent again, and takes a retry token for
+// allowRetry reports whether the request may be sent again, and takes a retry token for
 // that.
 func (q *request) allowRetry(ctx context.Context, reason string) bool {
 	if !q.retryable() {
@@ -33,7 +33,7 @@
 	return true
 }
 
-// firstSend returns whether the next send is the first, as nothing was sent before. It
+// firstSend reports whether the next send is the first, as nothing was sent before. It
 // needs no retry token, since the budget counts what reaches backend servers. The number
 // of such attempts is bounded.
 func (q *request) firstSend() bool { return q.sends == 0 && q.unsentAttempts < maxSends }
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// Healthy returns whether a backend server passes its health check. A server counts as
+// Healthy reports whether a backend server passes its health check. A server counts as
 // healthy if its service has no health path or the check returns an error.
 func (r *Relay) Healthy(ctx context.Context, b *model.BackendServer) (bool, error) {
 	svc := r.Config.Load().Service(b.Service)
--- a/internal/protocol/relay/running.go
+++ b/internal/protocol/relay/running.go
@@ -19,7 +19,7 @@
 
 type engineSet map[model.Incarnation]bool
 
-// lossRetention is how long a lost server is remembered for runs that are added afterwards,
+// lossRetention is how long a lost server is recorded for runs that are added afterwards,
 // for which it was chosen before the loss was known.
 const lossRetention = time.Second
 
--- a/internal/protocol/relay/suspect.go
+++ b/internal/protocol/relay/suspect.go
@@ -161,7 +161,7 @@
 	notNow
 )
 
-// permissionAt returns whether the stream may run at the chosen engines. The restriction may
+// permissionAt reports whether the stream may run at the chosen engines. The restriction may
 // have changed since the given assessment.
 func (s *stream) permissionAt(ctx context.Context, stages []chains.Stage, before quarantine.Assessment) permission {
 	if !s.Quarantine.HasSuspects() {
@@ -181,7 +181,7 @@
 	return s.startTrial(ctx, servers)
 }
 
-// mayReroute returns whether a running stream may be rerouted. A request that makes the
+// mayReroute reports whether a running stream may be rerouted. A request that makes the
 // engines of later stages exit could otherwise do so several times in one run.
 func (q *request) mayReroute() bool {
 	return !q.Quarantine.HasSuspects() || q.Quarantine.Assess(q.fingerprint()).Restriction < quarantine.TrialOnly
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -223,7 +223,7 @@
 	}
 }
 
-// changed returns whether an event arrived, or the chain was rerouted or ended, since the
+// changed reports whether an event arrived, or the chain was rerouted or ended, since the
 // given generation. Findings about the older chain are then obsolete.
 func (w *chainWatch) changed(generation int) bool {
 	w.mu.Lock()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -49,7 +49,8 @@
 
 // Entry holds the settings of an entry.
 type Entry struct {
-	// DrainDelay is how long the balancer takes to stop sending callers.
+	// DrainDelay is the time after which the balancer sends no more callers to a draining
+	// entry.
 	DrainDelay Duration `toml:"drain_delay"`
 	// KeepOutcomes is how long outcomes are retained after the deadline of a request.
 	KeepOutcomes Duration `toml:"keep_outcomes"`
@@ -116,7 +117,8 @@
 // maxDuration is the maximum of a Duration. Sums of several such values don't overflow.
 const maxDuration = 365 * 24 * time.Hour
 
-// exponentDuration matches a number in exponentDuration notation with a unit, which time.ParseDuration rejects.
+// exponentDuration matches a number in exponent notation with a unit, which
+// time.ParseDuration rejects.
 var exponentDuration = regexp.MustCompile(`^([-+]?[0-9.]+[eE][-+]?[0-9]+)([a-zµ]+)$`)
 
 // UnmarshalText implements encoding.TextUnmarshaler.
--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -41,7 +41,7 @@
 
 var errNoSocket = errors.New("not a socket")
 
-// peek returns whether bytes can be read, without blocking or consuming them. 0 without an
+// peek reports whether bytes can be read, without blocking or consuming them. 0 without an
 // error means that the peer closed the connection. The error is unix.EAGAIN if nothing has
 // arrived.
 func peek(c net.Conn) (n int, err error) {
--- a/internal/transport/peers/heartbeat.go
+++ b/internal/transport/peers/heartbeat.go
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// confirmConfig records that the version in force here was still the newest when the peer
-// last heard from the store. arrived is the time at which the heartbeat arrived.
+// confirmConfig records that the version in force here was still the newest at the peer's
+// last contact with the store. arrived is the time at which the heartbeat arrived.
 func (x *Exchange) confirmConfig(b wire.RouterHeartbeat, arrived time.Duration) {
 	age := time.Duration(b.ConfigAgeMS)*time.Millisecond + sendTimeout
 	x.Config.Confirm(arrived - age)
--- a/test/faultsoak/client_test.go
+++ b/test/faultsoak/client_test.go
@@ -198,7 +198,7 @@
 	}
 }
 
-// keysUpToDate returns whether every router refuses the previous key and accepts the
+// keysUpToDate reports whether every router refuses the previous key and accepts the
 // current one.
 func (s *site) keysUpToDate(c *client) bool {
 	for _, r := range s.routers {
--- a/test/faultsoak/process_test.go
+++ b/test/faultsoak/process_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// isShutDown returns whether no further process of the router will be started.
+// isShutDown reports whether no further process of the router will be started.
 func (r *router) isShutDown() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,7 +171,7 @@
 	return !l.killed.IsZero() && l.killed.Before(t)
 }
 
-// stoppedBefore returns whether a planned stop had begun at t.
+// stoppedBefore reports whether a planned stop had begun at t.
 func (l *incarnation) stoppedBefore(t time.Time) bool {
 	l.router.mu.Lock()
 	defer l.router.mu.Unlock()
--- a/test/faultsoak/promise_test.go
+++ b/test/faultsoak/promise_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// mayClose returns whether the connection had been idle for four fifths of some idle
+// mayClose reports whether the connection had been idle for four fifths of some idle
 // limit while its router may have applied that limit.
 func (s *site) mayClose(q sentRequest) bool {
 	for _, v := range s.published {
