--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -68,7 +68,7 @@
 }
 
 // Acquire waits for a slot. If it returns nil, the caller must call Release. It returns a fault of
-// kind Overloaded if the request is refused; the request must then not be sent to an engine.
+// kind Overloaded if the request is refused. A refused request must not be sent to an engine.
 func (l *Limiter) Acquire(ctx context.Context, q Request) error {
 	if ctx.Err() != nil {
 		return l.refusal("the caller disconnected")
--- a/internal/coordination/routes/routes.go
+++ b/internal/coordination/routes/routes.go
@@ -203,7 +203,7 @@
 }
 
 // Confirm records that the version in force was the newest at the given time. Confirmations
-// from the store and from peers may arrive out of order; earlier times are ignored.
+// from the store and from peers may arrive out of order. Earlier times are ignored.
 func (c *ActiveConfig) Confirm(at time.Duration) {
 	for {
 		confirmed := c.lastConfirmed.Load()
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -11,8 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// rank orders the layers; a package imports only from its own layer or below.
-// Packages that no layer owns (words, errors, the outside) rank lowest.
+// rank orders the layers. A package imports only from its own layer or below. Packages
+// that belong to no layer, such as those of the model, of errors and of the external
+// services, rank lowest.
 var rank = []string{"transport", "protocol", "coordination", "state"}
 
 const prefix = "github.com/skylarkwood/skylarkwood/internal/"
--- a/internal/protocol/owner/plain.go
+++ b/internal/protocol/owner/plain.go
@@ -73,7 +73,7 @@
 }
 
 // dispatch makes one attempt at one gate. If it returns an error, ran reports whether
-// the backend server may have run the call; false is proof that it did not.
+// the backend server may have run the call. False proves that it did not.
 func (o *Owner) dispatch(ctx context.Context, j *job, gate wire.Stage, attempt int64) (body []byte, ran bool, err error) {
 	if err := o.readmit(j); err != nil {
 		return nil, false, err
--- a/internal/protocol/relay/dispatch.go
+++ b/internal/protocol/relay/dispatch.go
@@ -141,7 +141,7 @@
 }
 
 // roundTrip sends the request and reads the complete response. It counts the request
-// as active at the server; the caller ends that count when it records the outcome. On a
+// as active at the server. The caller ends that count when it records the outcome. On a
 // panic roundTrip ends it itself.
 func (q *request) roundTrip(run context.Context, b *model.BackendServer) (read *bufferedResponse, err error) {
 	q.Health.Begin(b.Incarnation())
--- a/internal/protocol/relay/generate.go
+++ b/internal/protocol/relay/generate.go
@@ -180,8 +180,8 @@
 }
 
 // handleFailureResponse handles an engine's own failure response. A stream that has not
-// begun may be retried; the response is kept and forwarded if the retries fail. Otherwise
-// it is forwarded now.
+// begun may be retried. Its response is kept and forwarded if the retries fail. Otherwise
+// the response is forwarded now.
 func (s *stream) handleFailureResponse(resp *Response, read *bufferedResponse, err error) (done, complete bool, _ error) {
 	if err != nil {
 		return false, false, fault.New(fault.BackendFailed, "%v", err)
--- a/internal/protocol/relay/move.go
+++ b/internal/protocol/relay/move.go
@@ -19,7 +19,7 @@
 const maxRerouteOrders = 4
 
 // leaveEngines reroutes or ends the run because engines of its chain are lost. Several
-// streams may report the same engine; a run that no longer uses it is left unchanged.
+// streams may report the same engine. A run that no longer uses it is left unchanged.
 //
 // A run that may be restarted is ended rather than rerouted: the engines of a new chain
 // share the prefill of its tokens, and the streams of the lost engine spread over all
@@ -119,7 +119,7 @@
 }
 
 // handleRerouteRefusal records which engine a path was refused for. An engine that the
-// stream used before is lost to all streams; another one may only be full.
+// stream used before is lost to all streams. Another one may only be full.
 func (w *chainWatch) handleRerouteRefusal(server *model.BackendServer, before []chains.Stage, err error) {
 	if uses(before, server.Incarnation()) {
 		w.failEngine(server, err)
--- a/internal/protocol/relay/relay.go
+++ b/internal/protocol/relay/relay.go
@@ -49,7 +49,7 @@
 }
 
 // ResponseBody reads the body of a response. Read returns io.EOF only after the
-// complete body. The caller must call Close; further calls do nothing.
+// complete body. The caller must call Close. Further calls have no effect.
 type ResponseBody interface {
 	io.Reader
 	// Discard prevents the connection from being reused for another request.
@@ -58,7 +58,7 @@
 }
 
 // BackendClient sends requests to backend servers, each exactly once. ErrNotSent
-// proves that nothing was sent; after any other error the request may have run.
+// proves that nothing was sent. After any other error the request may have run.
 type BackendClient interface {
 	Do(ctx context.Context, addr string, r *Request) (*Response, error)
 	// CloseIdle closes the idle connections to an address whose process has exited.
@@ -124,7 +124,7 @@
 	Quarantine   *quarantine.Tracker
 	RequestTrial func(ctx context.Context, fingerprint model.Fingerprint, servers []model.Incarnation) quarantine.Grant
 	// CheckListening returns nil if a process accepts connections at an address and
-	// ErrRefused if none does; any other error is inconclusive.
+	// ErrRefused if none does. Any other error is inconclusive.
 	CheckListening func(ctx context.Context, addr string) error
 	FailureDomain  string
 	// MaxConfigAge is the greatest age of the configuration's last confirmation at which
--- a/internal/protocol/relay/report.go
+++ b/internal/protocol/relay/report.go
@@ -65,7 +65,7 @@
 
 // checkIncarnation returns an error if a report is from another incarnation than the one
 // that was asked. A restarted engine may be recognized by its report before its entry is
-// updated; the state of the previous incarnation does not apply to it.
+// updated. The state of the previous incarnation does not apply to it.
 func (r *Relay) checkIncarnation(b *model.BackendServer, report model.EngineReport) error {
 	if b.Born == 0 || report.Born == 0 || report.Born == b.Born {
 		return nil
--- a/internal/protocol/relay/watch.go
+++ b/internal/protocol/relay/watch.go
@@ -25,8 +25,9 @@
 	// rerouteTimeout bounds an order that reroutes a stream.
 	rerouteTimeout = 300 * time.Millisecond
 	// maxStalls is the number of consecutive stalls after which a chain is abandoned even
-	// if its first engine responds and names no engine at fault; one less before the
-	// first event. It leaves time for another chain's first event before callers give up.
+	// if its first engine responds and names no engine at fault. Before the first event
+	// it is one less, to leave time for another chain's first event before callers
+	// disconnect.
 	maxStalls = 3
 )
 
