--- a/internal/protocol/relay/acquire_test.go
+++ b/internal/protocol/relay/acquire_test.go
@@ -27,13 +27,13 @@
 	}
 	c.Put(engine("first", model.LayerRange{To: 6}))
 	health := catalog.NewHealth(time.Now)
-	memory := chains.NewUsageTracker(time.Now)
-	chooser := &chains.Chooser{Catalog: c, Health: health, Usage: memory, Interconnect: chains.NewInterconnect(time.Now), RouterCount: func() int { return 1 }}
+	usage := chains.NewUsageTracker(time.Now)
+	chooser := &chains.Chooser{Catalog: c, Health: health, Usage: usage, Interconnect: chains.NewInterconnect(time.Now), RouterCount: func() int { return 1 }}
 	prober := NewProber()
 	prober.Now = time.Now
 	prober.Health = health
 	prober.Catalog = c
-	r := &Relay{Detector: detector.New(time.Now), Catalog: c, Health: health, Chooser: chooser, Usage: memory, WaitQueue: admission.NewWaitQueue(), Suspects: prober, FailureDomain: "a", Now: time.Now,
+	r := &Relay{Detector: detector.New(time.Now), Catalog: c, Health: health, Chooser: chooser, Usage: usage, WaitQueue: admission.NewWaitQueue(), Suspects: prober, FailureDomain: "a", Now: time.Now,
 		Quarantine: quarantine.New(func() time.Duration { return 0 })}
 	q := &request{Relay: r, call: &model.Call{Attempt: "1"}, startTime: time.Now(), avoid: map[model.Incarnation]bool{}}
 	q.admitted = routes.Admission{
--- a/internal/protocol/relay/serve_test.go
+++ b/internal/protocol/relay/serve_test.go
@@ -98,7 +98,7 @@
 		c.Put(model.BackendServer{ID: id, Service: "s", Address: id + ":1", FailureDomain: "a", Card: "fast", Holds: model.LayerRange{To: 12}, Slots: 9})
 	}
 	health := catalog.NewHealth(time.Now)
-	memory := chains.NewUsageTracker(time.Now)
+	usage := chains.NewUsageTracker(time.Now)
 	began := time.Now()
 	prober := NewProber()
 	prober.Now = time.Now
@@ -107,8 +107,8 @@
 	prober.AnnounceSuspect = func(model.Incarnation, time.Time) {}
 	observer := &retryCounter{}
 	rel := &Relay{
-		Config: current, Catalog: c, Health: health, Usage: memory,
-		Chooser:       &chains.Chooser{Catalog: c, Health: health, Usage: memory, Interconnect: chains.NewInterconnect(time.Now), RouterCount: func() int { return 1 }},
+		Config: current, Catalog: c, Health: health, Usage: usage,
+		Chooser:       &chains.Chooser{Catalog: c, Health: health, Usage: usage, Interconnect: chains.NewInterconnect(time.Now), RouterCount: func() int { return 1 }},
 		WaitQueue:     admission.NewWaitQueue(),
 		RetryBorrower: &limits.RetryBorrower{Budget: limits.NewSharedRetryBudget(0, 100, time.Second, func() int { return 1 }, time.Now), Now: time.Now},
 		BackendClient: do, Observer: observer, ActiveRuns: NewActiveRuns(), Suspects: prober, FailureDomain: "a",
@@ -121,7 +121,7 @@
 		CheckListening: func(context.Context, string) error { return nil },
 	}
 	rel.SlowdownMonitor = NewSlowdownMonitor()
-	rel.SlowdownMonitor.Usage = memory
+	rel.SlowdownMonitor.Usage = usage
 	rel.SlowdownMonitor.Catalog = c
 	rel.SlowdownMonitor.Report = rel.Report
 	rel.SlowdownMonitor.Now = time.Now
