--- a/api/mesh/v1/meshv1connect/mesh.connect.go
+++ b/api/mesh/v1/meshv1connect/mesh.connect.go
@@ -2,8 +2,8 @@
 //
 // Source: mesh/v1/mesh.proto
 
-// Package mesh.v1 is what processes of the system send each other in bulk. What
-// is seldom goes by jsonrpc2; see internal/protocol/wire.
+// Package mesh.v1 defines the bulk data transfer between processes of the
+// system. Infrequent messages use jsonrpc2; see internal/protocol/wire.
 package meshv1connect
 
 import (
@@ -41,7 +41,7 @@
 
 // DataServiceClient is a client for the mesh.v1.DataService service.
 type DataServiceClient interface {
-	// Carry is one long stream from one process to another.
+	// Carry is a long-lived stream from one process to another.
 	Carry(context.Context) *connect.ClientStreamForClient[v1.Parcel, v1.CarryResponse]
 }
 
@@ -77,7 +77,7 @@
 
 // DataServiceHandler is an implementation of the mesh.v1.DataService service.
 type DataServiceHandler interface {
-	// Carry is one long stream from one process to another.
+	// Carry is a long-lived stream from one process to another.
 	Carry(context.Context, *connect.ClientStream[v1.Parcel]) (*connect.Response[v1.CarryResponse], error)
 }
 
--- a/api/platform/v1/platformv1connect/platform.connect.go
+++ b/api/platform/v1/platformv1connect/platform.connect.go
@@ -2,8 +2,8 @@
 //
 // Source: platform/v1/platform.proto
 
-// Package platform.v1 is the stand-in for the users' platform protocols, until
-// the real ones are known. Only internal/platform speaks it.
+// Package platform.v1 is a placeholder for the users' platform protocols, until
+// the real protocols are known. Only internal/platform uses it.
 package platformv1connect
 
 import (
@@ -69,11 +69,12 @@
 // KeyValueServiceClient is a client for the platform.v1.KeyValueService service.
 type KeyValueServiceClient interface {
 	Get(context.Context, *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error)
-	// CompareAndSwap writes if the key's version is the expected one; version 0
-	// stands for a key that does not exist.
+	// CompareAndSwap writes the value if the version of the key equals the expected
+	// version. Version 0 denotes a key that does not exist.
 	CompareAndSwap(context.Context, *connect.Request[v1.CompareAndSwapRequest]) (*connect.Response[v1.CompareAndSwapResponse], error)
 	Delete(context.Context, *connect.Request[v1.DeleteRequest]) (*connect.Response[v1.DeleteResponse], error)
-	// Watch answers when the key's version exceeds the given one or time is up.
+	// Watch returns when the version of the key exceeds the given version or when
+	// the timeout expires.
 	Watch(context.Context, *connect.Request[v1.WatchRequest]) (*connect.Response[v1.GetResponse], error)
 }
 
@@ -146,11 +147,12 @@
 // KeyValueServiceHandler is an implementation of the platform.v1.KeyValueService service.
 type KeyValueServiceHandler interface {
 	Get(context.Context, *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error)
-	// CompareAndSwap writes if the key's version is the expected one; version 0
-	// stands for a key that does not exist.
+	// CompareAndSwap writes the value if the version of the key equals the expected
+	// version. Version 0 denotes a key that does not exist.
 	CompareAndSwap(context.Context, *connect.Request[v1.CompareAndSwapRequest]) (*connect.Response[v1.CompareAndSwapResponse], error)
 	Delete(context.Context, *connect.Request[v1.DeleteRequest]) (*connect.Response[v1.DeleteResponse], error)
-	// Watch answers when the key's version exceeds the given one or time is up.
+	// Watch returns when the version of the key exceeds the given version or when
+	// the timeout expires.
 	Watch(context.Context, *connect.Request[v1.WatchRequest]) (*connect.Response[v1.GetResponse], error)
 }
 
--- a/api/skylarkwood/v1/skylarkwoodv1connect/skylarkwood.connect.go
+++ b/api/skylarkwood/v1/skylarkwoodv1connect/skylarkwood.connect.go
@@ -2,7 +2,8 @@
 //
 // Source: skylarkwood/v1/skylarkwood.proto
 
-// Package skylarkwood.v1 is what callers, support engineers and operators use.
+// Package skylarkwood.v1 is the API for callers, support engineers and
+// operators.
 package skylarkwoodv1connect
 
 import (
@@ -63,12 +64,13 @@
 
 // RequestServiceClient is a client for the skylarkwood.v1.RequestService service.
 type RequestServiceClient interface {
-	// Submit runs one request and streams its answer. The last message carries
-	// the outcome. A request sent again under the same id joins the first one.
+	// Submit runs one request and streams its response. The last message contains
+	// the outcome. A request that is sent again with the same request id joins the
+	// first one.
 	Submit(context.Context, *connect.Request[v1.SubmitRequest]) (*connect.ServerStreamForClient[v1.SubmitResponse], error)
-	// GetOutcome tells what became of one request, with the evidence for it.
+	// GetOutcome returns the outcome of one request, with the evidence for it.
 	GetOutcome(context.Context, *connect.Request[v1.GetOutcomeRequest]) (*connect.Response[v1.GetOutcomeResponse], error)
-	// GetTimeline merges the events of one request over all processes.
+	// GetTimeline merges the events of one request from all processes.
 	GetTimeline(context.Context, *connect.Request[v1.GetTimelineRequest]) (*connect.Response[v1.GetTimelineResponse], error)
 }
 
@@ -128,12 +130,13 @@
 
 // RequestServiceHandler is an implementation of the skylarkwood.v1.RequestService service.
 type RequestServiceHandler interface {
-	// Submit runs one request and streams its answer. The last message carries
-	// the outcome. A request sent again under the same id joins the first one.
+	// Submit runs one request and streams its response. The last message contains
+	// the outcome. A request that is sent again with the same request id joins the
+	// first one.
 	Submit(context.Context, *connect.Request[v1.SubmitRequest], *connect.ServerStream[v1.SubmitResponse]) error
-	// GetOutcome tells what became of one request, with the evidence for it.
+	// GetOutcome returns the outcome of one request, with the evidence for it.
 	GetOutcome(context.Context, *connect.Request[v1.GetOutcomeRequest]) (*connect.Response[v1.GetOutcomeResponse], error)
-	// GetTimeline merges the events of one request over all processes.
+	// GetTimeline merges the events of one request from all processes.
 	GetTimeline(context.Context, *connect.Request[v1.GetTimelineRequest]) (*connect.Response[v1.GetTimelineResponse], error)
 }
 
@@ -195,7 +198,8 @@
 type OperatorServiceClient interface {
 	GetTemplate(context.Context, *connect.Request[v1.GetTemplateRequest]) (*connect.Response[v1.GetTemplateResponse], error)
 	ListTemplates(context.Context, *connect.Request[v1.ListTemplatesRequest]) (*connect.Response[v1.ListTemplatesResponse], error)
-	// SetTemplate replaces one template if its revision is still the expected one.
+	// SetTemplate replaces one template if its revision still equals the expected
+	// revision.
 	SetTemplate(context.Context, *connect.Request[v1.SetTemplateRequest]) (*connect.Response[v1.SetTemplateResponse], error)
 	GetTemplateHistory(context.Context, *connect.Request[v1.GetTemplateHistoryRequest]) (*connect.Response[v1.GetTemplateHistoryResponse], error)
 	GetStatus(context.Context, *connect.Request[v1.GetStatusRequest]) (*connect.Response[v1.GetStatusResponse], error)
@@ -283,7 +287,8 @@
 type OperatorServiceHandler interface {
 	GetTemplate(context.Context, *connect.Request[v1.GetTemplateRequest]) (*connect.Response[v1.GetTemplateResponse], error)
 	ListTemplates(context.Context, *connect.Request[v1.ListTemplatesRequest]) (*connect.Response[v1.ListTemplatesResponse], error)
-	// SetTemplate replaces one template if its revision is still the expected one.
+	// SetTemplate replaces one template if its revision still equals the expected
+	// revision.
 	SetTemplate(context.Context, *connect.Request[v1.SetTemplateRequest]) (*connect.Response[v1.SetTemplateResponse], error)
 	GetTemplateHistory(context.Context, *connect.Request[v1.GetTemplateHistoryRequest]) (*connect.Response[v1.GetTemplateHistoryResponse], error)
 	GetStatus(context.Context, *connect.Request[v1.GetStatusRequest]) (*connect.Response[v1.GetStatusResponse], error)
